--- /dev/null
+++ b/test/standin/output-digest.ts
@@ -0,0 +1,140 @@
+/**
+ * SIMDIGEST=1: a digest of all that leaves the controllers of a simulated cluster, in its encoded form and with its time. A step
+ * that changes no behaviour leaves every digest as it was; see CONTRIBUTING.md.
+ */
+import { createHash } from 'node:crypto';
+import type { ApiAnswer } from '../../src/core/api.js';
+import type { MeshMsg, ReportAnswer } from '../../src/core/controller.js';
+import type { CloudPort, StatePort, WorkerPort } from '../../src/core/types.js';
+import { writeRemoval, writeRental } from '../../src/wire/cloud.js';
+import { writeState } from '../../src/wire/jobs.js';
+import { writeTxn } from '../../src/wire/state.js';
+import { writeAnswer, writeDirect, writeRedirect } from '../../src/wire/worker.js';
+
+const enabled = Boolean(process.env.SIMDIGEST);
+const digests: OutputDigest[] = [];
+
+/** Prints the digest of each simulated cluster that a test has made. */
+export function printDigests(testName: string): void {
+  for (const digest of digests.splice(0)) console.log(`digest ${digest.finish()} ${testName}`);
+}
+
+/** Takes down what the controllers of one simulated cluster send. */
+export class OutputDigest {
+  private readonly hash = createHash('sha256');
+  private outputs = 0;
+
+  constructor(
+    private readonly seed: number,
+    private readonly now: () => number,
+  ) {
+    if (enabled) digests.push(this);
+  }
+
+  finish(): string {
+    return `${this.hash.digest('hex').slice(0, 16)} seed ${this.seed} outputs ${this.outputs}`;
+  }
+
+  private add(host: string, channel: string, encoded: () => unknown): void {
+    if (!enabled) return;
+    this.outputs++;
+    this.hash.update(`${this.now().toFixed(6)} ${host} ${channel} ${JSON.stringify(encoded())}\n`);
+  }
+
+  peerMessage(host: string, to: string, message: MeshMsg): void {
+    this.add(host, `peer ${to}`, () => message);
+  }
+
+  heartbeatAnswer(host: string, answer: ReportAnswer): void {
+    this.add(host, 'heartbeat answer', () => {
+      switch (answer.s) {
+        case 'ok':
+          return [200, writeAnswer(answer.token, answer.cmds)];
+        case 'other':
+          return [421, writeRedirect(answer.leader)];
+        case 'later':
+          return [503];
+      }
+    });
+  }
+
+  userAnswer(host: string, answer: ApiAnswer): void {
+    this.add(host, 'user answer', () => {
+      switch (answer.s) {
+        case 'job':
+          return [answer.created ? 201 : 200, writeState('', answer)];
+        case 'unknown':
+          return [404];
+        case 'never':
+          return [422, answer.reason];
+        case 'later':
+          return [503, answer.reason];
+      }
+    });
+  }
+
+  store(host: string, port: StatePort): StatePort {
+    const add = (call: string, encoded: unknown) => this.add(host, `store ${call}`, () => encoded);
+    return {
+      get: (key, urgency, then) => {
+        add('get', [key, urgency]);
+        port.get(key, urgency, then);
+      },
+      list: (prefix, since, urgency, then) => {
+        add('list', [prefix, since, urgency]);
+        port.list(prefix, since, urgency, then);
+      },
+      txn: (txn, urgency, then) => {
+        add('txn', [writeTxn(txn), urgency]);
+        port.txn(txn, urgency, then);
+      },
+      grant: (ttlMs, then) => {
+        add('grant', ttlMs);
+        port.grant(ttlMs, then);
+      },
+      touch: (lease, then) => {
+        add('touch', lease);
+        port.touch(lease, then);
+      },
+      end: (lease, then) => {
+        add('end', lease);
+        port.end(lease, then);
+      },
+      watch: (prefix, since, waitMs, then) => {
+        add('watch', [prefix, since, waitMs]);
+        port.watch(prefix, since, waitMs, then);
+      },
+    };
+  }
+
+  cloud(host: string, port: CloudPort): CloudPort {
+    const add = (call: string, encoded: unknown) => this.add(host, `cloud ${call}`, () => encoded);
+    return {
+      types: (then) => {
+        add('types', null);
+        port.types(then);
+      },
+      rent: (claim, type, zone, spot, count, then) => {
+        add('rent', writeRental(claim, type, zone, spot, count));
+        port.rent(claim, type, zone, spot, count, then);
+      },
+      remove: (names, then) => {
+        add('remove', writeRemoval(names));
+        port.remove(names, then);
+      },
+      list: (since, then) => {
+        add('list', since);
+        port.list(since, then);
+      },
+    };
+  }
+
+  workers(host: string, port: WorkerPort): WorkerPort {
+    return {
+      commands: (address, token, season, commands, then) => {
+        this.add(host, `worker ${address}`, () => writeDirect(token, season, commands));
+        port.commands(address, token, season, commands, then);
+      },
+    };
+  }
+}
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -7,6 +7,7 @@
 import { Admission } from './admission.js';
 import { CloudStandin } from './cloud.js';
 import { ODD_JOB } from './odd-job.js';
+import { OutputDigest } from './output-digest.js';
 import { statePort, workerPort } from './ports.js';
 import { Rules } from './rules.js';
 import { ServiceLevel } from './service-level.js';
@@ -73,6 +74,7 @@
   private readonly attemptsStarted = new Set<string>();
   readonly service: ServiceLevel;
   readonly admission: Admission;
+  private readonly digest: OutputDigest;
   private instances = 0;
 
   constructor(
@@ -82,6 +84,7 @@
     this.hosts = shape.hosts;
     this.service = new ServiceLevel(shape.teams);
     this.sim = new Sim(seed);
+    this.digest = new OutputDigest(seed, () => this.sim.now);
     this.net = new Net(this.sim);
     this.state = new StateStandin(this.sim);
     this.cloud = new CloudStandin({
@@ -129,11 +132,21 @@
       policy: POLICY,
       clock,
       log: this.logger(host),
-      statePort: statePort(this, host, (handle) => this.enter(p, handle)),
-      cloud: this.cloud.port(host, (handle) => this.enter(p, handle)),
-      worker: workerPort(this, host, (handle) => this.enter(p, handle)),
+      statePort: this.digest.store(
+        host,
+        statePort(this, host, (handle) => this.enter(p, handle)),
+      ),
+      cloud: this.digest.cloud(
+        host,
+        this.cloud.port(host, (handle) => this.enter(p, handle)),
+      ),
+      worker: this.digest.workers(
+        host,
+        workerPort(this, host, (handle) => this.enter(p, handle)),
+      ),
       mesh: {
         send: (to, m: MeshMsg) => {
+          this.digest.peerMessage(host, to, m);
           const text = JSON.stringify(m);
           this.net.send(host, to, () => {
             const q = this.procs.get(to);
@@ -222,7 +235,12 @@
       report: (host: string, r: WorkerReport, reply: (a: ReportAnswer) => void) => {
         const p = this.procs.get(host);
         const text = JSON.stringify(r);
-        if (p) this.enter(p, () => reply(JSON.parse(JSON.stringify(p.ctl.report(JSON.parse(text))))));
+        if (!p) return;
+        this.enter(p, () => {
+          const answer = p.ctl.report(JSON.parse(text));
+          this.digest.heartbeatAnswer(host, answer);
+          reply(JSON.parse(JSON.stringify(answer)));
+        });
       },
       copy: (r: WorkerReport) => {
         if (!this.copies || !this.sim.chance(0.3)) return;
@@ -297,7 +315,14 @@
       'users',
       host,
       5000,
-      (reply) => this.enter(p, () => run(p.ctl, (a) => p.alive && reply(a))),
+      (reply) =>
+        this.enter(p, () =>
+          run(p.ctl, (a) => {
+            if (!p.alive) return;
+            this.digest.userAnswer(host, a);
+            reply(a);
+          }),
+        ),
       (a) => cb(a.got ? a.value : null),
     );
   }
