--- a/src/core/api.ts
+++ b/src/core/api.ts
@@ -1,3 +1,4 @@
+import { counterRecord, finalRecord, jobRecord } from '../wire/record-codec.js';
 import { Counter } from './graph.js';
 import type { Mirror } from './mirror.js';
 import { type CountRecord, decodeBits, type EndRecord, type OpenRecord } from './records.js';
@@ -85,7 +86,7 @@
             { key: `open/${spec.id}/a`, version: 0 },
             { key: `end/${spec.id}`, version: 0 },
           ],
-          then: [{ put: `open/${spec.id}/a`, value: rec }],
+          then: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(rec) }],
         },
         URGENCY.user,
         (r) => {
@@ -119,20 +120,20 @@
         if (f === null) return cb({ s: 'later', reason: 'state service not reached' });
         const a = this.answer(id, f, false);
         if (a.s !== 'job' || a.state === 'done' || a.state === 'cancelled' || !f.open) return cb(a);
-        const rec: OpenRecord = { j: f.open.rec.j, o: f.open.rec.o ?? f.open.version, x: 1 };
+        const rec: OpenRecord = { j: f.open.rec.j, o: f.open.rec.o ?? f.open.version, x: true };
         this.state.txn(
           {
             when: [
               { key: `open/${id}/a`, version: f.open.version },
               { key: `open/${id}/n`, version: f.count?.version ?? 0 },
             ],
-            then: [{ put: `open/${id}/a`, value: rec }],
+            then: [{ put: `open/${id}/a`, value: jobRecord.encode(rec) }],
           },
           URGENCY.lease,
           (r) => {
             if (r.ok) {
               this.log.debug({ job: id }, 'cancelled by its user');
-              this.keep(id, { d: 0, n: a.done });
+              this.keep(id, { d: false, n: a.done });
               return cb({ s: 'job', created: false, state: 'cancelled', done: a.done, running: 0 });
             }
             if ((r.kind === 'conflict' || r.kind === 'unknown') && left > 0) return attempt(left - 1);
@@ -156,14 +157,14 @@
       // Final here meanwhile: an abort may have been answered while the read was on its way.
       const over = this.finals.get(id);
       if (over) return cb({ ...f, end: over });
-      if (a) f.open = { rec: a.value as OpenRecord, version: a.version };
-      if (n) f.count = { rec: n.value as CountRecord, version: n.version };
+      if (a) f.open = { rec: jobRecord.decode(a.value), version: a.version };
+      if (n) f.count = { rec: counterRecord.decode(n.value), version: n.version };
       if (f.open) return cb(f);
       // Moved to its final record in one transaction: not open (any more), then it is there or was never.
       this.state.get(`end/${id}`, u, (e) => {
         if (!e.ok) return cb(null);
         if (e.value) {
-          f.end = e.value.value as EndRecord;
+          f.end = finalRecord.decode(e.value.value);
           this.keep(id, f.end);
         }
         cb(f);
@@ -173,27 +174,27 @@
 
   private keep(id: string, e: EndRecord): void {
     this.finals.set(id, e);
-    if (e.d === 0) this.cancelled(id);
+    if (!e.d) this.cancelled(id);
     if (this.finals.size > 20000)
       for (const k of [...this.finals.keys()].slice(0, 5000)) this.finals.delete(k);
   }
 
   private answer(id: string, f: Found, created: boolean): ApiAnswer {
     if (f.end) {
-      return { s: 'job', created, state: f.end.d === 1 ? 'done' : 'cancelled', done: f.end.n, running: 0 };
+      return { s: 'job', created, state: f.end.d ? 'done' : 'cancelled', done: f.end.n, running: 0 };
     }
     if (!f.open) return { s: 'unknown' };
     const spec = f.open.rec.j;
     const n = f.count?.rec.n ?? 0;
-    if (f.open.rec.x === 1) {
-      this.keep(id, { d: 0, n });
+    if (f.open.rec.x === true) {
+      this.keep(id, { d: false, n });
       return { s: 'job', created, state: 'cancelled', done: n, running: 0 };
     }
     if (f.count && n >= spec.tasks && spec.shape !== 'service') {
       const c = new Counter(spec.tasks);
       decodeBits(c, f.count.rec.b);
       if (c.full) {
-        this.keep(id, { d: 1, n });
+        this.keep(id, { d: true, n });
         return { s: 'job', created, state: 'done', done: n, running: 0 };
       }
     }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,3 +1,10 @@
+import {
+  leaderRecord,
+  machineTypesRecord,
+  nodeRecord,
+  teamRecord,
+  tokenRecord,
+} from '../wire/record-codec.js';
 import { Api } from './api.js';
 import { type Cover, coversMachine, Marks, readGapMs, windowMs } from './horizon.js';
 import { type ImageFact, ImageFacts } from './images.js';
@@ -75,16 +82,23 @@
   mesh: MeshPort;
 }
 
-interface NodeRecord {
+export interface NodeRecord {
   inst: string;
   lease: number;
 }
-interface LeaderRecord {
+export interface LeaderRecord {
   inst: string;
   host: string;
   token: number;
 }
 
+export interface TokenRecord {
+  n: number;
+}
+export interface TeamRecord {
+  inst: string;
+}
+
 type Command =
   | { k: 'mesh'; m: MeshMsg }
   | { k: 'link'; host: string; up: boolean }
@@ -393,7 +407,7 @@
         this.state.txn(
           {
             when: [{ key: 'sys/leader', version: this.leaderMark }],
-            then: [{ put: 'sys/types', value: r.value }],
+            then: [{ put: 'sys/types', value: machineTypesRecord.encode(r.value) }],
           },
           URGENCY.placement,
           () => {},
@@ -429,7 +443,7 @@
     };
     this.state.get(key, URGENCY.lease, (g) => {
       if (!g.ok) return retry();
-      const rec = g.value?.value as NodeRecord | undefined;
+      const rec = g.value ? nodeRecord.decode(g.value.value) : undefined;
       const next = () => this.takeLease(key, g.value?.version ?? 0, retry);
       if (rec && rec.inst !== this.o.inst && !this.predecessorDone) {
         this.predecessorDone = true;
@@ -445,7 +459,10 @@
       if (!l.ok) return retry();
       const lease = l.value;
       this.state.txn(
-        { when: [{ key, version }], then: [{ put: key, value: { inst: this.o.inst, lease }, lease }] },
+        {
+          when: [{ key, version }],
+          then: [{ put: key, value: nodeRecord.encode({ inst: this.o.inst, lease }), lease }],
+        },
         URGENCY.lease,
         (r) => {
           this.leaseBusy = false;
@@ -468,7 +485,7 @@
 
   private campaign(leaderVersion: number, why: string): void {
     const tok = this.sys.items.get('sys/token');
-    const token = ((tok?.value as { n: number } | undefined)?.n ?? 0) + 1;
+    const token = (tok ? tokenRecord.decode(tok.value).n : 0) + 1;
     this.electing = true;
     this.electAt = this.o.clock.now() + 300 + this.o.clock.random() * 300;
     const rec: LeaderRecord = { inst: this.o.inst, host: this.o.host, token };
@@ -479,8 +496,8 @@
           { key: 'sys/token', version: tok?.version ?? 0 },
         ],
         then: [
-          { put: 'sys/token', value: { n: token } },
-          { put: 'sys/leader', value: rec, lease: this.lease },
+          { put: 'sys/token', value: tokenRecord.encode({ n: token }) },
+          { put: 'sys/leader', value: leaderRecord.encode(rec), lease: this.lease },
         ],
       },
       URGENCY.lease,
@@ -563,7 +580,7 @@
   private giveUp(now: number): void {
     const it = this.sys.items.get('sys/leader');
     if (!it || this.scheduler || this.electing || this.givingUp || now < this.giveUpAt) return;
-    const rec = it.value as LeaderRecord;
+    const rec = leaderRecord.decode(it.value);
     if (rec.inst !== this.o.inst || rec.token > this.ledToken) return;
     this.giveUpAt = now + 1000;
     this.givingUp = true;
@@ -600,7 +617,7 @@
         this.o.clock.after(110, () => this.push({ k: 'reply', run: () => this.elect(this.o.clock.now()) }));
         return;
       }
-      const rec = it.value as LeaderRecord;
+      const rec = leaderRecord.decode(it.value);
       if (rec.inst === this.o.inst) {
         // An election whose answer was lost.
         if (this.lease !== 0) this.lead(rec, it.version, 'found elected');
@@ -617,7 +634,7 @@
       this.scheduler?.setOwners(this.teamRecords());
     } else if (key === 'sys/types' && !this.scheduler) {
       const v = this.sys.items.get(key)?.value;
-      if (Array.isArray(v)) this.types = v as MachineType[];
+      if (Array.isArray(v)) this.types = machineTypesRecord.decode(v);
     } else if (key.startsWith('sys/node/')) this.assignTeams(this.o.clock.now());
   }
 
@@ -625,7 +642,7 @@
     const out = new Map<string, { inst: string; gen: number }>();
     for (const [key, it] of this.sys.items) {
       if (!key.startsWith('sys/team/')) continue;
-      out.set(key.slice(9), { inst: (it.value as { inst: string }).inst, gen: it.version });
+      out.set(key.slice(9), { inst: teamRecord.decode(it.value).inst, gen: it.version });
     }
     return out;
   }
@@ -633,7 +650,7 @@
   private nodes(): Map<string, string> {
     const out = new Map<string, string>();
     for (const [key, it] of this.sys.items)
-      if (key.startsWith('sys/node/')) out.set((it.value as NodeRecord).inst, key.slice(9));
+      if (key.startsWith('sys/node/')) out.set(nodeRecord.decode(it.value).inst, key.slice(9));
     return out;
   }
 
@@ -682,7 +699,7 @@
           { key: 'sys/leader', version: this.leaderMark },
           ...batch.map(([team]) => ({ key: `sys/team/${team}`, version: records.get(team)?.gen ?? 0 })),
         ],
-        then: batch.map(([team, inst]) => ({ put: `sys/team/${team}`, value: { inst } })),
+        then: batch.map(([team, inst]) => ({ put: `sys/team/${team}`, value: teamRecord.encode({ inst }) })),
       },
       URGENCY.lease,
       (r) => {
--- a/src/core/owner/job-writes.ts
+++ b/src/core/owner/job-writes.ts
@@ -1,4 +1,5 @@
-import { countRecord, type Placed, type PlaceRecord, placeKey } from '../records.js';
+import { counterRecord, finalRecord, placementRecord } from '../../wire/record-codec.js';
+import { countRecord, type Placed, placeKey } from '../records.js';
 import type { StateOp } from '../types.js';
 import type { OwnedJob, Placement, SettledPlacement } from './job.js';
 
@@ -55,7 +56,8 @@
   const chunks = [...job.dirtyChunks].slice(0, Math.max(0, room - (withCounter ? 1 : 0)));
   const ops: StateOp[] = [];
   const added: Placement[] = [];
-  if (withCounter) ops.push({ put: counterKey(id), value: countRecord(job.count, job.shownRunning) });
+  if (withCounter)
+    ops.push({ put: counterKey(id), value: counterRecord.encode(countRecord(job.count, job.shownRunning)) });
   for (const chunk of chunks) {
     const op = chunkOp(job, chunk, chunkSize, added);
     if (op) ops.push(op);
@@ -104,18 +106,19 @@
 
 /** The record of a chunk of tasks, or its removal; new placements in it are added to `added`. */
 function chunkOp(job: OwnedJob, chunk: number, chunkSize: number, added: Placement[]): StateOp | null {
-  const tasks: Record<string, Placed> = {};
+  const tasks = new Map<number, Placed>();
   const end = Math.min(job.spec.tasks, (chunk + 1) * chunkSize);
   for (let idx = chunk * chunkSize; idx < end; idx++) {
     const placement = job.placed.get(idx);
     const attempt = job.attempts.get(idx);
     if (placement) {
-      tasks[idx] = [placement.attempt, placement.machine, placement.season, placement.zone];
+      const { machine, season, zone } = placement;
+      tasks.set(idx, { attempt: placement.attempt, location: { machine, season, zone } });
       if (!placement.stored) added.push(placement);
-    } else if (attempt && !job.count.has(idx)) tasks[idx] = [attempt];
+    } else if (attempt && !job.count.has(idx)) tasks.set(idx, { attempt, location: null });
   }
   const key = placeKey(job.spec.id, chunk);
-  if (Object.keys(tasks).length > 0) return { put: key, value: { t: tasks } satisfies PlaceRecord };
+  if (tasks.size > 0) return { put: key, value: placementRecord.encode({ t: tasks }) };
   return job.chunkRevisions.get(chunk) ? { del: key } : null;
 }
 
@@ -129,7 +132,7 @@
   const isLast = chunks.length === job.chunkRevisions.size;
   const ops: StateOp[] = chunks.map((chunk) => ({ del: placeKey(id, chunk) }));
   if (isLast) {
-    ops.push({ put: `end/${id}`, value: { d: job.cancelled ? 0 : 1, n: job.count.n } });
+    ops.push({ put: `end/${id}`, value: finalRecord.encode({ d: !job.cancelled, n: job.count.n }) });
     ops.push({ del: jobKey(id) });
     if (hasCounter) ops.push({ del: counterKey(id) });
   }
--- a/src/core/owner/owner.ts
+++ b/src/core/owner/owner.ts
@@ -234,18 +234,15 @@
     const job = newJob(spec, stored, old, this.window);
     for (const [chunk, record] of stored.places) {
       job.chunkRevisions.set(chunk, record.mark);
-      for (const [k, placement] of Object.entries(record.tasks)) {
-        const idx = Number(k);
-        job.attempts.set(idx, placement[0]);
-        if (placement.length < 4 || job.count.has(idx)) continue;
+      for (const [idx, { attempt, location }] of record.tasks) {
+        job.attempts.set(idx, attempt);
+        if (!location || job.count.has(idx)) continue;
         this.putPlaced(
           job,
           {
             idx,
-            attempt: placement[0],
-            machine: placement[1] as string,
-            season: placement[2] as number,
-            zone: placement[3] as string,
+            attempt,
+            ...location,
             grant: 0,
             stored: true,
             want: job.cancelled ? 'stop' : 'run',
--- a/src/core/owner/write-fence.ts
+++ b/src/core/owner/write-fence.ts
@@ -1,3 +1,4 @@
+import { teamRecord } from '../../wire/record-codec.js';
 import { type Clock, type Logger, type Result, type StatePort, type Txn, URGENCY } from '../types.js';
 
 /** Pause before a request that failed is sent again. */
@@ -81,7 +82,7 @@
     this.busy = true;
     this.leaving = version;
     const { key, inst, state } = this.options;
-    const txn: Txn = { when: [{ key, version }], then: [{ put: key, value: { inst } }] };
+    const txn: Txn = { when: [{ key, version }], then: [{ put: key, value: teamRecord.encode({ inst }) }] };
     state.txn(txn, URGENCY.placement, (result) => {
       if (result.ok) {
         this.busy = false;
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,3 +1,4 @@
+import { counterRecord, jobRecord, placementRecord } from '../wire/record-codec.js';
 import { Counter } from './graph.js';
 import type { Item, JobSpec } from './types.js';
 
@@ -11,7 +12,7 @@
   j: JobSpec;
   /** Revision of acceptance, known only after it; kept when the record is written again. */
   o?: number;
-  x?: 1;
+  x?: true;
 }
 export interface CountRecord {
   n: number;
@@ -19,13 +20,16 @@
   b: string;
 }
 export interface EndRecord {
-  d: 0 | 1;
+  d: boolean;
   n: number;
 }
-/** [attempt] when settled, else [attempt, machine, season, zone]. */
-export type Placed = [number] | [number, string, number, string];
+/** The last attempt of a task, and where it is; null once it is settled. */
+export interface Placed {
+  attempt: number;
+  location: { machine: string; season: number; zone: string } | null;
+}
 export interface PlaceRecord {
-  t: Record<string, Placed>;
+  t: Map<number, Placed>;
 }
 
 export interface StoredJob {
@@ -37,7 +41,7 @@
   running: number;
   count: Counter | null;
   countRaw: CountRecord | null;
-  places: Map<number, { mark: number; tasks: Record<string, Placed> }>;
+  places: Map<number, { mark: number; tasks: Map<number, Placed> }>;
 }
 
 /** Tasks to a placement record: about 64 bytes each must fit in a value. */
@@ -116,18 +120,18 @@
     into.set(id, s);
   }
   if (kind === 'place') {
-    const rec = it.value as PlaceRecord;
+    const rec = placementRecord.decode(it.value);
     s.places.set(Number(part), { mark: it.version, tasks: rec.t });
     return;
   }
   if (part === 'a') {
-    const rec = it.value as OpenRecord;
+    const rec = jobRecord.decode(it.value);
     s.spec = rec.j;
     s.jobRevision = it.version;
     s.order = rec.o ?? it.version;
-    s.cancelled = rec.x === 1;
+    s.cancelled = rec.x === true;
   } else if (part === 'n') {
-    s.countRaw = it.value as CountRecord;
+    s.countRaw = counterRecord.decode(it.value);
     s.counterRevision = it.version;
     s.running = s.countRaw.r;
   }
--- a/src/io/mesh.ts
+++ b/src/io/mesh.ts
@@ -2,6 +2,7 @@
 import { Packr, UnpackrStream } from 'msgpackr';
 import type { MeshMsg, MeshPort } from '../core/controller.js';
 import type { Logger } from '../core/types.js';
+import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
 
 const MOST_WAITING = 4 << 20;
 
@@ -18,74 +19,6 @@
   return { host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)) };
 }
 
-function isFacts(v: unknown): boolean {
-  const fact = (x: unknown) =>
-    Array.isArray(x) && typeof x[0] === 'string' && typeof x[1] === 'string' && typeof x[2] === 'number';
-  return Array.isArray(v) && v.every(fact);
-}
-
-function isNames(v: unknown): v is string[] {
-  return Array.isArray(v) && v.every((x) => typeof x === 'string');
-}
-
-function isMark(v: unknown): boolean {
-  if (v === null) return true;
-  if (typeof v !== 'object') return false;
-  const m = v as { inst?: unknown; mark?: unknown };
-  return typeof m.inst === 'string' && typeof m.mark === 'number';
-}
-
-function isCover(v: unknown): boolean {
-  const pending = v === null ? null : (v as { pending?: unknown }).pending;
-  return isMark(v) && (pending === null || isNames(pending));
-}
-
-/** A message of the shape that controllers send; anything else is dropped. */
-export function isMeshMsg(v: unknown): v is MeshMsg {
-  if (typeof v !== 'object' || v === null) return false;
-  const m = v as Partial<MeshMsg>;
-  if (typeof m.host !== 'string' || typeof m.inst !== 'string' || typeof m.seq !== 'number') return false;
-  const b = m.body as
-    | {
-        k?: unknown;
-        m?: unknown;
-        to?: unknown;
-        token?: unknown;
-        leader?: unknown;
-        okAgeMs?: unknown;
-        strays?: unknown;
-        mark?: unknown;
-        cover?: unknown;
-        had?: unknown;
-        told?: unknown;
-        n?: unknown;
-        job?: unknown;
-        add?: unknown;
-        gone?: unknown;
-      }
-    | undefined;
-  if (typeof b !== 'object' || b === null) return false;
-  if (b.k === 'ping')
-    return (
-      typeof b.token === 'number' &&
-      typeof b.leader === 'string' &&
-      typeof b.okAgeMs === 'number' &&
-      isNames(b.strays) &&
-      typeof b.mark === 'number' &&
-      typeof b.told === 'number' &&
-      isMark(b.had) &&
-      isCover(b.cover)
-    );
-  if (b.k === 'cancelled') return typeof b.job === 'string' && typeof b.n === 'number';
-  if (b.k === 'images') return isFacts(b.add) && isNames(b.gone);
-  return (
-    (b.k === 'owner' || b.k === 'scheduler') &&
-    typeof b.to === 'string' &&
-    typeof b.m === 'object' &&
-    b.m !== null
-  );
-}
-
 /** Connections among controllers: each dials every sibling and sends on what it dialled. */
 export class Mesh implements MeshPort {
   private readonly peers = new Map<string, Peer>();
@@ -115,7 +48,8 @@
     s.setTimeout(15000, () => s.destroy());
     const stream = new UnpackrStream();
     stream.on('data', (v: unknown) => {
-      if (isMeshMsg(v)) this.got(v);
+      const message = decodePeerMessage(v);
+      if (message) this.got(message);
       else this.log.debug({}, 'mesh message dropped');
     });
     stream.on('error', () => s.destroy());
@@ -155,7 +89,7 @@
       p.sock.destroy();
       return;
     }
-    p.sock.write(this.packr.pack(m));
+    p.sock.write(this.packr.pack(encodePeerMessage(m)));
   }
 
   /** A sibling not heard of for long although connected: the connection hangs. */
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { ProgressLimit } from '../src/core/limits.js';
-import { isMeshMsg } from '../src/io/mesh.js';
 import { readList, readRented, readTypes } from '../src/wire/cloud.js';
 import { readJob } from '../src/wire/jobs.js';
 import { parse } from '../src/wire/json.js';
+import { decodePeerMessage } from '../src/wire/peer-codec.js';
 import { readEvents, readFailed, readItem, readItems, readLease } from '../src/wire/state.js';
 import { readReport } from '../src/wire/worker.js';
 
@@ -32,7 +32,7 @@
     readEvents,
     readFailed,
     readLease,
-    isMeshMsg,
+    decodePeerMessage,
   ];
   const known = fc.dictionary(
     fc.constantFrom(
--- a/test/standin/admission.ts
+++ b/test/standin/admission.ts
@@ -1,7 +1,14 @@
-import type { Placed, PlaceRecord } from '../../src/core/records.js';
 import type { Txn } from '../../src/core/types.js';
 import type { World } from './world.js';
 
+/** `place/<id>/<chunk>` as stored: an attempt of a task by its index, with its machine, epoch and zone until it is settled. */
+type StoredPlacement =
+  | [attempt: number]
+  | [attempt: number, machine: string, agentEpoch: number, zone: string];
+interface StoredPlacements {
+  t: Record<string, StoredPlacement>;
+}
+
 /** Sums of decimal amounts are compared with this tolerance. */
 const EPSILON = 1e-9;
 
@@ -26,12 +33,12 @@
     return reply;
   }
 
-  private tasksOf(key: string): Record<string, Placed> {
+  private tasksOf(key: string): Record<string, StoredPlacement> {
     const stored = this.world.state.keys.get(key);
-    return stored ? (JSON.parse(stored.value) as PlaceRecord).t : {};
+    return stored ? (JSON.parse(stored.value) as StoredPlacements).t : {};
   }
 
-  private check(key: string, old: Record<string, Placed>): void {
+  private check(key: string, old: Record<string, StoredPlacement>): void {
     const id = key.split('/')[1] ?? '';
     const spec = this.world.jobs.get(id)?.spec;
     const limit = this.world.shape.teams.find((team) => team.name === spec?.team)?.cpusMax ?? 0;
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -8,6 +8,7 @@
 import type { CloudPort, StatePort, WorkerPort } from '../../src/core/types.js';
 import { writeRemoval, writeRental } from '../../src/wire/cloud.js';
 import { writeState } from '../../src/wire/jobs.js';
+import { encodePeerMessage } from '../../src/wire/peer-codec.js';
 import { writeTxn } from '../../src/wire/state.js';
 import { writeAnswer, writeDirect, writeRedirect } from '../../src/wire/worker.js';
 
@@ -42,7 +43,7 @@
   }
 
   peerMessage(host: string, to: string, message: MeshMsg): void {
-    this.add(host, `peer ${to}`, () => message);
+    this.add(host, `peer ${to}`, () => encodePeerMessage(message));
   }
 
   heartbeatAnswer(host: string, answer: ReportAnswer): void {
--- a/test/standin/owner.ts
+++ b/test/standin/owner.ts
@@ -1,5 +1,4 @@
 import { Owner, type OwnerOptions } from '../../src/core/owner/owner.js';
-import type { PlaceRecord } from '../../src/core/records.js';
 import type {
   Fields,
   Grant,
@@ -126,7 +125,9 @@
     for (const [key, { value }] of this.state.keys) {
       const [kind, job] = key.split('/');
       if (kind !== 'place' || !job) continue;
-      const tasks = Object.values((JSON.parse(value) as PlaceRecord).t).filter((task) => task.length === 4);
+      const tasks = Object.values((JSON.parse(value) as { t: Record<string, unknown[]> }).t).filter(
+        (task) => task.length === 4,
+      );
       stored[job] = (stored[job] ?? 0) + tasks.length;
     }
     return stored;
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -4,6 +4,7 @@
 import type { Clock, Fields, JobSpec, Logger, WorkerReport } from '../../src/core/types.js';
 import { taskKey } from '../../src/core/types.js';
 import { checkPolicy } from '../../src/settings/policy.js';
+import { decodePeerMessage, encodePeerMessage } from '../../src/wire/peer-codec.js';
 import { Admission } from './admission.js';
 import { CloudStandin } from './cloud.js';
 import { ODD_JOB } from './odd-job.js';
@@ -147,10 +148,12 @@
       mesh: {
         send: (to, m: MeshMsg) => {
           this.digest.peerMessage(host, to, m);
-          const text = JSON.stringify(m);
+          const text = JSON.stringify(encodePeerMessage(m));
           this.net.send(host, to, () => {
             const q = this.procs.get(to);
-            if (q) this.enter(q, () => q.ctl.push({ k: 'mesh', m: JSON.parse(text) }));
+            const received = decodePeerMessage(JSON.parse(text));
+            if (!received) throw new Error(`not a peer message: ${text}`);
+            if (q) this.enter(q, () => q.ctl.push({ k: 'mesh', m: received }));
           });
         },
       },
