--- /dev/null
+++ b/test/layering.test.ts
@@ -0,0 +1,235 @@
+/** Which parts of the program may know which: read from the imports of all files under `src/`, type-only imports included. */
+
+import { readdirSync, readFileSync } from 'node:fs';
+import { join, posix, sep } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import ts from 'typescript';
+import { expect, test } from 'vitest';
+
+/** In a list of `Layer`: no limit. */
+const ANY = '*';
+
+/** What the files under one path may import. A file belongs to the layer with the longest path that holds it. */
+interface Layer {
+  /** A folder or a file, relative to `src/`. */
+  path: string;
+  /** Other folders and files under `src/`, with all that is in them; its own path is always allowed. */
+  imports: readonly string[];
+  /** Node's modules and packages, each as it is written in the import. All that do I/O are among them, so most layers have none. */
+  modules: readonly string[];
+}
+
+const LAYERS: readonly Layer[] = [
+  { path: 'main.ts', imports: [ANY], modules: [ANY] },
+  { path: 'settings', imports: ['core/policy.ts'], modules: [ANY] },
+  { path: 'core', imports: ['core/owner/owner.ts'], modules: [] },
+  {
+    path: 'core/owner',
+    imports: [
+      'core/graph.ts',
+      'core/horizon.ts',
+      'core/limited-log.ts',
+      'core/records.ts',
+      'core/task-assignment.ts',
+      'core/types.ts',
+    ],
+    modules: [],
+  },
+  { path: 'wire', imports: ['core/api.ts', 'core/types.ts'], modules: [] },
+  {
+    path: 'io',
+    imports: ['core/api.ts', 'core/controller.ts', 'core/limits.ts', 'core/types.ts', 'wire'],
+    modules: [ANY],
+  },
+];
+
+/** Cycles that are known and about to go, each as its files in alphabetical order. One that is gone must leave this list. */
+const KNOWN_CYCLES: readonly string[][] = [['core/ended-attempts.ts', 'core/machine.ts']];
+
+/** Text of each file by its path relative to `src/`, with `/` on every system. */
+type SourceTree = ReadonlyMap<string, string>;
+
+function readSourceTree(): SourceTree {
+  const root = fileURLToPath(new URL('../src/', import.meta.url));
+  const paths = readdirSync(root, { recursive: true, encoding: 'utf8' }).filter((path) =>
+    /\.[cm]?[jt]sx?$/.test(path),
+  );
+  return new Map(
+    paths.sort().map((path) => [path.split(sep).join('/'), readFileSync(join(root, path), 'utf8')]),
+  );
+}
+
+/** The node that names the imported module, if `node` is an import or a re-export of any kind. */
+function moduleNameOf(node: ts.Node): ts.Node | undefined {
+  if (ts.isImportDeclaration(node) || ts.isExportDeclaration(node)) return node.moduleSpecifier;
+  if (ts.isExternalModuleReference(node)) return node.expression;
+  if (ts.isImportTypeNode(node)) return ts.isLiteralTypeNode(node.argument) ? node.argument.literal : node;
+  if (!ts.isCallExpression(node)) return undefined;
+  const called = node.expression;
+  const imports = called.kind === ts.SyntaxKind.ImportKeyword || called.getText() === 'require';
+  return imports ? (node.arguments[0] ?? node) : undefined;
+}
+
+/** All modules that a file imports, as written; one that is computed is given as its expression. */
+function importedModules(path: string, text: string): string[] {
+  const names: string[] = [];
+  const visit = (node: ts.Node): void => {
+    const name = moduleNameOf(node);
+    if (name) names.push(ts.isStringLiteralLike(name) ? name.text : name.getText());
+    ts.forEachChild(node, visit);
+  };
+  visit(ts.createSourceFile(path, text, ts.ScriptTarget.ES2022, true));
+  return names;
+}
+
+const isRelative = (moduleName: string) => moduleName.startsWith('.');
+
+/** The source file that a relative import names. */
+function resolveImport(importer: string, moduleName: string): string {
+  return posix.join(posix.dirname(importer), moduleName).replace(/\.js$/, '.ts');
+}
+
+function isWithin(path: string, folderOrFile: string): boolean {
+  return folderOrFile === ANY || path === folderOrFile || path.startsWith(`${folderOrFile}/`);
+}
+
+function layerOf(path: string, layers: readonly Layer[]): Layer | undefined {
+  return layers
+    .filter((layer) => isWithin(path, layer.path))
+    .reduce<Layer | undefined>(
+      (longest, layer) => (longest && longest.path.length >= layer.path.length ? longest : layer),
+      undefined,
+    );
+}
+
+/** Each import that the layers don't allow, as a sentence. */
+function layeringFaults(tree: SourceTree, layers: readonly Layer[]): string[] {
+  const faults: string[] = [];
+  for (const [path, text] of tree) {
+    const layer = layerOf(path, layers);
+    if (!layer) {
+      faults.push(`${path} belongs to no layer`);
+      continue;
+    }
+    for (const moduleName of importedModules(path, text)) {
+      if (!isRelative(moduleName)) {
+        if (!layer.modules.includes(ANY) && !layer.modules.includes(moduleName))
+          faults.push(`${path} may not import ${moduleName}`);
+        continue;
+      }
+      const imported = resolveImport(path, moduleName);
+      if (!tree.has(imported)) faults.push(`${path} imports ${imported}, which is not there`);
+      else if (
+        layerOf(imported, layers) !== layer &&
+        !layer.imports.some((allowed) => isWithin(imported, allowed))
+      )
+        faults.push(`${path} may not import ${imported}`);
+    }
+  }
+  return faults;
+}
+
+/** All files that a file imports, directly or through others; itself only if it is part of a cycle. */
+function reachableFrom(start: string, importsOf: ReadonlyMap<string, string[]>): Set<string> {
+  const reached = new Set<string>();
+  const pending = [...(importsOf.get(start) ?? [])];
+  for (let path = pending.pop(); path !== undefined; path = pending.pop()) {
+    if (reached.has(path)) continue;
+    reached.add(path);
+    pending.push(...(importsOf.get(path) ?? []));
+  }
+  return reached;
+}
+
+/** Groups of files of which each imports all others, directly or not; each group in alphabetical order. */
+function importCycles(tree: SourceTree): string[][] {
+  const importsOf = new Map(
+    [...tree].map(([path, text]) => [
+      path,
+      importedModules(path, text)
+        .filter(isRelative)
+        .map((moduleName) => resolveImport(path, moduleName)),
+    ]),
+  );
+  const reachable = new Map([...tree.keys()].map((path) => [path, reachableFrom(path, importsOf)]));
+  const cycles = new Map<string, string[]>();
+  for (const [path, reached] of reachable) {
+    const cycle = [...reached].filter((other) => reachable.get(other)?.has(path)).sort();
+    if (cycle.length > 0) cycles.set(cycle.join(), cycle);
+  }
+  return [...cycles.values()];
+}
+
+test('each part of the program imports only what its layer allows', () => {
+  const tree = readSourceTree();
+  expect(tree.has('main.ts')).toBe(true);
+  expect(layeringFaults(tree, LAYERS)).toEqual([]);
+});
+
+test('each layer is there', () => {
+  const paths = [...readSourceTree().keys()];
+  const empty = LAYERS.filter((layer) => !paths.some((path) => layerOf(path, LAYERS) === layer));
+  expect(empty.map((layer) => layer.path)).toEqual([]);
+});
+
+test('no files import each other in a cycle, but those that are known', () => {
+  expect(importCycles(readSourceTree())).toEqual(KNOWN_CYCLES);
+});
+
+test.each([
+  ["import { on } from '../b/on.js';", 'a/file.ts may not import b/on.ts'],
+  ["import type { On } from '../b/on.js';", 'a/file.ts may not import b/on.ts'],
+  ["import '../b/on.js';", 'a/file.ts may not import b/on.ts'],
+  ["export * from '../b/on.js';", 'a/file.ts may not import b/on.ts'],
+  ["type On = import('../b/on.js').On;", 'a/file.ts may not import b/on.ts'],
+  ["const on = await import('../b/on.js');", 'a/file.ts may not import b/on.ts'],
+  ["import on = require('../b/on.js');", 'a/file.ts may not import b/on.ts'],
+  ["import { connect } from 'node:net';", 'a/file.ts may not import node:net'],
+  ["import type { Hono } from 'hono';", 'a/file.ts may not import hono'],
+  ["const net = require('net');", 'a/file.ts may not import net'],
+  ["const net = await import('node:' + name);", "a/file.ts may not import 'node:' + name"],
+  ["import { gone } from './gone.js';", 'a/file.ts imports a/gone.ts, which is not there'],
+])('a fault of layering is found: %s', (text, fault) => {
+  const tree = new Map([
+    ['a/file.ts', text],
+    ['b/on.ts', ''],
+  ]);
+  const layers = [
+    { path: 'a', imports: [], modules: [] },
+    { path: 'b', imports: [], modules: [] },
+  ];
+  expect(layeringFaults(tree, layers)).toEqual([fault]);
+});
+
+test('what the layer allows is no fault, and a file without a layer is one', () => {
+  const tree = new Map([
+    ['a/file.ts', "import '../b/on.js'; import './other.js'; import 'node:net';"],
+    ['a/other.ts', "import '../c/inner/off.js';"],
+    ['a/inner/deep.ts', "import '../other.js';"],
+    ['b/on.ts', ''],
+    ['c/inner/off.ts', ''],
+    ['d.ts', ''],
+  ]);
+  const layers = [
+    { path: 'a', imports: ['b', 'c/inner'], modules: ['node:net'] },
+    { path: 'a/inner', imports: [], modules: [] },
+    { path: 'b', imports: [], modules: [] },
+    { path: 'c', imports: [], modules: [] },
+  ];
+  expect(layeringFaults(tree, layers)).toEqual([
+    'a/inner/deep.ts may not import a/other.ts',
+    'd.ts belongs to no layer',
+  ]);
+});
+
+test('cycles are found: of two, of three by types alone, and of a file with itself', () => {
+  const tree = new Map([
+    ['a.ts', "import './b.js';"],
+    ['b.ts', "import './a.js'; import './c.js';"],
+    ['c.ts', "import type { D } from './d.js';"],
+    ['d.ts', "export type { E } from './e.js';"],
+    ['e.ts', "import type { C } from './c.js';"],
+    ['f.ts', "import './f.js'; import './a.js';"],
+  ]);
+  expect(importCycles(tree)).toEqual([['a.ts', 'b.ts'], ['c.ts', 'd.ts', 'e.ts'], ['f.ts']]);
+});
