--- a/test/layering.test.ts
+++ b/test/layering.test.ts
@@ -102,31 +102,33 @@
     );
 }
 
-/** Each import that the layers don't allow, as a sentence. */
+/** What is wrong with one import of a file in `layer`, as a sentence; undefined if the layers allow it. */
+function faultOfImport(
+  importer: { path: string; layer: Layer },
+  moduleName: string,
+  program: { tree: SourceTree; layers: readonly Layer[] },
+): string | undefined {
+  const { path, layer } = importer;
+  if (!isRelative(moduleName)) {
+    const allowed = layer.modules.includes(ANY) || layer.modules.includes(moduleName);
+    return allowed ? undefined : `${path} may not import ${moduleName}`;
+  }
+  const imported = resolveImport(path, moduleName);
+  if (!program.tree.has(imported)) return `${path} imports ${imported}, which is not there`;
+  const allowed =
+    layerOf(imported, program.layers) === layer || layer.imports.some((each) => isWithin(imported, each));
+  return allowed ? undefined : `${path} may not import ${imported}`;
+}
+
+/** What the layers don't allow in the whole program. */
 function layeringFaults(tree: SourceTree, layers: readonly Layer[]): string[] {
-  const faults: string[] = [];
-  for (const [path, text] of tree) {
+  return [...tree].flatMap(([path, text]) => {
     const layer = layerOf(path, layers);
-    if (!layer) {
-      faults.push(`${path} belongs to no layer`);
-      continue;
-    }
-    for (const moduleName of importedModules(path, text)) {
-      if (!isRelative(moduleName)) {
-        if (!layer.modules.includes(ANY) && !layer.modules.includes(moduleName))
-          faults.push(`${path} may not import ${moduleName}`);
-        continue;
-      }
-      const imported = resolveImport(path, moduleName);
-      if (!tree.has(imported)) faults.push(`${path} imports ${imported}, which is not there`);
-      else if (
-        layerOf(imported, layers) !== layer &&
-        !layer.imports.some((allowed) => isWithin(imported, allowed))
-      )
-        faults.push(`${path} may not import ${imported}`);
-    }
-  }
-  return faults;
+    if (!layer) return [`${path} belongs to no layer`];
+    return importedModules(path, text)
+      .map((moduleName) => faultOfImport({ path, layer }, moduleName, { tree, layers }))
+      .filter((fault) => fault !== undefined);
+  });
 }
 
 /** All files that a file imports, directly or through others; itself only if it is part of a cycle. */
