--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -33,7 +33,7 @@
 /** What controllers say to one another. */
 export type MeshBody =
   | {
-      k: 'ping';
+      type: 'ping';
       leader: string;
       token: number;
       okAgeMs: number;
@@ -47,10 +47,10 @@
       cover: { inst: string; mark: number; pending: string[] | null } | null;
     }
   /** The n-th cancellation that a user was told of by the sender. */
-  | { k: 'cancelled'; job: string; n: number }
-  | { k: 'images'; add: ImageFact[]; gone: string[] }
-  | { k: 'owner'; to: string; m: OwnerMsg }
-  | { k: 'scheduler'; to: string; m: SchedulerMsg };
+  | { type: 'cancelled'; job: string; n: number }
+  | { type: 'images'; add: ImageFact[]; gone: string[] }
+  | { type: 'owner'; to: string; m: OwnerMsg }
+  | { type: 'scheduler'; to: string; m: SchedulerMsg };
 export interface MeshMsg {
   host: string;
   inst: string;
@@ -312,12 +312,12 @@
     const cover = this.keepCover(now);
     const news = this.images.news();
     if (this.scheduler && news.add.length + news.gone.length > 0)
-      for (const p of this.o.peers) this.meshSend(p, { k: 'images', ...news });
+      for (const p of this.o.peers) this.meshSend(p, { type: 'images', ...news });
     const strays = [...this.strays].slice(0, MOST_MACHINES_NAMED);
     this.strays.clear();
     for (const p of this.o.peers)
       this.meshSend(p, {
-        k: 'ping',
+        type: 'ping',
         leader: this.leader.host,
         token: this.leader.token,
         okAgeMs: Math.max(0, now - this.stateOkAt),
@@ -334,7 +334,7 @@
     const k = this.scheduler;
     if (!k) return null;
     for (const inst of new Set([...this.teamRecords().values()].map((r) => r.inst)))
-      this.toOwner(inst, { k: 'mark', token: k.token, at: now });
+      this.toOwner(inst, { type: 'mark', token: k.token, at: now });
     const c = k.cover();
     if (c)
       this.inherit({ at: c.at, pending: c.pending.length > MOST_MACHINES_NAMED ? null : new Set(c.pending) });
@@ -368,7 +368,7 @@
   private tellCancelled(job: string): void {
     if (!this.told.here(job)) return;
     this.scheduler?.cancelled(job);
-    for (const p of this.o.peers) this.meshSend(p, { k: 'cancelled', job, n: this.told.n });
+    for (const p of this.o.peers) this.meshSend(p, { type: 'cancelled', job, n: this.told.n });
   }
 
   /** Ready unless this controller alone is without the state service. */
@@ -735,13 +735,13 @@
   private toScheduler(m: OwnerMsg): void {
     if (this.leader.inst === this.o.inst) this.push({ k: 'reply', run: () => this.scheduler?.fromOwner(m) });
     else if (this.leader.host !== '')
-      this.meshSend(this.leader.host, { k: 'owner', to: this.leader.inst, m });
+      this.meshSend(this.leader.host, { type: 'owner', to: this.leader.inst, m });
   }
 
   private toOwner(inst: string, m: SchedulerMsg): void {
     if (inst === this.o.inst) return this.push({ k: 'reply', run: () => this.owner.fromScheduler(m) });
     const host = this.nodes().get(inst);
-    if (host) this.meshSend(host, { k: 'scheduler', to: inst, m });
+    if (host) this.meshSend(host, { type: 'scheduler', to: inst, m });
   }
 
   private fromMesh(m: MeshMsg): void {
@@ -751,10 +751,10 @@
     if (h?.inst === m.inst && m.seq <= h.seq) return;
     if (this.superseded.has(m.inst)) return;
     if (h && h.inst !== m.inst) this.superseded.add(h.inst);
-    const okAt = m.body.k === 'ping' ? now - m.body.okAgeMs : (h?.okAt ?? Number.NEGATIVE_INFINITY);
+    const okAt = m.body.type === 'ping' ? now - m.body.okAgeMs : (h?.okAt ?? Number.NEGATIVE_INFINITY);
     const marks = h?.inst === m.inst ? h.marks : new Marks();
     this.heard.set(m.host, { inst: m.inst, at: now, seq: m.seq, okAt, marks });
-    switch (m.body.k) {
+    switch (m.body.type) {
       case 'ping':
         if (
           m.body.token > this.leader.token &&
@@ -809,7 +809,7 @@
     for (const [inst, h] of this.nodes()) if (h === host) this.scheduler.unsync(inst);
     const all = this.images.all();
     for (let i = 0; i < all.length; i += IMAGES_PART)
-      this.meshSend(host, { k: 'images', add: all.slice(i, i + IMAGES_PART), gone: [] });
+      this.meshSend(host, { type: 'images', add: all.slice(i, i + IMAGES_PART), gone: [] });
   }
 
   // ---- workers ----------------------------------------------------------------------------------------------
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -438,7 +438,7 @@
       l.push({ job: e.job, idx: e.idx, attempt: e.attempt });
       stops.set(inst, l);
     }
-    for (const [inst, tasks] of stops) this.o.send(inst, { k: 'evict', token: this.token, tasks, why });
+    for (const [inst, tasks] of stops) this.o.send(inst, { type: 'evict', token: this.token, tasks, why });
   }
 
   baseWant(e: Omit<Held, 'want'>): Want {
--- a/src/core/owner/owner.ts
+++ b/src/core/owner/owner.ts
@@ -355,7 +355,7 @@
 
   fromScheduler(message: SchedulerMsg): void {
     if (message.token !== this.token) return;
-    switch (message.k) {
+    switch (message.type) {
       case 'synced':
         // With another telling on its way, grants sent before that one is taken in are dropped by the leader and must be here:
         // their places are granted again.
@@ -435,10 +435,10 @@
       !placement.stored
     ) {
       // Told again after its outcome was stored: the reap was lost with an earlier scheduler.
-      if (seen.s === 'phase' && seen.phase === 'exited' && !job?.reloading) this.reapStored(job, seen);
+      if (seen.type === 'phase' && seen.phase === 'exited' && !job?.reloading) this.reapStored(job, seen);
       return;
     }
-    if (seen.s === 'settled') {
+    if (seen.type === 'settled') {
       this.settle(job, placement, 'gone');
       return;
     }
@@ -587,7 +587,7 @@
       const parts = Math.max(1, Math.ceil(held.length / SYNC_PART));
       for (let i = 0; i < parts; i++)
         this.options.send({
-          k: 'sync',
+          type: 'sync',
           ...base,
           sync,
           parts,
@@ -600,7 +600,7 @@
     }
     if (!this.synced) return;
     if (this.outHeld.length > 0) {
-      this.options.send({ k: 'held', ...base, held: this.outHeld });
+      this.options.send({ type: 'held', ...base, held: this.outHeld });
       this.outHeld = [];
       this.heldSent++;
     }
@@ -609,10 +609,10 @@
     if (mark !== null && mark > this.coveredTold) {
       this.coveredTold = mark;
       const n = this.heldSent;
-      this.options.send({ k: 'covered', ...base, sync: this.syncs, n, gens: this.gens(), mark });
+      this.options.send({ type: 'covered', ...base, sync: this.syncs, n, gens: this.gens(), mark });
     }
     if (this.outDrop.tasks.length + this.outDrop.grants.length > 0) {
-      this.options.send({ k: 'drop', ...base, ...this.outDrop });
+      this.options.send({ type: 'drop', ...base, ...this.outDrop });
       this.outDrop = { tasks: [], grants: [] };
     }
     if (this.wantsDirty) {
@@ -625,7 +625,7 @@
       const text = JSON.stringify(wants);
       if (text === this.lastWants) return;
       this.lastWants = text;
-      this.options.send({ k: 'wants', ...base, wants });
+      this.options.send({ type: 'wants', ...base, wants });
     }
   }
 
--- a/src/core/placing.ts
+++ b/src/core/placing.ts
@@ -230,7 +230,7 @@
       }
     }
     for (const c of cold) finish(c.ref, c.count);
-    for (const [inst, g] of grants) this.o.send(inst, { k: 'grants', token: this.l.token, grants: g });
+    for (const [inst, g] of grants) this.o.send(inst, { type: 'grants', token: this.l.token, grants: g });
     this.gathering.endPass(wanted);
     this.refusals.endPass(wanted);
     for (const job of this.unmet.keys()) if (!wanted.has(job)) this.unmet.delete(job);
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -252,6 +252,6 @@
       stops.set(inst, tasks);
     }
     for (const [inst, tasks] of stops)
-      this.options.send(inst, { k: 'evict', token: this.ledger.token, tasks, why });
+      this.options.send(inst, { type: 'evict', token: this.ledger.token, tasks, why });
   }
 }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -75,7 +75,7 @@
       this.l.owners.set(team, { inst: r.inst, gen: r.gen, synced: false, since: this.o.clock.now() });
       this.l.dropHolds([...this.l.grantAt.keys()].filter((id) => this.l.holdOf(id)?.team === team));
       // Its owner may have learnt of the record, and told all it holds, before this scheduler did.
-      this.o.send(r.inst, { k: 'resync', token: this.l.token });
+      this.o.send(r.inst, { type: 'resync', token: this.l.token });
     }
   }
 
@@ -87,12 +87,12 @@
 
   unsync(inst: string): void {
     for (const r of this.l.owners.values()) if (r.inst === inst) r.synced = false;
-    this.o.send(inst, { k: 'resync', token: this.l.token });
+    this.o.send(inst, { type: 'resync', token: this.l.token });
   }
 
   fromOwner(m: OwnerMsg): void {
     if (m.token !== this.l.token) return;
-    switch (m.k) {
+    switch (m.type) {
       case 'sync': {
         const all = this.assemble(m.inst, m);
         if (!all) return;
@@ -184,8 +184,8 @@
       const e = this.hold(h);
       if (e) e.told = '';
     }
-    this.o.send(inst, { k: 'synced', token: this.l.token, sync });
-    this.o.send(inst, { k: 'mark', token: this.l.token, at: this.o.clock.now() });
+    this.o.send(inst, { type: 'synced', token: this.l.token, sync });
+    this.o.send(inst, { type: 'mark', token: this.l.token, at: this.o.clock.now() });
     for (const m of this.l.machines.values())
       for (const e of m.entries.values()) if (teams.has(e.team)) this.tell(m, e);
   }
@@ -194,7 +194,7 @@
     if (h.service) this.l.learnShape({ ...this.l.baseWant(h), zoneRoom: h.spread ? {} : null });
     const key = taskKey(h.job, h.idx, h.attempt);
     if (this.l.gone.has(h.machine)) {
-      this.say(h.team, { s: 'settled', job: h.job, idx: h.idx, attempt: h.attempt, machine: h.machine });
+      this.say(h.team, { type: 'settled', job: h.job, idx: h.idx, attempt: h.attempt, machine: h.machine });
       return null;
     }
     const m = this.l.machine(h.machine);
@@ -259,10 +259,10 @@
     if (text === '' || text === e.told || !this.l.isSynced(e.team)) return;
     e.told = text;
     const id = { job: e.job, idx: e.idx, attempt: e.attempt, machine: m.name };
-    if (e.settled) this.say(e.team, { s: 'settled', ...id });
+    if (e.settled) this.say(e.team, { type: 'settled', ...id });
     else if (e.listed)
       this.say(e.team, {
-        s: 'phase',
+        type: 'phase',
         ...id,
         phase: e.listed.phase,
         why: e.listed.why,
@@ -696,7 +696,7 @@
     if (!m) return;
     for (const e of [...m.entries.values()]) {
       if (!isUnstored(e) && e.want !== 'reap')
-        this.say(e.team, { s: 'settled', job: e.job, idx: e.idx, attempt: e.attempt, machine: name });
+        this.say(e.team, { type: 'settled', job: e.job, idx: e.idx, attempt: e.attempt, machine: name });
       this.l.removeEntry(m, e);
     }
     this.l.machines.delete(name);
@@ -711,7 +711,7 @@
     this.nextAsk = now + 1500;
     const asked = new Set<string>();
     for (const r of this.l.owners.values()) if (!r.synced) asked.add(r.inst);
-    for (const inst of asked) this.o.send(inst, { k: 'resync', token: this.l.token });
+    for (const inst of asked) this.o.send(inst, { type: 'resync', token: this.l.token });
   }
 
   /** A stop that its owner did not act on is asked for again. */
@@ -763,7 +763,7 @@
 
   flush(): void {
     const now = this.o.clock.now();
-    for (const [inst, seen] of this.outbox) this.o.send(inst, { k: 'seen', token: this.l.token, seen });
+    for (const [inst, seen] of this.outbox) this.o.send(inst, { type: 'seen', token: this.l.token, seen });
     this.outbox.clear();
     for (const m of this.toDirect) this.direct(m);
     this.toDirect.clear();
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -190,7 +190,7 @@
 /** Owner to scheduler. `gens` names the version of each team record the sender acts under. */
 export type OwnerMsg =
   | {
-      k: 'sync';
+      type: 'sync';
       token: number;
       inst: string;
       /** Number of this telling, and which of its parts this is. */
@@ -201,12 +201,12 @@
       held: Held[];
       wants: Want[];
     }
-  | { k: 'wants'; token: number; inst: string; wants: Want[] }
-  | { k: 'held'; token: number; inst: string; held: Held[] }
-  | { k: 'drop'; token: number; inst: string; tasks: { machine: string; key: string }[]; grants: number[] }
+  | { type: 'wants'; token: number; inst: string; wants: Want[] }
+  | { type: 'held'; token: number; inst: string; held: Held[] }
+  | { type: 'drop'; token: number; inst: string; tasks: { machine: string; key: string }[]; grants: number[] }
   /** Whatever was cancelled before the leader's `mark` has been told, in `n` messages of placements since that sync. */
   | {
-      k: 'covered';
+      type: 'covered';
       token: number;
       inst: string;
       sync: number;
@@ -218,7 +218,7 @@
 /** What became of placements, as the scheduler saw it. */
 export type Seen =
   | {
-      s: 'phase';
+      type: 'phase';
       job: string;
       idx: number;
       attempt: number;
@@ -227,17 +227,17 @@
       why: ExitWhy | null;
       saved: boolean;
     }
-  | { s: 'settled'; job: string; idx: number; attempt: number; machine: string };
+  | { type: 'settled'; job: string; idx: number; attempt: number; machine: string };
 
 export type SchedulerMsg =
   /** The full telling of this number has been taken in. Without it (from a leader of an earlier version): the last one. */
-  | { k: 'synced'; token: number; sync?: number }
-  | { k: 'resync'; token: number }
-  | { k: 'grants'; token: number; grants: Grant[] }
+  | { type: 'synced'; token: number; sync?: number }
+  | { type: 'resync'; token: number }
+  | { type: 'grants'; token: number; grants: Grant[] }
   /** A time on the leader's clock. */
-  | { k: 'mark'; token: number; at: number }
-  | { k: 'seen'; token: number; seen: Seen[] }
-  | { k: 'evict'; token: number; tasks: { job: string; idx: number; attempt: number }[]; why: string };
+  | { type: 'mark'; token: number; at: number }
+  | { type: 'seen'; token: number; seen: Seen[] }
+  | { type: 'evict'; token: number; tasks: { job: string; idx: number; attempt: number }[]; why: string };
 
 export function taskKey(job: string, idx: number, attempt: number): string {
   return `${job}/${idx}#${attempt}`;
--- a/src/wire/field-codec.ts
+++ b/src/wire/field-codec.ts
@@ -84,9 +84,9 @@
 }
 
 /** A union told apart by the tag `type`, whose encoded name and values are given with the variants. */
-export function taggedUnion<T extends { k: string }>(
+export function taggedUnion<T extends { type: string }>(
   encodedTag: string,
-  variants: { readonly [Tag in T['k']]: Variant<Extract<T, { k: Tag }>> },
+  variants: { readonly [Tag in T['type']]: Variant<Extract<T, { type: Tag }>> },
 ): Codec<T> {
   const encoders = new Map<string, { tagValue: string; codec: Codec<T> }>();
   const decoders = new Map<unknown, { tag: string; codec: Codec<T> }>();
@@ -97,8 +97,8 @@
   }
   return {
     encode: (value) => {
-      const variant = encoders.get(value.k);
-      if (!variant) throw new TypeError(`no encoded form for ${value.k}`);
+      const variant = encoders.get(value.type);
+      if (!variant) throw new TypeError(`no encoded form for ${value.type}`);
       const encoded = variant.codec.encode(value) as Record<string, unknown>;
       encoded[encodedTag] = variant.tagValue;
       return encoded;
@@ -107,7 +107,7 @@
       if (!isObject(encoded)) throw new DecodeError('an object', encoded);
       const variant = decoders.get(encoded[encodedTag]);
       if (!variant) throw new DecodeError(`a known ${encodedTag}`, encoded[encodedTag]);
-      return { ...variant.codec.decode(encoded), k: variant.tag };
+      return { ...variant.codec.decode(encoded), type: variant.tag };
     },
   };
 }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -70,36 +70,31 @@
   endedTasks: 'endedTasks',
 });
 
-const allocationEvent = {
-  encode: (event: Seen) => (event.s === 'phase' ? phaseEvent : settledEvent).encode(event as never),
-  decode: (encoded: unknown): Seen =>
-    isObject(encoded) && encoded.s === 'phase' ? phaseEvent.decode(encoded) : settledEvent.decode(encoded),
-};
-
-const phaseEvent = object<Extract<Seen, { s: 'phase' }>>({
-  s: 's',
-  job: 'job',
-  idx: 'idx',
-  attempt: 'attempt',
-  machine: 'machine',
-  phase: 'phase',
-  why: 'why',
-  saved: 'saved',
-});
-
-const settledEvent = object<Extract<Seen, { s: 'settled' }>>({
-  s: 's',
-  job: 'job',
-  idx: 'idx',
-  attempt: 'attempt',
-  machine: 'machine',
+const allocationEvent = taggedUnion<Seen>('s', {
+  phase: {
+    tagValue: 'phase',
+    fields: {
+      type: 's',
+      job: 'job',
+      idx: 'idx',
+      attempt: 'attempt',
+      machine: 'machine',
+      phase: 'phase',
+      why: 'why',
+      saved: 'saved',
+    },
+  },
+  settled: {
+    tagValue: 'settled',
+    fields: { type: 's', job: 'job', idx: 'idx', attempt: 'attempt', machine: 'machine' },
+  },
 });
 
 const ownerMessage = taggedUnion<OwnerMsg>('k', {
   sync: {
     tagValue: 'sync',
     fields: {
-      k: 'k',
+      type: 'k',
       token: 'token',
       inst: 'inst',
       sync: 'sync',
@@ -112,16 +107,16 @@
   },
   wants: {
     tagValue: 'wants',
-    fields: { k: 'k', token: 'token', inst: 'inst', wants: field('wants', list(resourceRequest)) },
+    fields: { type: 'k', token: 'token', inst: 'inst', wants: field('wants', list(resourceRequest)) },
   },
   held: {
     tagValue: 'held',
-    fields: { k: 'k', token: 'token', inst: 'inst', held: field('held', list(placement)) },
+    fields: { type: 'k', token: 'token', inst: 'inst', held: field('held', list(placement)) },
   },
   drop: {
     tagValue: 'drop',
     fields: {
-      k: 'k',
+      type: 'k',
       token: 'token',
       inst: 'inst',
       tasks: field(
@@ -133,7 +128,7 @@
   },
   covered: {
     tagValue: 'covered',
-    fields: { k: 'k', token: 'token', inst: 'inst', sync: 'sync', n: 'n', gens: 'gens', mark: 'mark' },
+    fields: { type: 'k', token: 'token', inst: 'inst', sync: 'sync', n: 'n', gens: 'gens', mark: 'mark' },
   },
 });
 
@@ -144,14 +139,14 @@
 });
 
 const leaderMessage = taggedUnion<SchedulerMsg>('k', {
-  synced: { tagValue: 'synced', fields: { k: 'k', token: 'token', sync: 'sync' } },
-  resync: { tagValue: 'resync', fields: { k: 'k', token: 'token' } },
-  grants: { tagValue: 'grants', fields: { k: 'k', token: 'token', grants: field('grants', list(grant)) } },
-  mark: { tagValue: 'mark', fields: { k: 'k', token: 'token', at: 'at' } },
-  seen: { tagValue: 'seen', fields: { k: 'k', token: 'token', seen: field('seen', list(allocationEvent)) } },
+  synced: { tagValue: 'synced', fields: { type: 'k', token: 'token', sync: 'sync' } },
+  resync: { tagValue: 'resync', fields: { type: 'k', token: 'token' } },
+  grants: { tagValue: 'grants', fields: { type: 'k', token: 'token', grants: field('grants', list(grant)) } },
+  mark: { tagValue: 'mark', fields: { type: 'k', token: 'token', at: 'at' } },
+  seen: { tagValue: 'seen', fields: { type: 'k', token: 'token', seen: field('seen', list(allocationEvent)) } },
   evict: {
     tagValue: 'evict',
-    fields: { k: 'k', token: 'token', tasks: field('tasks', list(evictedTask)), why: 'why' },
+    fields: { type: 'k', token: 'token', tasks: field('tasks', list(evictedTask)), why: 'why' },
   },
 });
 
@@ -167,7 +162,7 @@
   ping: {
     tagValue: 'ping',
     fields: {
-      k: 'k',
+      type: 'k',
       leader: 'leader',
       token: 'token',
       okAgeMs: 'okAgeMs',
@@ -178,10 +173,10 @@
       cover: field('cover', coverage),
     },
   },
-  cancelled: { tagValue: 'cancelled', fields: { k: 'k', job: 'job', n: 'n' } },
-  images: { tagValue: 'images', fields: { k: 'k', add: 'add', gone: 'gone' } },
-  owner: { tagValue: 'owner', fields: { k: 'k', to: 'to', m: field('m', ownerMessage) } },
-  scheduler: { tagValue: 'scheduler', fields: { k: 'k', to: 'to', m: field('m', leaderMessage) } },
+  cancelled: { tagValue: 'cancelled', fields: { type: 'k', job: 'job', n: 'n' } },
+  images: { tagValue: 'images', fields: { type: 'k', add: 'add', gone: 'gone' } },
+  owner: { tagValue: 'owner', fields: { type: 'k', to: 'to', m: field('m', ownerMessage) } },
+  scheduler: { tagValue: 'scheduler', fields: { type: 'k', to: 'to', m: field('m', leaderMessage) } },
 });
 
 const peerMessage = object<MeshMsg>({
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -255,22 +255,22 @@
   read('open/', [stored]);
   read('place/', [placed]);
   owner.flush();
-  owner.fromScheduler({ k: 'synced', token: 5 });
+  owner.fromScheduler({ type: 'synced', token: 5 });
   owner.openChanged('wk-1', 'n', { n: 1, r: 0, b: '1.1' }, 6);
   expect(lists.length).toBe(1);
   owner.openChanged('wk-1', 'a', { j: spec, o: 3, x: 1 }, 7);
-  owner.fromScheduler({ k: 'mark', token: 5, at: 1 });
+  owner.fromScheduler({ type: 'mark', token: 5, at: 1 });
   now = 10;
   owner.flush();
-  const stops = sent.flatMap((m) => (m.k === 'held' ? m.held : [])).map((h) => h.want);
+  const stops = sent.flatMap((m) => (m.type === 'held' ? m.held : [])).map((h) => h.want);
   expect(stops).toEqual(['stop']);
   // The cover comes after the stop that it speaks of.
-  const kinds = sent.map((m) => m.k);
+  const kinds = sent.map((m) => m.type);
   expect(kinds.indexOf('covered')).toBeGreaterThan(kinds.indexOf('held'));
   read('open/wk-1/', [stored]);
   read('place/wk-1/', [placed]);
   owner.flush();
-  const sync = sent.filter((m) => m.k === 'sync').at(-1)!;
+  const sync = sent.filter((m) => m.type === 'sync').at(-1)!;
   expect([sync.held.map((h) => h.want), sync.wants]).toEqual([['stop'], []]);
 });
 
@@ -305,7 +305,7 @@
   t.owner.told++;
   t.later(windowMs({ leaseS: 20, cancelS: 40 }) + 100);
   expect(t.report([listed('running')])).toBeNull();
-  expect(t.said.some((m) => m.k === 'resync')).toBe(true);
+  expect(t.said.some((m) => m.type === 'resync')).toBe(true);
 });
 
 test('a mark that came after a read was sent is not covered by it, and a cover ends with its window', () => {
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -162,7 +162,7 @@
   const gens = { red: 1, blue: 1, free: 1 };
   const part = (n: number, h: (typeof running)[number]) =>
     t.k.fromOwner({
-      k: 'sync',
+      type: 'sync',
       token: 5,
       inst: 'o',
       sync: 2,
@@ -176,7 +176,7 @@
   t.said.length = 0;
   part(2, running[2]!);
   expect(t.said).toContainEqual({ k: 'resync', token: 5 });
-  expect(t.said.some((m) => m.k === 'synced')).toBe(false);
+  expect(t.said.some((m) => m.type === 'synced')).toBe(false);
   t.later(5000);
   expect(t.report(tasks)?.filter((c) => c.op === 'stop')).toEqual([]);
 });
@@ -185,7 +185,7 @@
   const t = scheduler(5);
   t.report([listed('exited')]);
   t.tell('run');
-  expect(t.said.some((m) => m.k === 'seen' && m.seen.some((s) => s.s === 'phase'))).toBe(true);
+  expect(t.said.some((m) => m.type === 'seen' && m.seen.some((s) => s.type === 'phase'))).toBe(true);
   expect(t.report([])?.filter((c) => c.op === 'start')).toEqual([]);
   expect(t.calls.flatMap((call) => call.cmds).filter((c) => c.op === 'start')).toEqual([]);
   expect(t.settled()).toBe(true);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -28,7 +28,7 @@
 }
 
 const grantsOf = (t: SchedulerStandin, id: string) => t.grants().filter((granted) => granted === id).length;
-const evicted = (t: SchedulerStandin) => t.said.flatMap((m) => (m.k === 'evict' ? m.tasks : []));
+const evicted = (t: SchedulerStandin) => t.said.flatMap((m) => (m.type === 'evict' ? m.tasks : []));
 
 test('a gang that waits keeps the machines it has gathered from lower work, and begins with the last one', () => {
   const t = scheduler(5);
@@ -202,7 +202,7 @@
   owner.setTeams(new Map([['red', 1]]));
   owner.setScheduler(1);
   owner.flush();
-  owner.fromScheduler({ k: 'synced', token: 1 });
+  owner.fromScheduler({ type: 'synced', token: 1 });
   return { owner, said };
 }
 
@@ -226,11 +226,11 @@
   ];
   for (const { name, taken, gang: offered, placed } of cases) {
     const { owner, said } = ownerOf([gang, other]);
-    owner.fromScheduler({ k: 'grants', token: 1, grants: taken });
-    owner.fromScheduler({ k: 'grants', token: 1, grants: offered });
+    owner.fromScheduler({ type: 'grants', token: 1, grants: taken });
+    owner.fromScheduler({ type: 'grants', token: 1, grants: offered });
     expect([name, owner.stats().placed]).toEqual([name, placed]);
     owner.flush();
-    const dropped = said.flatMap((m) => (m.k === 'drop' ? m.grants : []));
+    const dropped = said.flatMap((m) => (m.type === 'drop' ? m.grants : []));
     expect([name, dropped.length]).toEqual([name, name === 'room' ? 0 : offered.length]);
   }
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -80,7 +80,7 @@
   constructor(specs: JobSpec[]) {
     this.owner = ownerWith(specs, (m) => {
       this.messages++;
-      this.leader.owner.told += m.k === 'held' ? 1 : 0;
+      this.leader.owner.told += m.type === 'held' ? 1 : 0;
       this.leader.k.fromOwner(JSON.parse(JSON.stringify(m)));
     });
     this.owner.setScheduler(5);
@@ -197,7 +197,7 @@
     statePort: port as StatePort,
     cloud: port as ConstructorParameters<typeof Controller>[0]['cloud'],
     worker: port as ConstructorParameters<typeof Controller>[0]['worker'],
-    mesh: { send: (_host, { body }) => body.k === 'ping' && sent.push(body.strays.length) },
+    mesh: { send: (_host, { body }) => body.type === 'ping' && sent.push(body.strays.length) },
   });
   (controller as unknown as { leader: object }).leader = { inst: 'c1.1', host: 'c1', token: 1 };
   for (let i = 0; i < MACHINES; i++)
--- a/test/placing.test.ts
+++ b/test/placing.test.ts
@@ -22,7 +22,7 @@
     t.later(1000);
     t.k.flush();
   }
-  expect(t.said.filter((m) => m.k === 'evict')).toEqual([]);
+  expect(t.said.filter((m) => m.type === 'evict')).toEqual([]);
 });
 
 test('machines for spread replicas are not rented again and again where they may not go', () => {
@@ -140,7 +140,7 @@
   t.grants();
   const low = makeWant('wk-low', { rank: 3, cpus: 4 });
   t.wants([low]);
-  t.k.fromOwner({ k: 'drop', token: 5, inst: 'o', tasks: [], grants: [1] });
+  t.k.fromOwner({ type: 'drop', token: 5, inst: 'o', tasks: [], grants: [1] });
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
       t.report([]);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -9,7 +9,7 @@
 
 type SchedulerStandin = ReturnType<typeof scheduler>;
 
-const stopsFor = (t: SchedulerStandin) => t.said.filter((message) => message.k === 'evict').length;
+const stopsFor = (t: SchedulerStandin) => t.said.filter((message) => message.type === 'evict').length;
 
 /** Low work fills one ordinary machine in this zone; zone b has the fewest types. One service must be spread. */
 function fullMachineIn(zone: string): SchedulerStandin {
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -114,7 +114,7 @@
   t.wants([gang()]);
   second();
   expect(isGranted(t, 'wk-gang')).toBe(2);
-  const machines = t.said.flatMap((m) => (m.k === 'grants' ? m.grants.map((grant) => grant.machine) : []));
+  const machines = t.said.flatMap((m) => (m.type === 'grants' ? m.grants.map((grant) => grant.machine) : []));
   expect(machines).toContain('c');
 });
 
@@ -143,7 +143,7 @@
     t.wants([makeWant('wk-1', { ...over, count: 2, tasksLeft: [0, 1] })]);
     second();
     expect(isGranted(t, 'wk-1')).toBe(1);
-    const [grant] = t.said.flatMap((m) => (m.k === 'grants' ? m.grants : []));
+    const [grant] = t.said.flatMap((m) => (m.type === 'grants' ? m.grants : []));
     expect(grant?.endedTasks).toEqual([0, 2]);
   }
 });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -150,6 +150,6 @@
     tasks: [],
   };
   t.k.report(r);
-  t.k.fromOwner({ k: 'wants', token: 5, inst: 'o', wants: [want('wk-2', true), want('wk-1', false)] });
+  t.k.fromOwner({ type: 'wants', token: 5, inst: 'o', wants: [want('wk-2', true), want('wk-1', false)] });
   expect(t.grants()).toEqual(['wk-2']);
 });
--- a/test/standin/owner.ts
+++ b/test/standin/owner.ts
@@ -88,7 +88,7 @@
     this.owner.setScheduler(1);
     this.owner.setTeams(new Map([[team.name, this.state.keys.get(`sys/team/${team.name}`)!.version]]));
     this.run(100);
-    this.owner.fromScheduler({ k: 'synced', token: 1 });
+    this.owner.fromScheduler({ type: 'synced', token: 1 });
     this.run(100);
   }
 
@@ -103,8 +103,8 @@
       const id = this.nextGrant++;
       return { id, job, team: this.team.name, machine: `m${id}`, zone, season: 1 };
     });
-    this.owner.fromScheduler({ k: 'synced', token: 1 });
-    this.owner.fromScheduler({ k: 'grants', token: 1, grants });
+    this.owner.fromScheduler({ type: 'synced', token: 1 });
+    this.owner.fromScheduler({ type: 'grants', token: 1, grants });
   }
 
   /** The reads held back are answered. */
--- a/test/standin/scheduler.ts
+++ b/test/standin/scheduler.ts
@@ -82,7 +82,7 @@
   });
   k.setOwners(new Map(SHAPE.teams.map((t) => [t.name, { inst: 'o', gen: 1 }])));
   k.fromOwner({
-    k: 'sync',
+    type: 'sync',
     token,
     inst: 'o',
     sync: 1,
@@ -98,7 +98,7 @@
   const cover = () => {
     if (!owner.follows) return;
     const gens = { red: 1, blue: 1, free: 1 };
-    k.fromOwner({ k: 'covered', token, inst: 'o', sync: 1, n: owner.told, gens, mark: now });
+    k.fromOwner({ type: 'covered', token, inst: 'o', sync: 1, n: owner.told, gens, mark: now });
   };
   cover();
   const report = (tasks: TaskReport[], seen = token, over: Partial<WorkerReport> = {}) => {
@@ -141,15 +141,15 @@
     grant: 0,
   });
   const hold = (h: Held) => {
-    k.fromOwner({ k: 'held', token, inst: 'o', held: [h] });
+    k.fromOwner({ type: 'held', token, inst: 'o', held: [h] });
     owner.told++;
     k.flush();
   };
   const tell = (want: Held['want']) => hold(held(want));
-  const wants = (list: Want[]) => k.fromOwner({ k: 'wants', token, inst: 'o', wants: list });
+  const wants = (list: Want[]) => k.fromOwner({ type: 'wants', token, inst: 'o', wants: list });
   const settled = () => {
     k.flush();
-    return said.some((m) => m.k === 'seen' && m.seen.some((s) => s.s === 'settled'));
+    return said.some((m) => m.type === 'seen' && m.seen.some((s) => s.type === 'settled'));
   };
   const later = (ms: number) => {
     now += ms;
@@ -158,7 +158,7 @@
   };
   const grants = () => {
     k.flush();
-    return said.flatMap((m) => (m.k === 'grants' ? m.grants.map((g) => g.job) : []));
+    return said.flatMap((m) => (m.type === 'grants' ? m.grants.map((g) => g.job) : []));
   };
   return {
     k,
--- a/test/write-doubt.test.ts
+++ b/test/write-doubt.test.ts
@@ -27,7 +27,7 @@
   standin.heldReads = 'open/wk-000002';
   // The first job has been read again, which makes the owner tell all it holds; the second has not.
   standin.run(3000);
-  expect(standin.said.filter((message) => message.k === 'sync').length).toBeGreaterThan(1);
+  expect(standin.said.filter((message) => message.type === 'sync').length).toBeGreaterThan(1);
   standin.grant('wk-000003', 5);
   standin.run(1000);
   standin.release();
@@ -69,9 +69,9 @@
   const ended = { job: 'wk-000001', idx: 0, attempt: 1, machine: 'm1' };
   standin.losses.push('carried out late');
   standin.owner.fromScheduler({
-    k: 'seen',
+    type: 'seen',
     token: 1,
-    seen: [{ s: 'phase', ...ended, phase: 'exited', why: 'done', saved: false }],
+    seen: [{ type: 'phase', ...ended, phase: 'exited', why: 'done', saved: false }],
   });
   const told: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
@@ -79,7 +79,7 @@
     standin.said.length = 0;
     standin.owner.resync();
     standin.run(1);
-    const held = standin.said.flatMap((message) => (message.k === 'sync' ? message.held : []));
+    const held = standin.said.flatMap((message) => (message.type === 'sync' ? message.held : []));
     told.push(held.find(({ idx, machine }) => idx === 0 && machine === 'm1')?.want);
   }
   expect(standin.late.length).toBe(1);
