--- /dev/null
+++ b/test/forms/recorded-state.ts
@@ -0,0 +1,39 @@
+import type { StatePort } from '../../src/core/types.js';
+import { readItem, readItems, writeTxn } from '../../src/wire/state.js';
+
+/** A state service that holds texts of records by key, and keeps the text of every transaction it is sent. */
+export class RecordedState {
+  readonly transactions: string[] = [];
+  readonly endedLeases: number[] = [];
+
+  constructor(readonly records: Map<string, string>) {}
+
+  readonly port: StatePort = {
+    get: (key, _urgency, then) => {
+      const text = this.records.get(key);
+      then({ ok: true, value: text === undefined ? null : readItem(JSON.parse(this.itemText(key, text))) });
+    },
+    list: (prefix, _since, _urgency, then) => {
+      const items = [...this.records].filter(([key]) => key.startsWith(prefix)).sort();
+      const text = `{"items":[${items.map(([key, value]) => this.itemText(key, value)).join()}],"has_next":false,"ring":50}`;
+      then({ ok: true, value: readItems(JSON.parse(text))! });
+    },
+    txn: (txn, _urgency, then) => {
+      this.transactions.push(JSON.stringify(writeTxn(txn)));
+      then({ ok: true, value: 51 });
+    },
+    grant: (_ttlMs, then) => then({ ok: true, value: 7 }),
+    touch: (_lease, then) => then({ ok: true, value: null }),
+    end: (lease, then) => {
+      this.endedLeases.push(lease);
+      then({ ok: true, value: null });
+    },
+    watch: (_prefix, _since, waitMs, then) => {
+      if (waitMs === 0) then({ ok: true, value: { rev: 50, events: [] } });
+    },
+  };
+
+  private itemText(key: string, value: string): string {
+    return `{"key":${JSON.stringify(key)},"value":${value},"mark":41}`;
+  }
+}
--- /dev/null
+++ b/test/forms/stored-records.test.ts
@@ -0,0 +1,358 @@
+import { describe, expect, test } from 'vitest';
+import { Api, type ApiAnswer } from '../../src/core/api.js';
+import { Mirror } from '../../src/core/mirror.js';
+import { newJob, type OwnedJob, type Placement } from '../../src/core/owner/job.js';
+import {
+  type JobWrite,
+  type WriteEvents,
+  writeChanges,
+  writeFinal,
+} from '../../src/core/owner/job-writes.js';
+import { Owner } from '../../src/core/owner/owner.js';
+import { WriteFence } from '../../src/core/owner/write-fence.js';
+import { readJob, type StoredJob } from '../../src/core/records.js';
+import type { Clock, JobSpec, MachineType, OwnerMsg, StateOp, Team } from '../../src/core/types.js';
+import { readItem, writeTxn } from '../../src/wire/state.js';
+import { ownerOptions } from '../standin/owner.js';
+import { RecordedState } from './recorded-state.js';
+
+const GANG: JobSpec = {
+  id: 'wk-000412',
+  cls: 'train',
+  team: 'vision',
+  shape: 'gang',
+  rank: 1,
+  tasks: 3,
+  cpus: 8,
+  gpus: 1,
+  mem: 64,
+  image: 'img-07',
+  imageGb: 6.2,
+  types: ['g8'],
+  zone: 'a',
+  together: true,
+  apart: false,
+  spot: true,
+  estimateS: 240,
+  checkpointS: 30,
+  saveS: 4,
+  deadlineS: 900,
+  at: 1700000000000,
+};
+const GANG_TEXT =
+  '{"id":"wk-000412","cls":"train","team":"vision","shape":"gang","rank":1,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":["g8"],"zone":"a","together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900,"at":1700000000000}';
+const ARRAY: JobSpec = {
+  ...GANG,
+  id: 'wk-7',
+  shape: 'array',
+  rank: 3,
+  types: null,
+  zone: null,
+  deadlineS: null,
+};
+const ARRAY_TEXT =
+  '{"id":"wk-7","cls":"train","team":"vision","shape":"array","rank":3,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
+const SERVICE: JobSpec = { ...ARRAY, id: 'wk-8', shape: 'service', rank: 0, together: false, apart: true };
+const SERVICE_TEXT =
+  '{"id":"wk-8","cls":"train","team":"vision","shape":"service","rank":0,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":false,"apart":true,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
+
+const TEAM: Team = { name: 'vision', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 };
+const TYPE: MachineType = {
+  name: 'g8',
+  cpus: 96,
+  gpus: 8,
+  mem: 768,
+  cacheGb: 200,
+  fetchGbPerS: 1,
+  price: 12,
+  spotPrice: 4.5,
+  bootS: 45,
+  zones: ['a', 'b'],
+};
+const log = { debug: () => {}, info: () => {}, error: () => {} };
+const events: WriteEvents = {
+  placementStored: () => {},
+  outcomeStored: () => {},
+  counterFull: () => {},
+  filed: () => {},
+};
+
+function steppingClock(): Clock {
+  let now = 0;
+  return {
+    now: () => {
+      now += 1000;
+      return now;
+    },
+    wall: () => now,
+    after: () => () => {},
+    soon: (run) => run(),
+    random: () => 0.5,
+  };
+}
+
+/** The API over stored texts, and its answer to one request. */
+function ask(
+  records: Record<string, string>,
+  request: (api: Api, then: (answer: ApiAnswer) => void) => void,
+) {
+  const state = new RecordedState(new Map(Object.entries(records)));
+  const clock = steppingClock();
+  const open = new Mirror('open/', 10000, 100, state.port, clock, () => {}, false);
+  open.start();
+  const api = new Api(
+    state.port,
+    open,
+    new Map([[TEAM.name, TEAM]]),
+    () => [TYPE],
+    log,
+    () => 0,
+    () => {},
+  );
+  let answer: ApiAnswer | undefined;
+  request(api, (given) => {
+    answer = given;
+  });
+  return { answer, transactions: state.transactions };
+}
+
+function storedJob(records: Record<string, string>): StoredJob | undefined {
+  const found = new Map<string, StoredJob>();
+  for (const [key, text] of Object.entries(records))
+    readJob(found, readItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+  return [...found.values()][0];
+}
+
+/** What is written of a job's changes, as it goes to the state service. */
+function writtenText(operations: StateOp[] | undefined): string {
+  return JSON.stringify(writeTxn({ when: [], then: operations ?? [] }).then);
+}
+
+function ownedJob(spec: JobSpec): OwnedJob {
+  const stored = storedJob({ [`open/${spec.id}/a`]: `{"j":${GANG_TEXT}}` })!;
+  return newJob(spec, stored, undefined, 64);
+}
+
+function placement(idx: number, machine: string): Placement {
+  return {
+    idx,
+    attempt: 2,
+    machine,
+    season: 4,
+    zone: 'a',
+    grant: 9,
+    stored: false,
+    want: 'run',
+    running: true,
+  };
+}
+
+describe('the record of an accepted job, open/<id>/a', () => {
+  test.each([
+    ['gang, every field set', GANG, GANG_TEXT],
+    ['array, no types, zone or deadline', ARRAY, ARRAY_TEXT],
+    ['service', SERVICE, SERVICE_TEXT],
+  ])('is written at acceptance: %s', (_title, spec, text) => {
+    const { answer, transactions } = ask({}, (api, then) => api.submit(spec, then));
+    expect(transactions).toEqual([
+      `{"when":[{"key":"open/${spec.id}/a","mark":0},{"key":"end/${spec.id}","mark":0}],"then":[{"write":"open/${spec.id}/a","value":{"j":${text}}}]}`,
+    ]);
+    expect(answer?.s).toBe('job');
+  });
+
+  test.each([
+    ['first', `{"j":${GANG_TEXT}}`, `{"j":${GANG_TEXT},"o":41,"x":1}`],
+    ['written again before', `{"j":${GANG_TEXT},"o":12}`, `{"j":${GANG_TEXT},"o":12,"x":1}`],
+  ])('is written again at cancellation with the revision of acceptance: %s', (_title, before, after) => {
+    const { answer, transactions } = ask({ 'open/wk-000412/a': before }, (api, then) =>
+      api.abort('wk-000412', then),
+    );
+    expect(transactions).toEqual([
+      `{"when":[{"key":"open/wk-000412/a","mark":41},{"key":"open/wk-000412/n","mark":0}],"then":[{"write":"open/wk-000412/a","value":${after}}]}`,
+    ]);
+    expect(answer?.s === 'job' && answer.state).toBe('cancelled');
+  });
+
+  test.each([
+    ['gang', GANG, `{"j":${GANG_TEXT}}`, 41, false],
+    ['array, accepted at 12', ARRAY, `{"j":${ARRAY_TEXT},"o":12}`, 12, false],
+    ['service, cancelled', SERVICE, `{"j":${SERVICE_TEXT},"o":12,"x":1}`, 12, true],
+    ['cancelled, no revision of acceptance', GANG, `{"j":${GANG_TEXT},"x":1}`, 41, true],
+  ])('is read: %s', (_title, spec, text, order, cancelled) => {
+    const stored = storedJob({ [`open/${spec.id}/a`]: text });
+    expect(stored?.spec).toStrictEqual(spec);
+    expect([stored?.order, stored?.jobRevision, stored?.cancelled]).toEqual([order, 41, cancelled]);
+  });
+});
+
+describe('the counter of a job, open/<id>/n', () => {
+  test.each<[string, number, number[], number, string]>([
+    ['nothing done', 3, [], 0, '{"n":0,"r":0,"b":""}'],
+    ['runs', 200, [0, 1, 2, 50, 51], 7, '{"n":5,"r":7,"b":"0.3,1b.2"}'],
+    ['all done', 100, Array.from({ length: 100 }, (_, idx) => idx), 0, '{"n":100,"r":0,"b":"0.2s"}'],
+    ['plain bits', 24, [0, 2, 4, 6, 8, 10, 12, 14, 16, 18], 1, '{"n":10,"r":1,"b":"=VVUF"}'],
+  ])('is written and read: %s', (_title, tasks, done, running, text) => {
+    const job = ownedJob({ ...ARRAY, tasks });
+    for (const idx of done) job.count.add(idx);
+    job.shownRunning = running;
+    job.dirtyCount = true;
+    expect(writtenText(writeChanges(job, 16, 64, events)?.ops)).toBe(
+      `[{"write":"open/wk-7/n","value":${text}}]`,
+    );
+    const stored = storedJob({
+      'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${tasks}`)}}`,
+      'open/wk-7/n': text,
+    });
+    expect([stored?.running, stored?.counterRevision, stored?.count?.n]).toEqual([running, 41, done.length]);
+    expect(Array.from({ length: tasks }, (_, idx) => idx).filter((idx) => stored?.count?.has(idx))).toEqual(
+      done,
+    );
+  });
+});
+
+describe('placements of a chunk of tasks, place/<id>/k', () => {
+  const TEXT = '{"t":{"0":[2,"vm-000231",4,"a"],"1":[1]}}';
+
+  test('are written with the counter, settled ones as their attempt alone', () => {
+    const job = ownedJob(GANG);
+    job.placed.set(0, placement(0, 'vm-000231'));
+    job.attempts.set(1, 1);
+    job.count.add(2);
+    job.dirtyCount = true;
+    job.shownRunning = 1;
+    job.dirtyChunks.add(0);
+    const write = writeChanges(job, 16, 64, events);
+    expect(writtenText(write?.ops)).toBe(
+      `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${TEXT}}]`,
+    );
+  });
+
+  test('of a later chunk are written under its number, and dropped when none is left', () => {
+    const job = ownedJob(GANG);
+    job.placed.set(2, placement(2, 'vm-000232'));
+    job.dirtyChunks.add(2);
+    job.dirtyChunks.add(1);
+    job.chunkRevisions.set(1, 8);
+    expect(writtenText(writeChanges(job, 16, 1, events)?.ops)).toBe(
+      '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
+    );
+  });
+
+  test('are read by an owner, which goes on from them', () => {
+    const state = new RecordedState(
+      new Map([
+        ['open/wk-000412/a', `{"j":${GANG_TEXT.replace('"gang"', '"array"')}}`],
+        ['place/wk-000412/0', TEXT],
+      ]),
+    );
+    const said: OwnerMsg[] = [];
+    const owner = new Owner(
+      ownerOptions({
+        teams: new Map([[TEAM.name, TEAM]]),
+        state: state.port,
+        clock: steppingClock(),
+        send: (message) => said.push(message),
+      }),
+    );
+    owner.setScheduler(3);
+    owner.setTeams(new Map([[TEAM.name, 40]]));
+    owner.flush();
+    const held = said.flatMap((message) => (message.k === 'sync' ? message.held : []));
+    expect(
+      held.map(({ job, idx, attempt, machine, season }) => [job, idx, attempt, machine, season]),
+    ).toEqual([['wk-000412', 0, 2, 'vm-000231', 4]]);
+    owner.fromScheduler({ k: 'synced', token: 3 });
+    const place = { job: 'wk-000412', team: TEAM.name, zone: 'a', season: 1 };
+    owner.fromScheduler({
+      k: 'grants',
+      token: 3,
+      grants: [
+        { ...place, id: 1, machine: 'vm-000240' },
+        { ...place, id: 2, machine: 'vm-000241' },
+      ],
+    });
+    owner.flush();
+    expect(state.transactions.at(-1)).toContain(
+      '{"write":"place/wk-000412/0","value":{"t":{"0":[2,"vm-000231",4,"a"],"1":[2,"vm-000240",1,"a"],"2":[1,"vm-000241",1,"a"]}}}',
+    );
+  });
+});
+
+describe('the final record of a job, end/<id>', () => {
+  const finalOf = (job: OwnedJob): JobWrite | null => writeFinal(job, 16, events);
+
+  test('is written when it is done, and the working records are dropped', () => {
+    const job = ownedJob(GANG);
+    for (let idx = 0; idx < 3; idx++) job.count.add(idx);
+    job.counterRevision = 9;
+    job.chunkRevisions.set(0, 8);
+    expect(writtenText(finalOf(job)?.ops)).toBe(
+      '[{"drop":"place/wk-000412/0"},{"write":"end/wk-000412","value":{"d":1,"n":3}},{"drop":"open/wk-000412/a"},{"drop":"open/wk-000412/n"}]',
+    );
+  });
+
+  test('is written when it was cancelled', () => {
+    const job = ownedJob(GANG);
+    job.cancelled = true;
+    expect(writtenText(finalOf(job)?.ops)).toBe(
+      '[{"write":"end/wk-000412","value":{"d":0,"n":0}},{"drop":"open/wk-000412/a"}]',
+    );
+  });
+});
+
+describe('answers to users from stored records', () => {
+  const open = { 'open/wk-7/a': `{"j":${ARRAY_TEXT}}` };
+
+  test.each<[string, Record<string, string>, ApiAnswer]>([
+    ['no record', {}, { s: 'unknown' }],
+    ['accepted', open, { s: 'job', created: false, state: 'queued', done: 0, running: 0 }],
+    [
+      'running',
+      { ...open, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
+      { s: 'job', created: false, state: 'running', done: 1, running: 2 },
+    ],
+    [
+      'all tasks counted',
+      { ...open, 'open/wk-7/n': '{"n":3,"r":0,"b":"0.3"}' },
+      { s: 'job', created: false, state: 'done', done: 3, running: 0 },
+    ],
+    [
+      'cancelled',
+      { 'open/wk-7/a': `{"j":${ARRAY_TEXT},"o":3,"x":1}`, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
+      { s: 'job', created: false, state: 'cancelled', done: 1, running: 0 },
+    ],
+    [
+      'final, done',
+      { 'end/wk-7': '{"d":1,"n":3}' },
+      { s: 'job', created: false, state: 'done', done: 3, running: 0 },
+    ],
+    [
+      'final, cancelled',
+      { 'end/wk-7': '{"d":0,"n":2}' },
+      { s: 'job', created: false, state: 'cancelled', done: 2, running: 0 },
+    ],
+  ])('%s', (_title, records, expected) => {
+    expect(ask(records, (api, then) => api.poll('wk-7', then)).answer).toStrictEqual(expected);
+  });
+});
+
+describe('the record that fences an owner’s writes, fence/<host>', () => {
+  test.each<[string, Record<string, string>, number]>([
+    ['for the first time', {}, 0],
+    ['again', { 'fence/stand-1': '{"inst":"stand-1.0a1b2c"}' }, 41],
+  ])('is written when it moves: %s', (_title, records, revision) => {
+    const state = new RecordedState(new Map(Object.entries(records)));
+    const fence = new WriteFence({
+      key: 'fence/stand-1',
+      inst: 'stand-1.0d1e2f',
+      state: state.port,
+      clock: steppingClock(),
+      log,
+      ready: () => {},
+    });
+    fence.move(() => {});
+    expect(state.transactions).toEqual([
+      `{"when":[{"key":"fence/stand-1","mark":${revision}}],"then":[{"write":"fence/stand-1","value":{"inst":"stand-1.0d1e2f"}}]}`,
+    ]);
+  });
+});
