--- /dev/null
+++ b/test/forms/cloud-messages.test.ts
@@ -0,0 +1,132 @@
+import { afterAll, beforeAll, describe, expect, test } from 'vitest';
+import type { ListedMachine, MachineType, Result } from '../../src/core/types.js';
+import { CloudClient } from '../../src/io/cloud.js';
+import { RecordingServer } from './recording-server.js';
+
+const server = new RecordingServer();
+let cloud: CloudClient;
+beforeAll(async () => {
+  cloud = new CloudClient(await server.listen(), 1000);
+});
+afterAll(() => server.close());
+
+/** A call of the cloud: the request as it was sent, and what is made of this answer. */
+async function call<T>(status: number, text: string, ask: (then: (result: Result<T>) => void) => void) {
+  server.reply = { status, text };
+  const result = await new Promise<Result<T>>((done) => ask(done));
+  return { request: server.requests.at(-1), result };
+}
+const types = (status: number, text: string) =>
+  call<MachineType[]>(status, text, (then) => cloud.types(then));
+const rent = (status: number, text: string) =>
+  call<string[]>(status, text, (then) => cloud.rent('r-17', 'g8', 'a', true, 12, then));
+const remove = (status: number) =>
+  call<null>(status, '{}', (then) => cloud.remove(['vm-000231', 'vm-000232'], then));
+const list = (status: number, text: string, since = 'vm-000230') =>
+  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (then) => cloud.list(since, then));
+
+const G8: MachineType = {
+  name: 'g8',
+  cpus: 96,
+  gpus: 8,
+  mem: 768,
+  cacheGb: 200,
+  fetchGbPerS: 1.5,
+  price: 12,
+  spotPrice: 4.5,
+  bootS: 45,
+  zones: ['a', 'b'],
+};
+
+describe('machine types', () => {
+  test('are asked for and read', async () => {
+    const text =
+      '{"barks":[{"label":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"pull_gb_per_s":1.5,"hourly":12.0,"spot_price":4.5,"ready_s":45,"slopes":["a","b"]}]}';
+    expect(await types(200, text)).toStrictEqual({
+      request: 'GET /machine_types',
+      result: { ok: true, value: [G8] },
+    });
+  });
+
+  test('are read with what may be missing, and passed over without what may not', async () => {
+    const least = {
+      ...G8,
+      gpus: 0,
+      cacheGb: 0,
+      fetchGbPerS: 0.1,
+      price: 1,
+      spotPrice: 1,
+      bootS: 30,
+      zones: [],
+    };
+    const text =
+      '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768},{"vcpus":96,"ram_gb":768},{"label":"g8","ram_gb":768},{"label":"g8","vcpus":96}]}';
+    expect((await types(200, text)).result).toStrictEqual({ ok: true, value: [least] });
+    const priced = '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768,"hourly":3}]}';
+    expect((await types(200, priced)).result).toStrictEqual({
+      ok: true,
+      value: [{ ...least, price: 3, spotPrice: 3 }],
+    });
+    expect((await types(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
+  });
+});
+
+describe('renting', () => {
+  test('names the claim, the type, the zone, the kind and the number', async () => {
+    expect(await rent(200, '{"trunks":["vm-000231","vm-000232"]}')).toStrictEqual({
+      request:
+        'POST /machines application/json {"claim":"r-17","bark":"g8","slope":"a","windfall":true,"number":12}',
+      result: { ok: true, value: ['vm-000231', 'vm-000232'] },
+    });
+  });
+
+  test.each<[number, string, Result<string[]>]>([
+    [200, '{}', { ok: false, kind: 'refused' }],
+    [503, '{"error":"no capacity"}', { ok: false, kind: 'gone' }],
+    [503, '{"error":"trouble"}', { ok: false, kind: 'refused' }],
+    [400, '{}', { ok: false, kind: 'bad' }],
+  ])('is answered by %i %s', async (status, text, result) => {
+    expect((await rent(status, text)).result).toStrictEqual(result);
+  });
+});
+
+describe('returning machines', () => {
+  test('names them', async () => {
+    expect(await remove(200)).toStrictEqual({
+      request: 'POST /machines/delete application/json {"trunks":["vm-000231","vm-000232"]}',
+      result: { ok: true, value: null },
+    });
+    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'unknown' });
+  });
+});
+
+describe('the list of machines', () => {
+  const text =
+    '{"trunks":[{"name_id":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"phase":"running","age_s":61.5},{"name_id":"vm-000232","phase":"booting"},{"name_id":"vm-000233","phase":"failed"},{"name_id":"vm-000234","phase":"else"},{"phase":"running"}],"has_next":true}';
+  const bare = { addr: '', type: '', zone: '', spot: false, ageS: 0 };
+  const machines: ListedMachine[] = [
+    {
+      name: 'vm-000231',
+      addr: '10.1.0.232:9000',
+      type: 'g8',
+      zone: 'a',
+      spot: true,
+      phase: 'running',
+      ageS: 61.5,
+    },
+    { name: 'vm-000232', phase: 'booting', ...bare },
+    { name: 'vm-000233', phase: 'failed', ...bare },
+  ];
+
+  test('is asked for in pages and read', async () => {
+    expect(await list(200, text)).toStrictEqual({
+      request: 'GET /machines?since=vm-000230&page=500',
+      result: { ok: true, value: { machines, more: true } },
+    });
+    expect(await list(200, '{"trunks":[]}', '')).toStrictEqual({
+      request: 'GET /machines?page=500',
+      result: { ok: true, value: { machines: [], more: false } },
+    });
+    expect((await list(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
+  });
+});
--- /dev/null
+++ b/test/forms/store-messages.test.ts
@@ -0,0 +1,151 @@
+import { afterAll, beforeAll, describe, expect, test } from 'vitest';
+import { type Result, type StatePort, type Txn, URGENCY } from '../../src/core/types.js';
+import { StateClient } from '../../src/io/state.js';
+import { RecordingServer } from './recording-server.js';
+
+const server = new RecordingServer();
+let store: StateClient;
+beforeAll(async () => {
+  store = new StateClient(await server.listen(), { rps: 1000, writeRps: 1000, nodes: 1 });
+});
+afterAll(() => server.close());
+
+/** A call of the state service: the request as it was sent, and what is made of this answer. */
+async function call(
+  status: number,
+  text: string,
+  ask: (port: StatePort, then: (result: Result<unknown>) => void) => void,
+) {
+  server.reply = { status, text };
+  const result = await new Promise<Result<unknown>>((done) => ask(store, done));
+  return { request: server.requests.at(-1), result };
+}
+
+const TRANSACTION: Txn = {
+  when: [
+    { key: 'a/b', version: 0 },
+    { key: 'c/d', version: 12 },
+  ],
+  then: [{ put: 'a/b', value: { one: 1 }, lease: 7 }, { put: 'a/c', value: null }, { del: 'c/d' }],
+};
+
+type Ask = (port: StatePort, then: (result: Result<unknown>) => void) => void;
+const get: Ask = (port, then) => port.get('a/b', URGENCY.read, then);
+const list: Ask = (port, then) => port.list('c/', 'c/7', URGENCY.read, then);
+const transact: Ask = (port, then) => port.txn(TRANSACTION, URGENCY.lease, then);
+const watch: Ask = (port, then) => port.watch('c/', 431, 10000, then);
+const grant: Ask = (port, then) => port.grant(3500.4, then);
+const touch: Ask = (port, then) => port.touch(7, then);
+const end: Ask = (port, then) => port.end(7, then);
+
+describe('requests to the state service', () => {
+  test.each<[string, Ask, string]>([
+    ['a read', get, 'GET /store/a/b'],
+    [
+      'a read of a key with other characters',
+      (port, then) => port.get('sys/node/é?', URGENCY.read, then),
+      'GET /store/sys/node/%C3%A9?',
+    ],
+    ['a list', list, 'GET /store?prefix=c%2F&since=c%2F7&page=500'],
+    [
+      'a transaction',
+      transact,
+      'POST /txn application/json {"when":[{"key":"a/b","mark":0},{"key":"c/d","mark":12}],"then":[{"write":"a/b","value":{"one":1},"tenure":7},{"write":"a/c","value":null},{"drop":"c/d"}]}',
+    ],
+    ['a watch', watch, 'GET /watch?prefix=c%2F&since=431&wait_ms=10000'],
+    ['a lease', grant, 'POST /grants application/json {"ttl_ms":3500}'],
+    ['a renewal', touch, 'POST /grants/7/touch application/json {}'],
+    ['the end of a lease', end, 'DELETE /grants/7'],
+  ])('%s', async (_title, ask, request) => {
+    expect((await call(200, '{}', ask)).request).toBe(request);
+  });
+});
+
+describe('answers of the state service', () => {
+  test.each<[string, Ask, number, string, Result<unknown>]>([
+    [
+      'an item',
+      get,
+      200,
+      '{"key":"a/b","value":{"one":1},"mark":412,"tenure":7}',
+      { ok: true, value: { key: 'a/b', value: { one: 1 }, version: 412, lease: 7 } },
+    ],
+    [
+      'an item without a lease',
+      get,
+      200,
+      '{"key":"a/b","value":[],"mark":412,"tenure":null}',
+      { ok: true, value: { key: 'a/b', value: [], version: 412 } },
+    ],
+    ['no item', get, 404, '{"ring":431}', { ok: true, value: null }],
+    ['an item without a revision', get, 200, '{"key":"a/b","value":1}', { ok: false, kind: 'unknown' }],
+    [
+      'a page',
+      list,
+      200,
+      '{"items":[{"key":"c/8","value":1,"mark":5},{"key":"c/9","value":2,"mark":6}],"has_next":true,"ring":431}',
+      {
+        ok: true,
+        value: {
+          items: [
+            { key: 'c/8', value: 1, version: 5 },
+            { key: 'c/9', value: 2, version: 6 },
+          ],
+          more: true,
+          rev: 431,
+        },
+      },
+    ],
+    [
+      'the last page',
+      list,
+      200,
+      '{"items":[],"has_next":false,"ring":431}',
+      { ok: true, value: { items: [], more: false, rev: 431 } },
+    ],
+    ['a page without a revision', list, 200, '{"items":[]}', { ok: false, kind: 'unknown' }],
+    ['a transaction carried out', transact, 200, '{"ring":432}', { ok: true, value: 432 }],
+    [
+      'a transaction that failed',
+      transact,
+      409,
+      '{"failed":["a/b"],"ring":431}',
+      { ok: false, kind: 'conflict', failed: ['a/b'] },
+    ],
+    ['an expired lease', transact, 400, '{"error":"no such lease"}', { ok: false, kind: 'bad' }],
+    ['an outage', transact, 503, '{}', { ok: false, kind: 'refused' }],
+    ['a defect', transact, 500, '{}', { ok: false, kind: 'unknown' }],
+    [
+      'changes',
+      watch,
+      200,
+      '{"ring":433,"log":[{"write":"c/9","value":{"one":1},"mark":433},{"drop":"c/d","mark":432}]}',
+      {
+        ok: true,
+        value: {
+          rev: 433,
+          events: [
+            { key: 'c/9', version: 433, value: { one: 1 }, gone: false },
+            { key: 'c/d', version: 432, value: undefined, gone: true },
+          ],
+        },
+      },
+    ],
+    ['no changes', watch, 200, '{"ring":433,"log":[]}', { ok: true, value: { rev: 433, events: [] } }],
+    [
+      'a change without a revision',
+      watch,
+      200,
+      '{"ring":433,"log":[{"drop":"c"}]}',
+      { ok: false, kind: 'unknown' },
+    ],
+    ['changes forgotten', watch, 410, '{}', { ok: false, kind: 'gone' }],
+    ['a lease', grant, 200, '{"tenure":7}', { ok: true, value: 7 }],
+    ['a renewal', touch, 200, '{}', { ok: true, value: null }],
+    ['a renewal too late', touch, 404, '{}', { ok: false, kind: 'gone' }],
+    ['a lease ended', end, 200, '{}', { ok: true, value: null }],
+    ['a lease that had ended', end, 404, '{}', { ok: false, kind: 'gone' }],
+  ])('%s', async (_title, ask, status, text, result) => {
+    expect((await call(status, text, ask)).result).toStrictEqual(result);
+  });
+});
--- /dev/null
+++ b/test/forms/worker-messages.test.ts
@@ -0,0 +1,174 @@
+import { afterAll, beforeAll, describe, expect, test } from 'vitest';
+import type { Controller, ReportAnswer } from '../../src/core/controller.js';
+import type { ExitWhy, Result, TaskPhase, WorkerCommand, WorkerReport } from '../../src/core/types.js';
+import { report } from '../../src/io/http.js';
+import { WorkerClients } from '../../src/io/workers.js';
+import { readReport } from '../../src/wire/worker.js';
+import { RecordingServer } from './recording-server.js';
+
+const REPORT_TEXT =
+  '{"trunk":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"season":1,"tally":88,"crook":41,"felling_s":null,"saplings":[{"sapling":"wk-000412/3","sprout":2,"phase":"running"},{"sapling":"wk-000398/0","sprout":1,"phase":"ended","blight":"done"}]}';
+const REPORT: WorkerReport = {
+  machine: 'vm-000231',
+  addr: '10.1.0.232:9000',
+  type: 'g8',
+  zone: 'a',
+  spot: true,
+  season: 1,
+  tally: 88,
+  token: 41,
+  noticeS: null,
+  tasks: [
+    { job: 'wk-000412', idx: 3, attempt: 2, phase: 'running', why: null, saved: false },
+    { job: 'wk-000398', idx: 0, attempt: 1, phase: 'exited', why: 'done', saved: false },
+  ],
+};
+const COMMANDS: WorkerCommand[] = [
+  { op: 'start', job: 'wk-000412', idx: 4, attempt: 2 },
+  { op: 'stop', job: 'wk-000377', idx: 1, attempt: 1, graceS: 10 },
+  { op: 'reap', job: 'wk-000398', idx: 0, attempt: 1 },
+];
+const CALLS_TEXT =
+  '[{"call":"start","sapling":"wk-000412/4","sprout":2},{"call":"stop","sapling":"wk-000377/1","sprout":1,"pruning_s":10},{"call":"reap","sapling":"wk-000398/0","sprout":1}]';
+const log = { debug: () => {}, info: () => {}, error: () => {} };
+
+const taskOf = (text: string) =>
+  readReport(JSON.parse(REPORT_TEXT.replace(/"saplings":.*$/, `"saplings":[${text}]}`)))?.tasks[0];
+
+describe('a worker’s report', () => {
+  test('is read whole', () => {
+    expect(readReport(JSON.parse(REPORT_TEXT))).toStrictEqual(REPORT);
+  });
+
+  test.each<[string, string, Partial<WorkerReport>]>([
+    ['notice', REPORT_TEXT.replace('"felling_s":null', '"felling_s":31.5'), { noticeS: 31.5 }],
+    ['no notice field', REPORT_TEXT.replace('"felling_s":null,', ''), {}],
+    ['ordinary machine', REPORT_TEXT.replace('"windfall":true', '"windfall":false'), { spot: false }],
+    ['no token field', REPORT_TEXT.replace('"crook":41,', ''), { token: 0 }],
+    ['token null', REPORT_TEXT.replace('"crook":41', '"crook":null'), { token: 0 }],
+    ['a field that is not known', REPORT_TEXT.replace('{"trunk"', '{"moss":1,"trunk"'), {}],
+  ])('is read: %s', (_title, text, difference) => {
+    expect(readReport(JSON.parse(text))).toStrictEqual({ ...REPORT, ...difference });
+  });
+
+  test.each<[string, TaskPhase]>([
+    ['pulling', 'fetching'],
+    ['gathering', 'waiting'],
+    ['running', 'running'],
+    ['saving', 'saving'],
+    ['ended', 'exited'],
+  ])('names the task state %s', (text, phase) => {
+    expect(taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"${text}"}`)?.phase).toBe(phase);
+  });
+
+  test.each<[string, ExitWhy]>([
+    ['done', 'done'],
+    ['stopped', 'stopped'],
+    ['mates_gone', 'peers'],
+    ['incomplete', 'alone'],
+    ['error', 'error'],
+    ['full', 'no_room'],
+    ['busy', 'busy'],
+    ['unknown', 'unknown'],
+    ['anything else', 'error'],
+  ])('names the end %s', (text, why) => {
+    expect(
+      taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"ended","blight":"${text}","stored":true}`),
+    ).toStrictEqual({
+      job: 'wk-1',
+      idx: 3,
+      attempt: 2,
+      phase: 'exited',
+      why,
+      saved: true,
+    });
+  });
+
+  test.each([
+    '"trunk":"vm-000231"',
+    '"address":"10.1.0.232:9000"',
+    '"bark":"g8"',
+    '"slope":"a"',
+    '"season":1',
+    '"tally":88',
+    '"sapling":"wk-000412/3"',
+    '"sprout":2',
+    '"phase":"running"',
+  ])('is not read without %s', (field) => {
+    expect(readReport(JSON.parse(REPORT_TEXT.replace(field, '"moss":0')))).toBe(null);
+  });
+});
+
+describe('the answer to a report', () => {
+  const answered = (answer: ReportAnswer, text = REPORT_TEXT) => {
+    const reports: WorkerReport[] = [];
+    const controller: Pick<Controller, 'report'> = {
+      report: (given) => {
+        reports.push(given);
+        return answer;
+      },
+    };
+    const reply = report(controller as Controller, log, text);
+    return { reply, reports };
+  };
+
+  test('holds the token and the commands', () => {
+    const { reply, reports } = answered({ s: 'ok', token: 41, cmds: COMMANDS });
+    expect([reply.status, reply.body, reply.headers]).toEqual([
+      200,
+      `{"crook":41,"calls":${CALLS_TEXT}}`,
+      undefined,
+    ]);
+    expect(reports).toStrictEqual([REPORT]);
+    expect(answered({ s: 'ok', token: 42, cmds: [] }).reply.body).toBe('{"crook":42,"calls":[]}');
+  });
+
+  test.each<[string, ReportAnswer, number, string]>([
+    ['the leader is known', { s: 'other', leader: 'stand-2' }, 421, '{"keeper":"stand-2"}'],
+    ['the leader is not known', { s: 'other', leader: null }, 421, '{}'],
+    ['the state service is not reached', { s: 'later' }, 503, '{"error":"state service not reached"}'],
+  ])('sends the worker elsewhere: %s', (_title, answer, status, body) => {
+    const { reply } = answered(answer);
+    expect([reply.status, reply.body]).toEqual([status, body]);
+    expect(JSON.stringify(reply.headers)).toBe(status === 503 ? '{"Retry-After":"1"}' : undefined);
+  });
+
+  test.each(['{', '[]', '{"trunk":"vm-1"}'])('refuses a malformed report: %s', (text) => {
+    const { reply, reports } = answered({ s: 'later' }, text);
+    expect([reply.status, reply.body, reports]).toEqual([400, '{"error":"malformed report"}', []]);
+  });
+});
+
+describe('commands straight to a worker', () => {
+  const server = new RecordingServer();
+  let address = '';
+  beforeAll(async () => {
+    address = await server.listen();
+  });
+  afterAll(() => server.close());
+
+  const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
+    server.reply = { status, text };
+    return new Promise<Result<WorkerReport>>((done) =>
+      new WorkerClients(1).commands(address, 41, 3, commands, done),
+    );
+  };
+
+  test('are sent to /commands with token, season and calls, and answered by a report', async () => {
+    expect(await send(200, REPORT_TEXT, COMMANDS)).toStrictEqual({ ok: true, value: REPORT });
+    expect(server.requests.at(-1)).toBe(
+      `POST /commands application/json {"crook":41,"season":3,"calls":${CALLS_TEXT}}`,
+    );
+  });
+
+  test.each<[number, string, Result<WorkerReport>]>([
+    [200, '{}', { ok: false, kind: 'unknown' }],
+    [409, REPORT_TEXT, { ok: false, kind: 'conflict', report: REPORT }],
+    [409, '{}', { ok: false, kind: 'refused' }],
+    [400, '{}', { ok: false, kind: 'bad' }],
+    [500, '{}', { ok: false, kind: 'unknown' }],
+  ])('are answered by %i %s', async (status, text, result) => {
+    expect(await send(status, text)).toStrictEqual(result);
+    expect(server.requests.at(-1)).toBe('POST /commands application/json {"crook":41,"season":3,"calls":[]}');
+  });
+});
