--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -94,10 +94,16 @@
   zone: 'a',
   season: 4,
 };
-const TASK = { job: 'wk-000412', idx: 3, attempt: 2 };
-const PLACE = { ...TASK, machine: 'vm-000231' };
-const phase = (now: TaskPhase): Seen => ({ s: 'phase', ...PLACE, phase: now, why: null, saved: false });
-const OWNER = { token: 7, inst: 'stand-1.0a' };
+const inPhase = (phase: TaskPhase): Seen => ({
+  s: 'phase',
+  job: 'wk-000412',
+  idx: 3,
+  attempt: 2,
+  machine: 'vm-000231',
+  phase,
+  why: null,
+  saved: false,
+});
 
 const BODIES: Record<string, MeshBody> = {
   'ping with all that may be null': {
@@ -139,7 +145,8 @@
 const OWNER_MESSAGES: Record<string, OwnerMsg> = {
   sync: {
     k: 'sync',
-    ...OWNER,
+    token: 7,
+    inst: 'stand-1.0a',
     sync: 5,
     parts: 2,
     part: 1,
@@ -147,13 +154,24 @@
     held: [HELD, HELD_OF_NULLS],
     wants: [WANT],
   },
-  'sync without anything': { k: 'sync', ...OWNER, sync: 5, parts: 1, part: 0, gens: {}, held: [], wants: [] },
-  wants: { k: 'wants', ...OWNER, wants: [WANT, WANT_OF_NULLS] },
-  'wants with the tasks left': { k: 'wants', ...OWNER, wants: [WANT_OF_FEW_TASKS] },
-  held: { k: 'held', ...OWNER, held: [HELD, HELD_OF_NULLS] },
+  'sync without anything': {
+    k: 'sync',
+    token: 7,
+    inst: 'stand-1.0a',
+    sync: 5,
+    parts: 1,
+    part: 0,
+    gens: {},
+    held: [],
+    wants: [],
+  },
+  wants: { k: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT, WANT_OF_NULLS] },
+  'wants with the tasks left': { k: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT_OF_FEW_TASKS] },
+  held: { k: 'held', token: 7, inst: 'stand-1.0a', held: [HELD, HELD_OF_NULLS] },
   'held, each desired state': {
     k: 'held',
-    ...OWNER,
+    token: 7,
+    inst: 'stand-1.0a',
     held: [
       { ...HELD, want: 'keep' },
       { ...HELD, want: 'reap' },
@@ -162,11 +180,12 @@
   },
   drop: {
     k: 'drop',
-    ...OWNER,
+    token: 7,
+    inst: 'stand-1.0a',
     tasks: [{ machine: 'vm-000231', key: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
-  covered: { k: 'covered', ...OWNER, sync: 5, n: 2, gens: { vision: 40 }, mark: 123.5 },
+  covered: { k: 'covered', token: 7, inst: 'stand-1.0a', sync: 5, n: 2, gens: { vision: 40 }, mark: 123.5 },
 };
 const SCHEDULER_MESSAGES: Record<string, SchedulerMsg> = {
   synced: { k: 'synced', token: 7, sync: 5 },
@@ -178,7 +197,7 @@
   'seen, each phase': {
     k: 'seen',
     token: 7,
-    seen: [phase('fetching'), phase('waiting'), phase('running'), phase('saving')],
+    seen: [inPhase('fetching'), inPhase('waiting'), inPhase('running'), inPhase('saving')],
   },
   'seen, each end': {
     k: 'seen',
@@ -186,15 +205,22 @@
     seen: (['done', 'stopped', 'peers', 'alone', 'error', 'no_room', 'busy', 'unknown'] as const).map(
       (why) => ({
         s: 'phase',
-        ...PLACE,
+        job: 'wk-000412',
+        idx: 3,
+        attempt: 2,
+        machine: 'vm-000231',
         phase: 'exited',
         why,
         saved: why === 'stopped',
       }),
     ),
   },
-  'seen, settled': { k: 'seen', token: 7, seen: [{ s: 'settled', ...PLACE }] },
-  evict: { k: 'evict', token: 7, tasks: [TASK], why: 'spot notice' },
+  'seen, settled': {
+    k: 'seen',
+    token: 7,
+    seen: [{ s: 'settled', job: 'wk-000412', idx: 3, attempt: 2, machine: 'vm-000231' }],
+  },
+  evict: { k: 'evict', token: 7, tasks: [{ job: 'wk-000412', idx: 3, attempt: 2 }], why: 'spot notice' },
 };
 
 const EXAMPLES: [string, MeshMsg][] = [
