--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -177,8 +177,8 @@
   test('the team: its owner tells the leader of it', () => {
     const records = { ...LEADER, ...OWN_NODE, 'sys/team/vision': '{"inst":"stand-1.0a"}' };
     const { sent } = controllerOver(records, []);
-    const told = sent.flatMap(({ body }) => (body.k === 'owner' ? [body] : []));
-    expect(told.map(({ to, m }) => [to, m.k, m.token, m.k === 'sync' && m.gens])).toContainEqual([
+    const told = sent.flatMap(({ body }) => (body.type === 'owner' ? [body] : []));
+    expect(told.map(({ to, m }) => [to, m.type, m.token, m.type === 'sync' && m.gens])).toContainEqual([
       'stand-2.9f',
       'sync',
       4,
@@ -186,7 +186,7 @@
     ]);
     const others = { ...records, 'sys/team/vision': '{"inst":"stand-3.0a"}' };
     const toldByOther = controllerOver(others, []).sent.flatMap(({ body }) =>
-      body.k === 'owner' && body.m.k === 'sync' ? [body.m.gens] : [],
+      body.type === 'owner' && body.m.type === 'sync' ? [body.m.gens] : [],
     );
     expect(toldByOther.filter((gens) => Object.keys(gens).length > 0)).toEqual([]);
   });
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -25,10 +25,10 @@
   for (const { ctl } of world.procs.values()) {
     const push = ctl.push.bind(ctl);
     ctl.push = (command) => {
-      if (command.k === 'mesh') {
+      if (command.type === 'mesh') {
         const { body, ...around } = new Unpackr().unpack(encode(command.m));
         const message = body.m ?? body;
-        const kind = body.m ? `${body.k} ${message.k}` : body.k;
+        const kind = body.m ? `${body.type} ${message.type}` : body.type;
         const fields = sent.get(kind) ?? new Set();
         fields.add(`${Object.keys(around)}:${body.m ? `${Object.keys(body)}:` : ''}${fieldsOf(message)}`);
         sent.set(kind, fields);
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -95,7 +95,7 @@
   season: 4,
 };
 const inPhase = (phase: TaskPhase): Seen => ({
-  s: 'phase',
+  type: 'phase',
   job: 'wk-000412',
   idx: 3,
   attempt: 2,
@@ -107,7 +107,7 @@
 
 const BODIES: Record<string, MeshBody> = {
   'ping with all that may be null': {
-    k: 'ping',
+    type: 'ping',
     leader: 'stand-2.9f',
     token: 7,
     okAgeMs: 12.5,
@@ -118,7 +118,7 @@
     cover: { inst: 'stand-2.9f', mark: 998, pending: ['vm-000010'] },
   },
   'ping with nulls': {
-    k: 'ping',
+    type: 'ping',
     leader: '',
     token: 0,
     okAgeMs: 0,
@@ -129,7 +129,7 @@
     cover: null,
   },
   'ping with a cover of any machine': {
-    k: 'ping',
+    type: 'ping',
     leader: '',
     token: 0,
     okAgeMs: 0,
@@ -139,12 +139,12 @@
     told: 0,
     cover: { inst: 'stand-2.9f', mark: 998, pending: null },
   },
-  cancelled: { k: 'cancelled', job: 'wk-000412', n: 3 },
-  images: { k: 'images', add: [['vm-000231', 'img-07', 6.2]], gone: ['vm-000007'] },
+  cancelled: { type: 'cancelled', job: 'wk-000412', n: 3 },
+  images: { type: 'images', add: [['vm-000231', 'img-07', 6.2]], gone: ['vm-000007'] },
 };
 const OWNER_MESSAGES: Record<string, OwnerMsg> = {
   sync: {
-    k: 'sync',
+    type: 'sync',
     token: 7,
     inst: 'stand-1.0a',
     sync: 5,
@@ -155,7 +155,7 @@
     wants: [WANT],
   },
   'sync without anything': {
-    k: 'sync',
+    type: 'sync',
     token: 7,
     inst: 'stand-1.0a',
     sync: 5,
@@ -165,11 +165,11 @@
     held: [],
     wants: [],
   },
-  wants: { k: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT, WANT_OF_NULLS] },
-  'wants with the tasks left': { k: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT_OF_FEW_TASKS] },
-  held: { k: 'held', token: 7, inst: 'stand-1.0a', held: [HELD, HELD_OF_NULLS] },
+  wants: { type: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT, WANT_OF_NULLS] },
+  'wants with the tasks left': { type: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT_OF_FEW_TASKS] },
+  held: { type: 'held', token: 7, inst: 'stand-1.0a', held: [HELD, HELD_OF_NULLS] },
   'held, each desired state': {
-    k: 'held',
+    type: 'held',
     token: 7,
     inst: 'stand-1.0a',
     held: [
@@ -179,32 +179,32 @@
     ],
   },
   drop: {
-    k: 'drop',
+    type: 'drop',
     token: 7,
     inst: 'stand-1.0a',
     tasks: [{ machine: 'vm-000231', key: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
-  covered: { k: 'covered', token: 7, inst: 'stand-1.0a', sync: 5, n: 2, gens: { vision: 40 }, mark: 123.5 },
+  covered: { type: 'covered', token: 7, inst: 'stand-1.0a', sync: 5, n: 2, gens: { vision: 40 }, mark: 123.5 },
 };
 const SCHEDULER_MESSAGES: Record<string, SchedulerMsg> = {
-  synced: { k: 'synced', token: 7, sync: 5 },
-  'synced without a number': { k: 'synced', token: 7 },
-  resync: { k: 'resync', token: 7 },
-  grants: { k: 'grants', token: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
-  'grants with ended tasks': { k: 'grants', token: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
-  mark: { k: 'mark', token: 7, at: 123456.5 },
+  synced: { type: 'synced', token: 7, sync: 5 },
+  'synced without a number': { type: 'synced', token: 7 },
+  resync: { type: 'resync', token: 7 },
+  grants: { type: 'grants', token: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
+  'grants with ended tasks': { type: 'grants', token: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
+  mark: { type: 'mark', token: 7, at: 123456.5 },
   'seen, each phase': {
-    k: 'seen',
+    type: 'seen',
     token: 7,
     seen: [inPhase('fetching'), inPhase('waiting'), inPhase('running'), inPhase('saving')],
   },
   'seen, each end': {
-    k: 'seen',
+    type: 'seen',
     token: 7,
     seen: (['done', 'stopped', 'peers', 'alone', 'error', 'no_room', 'busy', 'unknown'] as const).map(
       (why) => ({
-        s: 'phase',
+        type: 'phase',
         job: 'wk-000412',
         idx: 3,
         attempt: 2,
@@ -216,22 +216,22 @@
     ),
   },
   'seen, settled': {
-    k: 'seen',
+    type: 'seen',
     token: 7,
-    seen: [{ s: 'settled', job: 'wk-000412', idx: 3, attempt: 2, machine: 'vm-000231' }],
+    seen: [{ type: 'settled', job: 'wk-000412', idx: 3, attempt: 2, machine: 'vm-000231' }],
   },
-  evict: { k: 'evict', token: 7, tasks: [{ job: 'wk-000412', idx: 3, attempt: 2 }], why: 'spot notice' },
+  evict: { type: 'evict', token: 7, tasks: [{ job: 'wk-000412', idx: 3, attempt: 2 }], why: 'spot notice' },
 };
 
 const EXAMPLES: [string, MeshMsg][] = [
   ...Object.entries(BODIES),
   ...Object.entries(OWNER_MESSAGES).map(([title, m]): [string, MeshBody] => [
     `to the leader: ${title}`,
-    { k: 'owner', to: 'stand-2.9f', m },
+    { type: 'owner', to: 'stand-2.9f', m },
   ]),
   ...Object.entries(SCHEDULER_MESSAGES).map(([title, m]): [string, MeshBody] => [
     `to an owner: ${title}`,
-    { k: 'scheduler', to: 'stand-2.9f', m },
+    { type: 'scheduler', to: 'stand-2.9f', m },
   ]),
 ].map(([title, body], i) => [title, { host: 'stand-1', inst: 'stand-1.0a', seq: i + 1, body }]);
 
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -257,14 +257,14 @@
     owner.setScheduler(3);
     owner.setTeams(new Map([[TEAM.name, 40]]));
     owner.flush();
-    const held = said.flatMap((message) => (message.k === 'sync' ? message.held : []));
+    const held = said.flatMap((message) => (message.type === 'sync' ? message.held : []));
     expect(
       held.map(({ job, idx, attempt, machine, season }) => [job, idx, attempt, machine, season]),
     ).toEqual([['wk-000412', 0, 2, 'vm-000231', 4]]);
-    owner.fromScheduler({ k: 'synced', token: 3 });
+    owner.fromScheduler({ type: 'synced', token: 3 });
     const place = { job: 'wk-000412', team: TEAM.name, zone: 'a', season: 1 };
     owner.fromScheduler({
-      k: 'grants',
+      type: 'grants',
       token: 3,
       grants: [
         { ...place, id: 1, machine: 'vm-000240' },
