--- a/src/io/cloud.ts
+++ b/src/io/cloud.ts
@@ -1,13 +1,13 @@
 import type { CloudPort, ListedMachine, MachineType, Then } from '../core/types.js';
 import { readList, readRented, readTypes, writeRemoval, writeRental } from '../wire/cloud.js';
 import { parse } from '../wire/json.js';
-import { Client, type Reply } from './client.js';
+import { HttpClient, type HttpReply } from './http-client.js';
 
-type Job = { urgency: number; method: string; path: string; body: unknown; cb: (r: Reply) => void };
+type Job = { urgency: number; method: string; path: string; body: unknown; cb: (r: HttpReply) => void };
 
 /** The cloud's interface: one queue, deletions first, then rentals, then lists, under its limit of calls. */
 export class CloudClient implements CloudPort {
-  private readonly client: Client;
+  private readonly client: HttpClient;
   private readonly queue: Job[] = [];
   private tokens: number;
   private at = Date.now();
@@ -17,11 +17,17 @@
     addr: string,
     private readonly rps: number,
   ) {
-    this.client = new Client(addr, 6);
+    this.client = new HttpClient(addr, 6);
     this.tokens = rps;
   }
 
-  private call(urgency: number, method: string, path: string, body: unknown, cb: (r: Reply) => void): void {
+  private call(
+    urgency: number,
+    method: string,
+    path: string,
+    body: unknown,
+    cb: (r: HttpReply) => void,
+  ): void {
     this.queue.push({ urgency, method, path, body, cb });
     this.queue.sort((a, b) => a.urgency - b.urgency);
     this.pump();
@@ -35,7 +41,7 @@
     while (this.queue.length > 0 && this.tokens >= 1) {
       const j = this.queue.shift() as Job;
       this.tokens -= 1;
-      this.client.call(j.method, j.path, j.body, 5000, (r) => {
+      this.client.call({ method: j.method, path: j.path, body: j.body, deadlineMs: 5000 }, (r) => {
         if (r.status === 429) this.tokens = Math.min(this.tokens, 0);
         j.cb(r);
       });
--- /dev/null
+++ b/src/io/http-server.ts
@@ -0,0 +1,167 @@
+/**
+ * An HTTP/1.1 server on Node's `net`. A scheduler answers hundreds of heartbeats a second, and Node's own HTTP server costs
+ * several times what reading and answering one takes.
+ */
+
+import net from 'node:net';
+import { findHeader, type HttpMessage, HttpMessageReader } from './http-parser.js';
+import type { InboundConnections } from './inbound-connections.js';
+
+/** What a request is answered with. */
+export interface HttpResponse {
+  status: number;
+  /** JSON. */
+  body: string;
+  /** Headers beside those of the body. `Connection: close` ends the connection after the response. */
+  headers?: Record<string, string>;
+}
+
+/** Serves one request. Calls `respond` once, now or later; further calls are ignored. */
+export type RequestHandler = (request: HttpMessage, respond: (response: HttpResponse) => void) => void;
+
+/** Parts of an {@link HttpServer}. */
+export interface HttpServerOptions {
+  handle: RequestHandler;
+  connections: InboundConnections;
+  /** Monotonic time in ms. */
+  now: () => number;
+}
+
+/** Largest request body that is taken, in bytes. */
+const MAX_BODY_BYTES = 64 * 1024;
+/** Requests a connection may send ahead of their responses. */
+const MAX_PIPELINED_REQUESTS = 16;
+/** Time for a request to arrive completely. */
+const REQUEST_TIMEOUT_MS = 20_000;
+/** Time an idle connection is kept. */
+const IDLE_TIMEOUT_MS = 120_000;
+/** Time between two checks of the timeouts. */
+const SWEEP_INTERVAL_MS = 5000;
+
+const REASON_PHRASES: Record<number, string> = {
+  200: 'OK',
+  201: 'Created',
+  400: 'Bad Request',
+  404: 'Not Found',
+  421: 'Misdirected Request',
+  422: 'Unprocessable Entity',
+  500: 'Internal Server Error',
+  503: 'Service Unavailable',
+};
+
+interface Connection {
+  socket: net.Socket;
+  reader: HttpMessageReader;
+  /** Requests received and not served yet; one is served at a time. */
+  pipelined: HttpMessage[];
+  /** Whether a request is being served. */
+  busy: boolean;
+  /** Whether a part of a request has arrived. */
+  receiving: boolean;
+  /** When the present request began to arrive, or the connection became idle; monotonic ms. */
+  activeAt: number;
+}
+
+/** Reads requests, serves those of a connection one after the other, and closes connections that have timed out. */
+export class HttpServer {
+  /** The listening socket: whoever makes the server binds and closes it. */
+  readonly server: net.Server;
+  private readonly open = new Set<Connection>();
+  private readonly handle: RequestHandler;
+  private readonly connections: InboundConnections;
+  private readonly now: () => number;
+
+  constructor(options: HttpServerOptions) {
+    this.handle = options.handle;
+    this.connections = options.connections;
+    this.now = options.now;
+    this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
+    this.connections.attach(this.server);
+    const sweepTimer = setInterval(() => this.closeTimedOut(), SWEEP_INTERVAL_MS).unref();
+    this.server.on('close', () => clearInterval(sweepTimer));
+  }
+
+  private accept(socket: net.Socket): void {
+    const connection: Connection = {
+      socket,
+      reader: new HttpMessageReader({
+        kind: 'REQUEST',
+        maxBodyBytes: MAX_BODY_BYTES,
+        onMessage: (request) => this.enqueue(connection, request),
+        onHeaders: (rawHeaders) => {
+          if (findHeader(rawHeaders, 'expect')?.toLowerCase() === '100-continue')
+            socket.write('HTTP/1.1 100 Continue\r\n\r\n');
+        },
+      }),
+      pipelined: [],
+      busy: false,
+      receiving: false,
+      activeAt: this.now(),
+    };
+    this.open.add(connection);
+    socket.on('data', (data: Buffer) => {
+      if (!connection.receiving) connection.activeAt = this.now();
+      connection.receiving = true;
+      if (!connection.reader.push(data))
+        writeResponse(socket, { status: 400, body: '{"error":"not HTTP"}' }, false);
+    });
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => this.open.delete(connection));
+  }
+
+  private enqueue(connection: Connection, request: HttpMessage): void {
+    connection.receiving = false;
+    connection.activeAt = this.now();
+    connection.pipelined.push(request);
+    if (connection.pipelined.length > MAX_PIPELINED_REQUESTS) connection.socket.destroy();
+    else this.serveNext(connection);
+  }
+
+  private serveNext(connection: Connection): void {
+    const { socket } = connection;
+    const request = connection.busy ? undefined : connection.pipelined.shift();
+    if (!request || socket.destroyed) return;
+    connection.busy = true;
+    this.connections.requestStarted(socket, request.path);
+    let responded = false;
+    const respond = (response: HttpResponse) => {
+      if (responded) return;
+      responded = true;
+      connection.busy = false;
+      connection.activeAt = this.now();
+      this.connections.requestFinished(socket);
+      if (socket.destroyed) return;
+      const keepAlive =
+        request.keepAlive &&
+        response.headers?.Connection !== 'close' &&
+        !this.connections.mustClose(request.path);
+      writeResponse(socket, response, keepAlive);
+      this.serveNext(connection);
+    };
+    if (request.body === null) return respond({ status: 400, body: '{"error":"body over 64 KiB"}' });
+    try {
+      this.handle(request, respond);
+    } catch {
+      respond({ status: 500, body: '{"error":"internal error"}' });
+    }
+  }
+
+  private closeTimedOut(): void {
+    const now = this.now();
+    for (const connection of this.open) {
+      if (connection.busy) continue;
+      const timeoutMs = connection.receiving ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+      if (now - connection.activeAt > timeoutMs) connection.socket.destroy();
+    }
+  }
+}
+
+function writeResponse(socket: net.Socket, response: HttpResponse, keepAlive: boolean): void {
+  const { status, body, headers = {} } = response;
+  let head = `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Status'}\r\n`;
+  head += `Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n`;
+  for (const [name, value] of Object.entries(headers))
+    if (name !== 'Connection') head += `${name}: ${value}\r\n`;
+  if (keepAlive) socket.write(`${head}\r\n${body}`);
+  else socket.end(`${head}Connection: close\r\n\r\n${body}`);
+}
--- a/src/io/http.ts
+++ b/src/io/http.ts
@@ -6,8 +6,8 @@
 import { isJobId, readJob, writeState } from '../wire/jobs.js';
 import { isObj, parse, str } from '../wire/json.js';
 import { readReport, writeAnswer, writeRedirect } from '../wire/worker.js';
-import { type Answer, HttpServer, type Serve } from './server.js';
-import type { Sockets } from './sockets.js';
+import { type HttpResponse, HttpServer, type RequestHandler } from './http-server.js';
+import type { InboundConnections } from './inbound-connections.js';
 
 /** Workers of a whole fleet come at once when a scheduler is new. */
 const BACKLOG = 8192;
@@ -38,7 +38,7 @@
 }
 
 /** A worker's report and its answer. */
-export function report(ctl: Controller, log: Logger, text: string): Answer {
+export function report(ctl: Controller, log: Logger, text: string): HttpResponse {
   const body = parse(text);
   const r = readReport(body);
   if (!r) {
@@ -107,13 +107,13 @@
 }
 
 /** Reports go past hono: there are hundreds a second, and web requests and responses cost more than all else of one. */
-export function serve(app: Hono, ctl: Controller, log: Logger): Serve {
+export function serve(app: Hono, ctl: Controller, log: Logger): RequestHandler {
   return (m, answer) => {
     if (m.method === 'POST' && m.path === '/hello') return answer(report(ctl, log, m.body ?? ''));
     const headers = new Headers();
-    for (let i = 0; i + 1 < m.headers.length; i += 2) {
-      const name = (m.headers[i] as string).toLowerCase();
-      if (name === 'content-type' || name === 'accept') headers.append(name, m.headers[i + 1] as string);
+    for (let i = 0; i + 1 < m.rawHeaders.length; i += 2) {
+      const name = (m.rawHeaders[i] as string).toLowerCase();
+      if (name === 'content-type' || name === 'accept') headers.append(name, m.rawHeaders[i + 1] as string);
     }
     const bare = m.method === 'GET' || m.method === 'HEAD';
     const failed = (e: unknown) => {
@@ -142,9 +142,15 @@
   };
 }
 
-export function listen(s: Serve, bind: string, sockets: Sockets, clock: Clock, log: Logger): HttpServer {
+export function listen(
+  s: RequestHandler,
+  bind: string,
+  sockets: InboundConnections,
+  clock: Clock,
+  log: Logger,
+): HttpServer {
   const cut = bind.lastIndexOf(':');
-  const http = new HttpServer(s, sockets, () => clock.now());
+  const http = new HttpServer({ handle: s, connections: sockets, now: () => clock.now() });
   http.server.on('error', (e) => {
     log.error({ err: String(e) }, 'cannot listen');
     process.exit(1);
--- a/src/io/state.ts
+++ b/src/io/state.ts
@@ -10,12 +10,12 @@
 } from '../core/types.js';
 import { parse } from '../wire/json.js';
 import { readEvents, readFailed, readItem, readItems, readLease, readRev, writeTxn } from '../wire/state.js';
-import { Client, type Reply } from './client.js';
-import { Pace } from './pace.js';
+import { HttpClient, type HttpReply } from './http-client.js';
+import { RateLimiter } from './rate-limiter.js';
 
 const DEADLINE_MS = 1500;
 
-function failure(r: Reply): Failure {
+function failure(r: HttpReply): Failure {
   if (r.status === 0) return { ok: false, kind: r.sent ? 'unknown' : 'refused' };
   if (r.status === 404 || r.status === 410) return { ok: false, kind: 'gone' };
   if (r.status === 409) return { ok: false, kind: 'conflict', failed: readFailed(parse(r.text)) };
@@ -26,14 +26,18 @@
 
 /** The state service over HTTP, paced under its limits; leases pass the queue. */
 export class StateClient implements StatePort {
-  private readonly client: Client;
-  private readonly watches: Client;
-  private readonly pace: Pace;
+  private readonly client: HttpClient;
+  private readonly watches: HttpClient;
+  private readonly limiter: RateLimiter;
 
   constructor(addr: string, limits: { rps: number; writeRps: number; nodes: number }) {
-    this.client = new Client(addr, 16);
-    this.watches = new Client(addr, 8);
-    this.pace = new Pace(limits);
+    this.client = new HttpClient(addr, 16);
+    this.watches = new HttpClient(addr, 8);
+    this.limiter = new RateLimiter({
+      requestsPerSecond: limits.rps,
+      writesPerSecond: limits.writeRps,
+      controllers: limits.nodes,
+    });
   }
 
   private run<T>(
@@ -48,11 +52,11 @@
   ): void {
     let tries = 0;
     const go = () =>
-      this.pace.enter(u, ops, (ok) => {
+      this.limiter.acquire(u, ops, (ok) => {
         if (!ok) return cb({ ok: false, kind: 'refused' });
-        this.client.call(method, path, body, DEADLINE_MS, (r) => {
+        this.client.call({ method, path, body, deadlineMs: DEADLINE_MS }, (r) => {
           if (r.status === 429) {
-            this.pace.refused();
+            this.limiter.onThrottled();
             // Surely not executed: once more, a little later.
             if (++tries < 4) return void setTimeout(go, 60 * tries + Math.random() * 60);
           }
@@ -127,10 +131,11 @@
     cb: Then<{ rev: number; events: StateEvent[] }>,
   ): void {
     const q = `prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
-    this.pace.enter(URGENCY.user, 0, (ok) => {
+    this.limiter.acquire(URGENCY.user, 0, (ok) => {
       if (!ok) return cb({ ok: false, kind: 'refused' });
-      this.watches.call('GET', `/watch?${q}`, undefined, waitMs === 0 ? DEADLINE_MS : waitMs + 3000, (r) => {
-        if (r.status === 429) this.pace.refused();
+      const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + 3000;
+      this.watches.call({ method: 'GET', path: `/watch?${q}`, deadlineMs }, (r) => {
+        if (r.status === 429) this.limiter.onThrottled();
         if (r.status !== 200) return cb(failure(r));
         const v = readEvents(parse(r.text));
         cb(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
--- a/src/main.ts
+++ b/src/main.ts
@@ -7,10 +7,11 @@
 import { realClock } from './io/clock.js';
 import { CloudClient } from './io/cloud.js';
 import { listen, makeApp, serve as serveHttp } from './io/http.js';
+import { InboundConnections } from './io/inbound-connections.js';
 import { Mesh } from './io/mesh.js';
-import { Sockets, socketBudget } from './io/sockets.js';
+import { socketBudget } from './io/socket-budget.js';
 import { StateClient } from './io/state.js';
-import { WorkerClients } from './io/workers.js';
+import { WorkerClient } from './io/worker-client.js';
 import { loadPolicy } from './settings/policy.js';
 import { loadSettings, type Settings, SettingsError } from './settings/settings.js';
 
@@ -82,11 +83,11 @@
       nodes: p.size,
     }),
     cloud: new CloudClient(s.services.cloud, p.cloud.rps),
-    worker: new WorkerClients(budget.workers),
+    worker: new WorkerClient(budget.workers),
     mesh,
   });
   ctl.start();
-  const sockets = new Sockets(budget.inbound, realClock.now);
+  const sockets = new InboundConnections(budget.inbound, realClock.now);
   listen(serveHttp(makeApp(ctl, realClock, log), ctl, log), s.bind, sockets, realClock, log);
   log.info({ bind: s.bind, mesh: s.mesh_addr }, 'started');
 }
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,11 +1,11 @@
 import { beforeAll, expect, test } from 'vitest';
 import type { Clock } from '../src/core/types.js';
 import { makeApp, serve } from '../src/io/http.js';
-import type { Answer, Serve } from '../src/io/server.js';
+import type { HttpResponse, RequestHandler } from '../src/io/http-server.js';
 import { World } from './standin/world.js';
 
 let w: World;
-let served: Serve;
+let served: RequestHandler;
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
 beforeAll(() => {
@@ -27,8 +27,8 @@
   connection: string | null;
 }> {
   const text = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
-  let done: Answer | undefined;
-  served({ method, path, status: 0, headers: [], body: text, keepAlive: true }, (r) => {
+  let done: HttpResponse | undefined;
+  served({ method, path, status: 0, rawHeaders: [], body: text, keepAlive: true }, (r) => {
     done = r;
   });
   for (let i = 0; i < 400 && !done; i++) {
--- a/test/pace.test.ts
+++ b/test/pace.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest';
 import { URGENCY, type Urgency } from '../src/core/types.js';
-import { Pace } from '../src/io/pace.js';
+import { RateLimiter } from '../src/io/rate-limiter.js';
 
 test('what would wait longer than its sender does is refused at once, and the urgent never waits', async () => {
-  const pace = new Pace({ rps: 100, writeRps: 20, nodes: 1 });
+  const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllers: 1 });
   const told: string[] = [];
   const enter = (u: Urgency, ops: number, name: string) =>
-    pace.enter(u, ops, (ok) => told.push(`${name} ${ok}`));
+    limiter.acquire(u, ops, (ok) => told.push(`${name} ${ok}`));
   enter(URGENCY.placement, 12, 'first');
   // Sixteen changes a second: a second's worth waits, five seconds' worth would not be served in time.
   enter(URGENCY.placement, 16, 'waits');
@@ -18,9 +18,9 @@
 });
 
 test('submissions and reads for users do not wait behind the placements that use up the budget of writes', async () => {
-  const pace = new Pace({ rps: 100, writeRps: 20, nodes: 1 });
+  const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllers: 1 });
   const told: string[] = [];
-  const enter = (u: Urgency, ops: number, name: string) => pace.enter(u, ops, () => told.push(name));
+  const enter = (u: Urgency, ops: number, name: string) => limiter.acquire(u, ops, () => told.push(name));
   enter(URGENCY.placement, 14, 'placements');
   enter(URGENCY.placement, 14, 'more placements');
   enter(URGENCY.user, 0, 'read');
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -1,9 +1,10 @@
 import http from 'node:http';
 import net, { type AddressInfo } from 'node:net';
 import { afterEach, expect, test } from 'vitest';
-import { HttpServer } from '../src/io/server.js';
-import { Sockets, socketBudget } from '../src/io/sockets.js';
-import { WorkerClients } from '../src/io/workers.js';
+import { HttpServer } from '../src/io/http-server.js';
+import { InboundConnections } from '../src/io/inbound-connections.js';
+import { socketBudget } from '../src/io/socket-budget.js';
+import { WorkerClient } from '../src/io/worker-client.js';
 
 const open: { close: () => void }[] = [];
 afterEach(() => {
@@ -57,7 +58,7 @@
     });
     workers.push(await listen(server));
   }
-  const clients = new WorkerClients(3);
+  const clients = new WorkerClient(3);
   let done = 0;
   await new Promise<void>((all) => {
     const cb = (r: { ok: boolean }) => {
@@ -69,7 +70,7 @@
     });
   });
   // A closed connection may be counted a moment after the next one was opened.
-  expect([most <= 7, clients.connections]).toEqual([true, 3]);
+  expect([most <= 7, clients.connectionCount]).toEqual([true, 3]);
   expect(order.slice(3, 7).every((x) => x.startsWith('command'))).toBe(true);
 });
 
@@ -82,7 +83,7 @@
       res.end(report('vm-2'));
     }),
   );
-  const clients = new WorkerClients(1);
+  const clients = new WorkerClient(1);
   const call = (to: string) =>
     new Promise((done) => clients.commands(to, 1, 1, [], (r) => done(r.ok ? 'ok' : r.kind)));
   const first = call(addr);
@@ -96,12 +97,12 @@
 }, 10000);
 
 test('users that hold all connections lock out neither workers nor health checks', async () => {
-  const sockets = new Sockets(40, () => performance.now());
-  const { server } = new HttpServer(
-    (_m, answer) => answer({ status: 200, body: '{}' }),
-    sockets,
-    () => performance.now(),
-  );
+  const sockets = new InboundConnections(40, () => performance.now());
+  const { server } = new HttpServer({
+    handle: (_m, answer) => answer({ status: 200, body: '{}' }),
+    connections: sockets,
+    now: () => performance.now(),
+  });
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   open.push({ close: () => server.close() });
   const addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -121,7 +122,7 @@
   for (let i = 0; i < 25; i++) answered.push(await ask('/hello'));
   answered.push(await ask('/ready'));
   expect(answered.every((x) => x)).toBe(true);
-  expect(sockets.total).toBeLessThanOrEqual(40);
+  expect(sockets.size).toBeLessThanOrEqual(40);
 });
 
 test('the budget leaves workers their connections at every size', () => {
@@ -137,15 +138,15 @@
 });
 
 test('requests are read in pieces, with chunked bodies, one after the other, and nonsense is refused', async () => {
-  const sockets = new Sockets(40, () => performance.now());
-  const { server } = new HttpServer(
-    (m, answer) => {
+  const sockets = new InboundConnections(40, () => performance.now());
+  const { server } = new HttpServer({
+    handle: (m, answer) => {
       if (m.path === '/throws') throw new Error('a defect');
       setTimeout(() => answer({ status: 200, body: JSON.stringify([m.method, m.path, m.body]) }), 5);
     },
-    sockets,
-    () => performance.now(),
-  );
+    connections: sockets,
+    now: () => performance.now(),
+  });
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   open.push({ close: () => server.close() });
   const talk = (parts: string[]) =>
