--- a/src/main.ts
+++ b/src/main.ts
@@ -13,7 +13,8 @@
 import { StateClient } from './io/state.js';
 import { WorkerClient } from './io/worker-client.js';
 import { loadPolicy } from './settings/policy.js';
-import { loadSettings, type Settings, SettingsError } from './settings/settings.js';
+import { loadSettings, type Settings } from './settings/settings.js';
+import { SettingsError } from './settings/settings-error.js';
 
 const DEFAULT_POLICY = new URL('../deploy/policy.toml', import.meta.url);
 /** Lease of a controller: so long its absence goes unnoticed. */
--- a/src/settings/policy.ts
+++ b/src/settings/policy.ts
@@ -1,23 +1,31 @@
-import { readFileSync } from 'node:fs';
+/** The operators' policy: a TOML table of numbers and CEL expressions, type-checked before the controller starts. */
+
 import { Environment } from '@marcbachmann/cel-js';
-import { parse as parseToml } from 'smol-toml';
 import type { Policy, PolicyFn, PolicyInput } from '../core/policy.js';
-import { SettingsError } from './settings.js';
+import { errorMessage, parseTable, readText, SettingsError } from './settings-error.js';
+
+interface Range {
+  min: number;
+  max: number;
+}
 
-/** Each key with the range its value is held to. */
-const KEYS: Record<keyof Policy, [number, number]> = {
-  reserve_replicas: [0, 1000],
-  reserve_batch: [0, 100],
-  idle_s: [0, 86400],
-  amortize_s: [1, 86400],
-  amortize_service_s: [1, 86400],
-  boot_patience: [1, 100],
-  silent_s: [1, 600],
-  silent_share: [0, 1],
-  batch_tasks: [1, 10000],
-  parting_s: [1, 86400],
-  patience_s: [0, 3600],
+/** Each key of a policy, and the range its value is clamped to. */
+const RANGES: Record<keyof Policy, Range> = {
+  reserve_replicas: { min: 0, max: 1000 },
+  reserve_batch: { min: 0, max: 100 },
+  idle_s: { min: 0, max: 86400 },
+  amortize_s: { min: 1, max: 86400 },
+  amortize_service_s: { min: 1, max: 86400 },
+  boot_patience: { min: 1, max: 100 },
+  silent_s: { min: 1, max: 600 },
+  silent_share: { min: 0, max: 1 },
+  batch_tasks: { min: 1, max: 10000 },
+  parting_s: { min: 1, max: 86400 },
+  patience_s: { min: 0, max: 3600 },
 };
+const KEYS = Object.keys(RANGES) as (keyof Policy)[];
+
+/** The names that expressions may use; all are doubles. */
 const VARIABLES: (keyof PolicyInput)[] = [
   'services',
   'service_cpus',
@@ -30,80 +38,81 @@
   'boot_s',
 ];
 
-function position(text: string, key: string): string {
-  const n = text.split('\n').findIndex((l) => l.trimStart().startsWith(key));
-  return n < 0 ? '' : ` (line ${n + 1})`;
+/** Evaluates one value of the policy. */
+type Evaluate = (variables: Record<string, unknown>) => unknown;
+
+/** A value made ready to be evaluated, or what is wrong with it. */
+type CompiledValue = { ok: true; evaluate: Evaluate } | { ok: false; fault: string };
+
+function createEnvironment(): Environment {
+  const environment = new Environment();
+  for (const name of VARIABLES) environment.registerVariable(name, 'double');
+  environment.registerFunction('min(double, double): double', (a: number, b: number) => Math.min(a, b));
+  environment.registerFunction('max(double, double): double', (a: number, b: number) => Math.max(a, b));
+  environment.registerFunction('ceil(double): double', (value: number) => Math.ceil(value));
+  return environment;
+}
+
+function joinLines(text: string): string {
+  return text.split('\n').join(' ');
 }
 
-/** A policy from its text: a table of expressions, each type-checked before the process starts work. */
-export function checkPolicy(text: string): PolicyFn {
-  let raw: Record<string, unknown>;
+function compileExpression(environment: Environment, expression: string): CompiledValue {
   try {
-    raw = parseToml(text) as Record<string, unknown>;
-  } catch (e) {
-    throw new SettingsError([
-      `policy is not TOML: ${String(e instanceof Error ? e.message : e).split('\n')[0]}`,
-    ]);
+    const evaluate = environment.parse(expression);
+    const check = evaluate.check();
+    if (!check.valid) return { ok: false, fault: joinLines(String(check.error?.message ?? 'type error')) };
+    if (check.type !== 'double' && check.type !== 'int')
+      return { ok: false, fault: `must be a number, is ${check.type}` };
+    return { ok: true, evaluate: (variables) => evaluate(variables) };
+  } catch (error) {
+    return { ok: false, fault: joinLines(errorMessage(error)) };
   }
-  const env = new Environment();
-  for (const name of VARIABLES) env.registerVariable(name, 'double');
-  env.registerFunction('min(double, double): double', (a: number, b: number) => Math.min(a, b));
-  env.registerFunction('max(double, double): double', (a: number, b: number) => Math.max(a, b));
-  env.registerFunction('ceil(double): double', (a: number) => Math.ceil(a));
+}
+
+function compileValue(environment: Environment, value: unknown): CompiledValue {
+  if (typeof value === 'number') return { ok: true, evaluate: () => value };
+  if (typeof value === 'string') return compileExpression(environment, value);
+  return { ok: false, fault: value === undefined ? 'missing' : 'must be a number or an expression' };
+}
+
+/** The key with its line in the text, if it is found there. */
+function describeKey(text: string, key: string): string {
+  const line = text.split('\n').findIndex((content) => content.trimStart().startsWith(key));
+  return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
+}
+
+/** A result that is no number, as of a division by zero, becomes the least value. */
+function clamp(value: number, { min, max }: Range): number {
+  return Math.min(max, Math.max(min, Number.isFinite(value) ? value : min));
+}
+
+/**
+ * A policy from its text, which must have every key and no other. Throws {@link SettingsError} that names every fault
+ * with its key and line.
+ */
+export function compilePolicy(text: string): PolicyFn {
+  const table = parseTable(text, 'policy is not TOML');
+  const environment = createEnvironment();
   const faults: string[] = [];
-  const made: { key: keyof Policy; run: (i: Record<string, unknown>) => unknown }[] = [];
-  for (const key of Object.keys(raw))
-    if (!Object.hasOwn(KEYS, key)) faults.push(`policy.${key}${position(text, key)}: unknown key`);
-  for (const key of Object.keys(KEYS) as (keyof Policy)[]) {
-    const val = raw[key];
-    if (typeof val === 'number') {
-      made.push({ key, run: () => val });
-      continue;
-    }
-    if (typeof val !== 'string') {
-      faults.push(
-        `policy.${key}${position(text, key)}: ${val === undefined ? 'missing' : 'must be a number or an expression'}`,
-      );
-      continue;
-    }
-    try {
-      const expr = env.parse(val);
-      const check = expr.check();
-      if (!check.valid)
-        faults.push(
-          `policy.${key}${position(text, key)}: ${String(check.error?.message ?? 'type error')
-            .split('\n')
-            .join(' ')}`,
-        );
-      else if (check.type !== 'double' && check.type !== 'int')
-        faults.push(`policy.${key}${position(text, key)}: must be a number, is ${check.type}`);
-      else made.push({ key, run: (i) => expr(i) });
-    } catch (e) {
-      faults.push(
-        `policy.${key}${position(text, key)}: ${String(e instanceof Error ? e.message : e)
-          .split('\n')
-          .join(' ')}`,
-      );
-    }
+  for (const key of Object.keys(table))
+    if (!Object.hasOwn(RANGES, key)) faults.push(`${describeKey(text, key)}: unknown key`);
+  const evaluators: { key: keyof Policy; evaluate: Evaluate }[] = [];
+  for (const key of KEYS) {
+    const compiled = compileValue(environment, table[key]);
+    if (compiled.ok) evaluators.push({ key, evaluate: compiled.evaluate });
+    else faults.push(`${describeKey(text, key)}: ${compiled.fault}`);
   }
   if (faults.length > 0) throw new SettingsError(faults);
   return (input) => {
-    const out: Partial<Policy> = {};
-    for (const { key, run } of made) {
-      const [low, high] = KEYS[key];
-      const n = Number(run({ ...input }));
-      out[key] = Math.min(high, Math.max(low, Number.isFinite(n) ? n : low));
-    }
-    return out as Policy;
+    const policy: Partial<Policy> = {};
+    for (const { key, evaluate } of evaluators)
+      policy[key] = clamp(Number(evaluate({ ...input })), RANGES[key]);
+    return policy as Policy;
   };
 }
 
+/** A policy from a file. Throws {@link SettingsError} if it can't be read or has faults. */
 export function loadPolicy(file: string | URL): PolicyFn {
-  let text: string;
-  try {
-    text = readFileSync(file, 'utf8');
-  } catch (e) {
-    throw new SettingsError([`cannot read ${String(file)}: ${(e as Error).message}`]);
-  }
-  return checkPolicy(text);
+  return compilePolicy(readText(file));
 }
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,7 +1,8 @@
 import { readFileSync } from 'node:fs';
 import { expect, test } from 'vitest';
-import { checkPolicy } from '../src/settings/policy.js';
-import { checkSettings, SettingsError } from '../src/settings/settings.js';
+import { compilePolicy } from '../src/settings/policy.js';
+import { parseSettings } from '../src/settings/settings.js';
+import { SettingsError } from '../src/settings/settings-error.js';
 
 const GOOD = `
 host_name = "a-0"
@@ -51,11 +52,11 @@
 };
 
 test('settings: good ones pass, each fault is named with its field', () => {
-  expect(checkSettings(GOOD).params.teams[0]?.name).toBe('t');
+  expect(parseSettings(GOOD).params.teams[0]?.name).toBe('t');
   const bad = GOOD.replace('size = 1', 'size = 0')
     .replace('bind = "127.0.0.1:8080"', 'bind = "nowhere"')
     .replace('cpus = 0.0\n', '');
-  const f = faults(() => checkSettings(bad));
+  const f = faults(() => parseSettings(bad));
   expect(f.map((x) => x.split(':')[0])).toEqual(['bind', 'params.size', 'params.teams.0.cpus']);
 });
 
@@ -72,9 +73,9 @@
     lease_s: 34,
     boot_s: 15,
   };
-  expect(checkPolicy(text)(input).silent_s).toBeGreaterThan(3);
+  expect(compilePolicy(text)(input).silent_s).toBeGreaterThan(3);
   const f = faults(() =>
-    checkPolicy(
+    compilePolicy(
       `${text}\nsurprise = 1\n`
         .replace(/^idle_s = .*$/m, 'idle_s = "services > 2.0"')
         .replace(/^silent_s = .*$/m, 'silent_s = "no_such + 1.0"'),
@@ -86,7 +87,7 @@
 
 test('settings: a bound on cancellations that leaves no time beside the lease is a fault', () => {
   const cancel = (s: string) =>
-    faults(() => checkSettings(GOOD.replace('cancel_s = 60.0', `cancel_s = ${s}`)));
+    faults(() => parseSettings(GOOD.replace('cancel_s = 60.0', `cancel_s = ${s}`)));
   expect(cancel('32.0')).toEqual([]);
   for (const s of ['31.5', '30.0', '20.0'])
     expect(cancel(s)).toEqual([expect.stringMatching(/^params.workers: cancel_s/)]);
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -3,7 +3,7 @@
 import { Controller, type MeshMsg, type ReportAnswer } from '../../src/core/controller.js';
 import type { Clock, Fields, JobSpec, Logger, WorkerReport } from '../../src/core/types.js';
 import { taskKey } from '../../src/core/types.js';
-import { checkPolicy } from '../../src/settings/policy.js';
+import { compilePolicy } from '../../src/settings/policy.js';
 import { Admission } from './admission.js';
 import { CloudStandin } from './cloud.js';
 import { ODD_JOB } from './odd-job.js';
@@ -16,7 +16,7 @@
 import { Waiting } from './waiting.js';
 import { type Task, WorkerStandin } from './worker.js';
 
-const POLICY = checkPolicy(readFileSync(new URL('../../deploy/policy.toml', import.meta.url), 'utf8'));
+const POLICY = compilePolicy(readFileSync(new URL('../../deploy/policy.toml', import.meta.url), 'utf8'));
 /** `gang_peer_s` of the protocol: all tasks of a gang are told within this time of the first. */
 const GANG_PEER_MS = 6000;
 
