--- /dev/null
+++ b/src/cli/process-log.ts
@@ -0,0 +1,32 @@
+/** The log of the process, and the defects that end up in it. */
+
+import { pino } from 'pino';
+import type { Logger } from '../core/types.js';
+import { EXIT_CODE } from './command-line.js';
+
+const LEVELS = ['error', 'info', 'debug'];
+const DEFAULT_LEVEL = 'info';
+const STANDARD_ERROR = 2;
+
+/**
+ * A log of JSON lines on standard error, of the level that `LOG_LEVEL` names. It is written synchronously, so that the
+ * last lines before an exit are not lost.
+ */
+export function createLog(hostName: string): Logger {
+  const level = process.env.LOG_LEVEL ?? DEFAULT_LEVEL;
+  return pino(
+    { level: LEVELS.includes(level) ? level : DEFAULT_LEVEL, base: { host: hostName } },
+    pino.destination({ dest: STANDARD_ERROR, sync: true }),
+  );
+}
+
+/** Logs uncaught exceptions, which end the process, and promise rejections that nobody handles, which don't. */
+export function logDefects(log: Logger): void {
+  process.on('uncaughtException', (error) => {
+    log.error({ err: error.stack ?? String(error) }, 'uncaught exception');
+    process.exit(EXIT_CODE.failure);
+  });
+  process.on('unhandledRejection', (reason) =>
+    log.error({ err: reason instanceof Error ? reason.stack : String(reason) }, 'unhandled rejection'),
+  );
+}
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -1,11 +1,14 @@
+/** The time of the process. */
+
 import type { Clock } from '../core/types.js';
 
-export const realClock: Clock = {
+/** Clock, timers and random numbers of Node.js. */
+export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
   after(ms, fn) {
-    const t = setTimeout(fn, ms);
-    return () => clearTimeout(t);
+    const timer = setTimeout(fn, ms);
+    return () => clearTimeout(timer);
   },
   soon: (fn) => {
     setImmediate(fn);
--- a/src/io/http-server.ts
+++ b/src/io/http-server.ts
@@ -4,6 +4,7 @@
  */
 
 import net from 'node:net';
+import { parseAddress } from './address.js';
 import { findHeader, type HttpMessage, HttpMessageReader } from './http-parser.js';
 import type { InboundConnections } from './inbound-connections.js';
 
@@ -27,6 +28,8 @@
   now: () => number;
 }
 
+/** Connections that may wait to be accepted: the workers of a whole fleet come at once when a scheduler is new. */
+const LISTEN_BACKLOG = 8192;
 /** Largest request body that is taken, in bytes. */
 const MAX_BODY_BYTES = 64 * 1024;
 /** Requests a connection may send ahead of their responses. */
@@ -64,7 +67,7 @@
 
 /** Reads requests, serves those of a connection one after the other, and closes connections that have timed out. */
 export class HttpServer {
-  /** The listening socket: whoever makes the server binds and closes it. */
+  /** The listening socket. */
   readonly server: net.Server;
   private readonly open = new Set<Connection>();
   private readonly handle: RequestHandler;
@@ -81,6 +84,12 @@
     this.server.on('close', () => clearInterval(sweepTimer));
   }
 
+  /** Accepts connections at `HOST:PORT`. `onError` is told if that fails, now or later. */
+  listen(bind: string, onError: (error: Error) => void): void {
+    this.server.on('error', onError);
+    this.server.listen({ ...parseAddress(bind), backlog: LISTEN_BACKLOG });
+  }
+
   private accept(socket: net.Socket): void {
     const connection: Connection = {
       socket,
--- /dev/null
+++ b/src/io/user-api.ts
@@ -0,0 +1,147 @@
+/** The HTTP API of users and health checks. */
+
+import { type Context, Hono } from 'hono';
+import type { ApiAnswer } from '../core/api.js';
+import type { Controller } from '../core/controller.js';
+import { ProgressLimit } from '../core/limits.js';
+import type { Clock, Logger } from '../core/types.js';
+import { isJobId, readJob, writeState } from '../wire/jobs.js';
+import { parse } from '../wire/json.js';
+import { JOBS_PATH, READINESS_PATH } from './http-paths.js';
+
+/** Limit of users' requests in progress: it starts here and follows the time that answers take. */
+const INITIAL_REQUESTS_IN_PROGRESS = 64;
+const MIN_REQUESTS_IN_PROGRESS = 8;
+const MAX_REQUESTS_IN_PROGRESS = 400;
+/** An answer within this time is never taken for slow. */
+const FAST_ANSWER_MS = 400;
+
+/** Users are told to come back after a random whole number of seconds from 1 to this. */
+const MAX_RETRY_AFTER_S = 3;
+
+/** Parts of the users' API. */
+export interface UserApiOptions {
+  controller: Controller;
+  clock: Clock;
+  log: Logger;
+}
+
+/** Serves a request, or refuses it if too many are in progress. */
+type LimitProgress = (context: Context, work: () => Promise<Response>) => Promise<Response>;
+
+/** Users' requests alone are limited: they never hold up heartbeats and health checks. */
+function createProgressLimit(clock: Clock): LimitProgress {
+  const limit = new ProgressLimit(
+    INITIAL_REQUESTS_IN_PROGRESS,
+    MIN_REQUESTS_IN_PROGRESS,
+    MAX_REQUESTS_IN_PROGRESS,
+    FAST_ANSWER_MS,
+  );
+  return async (context, work) => {
+    if (!limit.enter()) return respondLater(context, 'too many requests in progress');
+    const startedAt = clock.now();
+    try {
+      return await work();
+    } finally {
+      const now = clock.now();
+      limit.leave(now, now - startedAt);
+    }
+  };
+}
+
+/** Spread over some seconds, or all that were refused together would come back together. */
+function retryAfterSeconds(): string {
+  return String(1 + Math.floor(Math.random() * MAX_RETRY_AFTER_S));
+}
+
+function respondLater(context: Context, reason: string): Response {
+  context.header('Retry-After', retryAfterSeconds());
+  return context.json({ error: reason }, 503);
+}
+
+function respondUnknown(context: Context): Response {
+  return context.json({ error: 'no such job' }, 404);
+}
+
+/** Serves the requests on jobs. */
+class JobHandlers {
+  constructor(
+    private readonly controller: Controller,
+    private readonly clock: Clock,
+  ) {}
+
+  async submit(context: Context): Promise<Response> {
+    const { api } = this.controller;
+    const job = readJob(parse(await context.req.text()), this.clock.wall());
+    if (job.ok) {
+      const { spec } = job;
+      return new Promise((resolve) =>
+        api.submit(spec, (answer) => resolve(this.respond(context, spec.id, answer))),
+      );
+    }
+    const { id, reason } = job;
+    if (id === null) return context.json({ error: reason }, 400);
+    // The repeat of an accepted job is answered as one, whatever it holds.
+    return new Promise((resolve) =>
+      api.poll(id, (answer) =>
+        resolve(
+          answer.s === 'unknown' ? context.json({ error: reason }, 400) : this.respond(context, id, answer),
+        ),
+      ),
+    );
+  }
+
+  async poll(context: Context, id: string): Promise<Response> {
+    if (!isJobId(id)) return respondUnknown(context);
+    return new Promise((resolve) =>
+      this.controller.api.poll(id, (answer) => resolve(this.respond(context, id, answer))),
+    );
+  }
+
+  async cancel(context: Context, id: string): Promise<Response> {
+    if (!isJobId(id)) return respondUnknown(context);
+    return new Promise((resolve) =>
+      this.controller.api.abort(id, (answer) => resolve(this.respond(context, id, answer))),
+    );
+  }
+
+  private respond(context: Context, id: string, answer: ApiAnswer): Response {
+    switch (answer.s) {
+      case 'job':
+        return context.json(writeState(id, answer), answer.created ? 201 : 200);
+      case 'unknown':
+        return respondUnknown(context);
+      case 'never':
+        return context.json({ error: answer.reason }, 422);
+      case 'later':
+        // The user's next connection is led to a controller that can serve it.
+        if (this.controller.elsewhere()) context.header('Connection', 'close');
+        return respondLater(context, answer.reason);
+    }
+  }
+}
+
+/** The routes of users and health checks. Failures within are logged and answered with 503. */
+export function createUserApi(options: UserApiOptions): Hono {
+  const { controller, clock, log } = options;
+  const app = new Hono();
+  const limitProgress = createProgressLimit(clock);
+  const jobs = new JobHandlers(controller, clock);
+
+  app.post(JOBS_PATH, (context) => limitProgress(context, () => jobs.submit(context)));
+  app.get(`${JOBS_PATH}/:id`, (context) =>
+    limitProgress(context, () => jobs.poll(context, context.req.param('id'))),
+  );
+  app.post(`${JOBS_PATH}/:id/abort`, (context) =>
+    limitProgress(context, () => jobs.cancel(context, context.req.param('id'))),
+  );
+  app.get(READINESS_PATH, (context) =>
+    controller.ready() ? context.json({ ready: true }) : respondLater(context, 'not ready'),
+  );
+  app.notFound((context) => context.json({ error: 'no such path' }, 404));
+  app.onError((error, context) => {
+    log.error({ err: error.stack ?? String(error) }, 'request failed');
+    return respondLater(context, 'internal error');
+  });
+  return app;
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,137 +1,106 @@
 #!/usr/bin/env node
+/** The program: puts a controller together from its settings and runs it. */
+
 import { randomBytes } from 'node:crypto';
-import { Command, CommanderError } from 'commander';
-import { pino } from 'pino';
+import { type CommandOptions, EXIT_CODE, runCommandLine } from './cli/command-line.js';
+import { createLog, logDefects } from './cli/process-log.js';
 import { Controller } from './core/controller.js';
+import type { PolicyFn } from './core/policy.js';
 import type { Logger } from './core/types.js';
-import { realClock } from './io/clock.js';
+import { systemClock } from './io/clock.js';
 import { CloudClient } from './io/cloud.js';
-import { listen, makeApp, serve as serveHttp } from './io/http.js';
+import { createRequestHandler } from './io/http-api.js';
+import { HttpServer } from './io/http-server.js';
 import { InboundConnections } from './io/inbound-connections.js';
 import { Mesh } from './io/mesh.js';
 import { socketBudget } from './io/socket-budget.js';
 import { StateClient } from './io/state.js';
+import { createUserApi } from './io/user-api.js';
 import { WorkerClient } from './io/worker-client.js';
+import { controllerParameters } from './settings/controller-parameters.js';
 import { loadPolicy } from './settings/policy.js';
 import { loadSettings, type Settings } from './settings/settings.js';
-import { SettingsError } from './settings/settings-error.js';
 
+/** Relative to the bundle: it lies in a directory beside `deploy/`, as this file does. */
 const DEFAULT_POLICY = new URL('../deploy/policy.toml', import.meta.url);
-/** Lease of a controller: so long its absence goes unnoticed. */
-const TTL_MS = 3500;
+/** Lease of a controller: its absence goes unnoticed for so long. */
+const CONTROLLER_LEASE_MS = 3500;
 
-interface Options {
-  config: string;
-  policy?: string;
+interface Configuration {
+  settings: Settings;
+  policy: PolicyFn;
 }
 
-function load(o: Options) {
-  return { s: loadSettings(o.config), policy: loadPolicy(o.policy ?? DEFAULT_POLICY) };
+function loadConfiguration(options: CommandOptions): Configuration {
+  return { settings: loadSettings(options.config), policy: loadPolicy(options.policy ?? DEFAULT_POLICY) };
 }
 
-function serve(o: Options): void {
-  const { s, policy } = load(o);
-  const level = process.env.LOG_LEVEL ?? 'info';
-  const log = pino(
-    { level: ['error', 'info', 'debug'].includes(level) ? level : 'info', base: { host: s.host_name } },
-    pino.destination({ dest: 2, sync: true }),
-  );
-  process.on('uncaughtException', (e) => {
-    log.error({ err: e.stack ?? String(e) }, 'defect');
-    process.exit(1);
-  });
-  // A promise nobody waited for is logged as the defect it is, and ends nothing.
-  process.on('unhandledRejection', (e) =>
-    log.error({ err: e instanceof Error ? e.stack : String(e) }, 'unhandled rejection'),
-  );
-  run(s, policy, log);
+interface ControllerParts extends Configuration {
+  maxWorkerConnections: number;
+  log: Logger;
 }
 
-function run(s: Settings, policy: ReturnType<typeof loadPolicy>, log: Logger): void {
-  const p = s.params;
-  let ctl: Controller | null = null;
-  const budget = socketBudget(p.limits.fd_limit, s.siblings.length);
+function createController({ settings, policy, maxWorkerConnections, log }: ControllerParts): Controller {
+  const { services, params } = settings;
   const mesh = new Mesh(
-    s.mesh_addr,
-    s.siblings.map((x) => ({ host: x.host_name, addr: x.peer_addr })),
+    settings.mesh_addr,
+    settings.siblings.map((peer) => ({ host: peer.host_name, addr: peer.peer_addr })),
     log,
-    (m) => ctl?.push({ k: 'mesh', m }),
-    (host, up) => ctl?.push({ k: 'link', host, up }),
+    (message) => controller.push({ k: 'mesh', m: message }),
+    (host, up) => controller.push({ k: 'link', host, up }),
   );
-  ctl = new Controller({
-    host: s.host_name,
-    inst: `${s.host_name}.${randomBytes(6).toString('hex')}`,
-    peers: s.siblings.map((x) => x.host_name),
-    teams: p.teams.map((t) => ({
-      name: t.name,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
-    })),
-    workers: { reportS: p.workers.report_s, leaseS: p.workers.lease_s, cancelS: p.workers.cancel_s },
-    state: { valueKb: p.state.value_kb, txnOps: p.state.txn_ops, writeRps: p.state.write_rps },
-    listLagS: p.cloud.list_lag_s,
-    cloudRps: p.cloud.rps,
-    objectives: p.objectives.map((x) => ({ kind: x.kind, cls: x.class ?? '', withinS: x.within_s ?? 0 })),
-    ttlMs: TTL_MS,
+  const controller: Controller = new Controller({
+    ...controllerParameters(settings),
+    inst: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
+    ttlMs: CONTROLLER_LEASE_MS,
     policy,
-    clock: realClock,
+    clock: systemClock,
     log,
-    statePort: new StateClient(s.services.state, {
-      rps: p.state.rps,
-      writeRps: p.state.write_rps,
-      nodes: p.size,
+    statePort: new StateClient(services.state, {
+      rps: params.state.rps,
+      writeRps: params.state.write_rps,
+      nodes: params.size,
     }),
-    cloud: new CloudClient(s.services.cloud, p.cloud.rps),
-    worker: new WorkerClient(budget.workers),
+    cloud: new CloudClient(services.cloud, params.cloud.rps),
+    worker: new WorkerClient(maxWorkerConnections),
     mesh,
   });
-  ctl.start();
-  const sockets = new InboundConnections(budget.inbound, realClock.now);
-  listen(serveHttp(makeApp(ctl, realClock, log), ctl, log), s.bind, sockets, realClock, log);
-  log.info({ bind: s.bind, mesh: s.mesh_addr }, 'started');
+  return controller;
 }
 
-function fail(e: unknown): never {
-  if (e instanceof SettingsError) {
-    for (const f of e.faults) process.stderr.write(`${f}\n`);
-    process.exit(2);
-  }
-  throw e;
+interface HttpParts {
+  controller: Controller;
+  /** `HOST:PORT`. */
+  bind: string;
+  maxConnections: number;
+  log: Logger;
 }
 
-const program = new Command('juniperstand')
-  .description('Cluster scheduler: takes jobs, rents machines, runs tasks.')
-  .exitOverride()
-  .showHelpAfterError();
-const withOptions = (c: Command) =>
-  c
-    .requiredOption('--config <file>', 'settings file (TOML)')
-    .option('--policy <file>', "operators' policy (TOML of expressions)");
-withOptions(program.command('serve', { isDefault: true }).description('run a controller'))
-  .allowExcessArguments(false)
-  .action((o: Options) => {
-    try {
-      serve(o);
-    } catch (e) {
-      fail(e);
-    }
+function startHttpServer({ controller, bind, maxConnections, log }: HttpParts): void {
+  const userApi = createUserApi({ controller, clock: systemClock, log });
+  const server = new HttpServer({
+    handle: createRequestHandler({ userApi, controller, log }),
+    connections: new InboundConnections(maxConnections, systemClock.now),
+    now: systemClock.now,
   });
-withOptions(program.command('check').description('check settings and policy, and stop'))
-  .allowExcessArguments(false)
-  .action((o: Options) => {
-    try {
-      load(o);
-      process.stdout.write('ok\n');
-    } catch (e) {
-      fail(e);
-    }
+  server.listen(bind, (error) => {
+    log.error({ err: String(error) }, 'cannot listen');
+    process.exit(EXIT_CODE.failure);
   });
+}
 
-try {
-  program.parse();
-} catch (e) {
-  if (!(e instanceof CommanderError)) throw e;
-  process.exit(e.exitCode === 0 ? 0 : 2);
+function serve(options: CommandOptions): void {
+  const { settings, policy } = loadConfiguration(options);
+  const log = createLog(settings.host_name);
+  logDefects(log);
+  const budget = socketBudget(settings.params.limits.fd_limit, settings.siblings.length);
+  const controller = createController({ settings, policy, maxWorkerConnections: budget.workers, log });
+  controller.start();
+  startHttpServer({ controller, bind: settings.bind, maxConnections: budget.inbound, log });
+  log.info({ bind: settings.bind, mesh: settings.mesh_addr }, 'started');
 }
+
+runCommandLine({
+  serve,
+  check: (options) => void loadConfiguration(options),
+});
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,7 +1,8 @@
 import { beforeAll, expect, test } from 'vitest';
 import type { Clock } from '../src/core/types.js';
-import { makeApp, serve } from '../src/io/http.js';
+import { createRequestHandler } from '../src/io/http-api.js';
 import type { HttpResponse, RequestHandler } from '../src/io/http-server.js';
+import { createUserApi } from '../src/io/user-api.js';
 import { World } from './standin/world.js';
 
 let w: World;
@@ -12,8 +13,9 @@
   w = new World(7);
   w.sim.run(3000);
   const clock = { now: () => w.sim.now, wall: () => w.sim.now } as unknown as Clock;
-  const ctl = w.procs.get('c0')!.ctl;
-  served = serve(makeApp(ctl, clock, log), ctl, log);
+  const controller = w.procs.get('c0')!.ctl;
+  const userApi = createUserApi({ controller, clock, log });
+  served = createRequestHandler({ userApi, controller, log });
 });
 
 async function ask(
