--- a/src/io/http-api.ts
+++ b/src/io/http-api.ts
@@ -45,7 +45,8 @@
   };
 }
 
-function answerHeartbeat(controller: Controller, log: Logger, text: string): HttpResponse {
+/** The response to the heartbeat in a request's body: the commands for its worker, or where the leader is. */
+export function answerHeartbeat(controller: Controller, log: Logger, text: string): HttpResponse {
   const body = parse(text);
   const heartbeat = readReport(body);
   if (!heartbeat) {
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,7 +4,7 @@
 import { randomBytes } from 'node:crypto';
 import { type CommandOptions, EXIT_CODE, runCommandLine } from './cli/command-line.js';
 import { createLog, logDefects } from './cli/process-log.js';
-import { Controller } from './core/controller.js';
+import { Controller, type ControllerOptions } from './core/controller.js';
 import type { PolicyFn } from './core/policy.js';
 import type { Logger } from './core/types.js';
 import { systemClock } from './io/clock.js';
@@ -17,7 +17,6 @@
 import { StateClient } from './io/state.js';
 import { createUserApi } from './io/user-api.js';
 import { WorkerClient } from './io/worker-client.js';
-import { controllerParameters } from './settings/controller-parameters.js';
 import { loadPolicy } from './settings/policy.js';
 import { loadSettings, type Settings } from './settings/settings.js';
 
@@ -35,6 +34,36 @@
   return { settings: loadSettings(options.config), policy: loadPolicy(options.policy ?? DEFAULT_POLICY) };
 }
 
+/** What a controller takes from the settings. */
+type ControllerParameters = Pick<
+  ControllerOptions,
+  'host' | 'peers' | 'teams' | 'workers' | 'state' | 'listLagS' | 'cloudRps' | 'objectives'
+>;
+
+function controllerParameters(settings: Settings): ControllerParameters {
+  const { teams, workers, state, cloud, objectives } = settings.params;
+  return {
+    host: settings.host_name,
+    peers: settings.siblings.map((peer) => peer.host_name),
+    teams: teams.map((team) => ({
+      name: team.name,
+      cpus: team.cpus,
+      cpusMax: team.cpus_max,
+      gpus: team.gpus,
+      gpusMax: team.gpus_max,
+    })),
+    workers: { reportS: workers.report_s, leaseS: workers.lease_s, cancelS: workers.cancel_s },
+    state: { valueKb: state.value_kb, txnOps: state.txn_ops, writeRps: state.write_rps },
+    listLagS: cloud.list_lag_s,
+    cloudRps: cloud.rps,
+    objectives: objectives.map((objective) => ({
+      kind: objective.kind,
+      cls: objective.class ?? '',
+      withinS: objective.within_s ?? 0,
+    })),
+  };
+}
+
 interface ControllerParts extends Configuration {
   maxWorkerConnections: number;
   log: Logger;
--- /dev/null
+++ b/test/http-api.test.ts
@@ -0,0 +1,160 @@
+import { beforeAll, expect, test } from 'vitest';
+import type { Clock } from '../src/core/types.js';
+import { createRequestHandler } from '../src/io/http-api.js';
+import type { HttpResponse, RequestHandler } from '../src/io/http-server.js';
+import { createUserApi } from '../src/io/user-api.js';
+import { World } from './standin/world.js';
+
+let world: World;
+let handle: RequestHandler;
+const log = { debug: () => {}, info: () => {}, error: () => {} };
+
+beforeAll(() => {
+  world = new World(7);
+  world.sim.run(3000);
+  const clock = { now: () => world.sim.now, wall: () => world.sim.now } as unknown as Clock;
+  const controller = world.procs.get('c0')!.ctl;
+  const userApi = createUserApi({ controller, clock, log });
+  handle = createRequestHandler({ userApi, controller, log });
+});
+
+interface Reply {
+  status: number;
+  json: Record<string, unknown>;
+  retryAfter: string | null;
+  connection: string | null;
+}
+
+/** Sends a request to the controller and lets simulated time run until it is answered, for 8 s at most. */
+async function ask(method: string, path: string, body?: unknown): Promise<Reply> {
+  const text = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
+  let response: HttpResponse | undefined;
+  handle({ method, path, status: 0, rawHeaders: [], body: text, keepAlive: true }, (given) => {
+    response = given;
+  });
+  for (let i = 0; i < 400 && !response; i++) {
+    await new Promise((resolve) => setImmediate(resolve));
+    world.sim.run(world.sim.now + 20);
+  }
+  if (!response) throw new Error('no answer');
+  return {
+    status: response.status,
+    json: JSON.parse(response.body) as Record<string, unknown>,
+    retryAfter: response.headers?.['Retry-After'] ?? null,
+    connection: response.headers?.Connection ?? null,
+  };
+}
+
+const submit = (job: unknown) => ask('POST', '/v2/runs', job);
+const poll = (id: string) => ask('GET', `/v2/runs/${id}`);
+const cancel = (id: string) => ask('POST', `/v2/runs/${id}/abort`);
+const checkReadiness = () => ask('GET', '/ready');
+const advance = (ms: number) => world.sim.run(world.sim.now + ms);
+
+const JOB = {
+  name_id: 'wk-000412',
+  grove: 'train',
+  crew: 'red',
+  shape: 'sweep',
+  rank: 'urgent',
+  saplings: 3,
+  vcpus: 1.0,
+  cards: 0.0,
+  ram_gb: 1.0,
+  seed: 'img',
+  pull_gb: 0.5,
+  barks: null,
+  slope: null,
+  together: false,
+  apart: false,
+  windfall: true,
+  growth_s: 5.0,
+  ring_s: 0.0,
+  resin_s: 0.0,
+  frost_s: null,
+};
+
+test('a submission is accepted once, and a repeat is known whatever it holds', async () => {
+  const first = await submit(JOB);
+  expect([first.status, first.json.phase]).toEqual([201, 'pending']);
+
+  expect((await submit(JOB)).status).toBe(200);
+  expect((await submit({ ...JOB, crew: 'nobody' })).status).toBe(200);
+  expect((await submit({ name_id: JOB.name_id })).status).toBe(200);
+});
+
+test.each([
+  ['not JSON', '{', 400],
+  ['not an object', '[]', 400],
+  ['a field missing', { ...JOB, name_id: 'wk-000500', saplings: undefined }, 400],
+  ['a bad value', { ...JOB, name_id: 'wk-000500', rank: 'toString' }, 400],
+  ['no job id', { ...JOB, name_id: 'x' }, 400],
+  ['too large', `{"a":"${'x'.repeat(70000)}"}`, 400],
+  ['unknown team', { ...JOB, name_id: 'wk-000501', crew: 'nobody' }, 422],
+  ['no machine holds a task', { ...JOB, name_id: 'wk-000502', vcpus: 1000.0 }, 422],
+  ['more than the team limit', { ...JOB, name_id: 'wk-000503', shape: 'standing', saplings: 50 }, 422],
+])('refused at once: %s', async (_name, body, status) => {
+  const reply = await submit(body);
+  expect([reply.status, typeof reply.json.error]).toEqual([status, 'string']);
+});
+
+test('cancelled stays cancelled, and unknown jobs are not invented', async () => {
+  const job = { ...JOB, name_id: 'wk-000600', shape: 'standing' };
+  expect((await submit(job)).status).toBe(201);
+
+  expect((await cancel('wk-000600')).json.phase).toBe('withdrawn');
+  advance(5000);
+  expect((await poll('wk-000600')).json.phase).toBe('withdrawn');
+
+  expect((await poll('wk-999999')).status).toBe(404);
+  expect((await cancel('wk-999999')).status).toBe(404);
+  expect((await ask('GET', '/nowhere')).status).toBe(404);
+});
+
+test('in an outage users are told when to come back, and workers of a node that does not lead are sent on', async () => {
+  world.state.setDown(true);
+  const reply = await submit({ ...JOB, name_id: 'wk-000700' });
+  expect([reply.status, reply.retryAfter]).toEqual([503, expect.stringMatching(/^[123]$/)]);
+  world.state.setDown(false);
+
+  expect((await ask('POST', '/hello', { trunk: 'vm-1' })).status).toBe(400);
+  const heartbeat = {
+    trunk: 'vm-1',
+    address: 'vm-1',
+    bark: 'small',
+    slope: 'a',
+    windfall: false,
+    season: 1,
+    tally: 1,
+    crook: 10000,
+    felling_s: null,
+    saplings: [],
+  };
+  // A token higher than any known here: whoever led before must not answer as the leader.
+  expect((await ask('POST', '/hello', heartbeat)).status).toBe(421);
+});
+
+test('a controller that alone is refused by the state service is not ready and lets its users go; in an outage for all it is', async () => {
+  advance(10000);
+  expect((await checkReadiness()).status).toBe(200);
+
+  world.state.refused.add('c0');
+  advance(4000);
+  expect((await checkReadiness()).status).toBe(503);
+  const reply = await poll('wk-000412');
+  expect([reply.status, reply.retryAfter, reply.connection]).toEqual([
+    503,
+    expect.stringMatching(/^[123]$/),
+    'close',
+  ]);
+
+  world.state.allow('c0');
+  advance(5000);
+  expect((await checkReadiness()).status).toBe(200);
+
+  world.state.setDown(true);
+  advance(8000);
+  expect((await checkReadiness()).status).toBe(200);
+  expect((await poll('wk-000412')).connection).toBe(null);
+  world.state.setDown(false);
+});
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -54,13 +54,15 @@
     fc.jsonValue(),
   );
   fc.assert(
-    fc.property(fc.oneof(fc.jsonValue(), known), (v) => {
-      for (const r of readers) r(v);
-      readJob(v, 0);
+    fc.property(fc.oneof(fc.jsonValue(), known), (value) => {
+      for (const read of readers) read(value);
+      readJob(value, 0);
     }),
     { numRuns: 500 },
   );
-  for (let n = 0; n < REPORT.length; n++) expect(readReport(parse(REPORT.slice(0, n)))).toBe(null);
+
+  for (let length = 0; length < REPORT.length; length++)
+    expect(readReport(parse(REPORT.slice(0, length)))).toBe(null);
   expect(readReport(parse(REPORT))?.tasks[0]?.why).toBe('done');
 });
 
@@ -70,19 +72,21 @@
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
-  const l = new ProgressLimit(50, 4, 100, 100);
+  const limit = new ProgressLimit(50, 4, 100, 100);
   let now = 0;
-  const round = (ms: number) => {
-    let n = 0;
-    while (l.enter()) n++;
-    now += ms;
-    for (let i = 0; i < n; i++) l.leave(now, ms);
-    return n;
+  /** Fills the limit with requests that all take so long. */
+  const fill = (tookMs: number) => {
+    let entered = 0;
+    while (limit.enter()) entered++;
+    now += tookMs;
+    for (let i = 0; i < entered; i++) limit.leave(now, tookMs);
   };
-  round(20);
-  for (let i = 0; i < 20; i++) round(1000);
-  const low = l.current;
-  expect(low).toBeLessThan(25);
-  for (let i = 0; i < 200; i++) round(20);
-  expect(l.current).toBeGreaterThan(low * 2);
+
+  fill(20);
+  for (let i = 0; i < 20; i++) fill(1000);
+  const shrunk = limit.current;
+  expect(shrunk).toBeLessThan(25);
+
+  for (let i = 0; i < 200; i++) fill(20);
+  expect(limit.current).toBeGreaterThan(shrunk * 2);
 });
--- /dev/null
+++ b/test/rate-limiter.test.ts
@@ -0,0 +1,41 @@
+import { expect, test } from 'vitest';
+import { URGENCY, type Urgency } from '../src/core/types.js';
+import { RateLimiter } from '../src/io/rate-limiter.js';
+
+const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
+
+/** A limiter of one controller, and the results of its requests in the order in which they came, as `NAME RESULT`. */
+function createLimiter() {
+  const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllers: 1 });
+  const results: string[] = [];
+  const acquire = (urgency: Urgency, writes: number, name: string) =>
+    limiter.acquire(urgency, writes, (acquired) => results.push(`${name} ${acquired}`));
+  return { acquire, results };
+}
+
+test('what would wait longer than its sender does is refused at once, and the urgent never waits', async () => {
+  const { acquire, results } = createLimiter();
+
+  acquire(URGENCY.placement, 12, 'first');
+  // Sixteen changes a second: a second's worth waits, five seconds' worth would not be served in time.
+  acquire(URGENCY.placement, 16, 'waits');
+  acquire(URGENCY.placement, 80, 'too much');
+  acquire(URGENCY.lease, 5, 'lease');
+
+  expect(results).toEqual(['first true', 'too much false', 'lease true']);
+  await sleep(2500);
+  expect(results.slice(3)).toEqual(['waits true']);
+});
+
+test('submissions and reads for users do not wait behind the placements that use up the budget of writes', async () => {
+  const { acquire, results } = createLimiter();
+
+  acquire(URGENCY.placement, 14, 'placements');
+  acquire(URGENCY.placement, 14, 'more placements');
+  acquire(URGENCY.user, 0, 'read');
+  expect(results).toEqual(['placements true', 'read true']);
+
+  acquire(URGENCY.user, 1, 'submission');
+  await sleep(400);
+  expect(results).toEqual(['placements true', 'read true', 'submission true']);
+});
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -42,22 +42,24 @@
 mem_mb = 300.0
 fd_limit = 1000
 `;
-const faults = (f: () => unknown): string[] => {
+/** The faults that `check` finds; none if it doesn't throw a `SettingsError`. */
+function faultsOf(check: () => unknown): string[] {
   try {
-    f();
-  } catch (e) {
-    if (e instanceof SettingsError) return e.faults;
+    check();
+  } catch (error) {
+    if (error instanceof SettingsError) return error.faults;
   }
   return [];
-};
+}
 
 test('settings: good ones pass, each fault is named with its field', () => {
   expect(parseSettings(GOOD).params.teams[0]?.name).toBe('t');
+
   const bad = GOOD.replace('size = 1', 'size = 0')
     .replace('bind = "127.0.0.1:8080"', 'bind = "nowhere"')
     .replace('cpus = 0.0\n', '');
-  const f = faults(() => parseSettings(bad));
-  expect(f.map((x) => x.split(':')[0])).toEqual(['bind', 'params.size', 'params.teams.0.cpus']);
+  const faults = faultsOf(() => parseSettings(bad));
+  expect(faults.map((fault) => fault.split(':')[0])).toEqual(['bind', 'params.size', 'params.teams.0.cpus']);
 });
 
 test('policy: the default works, unknown keys and wrong types are named with their line', () => {
@@ -74,21 +76,22 @@
     boot_s: 15,
   };
   expect(compilePolicy(text)(input).silent_s).toBeGreaterThan(3);
-  const f = faults(() =>
-    compilePolicy(
-      `${text}\nsurprise = 1\n`
-        .replace(/^idle_s = .*$/m, 'idle_s = "services > 2.0"')
-        .replace(/^silent_s = .*$/m, 'silent_s = "no_such + 1.0"'),
-    ),
+
+  const bad = `${text}\nsurprise = 1\n`
+    .replace(/^idle_s = .*$/m, 'idle_s = "services > 2.0"')
+    .replace(/^silent_s = .*$/m, 'silent_s = "no_such + 1.0"');
+  const faults = faultsOf(() => compilePolicy(bad));
+  expect(faults.length).toBe(3);
+  expect(faults.every((fault) => /^policy\.(surprise|idle_s|silent_s) \(line \d+\): /.test(fault))).toBe(
+    true,
   );
-  expect(f.length).toBe(3);
-  expect(f.every((x) => /^policy\.(surprise|idle_s|silent_s) \(line \d+\): /.test(x))).toBe(true);
 });
 
 test('settings: a bound on cancellations that leaves no time beside the lease is a fault', () => {
-  const cancel = (s: string) =>
-    faults(() => parseSettings(GOOD.replace('cancel_s = 60.0', `cancel_s = ${s}`)));
-  expect(cancel('32.0')).toEqual([]);
-  for (const s of ['31.5', '30.0', '20.0'])
-    expect(cancel(s)).toEqual([expect.stringMatching(/^params.workers: cancel_s/)]);
+  const faultsWith = (cancelS: string) =>
+    faultsOf(() => parseSettings(GOOD.replace('cancel_s = 60.0', `cancel_s = ${cancelS}`)));
+
+  expect(faultsWith('32.0')).toEqual([]);
+  for (const cancelS of ['31.5', '30.0', '20.0'])
+    expect(faultsWith(cancelS)).toEqual([expect.stringMatching(/^params.workers: cancel_s/)]);
 });
--- /dev/null
+++ b/test/socket-budget.test.ts
@@ -0,0 +1,15 @@
+import { expect, test } from 'vitest';
+import { socketBudget } from '../src/io/socket-budget.js';
+
+test('the budget leaves workers their connections at every size', () => {
+  for (const [fdLimit, machines, peers] of [
+    [2521, 1858, 4],
+    [2021, 893, 2],
+    [800, 72, 2],
+  ] as const) {
+    const budget = socketBudget(fdLimit, peers);
+
+    expect(budget.inbound + budget.workers).toBeLessThan(fdLimit);
+    expect(budget.inbound * 0.96).toBeGreaterThan(machines);
+  }
+});
