--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -100,10 +100,10 @@
 }
 
 type Command =
-  | { k: 'mesh'; m: MeshMsg }
-  | { k: 'link'; host: string; up: boolean }
-  | { k: 'reply'; run: () => void }
-  | { k: 'tick' };
+  | { type: 'mesh'; m: MeshMsg }
+  | { type: 'link'; host: string; up: boolean }
+  | { type: 'reply'; run: () => void }
+  | { type: 'tick' };
 
 /** Least time between two watches of the open jobs, which change several times a second. */
 const OPEN_GAP_MS = 100;
@@ -225,7 +225,7 @@
     this.sys.start();
     this.open.start();
     const beat = () => {
-      this.push({ k: 'tick' });
+      this.push({ type: 'tick' });
       this.o.clock.after(500, beat);
     };
     beat();
@@ -252,7 +252,7 @@
   }
 
   private handle(c: Command): void {
-    switch (c.k) {
+    switch (c.type) {
       case 'reply':
         return c.run();
       case 'tick':
@@ -265,7 +265,7 @@
   }
 
   private reply<T>(cb: Then<T>): Then<T> {
-    return (r) => this.push({ k: 'reply', run: () => cb(r) });
+    return (r) => this.push({ type: 'reply', run: () => cb(r) });
   }
 
   /** Replies come through the queue, and each success tells that the state service is in reach. */
@@ -614,7 +614,9 @@
       if (!it) {
         if (this.scheduler) this.stepDown('leader record gone');
         this.electAt = this.o.clock.now() + this.o.clock.random() * 100;
-        this.o.clock.after(110, () => this.push({ k: 'reply', run: () => this.elect(this.o.clock.now()) }));
+        this.o.clock.after(110, () =>
+          this.push({ type: 'reply', run: () => this.elect(this.o.clock.now()) }),
+        );
         return;
       }
       const rec = leaderRecord.decode(it.value);
@@ -733,13 +735,14 @@
   }
 
   private toScheduler(m: OwnerMsg): void {
-    if (this.leader.inst === this.o.inst) this.push({ k: 'reply', run: () => this.scheduler?.fromOwner(m) });
+    if (this.leader.inst === this.o.inst)
+      this.push({ type: 'reply', run: () => this.scheduler?.fromOwner(m) });
     else if (this.leader.host !== '')
       this.meshSend(this.leader.host, { type: 'owner', to: this.leader.inst, m });
   }
 
   private toOwner(inst: string, m: SchedulerMsg): void {
-    if (inst === this.o.inst) return this.push({ k: 'reply', run: () => this.owner.fromScheduler(m) });
+    if (inst === this.o.inst) return this.push({ type: 'reply', run: () => this.owner.fromScheduler(m) });
     const host = this.nodes().get(inst);
     if (host) this.meshSend(host, { type: 'scheduler', to: inst, m });
   }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -143,7 +143,10 @@
   resync: { tagValue: 'resync', fields: { type: 'k', token: 'token' } },
   grants: { tagValue: 'grants', fields: { type: 'k', token: 'token', grants: field('grants', list(grant)) } },
   mark: { tagValue: 'mark', fields: { type: 'k', token: 'token', at: 'at' } },
-  seen: { tagValue: 'seen', fields: { type: 'k', token: 'token', seen: field('seen', list(allocationEvent)) } },
+  seen: {
+    tagValue: 'seen',
+    fields: { type: 'k', token: 'token', seen: field('seen', list(allocationEvent)) },
+  },
   evict: {
     tagValue: 'evict',
     fields: { type: 'k', token: 'token', tasks: field('tasks', list(evictedTask)), why: 'why' },
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -2,11 +2,11 @@
 import type { ApiAnswer } from '../../src/core/api.js';
 import { Controller, type MeshMsg } from '../../src/core/controller.js';
 import type { JobSpec, MachineType, WorkerReport } from '../../src/core/types.js';
-import { checkPolicy } from '../../src/settings/policy.js';
+import { compilePolicy } from '../../src/settings/policy.js';
 import { Sim } from '../standin/sim.js';
 import { RecordedState } from './recorded-state.js';
 
-const POLICY = checkPolicy(`
+const POLICY = compilePolicy(`
 reserve_replicas = 0
 reserve_batch = 0
 idle_s = 20
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -28,7 +28,7 @@
       if (command.type === 'mesh') {
         const { body, ...around } = new Unpackr().unpack(encode(command.m));
         const message = body.m ?? body;
-        const kind = body.m ? `${body.type} ${message.type}` : body.type;
+        const kind = body.m ? `${body.k} ${message.k}` : body.k;
         const fields = sent.get(kind) ?? new Set();
         fields.add(`${Object.keys(around)}:${body.m ? `${Object.keys(body)}:` : ''}${fieldsOf(message)}`);
         sent.set(kind, fields);
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -185,7 +185,15 @@
     tasks: [{ machine: 'vm-000231', key: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
-  covered: { type: 'covered', token: 7, inst: 'stand-1.0a', sync: 5, n: 2, gens: { vision: 40 }, mark: 123.5 },
+  covered: {
+    type: 'covered',
+    token: 7,
+    inst: 'stand-1.0a',
+    sync: 5,
+    n: 2,
+    gens: { vision: 40 },
+    mark: 123.5,
+  },
 };
 const SCHEDULER_MESSAGES: Record<string, SchedulerMsg> = {
   synced: { type: 'synced', token: 7, sync: 5 },
--- a/test/forms/recording-server.ts
+++ b/test/forms/recording-server.ts
@@ -19,7 +19,7 @@
     request.on('end', () => {
       const type = request.headers['content-type'] ?? '';
       this.requests.push([request.method, request.url, type, body].filter((part) => part !== '').join(' '));
-      response.writeHead(this.reply.status, { Connection: 'close' });
+      response.writeHead(this.reply.status, { connection: 'close' });
       response.end(this.reply.text);
     });
   });
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -1,7 +1,8 @@
 import { describe, expect, test } from 'vitest';
 import type { Policy, PolicyInput } from '../../src/core/policy.js';
-import { checkPolicy } from '../../src/settings/policy.js';
-import { checkSettings, type Settings, SettingsError } from '../../src/settings/settings.js';
+import { compilePolicy } from '../../src/settings/policy.js';
+import { parseSettings, type Settings } from '../../src/settings/settings.js';
+import { SettingsError } from '../../src/settings/settings-error.js';
 
 const SETTINGS_TEXT = `
 host_name = "stand-1"
@@ -82,12 +83,12 @@
 /** The faults of the settings with one line replaced, which must be there. */
 function faultsWith(line: string, instead: string): string[] {
   expect(SETTINGS_TEXT).toContain(`\n${line}\n`);
-  return faultsOf(() => checkSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${instead}\n`)));
+  return faultsOf(() => parseSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${instead}\n`)));
 }
 
 describe('settings', () => {
   test('are read whole', () => {
-    expect(checkSettings(SETTINGS_TEXT)).toStrictEqual(SETTINGS);
+    expect(parseSettings(SETTINGS_TEXT)).toStrictEqual(SETTINGS);
   });
 
   test.each([
@@ -247,14 +248,14 @@
       /\[\[params.objectives\]\][^[]*/,
       '',
     );
-    const { siblings, params } = checkSettings(few);
+    const { siblings, params } = parseSettings(few);
     expect([siblings, params.objectives]).toEqual([[], []]);
     const bare = SETTINGS_TEXT.replace('class = "train"\nwithin_s = 60.5\nshare = 0.9\n', '');
-    expect(checkSettings(bare).params.objectives).toStrictEqual([{ kind: 'finished' }]);
+    expect(parseSettings(bare).params.objectives).toStrictEqual([{ kind: 'finished' }]);
   });
 
   test('that are not TOML are refused', () => {
-    expect(faultsOf(() => checkSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
+    expect(faultsOf(() => parseSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
   });
 });
 
@@ -299,7 +300,7 @@
   const lines = POLICY_TEXT.trim().split('\n');
 
   test('is read whole', () => {
-    expect(checkPolicy(POLICY_TEXT)(INPUT)).toStrictEqual(POLICY);
+    expect(compilePolicy(POLICY_TEXT)(INPUT)).toStrictEqual(POLICY);
   });
 
   test.each([
@@ -317,7 +318,7 @@
     ['ceil(boot_s * 0.7)', 7],
   ])('may use %s', (expression, value) => {
     const text = POLICY_TEXT.replace('idle_s = 3.5', `idle_s = "${expression}"`);
-    expect(checkPolicy(text)(INPUT).idle_s).toBe(value);
+    expect(compilePolicy(text)(INPUT).idle_s).toBe(value);
   });
 
   test.each([
@@ -334,7 +335,7 @@
     ['patience_s', 'policy.patience_s: missing'],
   ])('is refused without %s', (name, fault) => {
     const text = lines.filter((line) => !line.startsWith(`${name} =`)).join('\n');
-    expect(faultsOf(() => checkPolicy(text))).toEqual([fault]);
+    expect(faultsOf(() => compilePolicy(text))).toEqual([fault]);
   });
 
   test.each([
@@ -353,7 +354,7 @@
     const name = line.split(' ')[0];
     const at = (value: string) =>
       JSON.stringify(
-        Object.values(checkPolicy(POLICY_TEXT.replace(line, `${name} = ${value}`))(INPUT))[
+        Object.values(compilePolicy(POLICY_TEXT.replace(line, `${name} = ${value}`))(INPUT))[
           lines.indexOf(line)
         ],
       );
@@ -370,6 +371,6 @@
     ],
     ['idle_s = "1 +"', ['policy.idle_s (line 3): Unexpected token: EOF  >    1 | 1 +             ^']],
   ])('is refused with %s', (instead, fault) => {
-    expect(faultsOf(() => checkPolicy(POLICY_TEXT.replace('idle_s = 3.5', instead)))).toEqual(fault);
+    expect(faultsOf(() => compilePolicy(POLICY_TEXT.replace('idle_s = 3.5', instead)))).toEqual(fault);
   });
 });
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -2,8 +2,9 @@
 import type { ApiAnswer } from '../../src/core/api.js';
 import type { Controller } from '../../src/core/controller.js';
 import type { Clock, JobSpec } from '../../src/core/types.js';
-import { makeApp, serve } from '../../src/io/http.js';
-import type { Answer } from '../../src/io/server.js';
+import { createRequestHandler } from '../../src/io/http-api.js';
+import type { HttpResponse } from '../../src/io/http-server.js';
+import { createUserApi } from '../../src/io/user-api.js';
 import { readJob, writeState } from '../../src/wire/jobs.js';
 
 const JOB_TEXT =
@@ -61,9 +62,10 @@
     ready: () => of.ready ?? true,
     elsewhere: () => of.elsewhere ?? false,
   } satisfies Partial<Record<keyof Controller, unknown>> as unknown as Controller;
-  const served = serve(makeApp(controller, clock, log), controller, log);
-  const reply = await new Promise<Answer>((done) =>
-    served({ method, path, status: 0, headers: [], body, keepAlive: true }, done),
+  const userApi = createUserApi({ controller, clock, log });
+  const handle = createRequestHandler({ userApi, controller, log });
+  const reply = await new Promise<HttpResponse>((done) =>
+    handle({ method, path, status: 0, rawHeaders: [], body, keepAlive: true }, done),
   );
   const { 'Retry-After': again, ...others } = reply.headers ?? {};
   if (again !== undefined) expect(again).toMatch(/^[123]$/);
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -1,8 +1,8 @@
 import { afterAll, beforeAll, describe, expect, test } from 'vitest';
 import type { Controller, ReportAnswer } from '../../src/core/controller.js';
 import type { ExitWhy, Result, TaskPhase, WorkerCommand, WorkerReport } from '../../src/core/types.js';
-import { report } from '../../src/io/http.js';
-import { WorkerClients } from '../../src/io/workers.js';
+import { answerHeartbeat } from '../../src/io/http-api.js';
+import { WorkerClient } from '../../src/io/worker-client.js';
 import { readReport } from '../../src/wire/worker.js';
 import { RecordingServer } from './recording-server.js';
 
@@ -108,7 +108,7 @@
         return answer;
       },
     };
-    const reply = report(controller as Controller, log, text);
+    const reply = answerHeartbeat(controller as Controller, log, text);
     return { reply, reports };
   };
 
@@ -150,7 +150,7 @@
   const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
     server.reply = { status, text };
     return new Promise<Result<WorkerReport>>((done) =>
-      new WorkerClients(1).commands(address, 41, 3, commands, done),
+      new WorkerClient(1).commands(address, 41, 3, commands, done),
     );
   };
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -213,6 +213,6 @@
       noticeS: null,
       tasks: [],
     });
-  controller.push({ k: 'tick' });
+  controller.push({ type: 'tick' });
   expect(sent).toEqual([MACHINES]);
 });
--- a/test/standin/day.ts
+++ b/test/standin/day.ts
@@ -65,7 +65,7 @@
       for (const h of w.hosts)
         for (const o of w.hosts) {
           const p = w.procs.get(h);
-          if (h !== o && mode === 'reset' && p?.alive) p.ctl.push({ k: 'link', host: o, up: true });
+          if (h !== o && mode === 'reset' && p?.alive) p.ctl.push({ type: 'link', host: o, up: true });
         }
     });
   };
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -3,7 +3,7 @@
 import { Controller, type MeshMsg, type ReportAnswer } from '../../src/core/controller.js';
 import type { Clock, Fields, JobSpec, Logger, WorkerReport } from '../../src/core/types.js';
 import { taskKey } from '../../src/core/types.js';
-import { checkPolicy } from '../../src/settings/policy.js';
+import { compilePolicy } from '../../src/settings/policy.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/wire/peer-codec.js';
 import { Admission } from './admission.js';
 import { CloudStandin } from './cloud.js';
@@ -18,7 +18,7 @@
 import { Waiting } from './waiting.js';
 import { type Task, WorkerStandin } from './worker.js';
 
-const POLICY = checkPolicy(readFileSync(new URL('../../deploy/policy.toml', import.meta.url), 'utf8'));
+const POLICY = compilePolicy(readFileSync(new URL('../../deploy/policy.toml', import.meta.url), 'utf8'));
 /** `gang_peer_s` of the protocol: all tasks of a gang are told within this time of the first. */
 const GANG_PEER_MS = 6000;
 
@@ -153,7 +153,7 @@
             const q = this.procs.get(to);
             const received = decodePeerMessage(JSON.parse(text));
             if (!received) throw new Error(`not a peer message: ${text}`);
-            if (q) this.enter(q, () => q.ctl.push({ k: 'mesh', m: received }));
+            if (q) this.enter(q, () => q.ctl.push({ type: 'mesh', m: received }));
           });
         },
       },
@@ -163,8 +163,8 @@
     for (const other of this.hosts) {
       const q = this.procs.get(other);
       if (other === host || !q?.alive) continue;
-      q.ctl.push({ k: 'link', host, up: true });
-      p.ctl.push({ k: 'link', host: other, up: true });
+      q.ctl.push({ type: 'link', host, up: true });
+      p.ctl.push({ type: 'link', host: other, up: true });
     }
   }
 
