--- a/src/core/api.ts
+++ b/src/core/api.ts
@@ -1,13 +1,13 @@
 import { counterRecord, finalRecord, jobRecord } from '../wire/record-codec.js';
-import { Counter } from './graph.js';
-import type { Mirror } from './mirror.js';
-import { type CountRecord, decodeBits, type EndRecord, type OpenRecord } from './records.js';
-import { slots } from './room.js';
+import { DependencyCounter } from './graph.js';
+import type { WatchCache } from './mirror.js';
+import { type CounterRecord, decodeBitmap, type FinalRecord, type JobRecord } from './records.js';
+import { slotsIn } from './room.js';
 import {
   type JobSpec,
+  type KeyValueStore,
   type Logger,
   type MachineType,
-  type StatePort,
   type Team,
   URGENCY,
   type Urgency,
@@ -15,91 +15,96 @@
 
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 export type ApiAnswer =
-  | { s: 'job'; created: boolean; state: JobState; done: number; running: number }
-  | { s: 'unknown' }
-  | { s: 'never'; reason: string }
-  | { s: 'later'; reason: string };
-export type Answer = (a: ApiAnswer) => void;
+  | { type: 'job'; created: boolean; state: JobState; done: number; running: number }
+  | { type: 'notFound' }
+  | { type: 'rejected'; reason: string }
+  | { type: 'unavailable'; reason: string };
+export type AnswerCallback = (answer: ApiAnswer) => void;
 
-interface Found {
-  open: { rec: OpenRecord; version: number } | null;
-  count: { rec: CountRecord; version: number } | null;
-  end: EndRecord | null;
+interface StoredAnswer {
+  job: { record: JobRecord; modRevision: number } | null;
+  counter: { record: CounterRecord; modRevision: number } | null;
+  final: FinalRecord | null;
 }
 
 /** Answers users from what the state service holds when they ask; only final answers are kept here. */
-export class Api {
-  private readonly finals = new Map<string, EndRecord>();
+export class JobApi {
+  private readonly finalRecords = new Map<string, FinalRecord>();
 
   constructor(
-    private readonly state: StatePort,
-    private readonly open: Mirror,
+    private readonly store: KeyValueStore,
+    private readonly openJobs: WatchCache,
     private readonly teams: Map<string, Team>,
-    private readonly types: () => MachineType[],
+    private readonly machineTypes: () => MachineType[],
     private readonly log: Logger,
-    private readonly now: () => number,
+    private readonly wallTime: () => number,
     /** A user is about to be told that a job is cancelled. */
-    private readonly cancelled: (id: string) => void,
+    private readonly onCancelled: (id: string) => void,
   ) {}
 
   /** Null: some allowed type holds a task. */
-  private whyNever(s: JobSpec): string | null {
+  private rejectionReason(s: JobSpec): string | null {
     const team = this.teams.get(s.team);
     if (!team) return `unknown team ${s.team}`;
-    const n = s.shape === 'array' ? 1 : s.tasks;
-    if (team.cpusMax > 0 && s.cpus * n > team.cpusMax + 1e-9) return 'needs more CPUs than its team may use';
-    if (team.gpusMax > 0 && s.gpus * n > team.gpusMax + 1e-9) return 'needs more GPUs than its team may use';
-    const fit = this.types().some(
-      (t) =>
-        (s.types === null || s.types.includes(t.name)) &&
-        (s.zone === null || t.zones.includes(s.zone)) &&
-        slots(t, s) >= 1,
+    const n = s.kind === 'array' ? 1 : s.taskCount;
+    if (team.maxCpus > 0 && s.cpus * n > team.maxCpus + 1e-9) return 'needs more CPUs than its team may use';
+    if (team.maxGpus > 0 && s.gpus * n > team.maxGpus + 1e-9) return 'needs more GPUs than its team may use';
+    const fit = this.machineTypes().some(
+      (machineType) =>
+        (s.machineTypes === null || s.machineTypes.includes(machineType.name)) &&
+        (s.zone === null || machineType.zones.includes(s.zone)) &&
+        slotsIn(machineType, s) >= 1,
     );
     return fit ? null : 'no allowed machine type has room for a task';
   }
 
-  submit(spec: JobSpec, cb: Answer): void {
-    const known = this.types().length > 0;
-    const never = known || !this.teams.has(spec.team) ? this.whyNever(spec) : null;
+  submitJob(spec: JobSpec, callback: AnswerCallback): void {
+    const known = this.machineTypes().length > 0;
+    const never = known || !this.teams.has(spec.team) ? this.rejectionReason(spec) : null;
     if (never !== null || !known) {
       // A job once accepted is never refused, whatever its repeat holds.
-      return this.find(spec.id, URGENCY.read, (f) => {
-        if (f === null) return cb({ s: 'later', reason: 'state service not reached' });
-        const a = this.answer(spec.id, f, false);
-        if (a.s !== 'unknown') return cb(a);
-        cb(
+      return this.find(spec.id, URGENCY.read, (found) => {
+        if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
+        const answer = this.answer(spec.id, found, false);
+        if (answer.type !== 'notFound') return callback(answer);
+        callback(
           never !== null
-            ? { s: 'never', reason: never }
-            : { s: 'later', reason: 'machine types not known yet' },
+            ? { type: 'rejected', reason: never }
+            : { type: 'unavailable', reason: 'machine types not known yet' },
         );
       });
     }
-    if (this.open.failing) {
-      this.open.probe();
-      return cb({ s: 'later', reason: 'state service not reached' });
+    if (this.openJobs.isFailing) {
+      this.openJobs.requestRead();
+      return callback({ type: 'unavailable', reason: 'state service not reached' });
     }
-    const rec: OpenRecord = { j: spec };
+    const record: JobRecord = { spec: spec };
     const attempt = (left: number) => {
-      this.state.txn(
+      this.store.compareAndSwap(
         {
-          when: [
-            { key: `open/${spec.id}/a`, version: 0 },
-            { key: `end/${spec.id}`, version: 0 },
+          preconditions: [
+            { key: `open/${spec.id}/a`, modRevision: 0 },
+            { key: `end/${spec.id}`, modRevision: 0 },
           ],
-          then: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(rec) }],
+          operations: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
         },
         URGENCY.user,
-        (r) => {
-          if (r.ok) {
-            this.log.debug({ job: spec.id, team: spec.team, tasks: spec.tasks }, 'accepted');
-            return cb({ s: 'job', created: true, state: 'queued', done: 0, running: 0 });
+        (result) => {
+          if (result.ok) {
+            this.log.debug({ job: spec.id, team: spec.team, tasks: spec.taskCount }, 'accepted');
+            return callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
           }
-          if (r.kind === 'unknown' && left > 0) return attempt(left - 1);
-          if (r.kind !== 'conflict') return cb({ s: 'later', reason: 'state service not reached' });
-          this.find(spec.id, URGENCY.read, (f) => {
-            if (f === null) return cb({ s: 'later', reason: 'state service not reached' });
-            const a = this.answer(spec.id, f, false);
-            cb(a.s === 'unknown' ? { s: 'later', reason: 'state changed meanwhile' } : a);
+          if (result.kind === 'unknown' && left > 0) return attempt(left - 1);
+          if (result.kind !== 'conflict')
+            return callback({ type: 'unavailable', reason: 'state service not reached' });
+          this.find(spec.id, URGENCY.read, (found) => {
+            if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
+            const answer = this.answer(spec.id, found, false);
+            callback(
+              answer.type === 'notFound'
+                ? { type: 'unavailable', reason: 'state changed meanwhile' }
+                : answer,
+            );
           });
         },
       );
@@ -108,36 +113,52 @@
   }
 
   /** For a submission that is malformed but names a job. */
-  poll(id: string, cb: Answer): void {
-    this.find(id, URGENCY.read, (f) =>
-      cb(f === null ? { s: 'later', reason: 'state service not reached' } : this.answer(id, f, false)),
+  getJob(id: string, callback: AnswerCallback): void {
+    this.find(id, URGENCY.read, (found) =>
+      callback(
+        found === null
+          ? { type: 'unavailable', reason: 'state service not reached' }
+          : this.answer(id, found, false),
+      ),
     );
   }
 
-  abort(id: string, cb: Answer): void {
+  cancelJob(id: string, callback: AnswerCallback): void {
     const attempt = (left: number) => {
-      this.find(id, URGENCY.user, (f) => {
-        if (f === null) return cb({ s: 'later', reason: 'state service not reached' });
-        const a = this.answer(id, f, false);
-        if (a.s !== 'job' || a.state === 'done' || a.state === 'cancelled' || !f.open) return cb(a);
-        const rec: OpenRecord = { j: f.open.rec.j, o: f.open.rec.o ?? f.open.version, x: true };
-        this.state.txn(
+      this.find(id, URGENCY.user, (found) => {
+        if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
+        const answer = this.answer(id, found, false);
+        if (answer.type !== 'job' || answer.state === 'done' || answer.state === 'cancelled' || !found.job)
+          return callback(answer);
+        const record: JobRecord = {
+          spec: found.job.record.spec,
+          acceptedRevision: found.job.record.acceptedRevision ?? found.job.modRevision,
+          cancelled: true,
+        };
+        this.store.compareAndSwap(
           {
-            when: [
-              { key: `open/${id}/a`, version: f.open.version },
-              { key: `open/${id}/n`, version: f.count?.version ?? 0 },
+            preconditions: [
+              { key: `open/${id}/a`, modRevision: found.job.modRevision },
+              { key: `open/${id}/n`, modRevision: found.counter?.modRevision ?? 0 },
             ],
-            then: [{ put: `open/${id}/a`, value: jobRecord.encode(rec) }],
+            operations: [{ put: `open/${id}/a`, value: jobRecord.encode(record) }],
           },
           URGENCY.lease,
-          (r) => {
-            if (r.ok) {
+          (result) => {
+            if (result.ok) {
               this.log.debug({ job: id }, 'cancelled by its user');
-              this.keep(id, { d: false, n: a.done });
-              return cb({ s: 'job', created: false, state: 'cancelled', done: a.done, running: 0 });
+              this.rememberFinal(id, { isDone: false, finishedTasks: answer.done });
+              return callback({
+                type: 'job',
+                created: false,
+                state: 'cancelled',
+                done: answer.done,
+                running: 0,
+              });
             }
-            if ((r.kind === 'conflict' || r.kind === 'unknown') && left > 0) return attempt(left - 1);
-            cb({ s: 'later', reason: 'state service not reached' });
+            if ((result.kind === 'conflict' || result.kind === 'unknown') && left > 0)
+              return attempt(left - 1);
+            callback({ type: 'unavailable', reason: 'state service not reached' });
           },
         );
       });
@@ -145,64 +166,70 @@
     attempt(6);
   }
 
-  private find(id: string, u: Urgency, cb: (f: Found | null) => void): void {
-    const final = this.finals.get(id);
-    if (final) return cb({ open: null, count: null, end: final });
+  private find(id: string, urgency: Urgency, callback: (found: StoredAnswer | null) => void): void {
+    const final = this.finalRecords.get(id);
+    if (final) return callback({ job: null, counter: null, final: final });
     // One read of what has changed answers all questions that came before it was sent.
-    this.open.fresh((ok) => {
-      if (!ok) return cb(null);
-      const a = this.open.items.get(`open/${id}/a`);
-      const n = this.open.items.get(`open/${id}/n`);
-      const f: Found = { open: null, count: null, end: null };
+    this.openJobs.linearizableRead((ok) => {
+      if (!ok) return callback(null);
+      const a = this.openJobs.items.get(`open/${id}/a`);
+      const n = this.openJobs.items.get(`open/${id}/n`);
+      const found: StoredAnswer = { job: null, counter: null, final: null };
       // Final here meanwhile: an abort may have been answered while the read was on its way.
-      const over = this.finals.get(id);
-      if (over) return cb({ ...f, end: over });
-      if (a) f.open = { rec: jobRecord.decode(a.value), version: a.version };
-      if (n) f.count = { rec: counterRecord.decode(n.value), version: n.version };
-      if (f.open) return cb(f);
+      const over = this.finalRecords.get(id);
+      if (over) return callback({ ...found, final: over });
+      if (a) found.job = { record: jobRecord.decode(a.value), modRevision: a.modRevision };
+      if (n) found.counter = { record: counterRecord.decode(n.value), modRevision: n.modRevision };
+      if (found.job) return callback(found);
       // Moved to its final record in one transaction: not open (any more), then it is there or was never.
-      this.state.get(`end/${id}`, u, (e) => {
-        if (!e.ok) return cb(null);
+      this.store.get(`end/${id}`, urgency, (e) => {
+        if (!e.ok) return callback(null);
         if (e.value) {
-          f.end = finalRecord.decode(e.value.value);
-          this.keep(id, f.end);
+          found.final = finalRecord.decode(e.value.value);
+          this.rememberFinal(id, found.final);
         }
-        cb(f);
+        callback(found);
       });
     });
   }
 
-  private keep(id: string, e: EndRecord): void {
-    this.finals.set(id, e);
-    if (!e.d) this.cancelled(id);
-    if (this.finals.size > 20000)
-      for (const k of [...this.finals.keys()].slice(0, 5000)) this.finals.delete(k);
+  private rememberFinal(id: string, record: FinalRecord): void {
+    this.finalRecords.set(id, record);
+    if (!record.isDone) this.onCancelled(id);
+    if (this.finalRecords.size > 20000)
+      for (const k of [...this.finalRecords.keys()].slice(0, 5000)) this.finalRecords.delete(k);
   }
 
-  private answer(id: string, f: Found, created: boolean): ApiAnswer {
-    if (f.end) {
-      return { s: 'job', created, state: f.end.d ? 'done' : 'cancelled', done: f.end.n, running: 0 };
+  private answer(id: string, found: StoredAnswer, created: boolean): ApiAnswer {
+    if (found.final) {
+      return {
+        type: 'job',
+        created,
+        state: found.final.isDone ? 'done' : 'cancelled',
+        done: found.final.finishedTasks,
+        running: 0,
+      };
     }
-    if (!f.open) return { s: 'unknown' };
-    const spec = f.open.rec.j;
-    const n = f.count?.rec.n ?? 0;
-    if (f.open.rec.x === true) {
-      this.keep(id, { d: false, n });
-      return { s: 'job', created, state: 'cancelled', done: n, running: 0 };
+    if (!found.job) return { type: 'notFound' };
+    const spec = found.job.record.spec;
+    const n = found.counter?.record.finishedTasks ?? 0;
+    if (found.job.record.cancelled === true) {
+      this.rememberFinal(id, { isDone: false, finishedTasks: n });
+      return { type: 'job', created, state: 'cancelled', done: n, running: 0 };
     }
-    if (f.count && n >= spec.tasks && spec.shape !== 'service') {
-      const c = new Counter(spec.tasks);
-      decodeBits(c, f.count.rec.b);
-      if (c.full) {
-        this.keep(id, { d: true, n });
-        return { s: 'job', created, state: 'done', done: n, running: 0 };
+    if (found.counter && n >= spec.taskCount && spec.kind !== 'service') {
+      const counter = new DependencyCounter(spec.taskCount);
+      decodeBitmap(counter, found.counter.record.finishedBitmap);
+      if (counter.isFull) {
+        this.rememberFinal(id, { isDone: true, finishedTasks: n });
+        return { type: 'job', created, state: 'done', done: n, running: 0 };
       }
     }
-    const running = f.count?.rec.r ?? 0;
-    return { s: 'job', created, state: n + running > 0 ? 'running' : 'queued', done: n, running };
+    const running = found.counter?.record.runningTasks ?? 0;
+    return { type: 'job', created, state: n + running > 0 ? 'running' : 'queued', done: n, running };
   }
 
   nowMs(): number {
-    return this.now();
+    return this.wallTime();
   }
 }
--- a/src/core/booting.ts
+++ b/src/core/booting.ts
@@ -1,17 +1,17 @@
-import type { Ledger } from './ledger.js';
-import { emptyRoom, type Room } from './room.js';
+import type { ClusterState } from './ledger.js';
+import { emptyCapacity, type FreeCapacity } from './room.js';
 
 /** Multiple of a type's boot time after which a machine that is not up is no longer counted on: it may never come. */
 const LATE_BOOT = 1.6;
 
 /** Rooms of the machines that were rented and are about to come up. */
-export function bootingRooms(ledger: Ledger, now: number): Room[] {
-  const rooms: Room[] = [];
-  for (const machine of ledger.machines.values()) {
-    const type = ledger.types.get(machine.type);
-    if (machine.up || machine.removing || !type) continue;
-    if (now - machine.rentedAt > type.bootS * LATE_BOOT * 1000) continue;
-    rooms.push(emptyRoom(type, machine.zone, machine.spot, machine.name));
+export function bootingCapacities(state: ClusterState, now: number): FreeCapacity[] {
+  const capacities: FreeCapacity[] = [];
+  for (const machine of state.machines.values()) {
+    const type = state.machineTypes.get(machine.machineType);
+    if (machine.isUp || machine.isBeingDeleted || !type) continue;
+    if (now - machine.rentedAt > type.bootSeconds * LATE_BOOT * 1000) continue;
+    capacities.push(emptyCapacity(type, machine.zone, machine.isSpot, machine.name));
   }
-  return rooms;
+  return capacities;
 }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -5,409 +5,450 @@
   teamRecord,
   tokenRecord,
 } from '../wire/record-codec.js';
-import { Api } from './api.js';
-import { type Cover, coversMachine, Marks, readGapMs, windowMs } from './horizon.js';
-import { type ImageFact, ImageFacts } from './images.js';
-import { Mirror } from './mirror.js';
-import { Owner } from './owner/owner.js';
+import { JobApi } from './api.js';
+import {
+  type CancellationCoverage,
+  cancellationReadIntervalMs,
+  isLeaseRenewalCovered,
+  PeerTimestamps,
+  renewalWindowMs,
+} from './horizon.js';
+import { type ImageFact, ImageLocations } from './images.js';
+import { WatchCache } from './mirror.js';
+import { ShardOwner } from './owner/owner.js';
 import type { PolicyFn } from './policy.js';
 import { Scheduler } from './scheduler.js';
-import { Told } from './told.js';
+import { CancellationLog } from './told.js';
 import type {
   Clock,
-  CloudPort,
+  CloudProvider,
+  Heartbeat,
+  KeyValueStore,
+  LeaderMessage,
   Logger,
   MachineType,
-  Objective,
-  OwnerMsg,
-  SchedulerMsg,
-  StatePort,
+  ResultCallback,
+  ServiceLevelObjective,
+  ShardMessage,
   Team,
-  Then,
   WorkerCommand,
-  WorkerPort,
-  WorkerReport,
+  WorkerCommandPort,
 } from './types.js';
 import { URGENCY } from './types.js';
 
 /** What controllers say to one another. */
-export type MeshBody =
+export type PeerMessageBody =
   | {
-      type: 'ping';
+      type: 'heartbeat';
       leader: string;
-      token: number;
-      okAgeMs: number;
-      strays: string[];
+      fencingToken: number;
+      storeContactAgeMs: number;
+      redirectedMachines: string[];
       /** A time on the sender's clock. */
-      mark: number;
+      timestamp: number;
       /** The newest mark that the sender had from an instance, and how many cancellations it has told users of. */
-      had: { inst: string; mark: number } | null;
-      told: number;
+      latestTimestamp: { instanceId: string; timestamp: number } | null;
+      cancellationsTold: number;
       /** The leader's `Cover`, as of the newest mark of that instance that it reaches. */
-      cover: { inst: string; mark: number; pending: string[] | null } | null;
+      coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
     }
   /** The n-th cancellation that a user was told of by the sender. */
-  | { type: 'cancelled'; job: string; n: number }
-  | { type: 'images'; add: ImageFact[]; gone: string[] }
-  | { type: 'owner'; to: string; m: OwnerMsg }
-  | { type: 'scheduler'; to: string; m: SchedulerMsg };
-export interface MeshMsg {
-  host: string;
-  inst: string;
-  seq: number;
-  body: MeshBody;
+  | { type: 'cancelled'; jobId: string; cancellationNumber: number }
+  | { type: 'images'; added: ImageFact[]; removedMachines: string[] }
+  | { type: 'toLeader'; recipient: string; message: ShardMessage }
+  | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
+export interface PeerMessage {
+  nodeName: string;
+  instanceId: string;
+  sequence: number;
+  body: PeerMessageBody;
 }
-export interface MeshPort {
-  send(host: string, m: MeshMsg): void;
+export interface PeerTransport {
+  send(host: string, message: PeerMessage): void;
 }
 
 export interface ControllerOptions {
-  host: string;
-  inst: string;
-  peers: string[];
+  nodeName: string;
+  instanceId: string;
+  peerNames: string[];
   teams: Team[];
-  workers: { reportS: number; leaseS: number; cancelS: number };
-  state: { valueKb: number; txnOps: number; writeRps: number };
-  listLagS: number;
-  cloudRps: number;
-  objectives: Objective[];
+  workerTiming: { heartbeatIntervalSeconds: number; leaseSeconds: number; cancellationSeconds: number };
+  storeLimits: { maxValueKb: number; maxTransactionOperations: number; writesPerSecond: number };
+  machineListLagSeconds: number;
+  cloudCallsPerSecond: number;
+  objectives: ServiceLevelObjective[];
   /** Lease of a controller's record, in ms. */
-  ttlMs: number;
+  leaseTtlMs: number;
   policy: PolicyFn;
   clock: Clock;
   log: Logger;
-  statePort: StatePort;
-  cloud: CloudPort;
-  worker: WorkerPort;
-  mesh: MeshPort;
+  store: KeyValueStore;
+  cloud: CloudProvider;
+  workers: WorkerCommandPort;
+  peers: PeerTransport;
 }
 
 export interface NodeRecord {
-  inst: string;
-  lease: number;
+  instanceId: string;
+  leaseId: number;
 }
 export interface LeaderRecord {
-  inst: string;
-  host: string;
-  token: number;
+  instanceId: string;
+  nodeName: string;
+  fencingToken: number;
 }
 
 export interface TokenRecord {
-  n: number;
+  fencingToken: number;
 }
-export interface TeamRecord {
-  inst: string;
+export interface OwnerRecord {
+  instanceId: string;
 }
 
 type Command =
-  | { type: 'mesh'; m: MeshMsg }
-  | { type: 'link'; host: string; up: boolean }
+  | { type: 'peerMessage'; message: PeerMessage }
+  | { type: 'peerConnection'; nodeName: string; isUp: boolean }
   | { type: 'reply'; run: () => void }
   | { type: 'tick' };
 
 /** Least time between two watches of the open jobs, which change several times a second. */
-const OPEN_GAP_MS = 100;
+const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
 
 /** Most facts about images in one message. */
-const IMAGES_PART = 2000;
+const MAX_IMAGE_FACTS_PER_MESSAGE = 2000;
 /** Lag behind a sibling's last answer from the state service from which users that can't be served are sent on. */
-const BEHIND_MS = 700;
+const USER_REDIRECT_LAG_MS = 700;
 /** So long nobody in touch is heard before a controller takes itself for alone. */
-const ALONE_MS = 2500;
+const ISOLATED_AFTER_MS = 2500;
 /** So long an owner may tell nothing of cancellations while the state service answers; so long it gets no team then. */
-const DEAF_MS = 10000;
-const DEAF_PAUSE_MS = 60000;
+const UNREACHABLE_AFTER_MS = 10000;
+const UNREACHABLE_PAUSE_MS = 60000;
 /** Most machines named in one message: 200 KB, five times a fleet of 4,000 machines. */
-const MOST_MACHINES_NAMED = 20000;
+const MAX_MACHINES_PER_MESSAGE = 20000;
 /** Part of a lease by which a sibling's last answer from the state service must be later than this one's own. */
-const ALONE = 0.6;
+const READINESS_LAG_SHARE = 0.6;
 
-export type ReportAnswer =
-  | { s: 'ok'; token: number; cmds: WorkerCommand[] }
-  | { s: 'other'; leader: string | null }
-  | { s: 'later' };
+export type HeartbeatResult =
+  | { type: 'accepted'; fencingToken: number; commands: WorkerCommand[] }
+  | { type: 'redirected'; leaderName: string | null }
+  | { type: 'unavailable' };
 
 /** One process's state: its lease, owner, scheduler and API. All changes come through one queue. */
 export class Controller {
-  readonly api: Api;
-  private readonly owner: Owner;
+  readonly api: JobApi;
+  private readonly owner: ShardOwner;
   private scheduler: Scheduler | null = null;
-  private readonly sys: Mirror;
-  private readonly open: Mirror;
-  private readonly state: StatePort;
+  private readonly systemRecords: WatchCache;
+  private readonly openJobs: WatchCache;
+  private readonly store: KeyValueStore;
   private readonly queue: Command[] = [];
   private scheduled = false;
-  private seq = 0;
-  private lease = 0;
-  private leaseAt = 0;
-  private leaseBusy = false;
-  private predecessorDone = false;
-  private leaderMark = 0;
+  private messageSequence = 0;
+  private leaseId = 0;
+  private leaseRenewedAt = 0;
+  private leaseRequestInFlight = false;
+  private predecessorLeaseRevoked = false;
+  private leaderRevision = 0;
   private electing = false;
-  private noElectUntil = 0;
-  private electAt = 0;
+  private noElectionUntil = 0;
+  private nextElectionAt = 0;
   private assigning = false;
-  private rebalanceAt = 0;
-  private ledToken = 0;
-  private ledAt = 0;
+  private nextRebalanceAt = 0;
+  private leaderTerm = 0;
+  private leadingSince = 0;
   private readonly superseded = new Set<string>();
-  private raiseAt = 0;
-  private giveUpAt = 0;
-  private givingUp = false;
-  private stateOkAt: number;
-  private leader: LeaderRecord = { inst: '', host: '', token: 0 };
-  private heard = new Map<string, { inst: string; at: number; seq: number; okAt: number; marks: Marks }>();
-  private inherited: Cover | null = null;
-  private readonly told: Told;
-  private readonly deafUntil = new Map<string, number>();
-  private types: MachineType[] = [];
-  private typesAt = Number.NEGATIVE_INFINITY;
-  private typesBusy = false;
+  private nextTokenRaiseAt = 0;
+  private nextWithdrawalAt = 0;
+  private withdrawalInFlight = false;
+  private storeContactAt: number;
+  private leader: LeaderRecord = { instanceId: '', nodeName: '', fencingToken: 0 };
+  private peers = new Map<
+    string,
+    {
+      instanceId: string;
+      heardAt: number;
+      messageSequence: number;
+      storeContactAt: number;
+      timestamps: PeerTimestamps;
+    }
+  >();
+  private inheritedCoverage: CancellationCoverage | null = null;
+  private readonly cancellations: CancellationLog;
+  private readonly unreachableUntil = new Map<string, number>();
+  private machineTypes: MachineType[] = [];
+  private machineTypesAskedAt = Number.NEGATIVE_INFINITY;
+  private machineTypesInFlight = false;
   private readonly teams: Map<string, Team>;
 
-  constructor(private readonly o: ControllerOptions) {
-    this.teams = new Map(o.teams.map((t) => [t.name, t]));
-    this.told = new Told(o.peers);
-    this.stateOkAt = o.clock.now() - 1e6;
-    this.state = this.watched(o.statePort);
-    const cloud = this.queuedCloud(o.cloud);
-    this.owner = new Owner({
-      host: o.host,
-      inst: o.inst,
+  constructor(private readonly options: ControllerOptions) {
+    this.teams = new Map(options.teams.map((team) => [team.name, team]));
+    this.cancellations = new CancellationLog(options.peerNames);
+    this.storeContactAt = options.clock.now() - 1e6;
+    this.store = this.watched(options.store);
+    const cloud = this.queuedCloud(options.cloud);
+    this.owner = new ShardOwner({
+      nodeName: options.nodeName,
+      instanceId: options.instanceId,
       teams: this.teams,
-      valueKb: o.state.valueKb,
-      txnOps: o.state.txnOps,
-      writeRps: o.state.writeRps,
-      batch: Math.max(1, Math.round(o.policy(NO_INPUT).batch_tasks)),
-      noticeGraceS: 1,
-      objectives: o.objectives,
-      openItems: () => this.open.items,
-      openReadAsOf: () => this.open.readAsOf,
-      readOpen: () => {
-        if (o.clock.now() - this.open.readAsOf >= readGapMs(o.workers)) this.open.probe();
+      maxValueKb: options.storeLimits.maxValueKb,
+      maxTransactionOperations: options.storeLimits.maxTransactionOperations,
+      writesPerSecond: options.storeLimits.writesPerSecond,
+      maxTasksPerRequest: Math.max(1, Math.round(options.policy(NO_INPUT).batch_tasks)),
+      noticeGraceSeconds: 1,
+      objectives: options.objectives,
+      openJobItems: () => this.openJobs.items,
+      openJobsFreshAsOf: () => this.openJobs.freshAsOf,
+      refreshOpenJobs: () => {
+        if (options.clock.now() - this.openJobs.freshAsOf >= cancellationReadIntervalMs(options.workerTiming))
+          this.openJobs.requestRead();
       },
-      state: this.state,
-      clock: o.clock,
-      log: o.log,
-      send: (m) => this.toScheduler(m),
+      store: this.store,
+      clock: options.clock,
+      log: options.log,
+      send: (message) => this.sendToLeader(message),
       wake: () => this.wake(),
     });
     this.cloud = cloud;
-    this.sys = new Mirror('sys/', 10000, 0, this.state, o.clock, (key) => this.sysChanged(key));
+    this.systemRecords = new WatchCache('sys/', 10000, 0, this.store, options.clock, (key) =>
+      this.onSystemRecordChanged(key),
+    );
     // Followed while this controller owns a team; the API alone catches up when it is asked.
-    this.open = new Mirror(
+    this.openJobs = new WatchCache(
       'open/',
       10000,
-      OPEN_GAP_MS,
-      this.state,
-      o.clock,
+      OPEN_JOBS_WATCH_INTERVAL_MS,
+      this.store,
+      options.clock,
       (key, value, version) => {
         if (value === undefined) return;
         const [, id, part] = key.split('/');
-        if (id && part) this.owner.openChanged(id, part, value, version);
+        if (id && part) this.owner.onOpenJobChanged(id, part, value, version);
       },
       false,
     );
-    this.api = new Api(
-      this.state,
-      this.open,
+    this.api = new JobApi(
+      this.store,
+      this.openJobs,
       this.teams,
-      () => this.types,
-      o.log,
-      () => o.clock.wall(),
-      (id) => this.tellCancelled(id),
+      () => this.machineTypes,
+      options.log,
+      () => options.clock.wall(),
+      (id) => this.announceCancellation(id),
     );
   }
 
-  private readonly cloud: CloudPort;
+  private readonly cloud: CloudProvider;
 
   start(): void {
-    this.sys.start();
-    this.open.start();
+    this.systemRecords.start();
+    this.openJobs.start();
     const beat = () => {
       this.push({ type: 'tick' });
-      this.o.clock.after(500, beat);
+      this.options.clock.after(500, beat);
     };
     beat();
   }
 
   // ---- the queue --------------------------------------------------------------------------------------
 
-  push(c: Command): void {
-    this.queue.push(c);
+  push(command: Command): void {
+    this.queue.push(command);
     this.wake();
   }
 
   private wake(): void {
     if (this.scheduled) return;
     this.scheduled = true;
-    this.o.clock.soon(() => this.run());
+    this.options.clock.soon(() => this.run());
   }
 
   private run(): void {
     this.scheduled = false;
-    for (const c of this.queue.splice(0)) this.handle(c);
+    for (const command of this.queue.splice(0)) this.execute(command);
     this.owner.flush();
     this.scheduler?.flush();
   }
 
-  private handle(c: Command): void {
-    switch (c.type) {
+  private execute(command: Command): void {
+    switch (command.type) {
       case 'reply':
-        return c.run();
+        return command.run();
       case 'tick':
         return this.tick();
-      case 'mesh':
-        return this.fromMesh(c.m);
-      case 'link':
-        return this.link(c.host, c.up);
+      case 'peerMessage':
+        return this.onPeerMessage(command.message);
+      case 'peerConnection':
+        return this.onPeerConnected(command.nodeName, command.isUp);
     }
   }
 
-  private reply<T>(cb: Then<T>): Then<T> {
-    return (r) => this.push({ type: 'reply', run: () => cb(r) });
+  private reply<T>(callback: ResultCallback<T>): ResultCallback<T> {
+    return (result) => this.push({ type: 'reply', run: () => callback(result) });
   }
 
   /** Replies come through the queue, and each success tells that the state service is in reach. */
-  private watched(s: StatePort): StatePort {
-    const cb = <T>(then: Then<T>): Then<T> => {
-      const sent = this.o.clock.now();
-      return this.reply((r) => {
-        if (r.ok || r.kind === 'conflict' || r.kind === 'gone')
-          this.stateOkAt = Math.max(this.stateOkAt, sent);
-        then(r);
+  private watched(s: KeyValueStore): KeyValueStore {
+    const callback = <T>(then: ResultCallback<T>): ResultCallback<T> => {
+      const sent = this.options.clock.now();
+      return this.reply((result) => {
+        if (result.ok || result.kind === 'conflict' || result.kind === 'gone')
+          this.storeContactAt = Math.max(this.storeContactAt, sent);
+        then(result);
       });
     };
     return {
-      get: (k, u, t) => s.get(k, u, cb(t)),
-      list: (p, a, u, t) => s.list(p, a, u, cb(t)),
-      txn: (x, u, t) => s.txn(x, u, cb(t)),
-      grant: (ms, t) => s.grant(ms, cb(t)),
-      touch: (l, t) => s.touch(l, cb(t)),
-      end: (l, t) => s.end(l, cb(t)),
+      get: (k, urgency, t) => s.get(k, urgency, callback(t)),
+      list: (p, a, urgency, t) => s.list(p, a, urgency, callback(t)),
+      compareAndSwap: (x, urgency, t) => s.compareAndSwap(x, urgency, callback(t)),
+      grantLease: (ms, t) => s.grantLease(ms, callback(t)),
+      keepLeaseAlive: (l, t) => s.keepLeaseAlive(l, callback(t)),
+      revokeLease: (l, t) => s.revokeLease(l, callback(t)),
       // A watch that waits may be answered long after; one that doesn't tells as much as any read.
-      watch: (p, a, w, t) => s.watch(p, a, w, w === 0 ? cb(t) : this.reply(t)),
+      watch: (p, a, w, t) => s.watch(p, a, w, w === 0 ? callback(t) : this.reply(t)),
     };
   }
 
-  private queuedCloud(c: CloudPort): CloudPort {
+  private queuedCloud(c: CloudProvider): CloudProvider {
     return {
-      types: (t) => c.types(this.reply(t)),
-      rent: (a, b, d, e, f, t) => c.rent(a, b, d, e, f, this.reply(t)),
-      remove: (n, t) => c.remove(n, this.reply(t)),
-      list: (a, t) => c.list(a, this.reply(t)),
+      listMachineTypes: (t) => c.listMachineTypes(this.reply(t)),
+      rentMachines: (a, b, d, e, f, t) => c.rentMachines(a, b, d, e, f, this.reply(t)),
+      deleteMachines: (n, t) => c.deleteMachines(n, this.reply(t)),
+      listMachines: (a, t) => c.listMachines(a, this.reply(t)),
     };
   }
 
   // ---- ticks --------------------------------------------------------------------------------------------
 
   private tick(): void {
-    const now = this.o.clock.now();
-    this.keepLease(now);
+    const now = this.options.clock.now();
+    this.renewLease(now);
     this.elect(now);
-    this.giveUp(now);
-    this.assignTeams(now);
-    this.learnTypes(now);
+    this.withdrawStaleLeadership(now);
+    this.assignShards(now);
+    this.refreshMachineTypes(now);
     this.scheduler?.tick();
-    const cover = this.keepCover(now);
-    const news = this.images.news();
-    if (this.scheduler && news.add.length + news.gone.length > 0)
-      for (const p of this.o.peers) this.meshSend(p, { type: 'images', ...news });
-    const strays = [...this.strays].slice(0, MOST_MACHINES_NAMED);
-    this.strays.clear();
-    for (const p of this.o.peers)
-      this.meshSend(p, {
-        type: 'ping',
-        leader: this.leader.host,
-        token: this.leader.token,
-        okAgeMs: Math.max(0, now - this.stateOkAt),
-        strays: p === this.leader.host ? strays : [],
-        mark: now,
-        had: this.hadFrom(p),
-        told: this.told.n,
-        cover: this.coverFor(p, cover),
+    const cover = this.updateCoverage(now);
+    const news = this.images.takeChanges();
+    if (this.scheduler && news.added.length + news.removedMachines.length > 0)
+      for (const p of this.options.peerNames) this.sendToPeer(p, { type: 'images', ...news });
+    const strays = [...this.redirectedMachines].slice(0, MAX_MACHINES_PER_MESSAGE);
+    this.redirectedMachines.clear();
+    for (const p of this.options.peerNames)
+      this.sendToPeer(p, {
+        type: 'heartbeat',
+        leader: this.leader.nodeName,
+        fencingToken: this.leader.fencingToken,
+        storeContactAgeMs: Math.max(0, now - this.storeContactAt),
+        redirectedMachines: p === this.leader.nodeName ? strays : [],
+        timestamp: now,
+        latestTimestamp: this.latestTimestampOf(p),
+        cancellationsTold: this.cancellations.toldHere,
+        coverage: this.coverageForPeer(p, cover),
       });
   }
 
   /** The leader marks a moment for its owners, and takes down what is covered for whoever leads next. */
-  private keepCover(now: number): { at: number; pending: string[] } | null {
-    const k = this.scheduler;
-    if (!k) return null;
-    for (const inst of new Set([...this.teamRecords().values()].map((r) => r.inst)))
-      this.toOwner(inst, { type: 'mark', token: k.token, at: now });
-    const c = k.cover();
+  private updateCoverage(now: number): { at: number; pendingMachines: string[] } | null {
+    const scheduler = this.scheduler;
+    if (!scheduler) return null;
+    for (const instanceId of new Set([...this.shardOwners().values()].map((r) => r.instanceId)))
+      this.sendToShardOwner(instanceId, {
+        type: 'timestamp',
+        fencingToken: scheduler.fencingToken,
+        leaderTimestamp: now,
+      });
+    const c = scheduler.coverage();
     if (c)
-      this.inherit({ at: c.at, pending: c.pending.length > MOST_MACHINES_NAMED ? null : new Set(c.pending) });
+      this.inheritCoverage({
+        completeUntil: c.at,
+        pendingMachines:
+          c.pendingMachines.length > MAX_MACHINES_PER_MESSAGE ? null : new Set(c.pendingMachines),
+      });
     return c;
   }
 
-  private coverFor(
+  private coverageForPeer(
     host: string,
-    c: { at: number; pending: string[] } | null,
-  ): { inst: string; mark: number; pending: string[] | null } | null {
-    const h = this.heard.get(host);
-    const mark = c && h ? h.marks.by(c.at) : null;
+    c: { at: number; pendingMachines: string[] } | null,
+  ): { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null {
+    const h = this.peers.get(host);
+    const mark = c && h ? h.timestamps.latestReceivedBy(c.at) : null;
     if (!c || !h || mark === null) return null;
-    return { inst: h.inst, mark, pending: c.pending.length > MOST_MACHINES_NAMED ? null : c.pending };
+    return {
+      instanceId: h.instanceId,
+      timestamp: mark,
+      pendingMachines: c.pendingMachines.length > MAX_MACHINES_PER_MESSAGE ? null : c.pendingMachines,
+    };
   }
 
-  private hadFrom(host: string): { inst: string; mark: number } | null {
-    const h = this.heard.get(host);
-    const mark = h?.marks.by(Number.POSITIVE_INFINITY) ?? null;
-    return h && mark !== null ? { inst: h.inst, mark } : null;
+  private latestTimestampOf(host: string): { instanceId: string; timestamp: number } | null {
+    const h = this.peers.get(host);
+    const mark = h?.timestamps.latestReceivedBy(Number.POSITIVE_INFINITY) ?? null;
+    return h && mark !== null ? { instanceId: h.instanceId, timestamp: mark } : null;
   }
 
-  private inherit(c: Cover): void {
-    if (!this.inherited || c.at >= this.inherited.at) this.inherited = c;
+  private inheritCoverage(coverage: CancellationCoverage): void {
+    if (!this.inheritedCoverage || coverage.completeUntil >= this.inheritedCoverage.completeUntil)
+      this.inheritedCoverage = coverage;
   }
 
   /**
    * A user is about to be told that a job is cancelled. Whoever leads, now or next, may stop its tasks at once, before
    * their owner reads of it.
    */
-  private tellCancelled(job: string): void {
-    if (!this.told.here(job)) return;
-    this.scheduler?.cancelled(job);
-    for (const p of this.o.peers) this.meshSend(p, { type: 'cancelled', job, n: this.told.n });
+  private announceCancellation(job: string): void {
+    if (!this.cancellations.recordOwn(job)) return;
+    this.scheduler?.onJobCancelled(job);
+    for (const p of this.options.peerNames)
+      this.sendToPeer(p, { type: 'cancelled', jobId: job, cancellationNumber: this.cancellations.toldHere });
   }
 
   /** Ready unless this controller alone is without the state service. */
-  ready(): boolean {
-    const now = this.o.clock.now();
-    if (!this.sys.ready || !this.open.ready) return false;
+  isReady(): boolean {
+    const now = this.options.clock.now();
+    if (!this.systemRecords.isReady || !this.openJobs.isReady) return false;
     // In an outage for all nobody was answered much later than another: that must not take every controller out.
-    return !this.behind(now, this.o.ttlMs * ALONE);
+    return !this.lagsBehindPeers(now, this.options.leaseTtlMs * READINESS_LAG_SHARE);
   }
 
   /** A sibling has lately been answered by the state service, by so much later than this controller. */
-  private behind(now: number, ms: number): boolean {
-    for (const h of this.heard.values()) if (now - h.at < 3000 && h.okAt > this.stateOkAt + ms) return true;
+  private lagsBehindPeers(now: number, ms: number): boolean {
+    for (const h of this.peers.values())
+      if (now - h.heardAt < 3000 && h.storeContactAt > this.storeContactAt + ms) return true;
     return false;
   }
 
   /** Whether a user who can't be served here had better ask another: sooner known than that this one is not ready. */
-  elsewhere(): boolean {
-    return !this.ready() || this.behind(this.o.clock.now(), BEHIND_MS);
+  shouldRedirectUsers(): boolean {
+    return !this.isReady() || this.lagsBehindPeers(this.options.clock.now(), USER_REDIRECT_LAG_MS);
   }
 
-  private learnTypes(now: number): void {
-    if (this.typesBusy || now - this.typesAt < (this.types.length > 0 ? 30000 : 1500)) return;
+  private refreshMachineTypes(now: number): void {
+    if (
+      this.machineTypesInFlight ||
+      now - this.machineTypesAskedAt < (this.machineTypes.length > 0 ? 30000 : 1500)
+    )
+      return;
     // The leader asks the cloud and stores the answer; the others read it there, also while the cloud is down.
-    if (!this.scheduler && this.types.length > 0) return;
-    if (!this.scheduler && now - this.stateOkAt > 1e5) return;
-    this.typesBusy = true;
-    this.typesAt = now;
-    this.cloud.types((r) => {
-      this.typesBusy = false;
-      if (!r.ok || r.value.length === 0) return;
-      const text = JSON.stringify(r.value.map((t) => ({ ...t, price: 0, spotPrice: 0 })));
-      const old = JSON.stringify(this.types.map((t) => ({ ...t, price: 0, spotPrice: 0 })));
-      this.types = r.value;
-      if (this.scheduler && (text !== old || !this.sys.items.has('sys/types')))
-        this.state.txn(
+    if (!this.scheduler && this.machineTypes.length > 0) return;
+    if (!this.scheduler && now - this.storeContactAt > 1e5) return;
+    this.machineTypesInFlight = true;
+    this.machineTypesAskedAt = now;
+    this.cloud.listMachineTypes((result) => {
+      this.machineTypesInFlight = false;
+      if (!result.ok || result.value.length === 0) return;
+      const text = JSON.stringify(
+        result.value.map((machineType) => ({ ...machineType, hourlyPrice: 0, hourlySpotPrice: 0 })),
+      );
+      const old = JSON.stringify(
+        this.machineTypes.map((machineType) => ({ ...machineType, hourlyPrice: 0, hourlySpotPrice: 0 })),
+      );
+      this.machineTypes = result.value;
+      if (this.scheduler && (text !== old || !this.systemRecords.items.has('sys/types')))
+        this.store.compareAndSwap(
           {
-            when: [{ key: 'sys/leader', version: this.leaderMark }],
-            then: [{ put: 'sys/types', value: machineTypesRecord.encode(r.value) }],
+            preconditions: [{ key: 'sys/leader', modRevision: this.leaderRevision }],
+            operations: [{ put: 'sys/types', value: machineTypesRecord.encode(result.value) }],
           },
           URGENCY.placement,
           () => {},
@@ -417,17 +458,17 @@
 
   // ---- lease and election ---------------------------------------------------------------------------------
 
-  private keepLease(now: number): void {
-    if (this.leaseBusy || !this.sys.ready) return;
-    if (this.lease === 0) return this.join();
-    if (now - this.leaseAt < this.o.ttlMs / 3) return;
-    this.leaseBusy = true;
-    this.state.touch(this.lease, (r) => {
-      this.leaseBusy = false;
-      if (r.ok) this.leaseAt = now;
-      else if (r.kind === 'gone') {
-        this.o.log.info({}, 'lease lost');
-        this.lease = 0;
+  private renewLease(now: number): void {
+    if (this.leaseRequestInFlight || !this.systemRecords.isReady) return;
+    if (this.leaseId === 0) return this.join();
+    if (now - this.leaseRenewedAt < this.options.leaseTtlMs / 3) return;
+    this.leaseRequestInFlight = true;
+    this.store.keepLeaseAlive(this.leaseId, (result) => {
+      this.leaseRequestInFlight = false;
+      if (result.ok) this.leaseRenewedAt = now;
+      else if (result.kind === 'gone') {
+        this.options.log.info({}, 'lease lost');
+        this.leaseId = 0;
         this.stepDown('lease lost');
         this.join();
       }
@@ -436,138 +477,159 @@
 
   /** A new instance ends its predecessor's lease, and no other; then it takes one of its own. */
   private join(): void {
-    const key = `sys/node/${this.o.host}`;
-    this.leaseBusy = true;
+    const key = `sys/node/${this.options.nodeName}`;
+    this.leaseRequestInFlight = true;
     const retry = () => {
-      this.leaseBusy = false;
+      this.leaseRequestInFlight = false;
     };
-    this.state.get(key, URGENCY.lease, (g) => {
+    this.store.get(key, URGENCY.lease, (g) => {
       if (!g.ok) return retry();
-      const rec = g.value ? nodeRecord.decode(g.value.value) : undefined;
-      const next = () => this.takeLease(key, g.value?.version ?? 0, retry);
-      if (rec && rec.inst !== this.o.inst && !this.predecessorDone) {
-        this.predecessorDone = true;
-        this.state.end(rec.lease, next);
+      const record = g.value ? nodeRecord.decode(g.value.value) : undefined;
+      const next = () => this.takeLease(key, g.value?.modRevision ?? 0, retry);
+      if (record && record.instanceId !== this.options.instanceId && !this.predecessorLeaseRevoked) {
+        this.predecessorLeaseRevoked = true;
+        this.store.revokeLease(record.leaseId, next);
       } else next();
     });
   }
 
   /** Conditioned on the record that was read: carried out late it would bring back an older lease, and go with it. */
   private takeLease(key: string, version: number, retry: () => void): void {
-    const sent = this.o.clock.now();
-    this.state.grant(this.o.ttlMs, (l) => {
+    const sent = this.options.clock.now();
+    this.store.grantLease(this.options.leaseTtlMs, (l) => {
       if (!l.ok) return retry();
       const lease = l.value;
-      this.state.txn(
+      this.store.compareAndSwap(
         {
-          when: [{ key, version }],
-          then: [{ put: key, value: nodeRecord.encode({ inst: this.o.inst, lease }), lease }],
+          preconditions: [{ key, modRevision: version }],
+          operations: [
+            {
+              put: key,
+              value: nodeRecord.encode({ instanceId: this.options.instanceId, leaseId: lease }),
+              lease,
+            },
+          ],
         },
         URGENCY.lease,
-        (r) => {
-          this.leaseBusy = false;
-          if (!r.ok) return;
-          this.lease = lease;
-          this.leaseAt = sent;
-          this.o.log.info({ inst: this.o.inst }, 'joined');
-          this.elect(this.o.clock.now());
+        (result) => {
+          this.leaseRequestInFlight = false;
+          if (!result.ok) return;
+          this.leaseId = lease;
+          this.leaseRenewedAt = sent;
+          this.options.log.info({ inst: this.options.instanceId }, 'joined');
+          this.elect(this.options.clock.now());
         },
       );
     });
   }
 
   private elect(now: number): void {
-    if (this.lease === 0 || !this.sys.ready || this.electing || now < this.noElectUntil || now < this.electAt)
+    if (
+      this.leaseId === 0 ||
+      !this.systemRecords.isReady ||
+      this.electing ||
+      now < this.noElectionUntil ||
+      now < this.nextElectionAt
+    )
+      return;
+    if (this.systemRecords.items.has('sys/leader') || now - this.leaseRenewedAt > this.options.leaseTtlMs)
       return;
-    if (this.sys.items.has('sys/leader') || now - this.leaseAt > this.o.ttlMs) return;
     this.campaign(0, 'no leader');
   }
 
-  private campaign(leaderVersion: number, why: string): void {
-    const tok = this.sys.items.get('sys/token');
-    const token = (tok ? tokenRecord.decode(tok.value).n : 0) + 1;
+  private campaign(leaderVersion: number, reason: string): void {
+    const tok = this.systemRecords.items.get('sys/token');
+    const token = (tok ? tokenRecord.decode(tok.value).fencingToken : 0) + 1;
     this.electing = true;
-    this.electAt = this.o.clock.now() + 300 + this.o.clock.random() * 300;
-    const rec: LeaderRecord = { inst: this.o.inst, host: this.o.host, token };
-    this.state.txn(
+    this.nextElectionAt = this.options.clock.now() + 300 + this.options.clock.random() * 300;
+    const record: LeaderRecord = {
+      instanceId: this.options.instanceId,
+      nodeName: this.options.nodeName,
+      fencingToken: token,
+    };
+    this.store.compareAndSwap(
       {
-        when: [
-          { key: 'sys/leader', version: leaderVersion },
-          { key: 'sys/token', version: tok?.version ?? 0 },
+        preconditions: [
+          { key: 'sys/leader', modRevision: leaderVersion },
+          { key: 'sys/token', modRevision: tok?.modRevision ?? 0 },
         ],
-        then: [
-          { put: 'sys/token', value: tokenRecord.encode({ n: token }) },
-          { put: 'sys/leader', value: leaderRecord.encode(rec), lease: this.lease },
+        operations: [
+          { put: 'sys/token', value: tokenRecord.encode({ fencingToken: token }) },
+          { put: 'sys/leader', value: leaderRecord.encode(record), lease: this.leaseId },
         ],
       },
       URGENCY.lease,
-      (r) => {
+      (result) => {
         this.electing = false;
-        if (r.ok) this.lead(rec, r.value, why);
+        if (result.ok) this.startLeading(record, result.value, reason);
       },
     );
   }
 
-  private lead(rec: LeaderRecord, mark: number, why: string): void {
-    if (this.scheduler && this.scheduler.token >= rec.token) return;
-    if (rec.token < this.leader.token || rec.token <= this.ledToken) return;
-    this.ledToken = rec.token;
-    this.ledAt = this.o.clock.now();
-    this.leaderMark = mark;
-    this.o.log.info({ token: rec.token, why }, 'leading');
+  private startLeading(record: LeaderRecord, mark: number, why: string): void {
+    if (this.scheduler && this.scheduler.fencingToken >= record.fencingToken) return;
+    if (record.fencingToken < this.leader.fencingToken || record.fencingToken <= this.leaderTerm) return;
+    this.leaderTerm = record.fencingToken;
+    this.leadingSince = this.options.clock.now();
+    this.leaderRevision = mark;
+    this.options.log.info({ token: record.fencingToken, why }, 'leading');
     this.scheduler = new Scheduler({
-      inst: this.o.inst,
-      token: rec.token,
+      instanceId: this.options.instanceId,
+      fencingToken: record.fencingToken,
       teams: this.teams,
-      workers: this.o.workers,
-      listLagS: this.o.listLagS,
-      cloudRps: this.o.cloudRps,
+      workerTiming: this.options.workerTiming,
+      machineListLagSeconds: this.options.machineListLagSeconds,
+      cloudCallsPerSecond: this.options.cloudCallsPerSecond,
       images: this.images,
-      objectives: this.o.objectives,
-      first: rec.token === 1,
-      clock: this.o.clock,
-      log: this.o.log,
+      objectives: this.options.objectives,
+      isFirstEver: record.fencingToken === 1,
+      clock: this.options.clock,
+      log: this.options.log,
       cloud: this.cloud,
-      worker: {
-        commands: (a, t, s, c, cb) => this.o.worker.commands(a, t, s, c, this.reply(cb)),
+      workers: {
+        sendCommands: (a, t, s, c, callback) =>
+          this.options.workers.sendCommands(a, t, s, c, this.reply(callback)),
       },
-      types: () => this.types,
-      policy: this.o.policy,
-      entitled: () => this.scheduler?.token === rec.token && this.o.clock.now() - this.leaseAt < this.o.ttlMs,
-      send: (inst, m) => this.toOwner(inst, m),
+      machineTypes: () => this.machineTypes,
+      policy: this.options.policy,
+      holdsLeadership: () =>
+        this.scheduler?.fencingToken === record.fencingToken &&
+        this.options.clock.now() - this.leaseRenewedAt < this.options.leaseTtlMs,
+      send: (instanceId, message) => this.sendToShardOwner(instanceId, message),
       wake: () => this.wake(),
-      deposed: (token) => {
-        if (this.scheduler?.token === rec.token) this.stepDown(`token ${token} seen`);
+      onHigherToken: (token) => {
+        if (this.scheduler?.fencingToken === record.fencingToken) this.stepDown(`token ${token} seen`);
       },
-      inherited: () => this.inherited,
-      isCancelled: (job) => this.told.has(job),
-      told: (now) => this.told.asOf(now),
-      siblings: () => [...this.heard.values()].filter((h) => this.o.clock.now() - h.at < 3000).length,
-      resign: (reason) => this.resign(rec.token, reason),
-      raise: (reason) => this.raise(rec.token, reason),
+      inheritedCoverage: () => this.inheritedCoverage,
+      isCancelled: (job) => this.cancellations.has(job),
+      cancellationsKnown: (now) => this.cancellations.completeSince(now),
+      reachablePeers: () =>
+        [...this.peers.values()].filter((h) => this.options.clock.now() - h.heardAt < 3000).length,
+      resign: (reason) => this.resign(record.fencingToken, reason),
+      raiseFencingToken: (reason) => this.raiseFencingToken(record.fencingToken, reason),
     });
-    this.setLeader(rec);
-    this.scheduler.setOwners(this.teamRecords());
-    this.assignTeams(this.o.clock.now());
-    this.rebalanceAt = this.ledAt + 5000;
-    this.typesAt = Number.NEGATIVE_INFINITY;
-    this.learnTypes(this.o.clock.now());
+    this.setLeader(record);
+    this.scheduler.setOwners(this.shardOwners());
+    this.assignShards(this.options.clock.now());
+    this.nextRebalanceAt = this.leadingSince + 5000;
+    this.machineTypesAskedAt = Number.NEGATIVE_INFINITY;
+    this.refreshMachineTypes(this.options.clock.now());
   }
 
-  private stepDown(why: string): void {
+  private stepDown(reason: string): void {
     if (!this.scheduler) return;
-    this.o.log.info({ token: this.scheduler.token, why }, 'no longer leading');
+    this.options.log.info({ token: this.scheduler.fencingToken, why: reason }, 'no longer leading');
     this.scheduler = null;
-    if (this.leader.inst === this.o.inst) this.leader = { ...this.leader, host: '' };
+    if (this.leader.instanceId === this.options.instanceId) this.leader = { ...this.leader, nodeName: '' };
   }
 
-  private resign(token: number, why: string): void {
-    if (this.scheduler?.token !== token) return;
-    const mark = this.leaderMark;
-    this.noElectUntil = this.o.clock.now() + 20000;
-    this.stepDown(why);
-    this.state.txn(
-      { when: [{ key: 'sys/leader', version: mark }], then: [{ del: 'sys/leader' }] },
+  private resign(token: number, reason: string): void {
+    if (this.scheduler?.fencingToken !== token) return;
+    const mark = this.leaderRevision;
+    this.noElectionUntil = this.options.clock.now() + 20000;
+    this.stepDown(reason);
+    this.store.compareAndSwap(
+      { preconditions: [{ key: 'sys/leader', modRevision: mark }], operations: [{ del: 'sys/leader' }] },
       URGENCY.lease,
       () => {},
     );
@@ -577,137 +639,159 @@
    * A leader record that still names this instance after it has resigned: its deletion was lost. As long as it stands
    * nobody can be elected, and the lease it hangs on is kept (seen in a seeded day: no leader to the end).
    */
-  private giveUp(now: number): void {
-    const it = this.sys.items.get('sys/leader');
-    if (!it || this.scheduler || this.electing || this.givingUp || now < this.giveUpAt) return;
-    const rec = leaderRecord.decode(it.value);
-    if (rec.inst !== this.o.inst || rec.token > this.ledToken) return;
-    this.giveUpAt = now + 1000;
-    this.givingUp = true;
-    this.state.txn(
-      { when: [{ key: 'sys/leader', version: it.version }], then: [{ del: 'sys/leader' }] },
+  private withdrawStaleLeadership(now: number): void {
+    const it = this.systemRecords.items.get('sys/leader');
+    if (!it || this.scheduler || this.electing || this.withdrawalInFlight || now < this.nextWithdrawalAt)
+      return;
+    const record = leaderRecord.decode(it.value);
+    if (record.instanceId !== this.options.instanceId || record.fencingToken > this.leaderTerm) return;
+    this.nextWithdrawalAt = now + 1000;
+    this.withdrawalInFlight = true;
+    this.store.compareAndSwap(
+      {
+        preconditions: [{ key: 'sys/leader', modRevision: it.modRevision }],
+        operations: [{ del: 'sys/leader' }],
+      },
       URGENCY.lease,
       () => {
-        this.givingUp = false;
+        this.withdrawalInFlight = false;
       },
     );
   }
 
-  private raise(token: number, why: string): void {
-    const now = this.o.clock.now();
-    if (this.scheduler?.token !== token || this.electing || now < this.raiseAt) return;
-    this.raiseAt = now + 15000;
-    this.campaign(this.leaderMark, why);
+  private raiseFencingToken(token: number, reason: string): void {
+    const now = this.options.clock.now();
+    if (this.scheduler?.fencingToken !== token || this.electing || now < this.nextTokenRaiseAt) return;
+    this.nextTokenRaiseAt = now + 15000;
+    this.campaign(this.leaderRevision, reason);
   }
 
-  private setLeader(rec: LeaderRecord): void {
-    if (rec.token < this.leader.token) return;
-    this.leader = rec;
-    this.owner.setScheduler(rec.token);
+  private setLeader(record: LeaderRecord): void {
+    if (record.fencingToken < this.leader.fencingToken) return;
+    this.leader = record;
+    this.owner.setLeader(record.fencingToken);
   }
 
   // ---- records under sys/ -----------------------------------------------------------------------------------
 
-  private sysChanged(key: string): void {
+  private onSystemRecordChanged(key: string): void {
     if (key === 'sys/leader') {
-      const it = this.sys.items.get(key);
+      const it = this.systemRecords.items.get(key);
       if (!it) {
         if (this.scheduler) this.stepDown('leader record gone');
-        this.electAt = this.o.clock.now() + this.o.clock.random() * 100;
-        this.o.clock.after(110, () =>
-          this.push({ type: 'reply', run: () => this.elect(this.o.clock.now()) }),
+        this.nextElectionAt = this.options.clock.now() + this.options.clock.random() * 100;
+        this.options.clock.after(110, () =>
+          this.push({ type: 'reply', run: () => this.elect(this.options.clock.now()) }),
         );
         return;
       }
-      const rec = leaderRecord.decode(it.value);
-      if (rec.inst === this.o.inst) {
+      const record = leaderRecord.decode(it.value);
+      if (record.instanceId === this.options.instanceId) {
         // An election whose answer was lost.
-        if (this.lease !== 0) this.lead(rec, it.version, 'found elected');
+        if (this.leaseId !== 0) this.startLeading(record, it.modRevision, 'found elected');
       } else {
-        if (this.scheduler && rec.token > this.scheduler.token) this.stepDown('another leads');
-        this.setLeader(rec);
+        if (this.scheduler && record.fencingToken > this.scheduler.fencingToken)
+          this.stepDown('another leads');
+        this.setLeader(record);
       }
     } else if (key.startsWith('sys/team/')) {
       const mine = new Map<string, number>();
-      for (const [team, r] of this.teamRecords())
-        if (r.inst === this.o.inst && this.teams.has(team)) mine.set(team, r.gen);
-      this.owner.setTeams(mine);
-      this.open.follow(mine.size > 0);
-      this.scheduler?.setOwners(this.teamRecords());
+      for (const [team, r] of this.shardOwners())
+        if (r.instanceId === this.options.instanceId && this.teams.has(team)) mine.set(team, r.shardEpoch);
+      this.owner.setShards(mine);
+      this.openJobs.follow(mine.size > 0);
+      this.scheduler?.setOwners(this.shardOwners());
     } else if (key === 'sys/types' && !this.scheduler) {
-      const v = this.sys.items.get(key)?.value;
-      if (Array.isArray(v)) this.types = machineTypesRecord.decode(v);
-    } else if (key.startsWith('sys/node/')) this.assignTeams(this.o.clock.now());
+      const v = this.systemRecords.items.get(key)?.value;
+      if (Array.isArray(v)) this.machineTypes = machineTypesRecord.decode(v);
+    } else if (key.startsWith('sys/node/')) this.assignShards(this.options.clock.now());
   }
 
-  private teamRecords(): Map<string, { inst: string; gen: number }> {
-    const out = new Map<string, { inst: string; gen: number }>();
-    for (const [key, it] of this.sys.items) {
+  private shardOwners(): Map<string, { instanceId: string; shardEpoch: number }> {
+    const out = new Map<string, { instanceId: string; shardEpoch: number }>();
+    for (const [key, it] of this.systemRecords.items) {
       if (!key.startsWith('sys/team/')) continue;
-      out.set(key.slice(9), { inst: teamRecord.decode(it.value).inst, gen: it.version });
+      out.set(key.slice(9), {
+        instanceId: teamRecord.decode(it.value).instanceId,
+        shardEpoch: it.modRevision,
+      });
     }
     return out;
   }
 
-  private nodes(): Map<string, string> {
+  private liveInstances(): Map<string, string> {
     const out = new Map<string, string>();
-    for (const [key, it] of this.sys.items)
-      if (key.startsWith('sys/node/')) out.set(nodeRecord.decode(it.value).inst, key.slice(9));
+    for (const [key, it] of this.systemRecords.items)
+      if (key.startsWith('sys/node/')) out.set(nodeRecord.decode(it.value).instanceId, key.slice(9));
     return out;
   }
 
   /** The leader assigns the teams to the controllers that are alive and that it can reach. */
-  private assignTeams(now: number): void {
+  private assignShards(now: number): void {
     const scheduler = this.scheduler;
-    if (!scheduler || this.assigning || !this.sys.ready || now - this.leaseAt > this.o.ttlMs) return;
+    if (
+      !scheduler ||
+      this.assigning ||
+      !this.systemRecords.isReady ||
+      now - this.leaseRenewedAt > this.options.leaseTtlMs
+    )
+      return;
     const load = new Map<string, number>();
-    for (const [inst, host] of this.nodes()) {
-      const h = this.heard.get(host);
+    for (const [instanceId, host] of this.liveInstances()) {
+      const h = this.peers.get(host);
       // A new leader has heard nobody yet, and a record names who was alive a moment ago.
-      if (inst === this.o.inst || now - this.ledAt < 3500) load.set(inst, 0);
-      else if (h?.inst === inst && now - h.at < 3500 && !this.isDeaf(inst, now)) load.set(inst, 0);
+      if (instanceId === this.options.instanceId || now - this.leadingSince < 3500) load.set(instanceId, 0);
+      else if (h?.instanceId === instanceId && now - h.heardAt < 3500 && !this.isUnreachable(instanceId, now))
+        load.set(instanceId, 0);
     }
-    if (!load.has(this.o.inst)) return;
-    const records = this.teamRecords();
+    if (!load.has(this.options.instanceId)) return;
+    const records = this.shardOwners();
     const moves = new Map<string, string>();
     for (const team of [...this.teams.keys()].sort()) {
       const r = records.get(team);
-      if (r && load.has(r.inst)) load.set(r.inst, (load.get(r.inst) ?? 0) + 1);
+      if (r && load.has(r.instanceId)) load.set(r.instanceId, (load.get(r.instanceId) ?? 0) + 1);
       else moves.set(team, '');
     }
     const least = () =>
       [...load].sort(
-        (a, b) => a[1] - b[1] || Number(b[0] === this.o.inst) - Number(a[0] === this.o.inst),
+        (a, b) =>
+          a[1] - b[1] || Number(b[0] === this.options.instanceId) - Number(a[0] === this.options.instanceId),
       )[0]!;
     for (const team of moves.keys()) {
-      const [inst] = least();
-      moves.set(team, inst);
-      load.set(inst, (load.get(inst) ?? 0) + 1);
+      const [instanceId] = least();
+      moves.set(team, instanceId);
+      load.set(instanceId, (load.get(instanceId) ?? 0) + 1);
     }
-    if (moves.size === 0 && now >= this.rebalanceAt) {
-      this.rebalanceAt = now + scheduler.policyNow.parting_s * 1000;
+    if (moves.size === 0 && now >= this.nextRebalanceAt) {
+      this.nextRebalanceAt = now + scheduler.policy.parting_s * 1000;
       const [to, few] = least();
       const [from, many] = [...load].sort((a, b) => b[1] - a[1])[0]!;
-      const team = [...records].find(([t, r]) => r.inst === from && this.teams.has(t))?.[0];
+      const team = [...records].find(([t, r]) => r.instanceId === from && this.teams.has(t))?.[0];
       if (many - few >= 2 && team) moves.set(team, to);
     }
     if (moves.size === 0) return;
-    const batch = [...moves].slice(0, this.o.state.txnOps);
+    const batch = [...moves].slice(0, this.options.storeLimits.maxTransactionOperations);
     for (const [team] of batch) scheduler.suspend(team);
     this.assigning = true;
-    this.state.txn(
+    this.store.compareAndSwap(
       {
-        when: [
-          { key: 'sys/leader', version: this.leaderMark },
-          ...batch.map(([team]) => ({ key: `sys/team/${team}`, version: records.get(team)?.gen ?? 0 })),
+        preconditions: [
+          { key: 'sys/leader', modRevision: this.leaderRevision },
+          ...batch.map(([team]) => ({
+            key: `sys/team/${team}`,
+            modRevision: records.get(team)?.shardEpoch ?? 0,
+          })),
         ],
-        then: batch.map(([team, inst]) => ({ put: `sys/team/${team}`, value: teamRecord.encode({ inst }) })),
+        operations: batch.map(([team, instanceId]) => ({
+          put: `sys/team/${team}`,
+          value: teamRecord.encode({ instanceId: instanceId }),
+        })),
       },
       URGENCY.lease,
-      (r) => {
+      (result) => {
         this.assigning = false;
-        this.o.log.debug({ teams: Object.fromEntries(batch), ok: r.ok }, 'teams assigned');
-        if (!r.ok) for (const rec of records.values()) scheduler.unsync(rec.inst);
+        this.options.log.debug({ teams: Object.fromEntries(batch), ok: result.ok }, 'teams assigned');
+        if (!result.ok) for (const record of records.values()) scheduler.requestSync(record.instanceId);
       },
     );
   }
@@ -716,13 +800,17 @@
    * An owner that is heard, but has told of no cancellations for long although the state service answers: what is said
    * to it may not arrive. Its teams can't start anything and lose their leases in time, so others get them.
    */
-  private isDeaf(inst: string, now: number): boolean {
-    if (now < (this.deafUntil.get(inst) ?? 0)) return true;
-    if (now - this.stateOkAt > 1000 || now - this.ledAt < DEAF_MS) return false;
-    for (const [team, r] of this.teamRecords())
-      if (r.inst === inst && this.teams.has(team) && this.scheduler!.unheardFor(team, now) > DEAF_MS) {
-        this.o.log.info({ inst, team }, 'owner tells of no cancellations');
-        this.deafUntil.set(inst, now + DEAF_PAUSE_MS);
+  private isUnreachable(instanceId: string, now: number): boolean {
+    if (now < (this.unreachableUntil.get(instanceId) ?? 0)) return true;
+    if (now - this.storeContactAt > 1000 || now - this.leadingSince < UNREACHABLE_AFTER_MS) return false;
+    for (const [team, r] of this.shardOwners())
+      if (
+        r.instanceId === instanceId &&
+        this.teams.has(team) &&
+        this.scheduler!.coverageSilenceMs(team, now) > UNREACHABLE_AFTER_MS
+      ) {
+        this.options.log.info({ inst: instanceId, team }, 'owner tells of no cancellations');
+        this.unreachableUntil.set(instanceId, now + UNREACHABLE_PAUSE_MS);
         return true;
       }
     return false;
@@ -730,106 +818,145 @@
 
   // ---- messages ---------------------------------------------------------------------------------------------
 
-  private meshSend(host: string, body: MeshBody): void {
-    this.o.mesh.send(host, { host: this.o.host, inst: this.o.inst, seq: ++this.seq, body });
+  private sendToPeer(host: string, body: PeerMessageBody): void {
+    this.options.peers.send(host, {
+      nodeName: this.options.nodeName,
+      instanceId: this.options.instanceId,
+      sequence: ++this.messageSequence,
+      body,
+    });
   }
 
-  private toScheduler(m: OwnerMsg): void {
-    if (this.leader.inst === this.o.inst)
-      this.push({ type: 'reply', run: () => this.scheduler?.fromOwner(m) });
-    else if (this.leader.host !== '')
-      this.meshSend(this.leader.host, { type: 'owner', to: this.leader.inst, m });
+  private sendToLeader(message: ShardMessage): void {
+    if (this.leader.instanceId === this.options.instanceId)
+      this.push({ type: 'reply', run: () => this.scheduler?.onShardMessage(message) });
+    else if (this.leader.nodeName !== '')
+      this.sendToPeer(this.leader.nodeName, { type: 'toLeader', recipient: this.leader.instanceId, message });
   }
 
-  private toOwner(inst: string, m: SchedulerMsg): void {
-    if (inst === this.o.inst) return this.push({ type: 'reply', run: () => this.owner.fromScheduler(m) });
-    const host = this.nodes().get(inst);
-    if (host) this.meshSend(host, { type: 'scheduler', to: inst, m });
+  private sendToShardOwner(instanceId: string, message: LeaderMessage): void {
+    if (instanceId === this.options.instanceId)
+      return this.push({ type: 'reply', run: () => this.owner.onLeaderMessage(message) });
+    const host = this.liveInstances().get(instanceId);
+    if (host) this.sendToPeer(host, { type: 'toShardOwner', recipient: instanceId, message });
   }
 
-  private fromMesh(m: MeshMsg): void {
-    const now = this.o.clock.now();
-    const h = this.heard.get(m.host);
+  private onPeerMessage(message: PeerMessage): void {
+    const now = this.options.clock.now();
+    const h = this.peers.get(message.nodeName);
     // A message held back on an older connection must not undo a later one.
-    if (h?.inst === m.inst && m.seq <= h.seq) return;
-    if (this.superseded.has(m.inst)) return;
-    if (h && h.inst !== m.inst) this.superseded.add(h.inst);
-    const okAt = m.body.type === 'ping' ? now - m.body.okAgeMs : (h?.okAt ?? Number.NEGATIVE_INFINITY);
-    const marks = h?.inst === m.inst ? h.marks : new Marks();
-    this.heard.set(m.host, { inst: m.inst, at: now, seq: m.seq, okAt, marks });
-    switch (m.body.type) {
-      case 'ping':
+    if (h?.instanceId === message.instanceId && message.sequence <= h.messageSequence) return;
+    if (this.superseded.has(message.instanceId)) return;
+    if (h && h.instanceId !== message.instanceId) this.superseded.add(h.instanceId);
+    const okAt =
+      message.body.type === 'heartbeat'
+        ? now - message.body.storeContactAgeMs
+        : (h?.storeContactAt ?? Number.NEGATIVE_INFINITY);
+    const marks = h?.instanceId === message.instanceId ? h.timestamps : new PeerTimestamps();
+    this.peers.set(message.nodeName, {
+      instanceId: message.instanceId,
+      heardAt: now,
+      messageSequence: message.sequence,
+      storeContactAt: okAt,
+      timestamps: marks,
+    });
+    switch (message.body.type) {
+      case 'heartbeat':
         if (
-          m.body.token > this.leader.token &&
-          m.body.leader !== this.o.host &&
+          message.body.fencingToken > this.leader.fencingToken &&
+          message.body.leader !== this.options.nodeName &&
           this.scheduler &&
-          m.body.token > this.scheduler.token
+          message.body.fencingToken > this.scheduler.fencingToken
         )
           this.stepDown('a sibling knows a later leader');
-        marks.add(m.body.mark, now);
-        this.told.word(
-          m.host,
-          m.inst,
-          m.body.told,
-          m.body.had?.inst === this.o.inst ? m.body.had.mark : null,
+        marks.add(message.body.timestamp, now);
+        this.cancellations.acknowledge(
+          message.nodeName,
+          message.instanceId,
+          message.body.cancellationsTold,
+          message.body.latestTimestamp?.instanceId === this.options.instanceId
+            ? message.body.latestTimestamp.timestamp
+            : null,
           now,
         );
         // A mark of an earlier process is a time on another clock.
-        if (m.body.cover?.inst === this.o.inst) {
-          const pending = m.body.cover.pending;
-          this.inherit({ at: Math.min(now, m.body.cover.mark), pending: pending && new Set(pending) });
+        if (message.body.coverage?.instanceId === this.options.instanceId) {
+          const pending = message.body.coverage.pendingMachines;
+          this.inheritCoverage({
+            completeUntil: Math.min(now, message.body.coverage.timestamp),
+            pendingMachines: pending && new Set(pending),
+          });
         }
-        this.scheduler?.strayed(m.body.strays);
-        if (m.body.token > this.hint.token) this.hint = { host: m.body.leader, token: m.body.token };
+        this.scheduler?.onMachinesRedirected(message.body.redirectedMachines);
+        if (message.body.fencingToken > this.leaderHint.token)
+          this.leaderHint = { host: message.body.leader, token: message.body.fencingToken };
         return;
       case 'images':
-        if (!this.scheduler) this.images.take(m.body.add, m.body.gone);
+        if (!this.scheduler) this.images.apply(message.body.added, message.body.removedMachines);
         return;
       case 'cancelled':
-        this.told.there(m.host, m.inst, m.body.job, m.body.n, now);
-        this.scheduler?.cancelled(m.body.job);
+        this.cancellations.recordFromPeer(
+          message.nodeName,
+          message.instanceId,
+          message.body.jobId,
+          message.body.cancellationNumber,
+          now,
+        );
+        this.scheduler?.onJobCancelled(message.body.jobId);
         return;
-      case 'owner':
-        if (m.body.to === this.o.inst) this.scheduler?.fromOwner(m.body.m);
+      case 'toLeader':
+        if (message.body.recipient === this.options.instanceId)
+          this.scheduler?.onShardMessage(message.body.message);
         return;
-      case 'scheduler':
-        if (m.body.to === this.o.inst) this.owner.fromScheduler(m.body.m);
+      case 'toShardOwner':
+        if (message.body.recipient === this.options.instanceId)
+          this.owner.onLeaderMessage(message.body.message);
         return;
     }
   }
 
   /** The scheduler's knowledge of images, for whoever leads next. */
-  private readonly images = new ImageFacts();
-  private hint = { host: '', token: 0 };
+  private readonly images = new ImageLocations();
+  private leaderHint = { host: '', token: 0 };
   /** Machines that asked here, and not the leader, since it was last told. */
-  private readonly strays = new Set<string>();
+  private readonly redirectedMachines = new Set<string>();
 
   /** Our own connection to a sibling was made anew: what was under way may be lost. */
-  private link(host: string, up: boolean): void {
+  private onPeerConnected(host: string, up: boolean): void {
     if (!up) return;
-    if (this.leader.host === host) this.owner.resync();
+    if (this.leader.nodeName === host) this.owner.resync();
     if (!this.scheduler) return;
-    for (const [inst, h] of this.nodes()) if (h === host) this.scheduler.unsync(inst);
+    for (const [instanceId, h] of this.liveInstances())
+      if (h === host) this.scheduler.requestSync(instanceId);
     const all = this.images.all();
-    for (let i = 0; i < all.length; i += IMAGES_PART)
-      this.meshSend(host, { type: 'images', add: all.slice(i, i + IMAGES_PART), gone: [] });
+    for (let i = 0; i < all.length; i += MAX_IMAGE_FACTS_PER_MESSAGE)
+      this.sendToPeer(host, {
+        type: 'images',
+        added: all.slice(i, i + MAX_IMAGE_FACTS_PER_MESSAGE),
+        removedMachines: [],
+      });
   }
 
   // ---- workers ----------------------------------------------------------------------------------------------
 
-  report(r: WorkerReport): ReportAnswer {
-    const now = this.o.clock.now();
-    const k = this.scheduler;
-    if (!k) {
-      if (this.standsIn(r, now)) return { s: 'ok', token: this.leader.token, cmds: [] };
-      this.strays.add(r.machine);
-      const known = this.hint.token > this.leader.token ? this.hint.host : this.leader.host;
-      return { s: 'other', leader: known !== '' && known !== this.o.host ? known : null };
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
+    const now = this.options.clock.now();
+    const scheduler = this.scheduler;
+    if (!scheduler) {
+      if (this.keepsLeaseWhileIsolated(heartbeat, now))
+        return { type: 'accepted', fencingToken: this.leader.fencingToken, commands: [] };
+      this.redirectedMachines.add(heartbeat.machine);
+      const known =
+        this.leaderHint.token > this.leader.fencingToken ? this.leaderHint.host : this.leader.nodeName;
+      return {
+        type: 'redirected',
+        leaderName: known !== '' && known !== this.options.nodeName ? known : null,
+      };
     }
-    const cmds = k.report(r);
-    if (cmds === null) return this.report(r);
-    if (cmds === 'later') return { s: 'later' };
-    return { s: 'ok', token: k.token, cmds };
+    const commands = scheduler.handleHeartbeat(heartbeat);
+    if (commands === null) return this.handleHeartbeat(heartbeat);
+    if (commands === 'later') return { type: 'unavailable' };
+    return { type: 'accepted', fencingToken: scheduler.fencingToken, commands };
   }
 
   /**
@@ -838,13 +965,24 @@
    * of cancellations, and not where it still had something to stop: the worker may have been cut off from it, and not
    * from here, long before the leader was.
    */
-  private standsIn(r: WorkerReport, now: number): boolean {
-    const h = this.heard.get(this.leader.host);
-    if (!h || h.inst !== this.leader.inst || r.token > this.leader.token) return false;
-    if (this.hint.token > this.leader.token || now - this.stateOkAt < ALONE_MS || now - h.at < ALONE_MS)
+  private keepsLeaseWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
+    const h = this.peers.get(this.leader.nodeName);
+    if (!h || h.instanceId !== this.leader.instanceId || heartbeat.fencingToken > this.leader.fencingToken)
+      return false;
+    if (
+      this.leaderHint.token > this.leader.fencingToken ||
+      now - this.storeContactAt < ISOLATED_AFTER_MS ||
+      now - h.heardAt < ISOLATED_AFTER_MS
+    )
       return false;
-    for (const x of this.heard.values()) if (now - x.at < ALONE_MS && now - x.okAt < ALONE_MS) return false;
-    return coversMachine(this.inherited, r.machine, now, windowMs(this.o.workers));
+    for (const x of this.peers.values())
+      if (now - x.heardAt < ISOLATED_AFTER_MS && now - x.storeContactAt < ISOLATED_AFTER_MS) return false;
+    return isLeaseRenewalCovered(
+      this.inheritedCoverage,
+      heartbeat.machine,
+      now,
+      renewalWindowMs(this.options.workerTiming),
+    );
   }
 
   /** For logs and tests. */
@@ -854,7 +992,7 @@
       scheduler: this.scheduler?.stats() ?? null,
       teams: this.owner.ownedTeams,
       owner: this.owner.stats(),
-      types: this.types.length,
+      types: this.machineTypes.length,
     };
   }
 }
--- a/src/core/ended-attempts.ts
+++ b/src/core/ended-attempts.ts
@@ -1,5 +1,5 @@
 import type { Machine } from './machine.js';
-import type { TaskReport } from './types.js';
+import type { TaskStatus } from './types.js';
 
 /** The tasks of one job of which a machine lists an ended attempt. */
 export interface EndedTasks {
@@ -21,7 +21,7 @@
   private readonly machines = new Map<string, Map<string, Machine>>();
 
   /** The list of a machine has changed; costs by its length. */
-  update(machine: Machine, listed: readonly TaskReport[]): void {
+  update(machine: Machine, listed: readonly TaskStatus[]): void {
     const now = endedTasksOf(listed);
     for (const job of machine.endedTasks.keys()) if (!now.has(job)) this.remove(job, machine);
     for (const job of now.keys()) this.add(job, machine);
@@ -51,14 +51,14 @@
   }
 }
 
-function endedTasksOf(listed: readonly TaskReport[]): ReadonlyMap<string, EndedTasks> {
+function endedTasksOf(listed: readonly TaskStatus[]): ReadonlyMap<string, EndedTasks> {
   let byJob: Map<string, { tasks: Set<number>; refused: boolean }> | null = null;
-  for (const { job, idx, phase, why } of listed) {
-    if (phase !== 'exited' || why === 'done') continue;
+  for (const { jobId: job, taskIndex, phase, exitReason: reason } of listed) {
+    if (phase !== 'exited' || reason === 'done') continue;
     byJob ??= new Map();
     const ended = byJob.get(job) ?? { tasks: new Set(), refused: false };
-    ended.tasks.add(idx);
-    if (why === 'busy') ended.refused = true;
+    ended.tasks.add(taskIndex);
+    if (reason === 'busy') ended.refused = true;
     byJob.set(job, ended);
   }
   return byJob ?? NO_ENDED_TASKS;
--- a/src/core/gang-gathering.ts
+++ b/src/core/gang-gathering.ts
@@ -1,15 +1,15 @@
-import { bootingRooms } from './booting.js';
-import type { Ledger } from './ledger.js';
-import { fill, type Room, slots } from './room.js';
-import type { Want } from './types.js';
+import { bootingCapacities } from './booting.js';
+import type { ClusterState } from './ledger.js';
+import { type FreeCapacity, fill, slotsIn } from './room.js';
+import type { ResourceRequest } from './types.js';
 
 /** So long a gang that waits for machines keeps to the zone in which it began to gather them. */
 const KEEP_ZONE_MS = 20_000;
 
 /** What a waiting gang still lacks. */
-export interface GangNeed {
+export interface GangShortfall {
   /** One task of the gang, tied to the zone in which it gathers: what is rented or freed for it must lie there. */
-  task: Want;
+  task: ResourceRequest;
   missing: number;
 }
 
@@ -26,79 +26,104 @@
  * pass, in the order of the queue, and only what it lacks is rented or freed. Reservations last for one pass and are
  * made anew by the next one in the order of then: two gangs can't hold half of what each needs for good.
  */
-export class GangGathering {
-  private readonly chosen = new Map<string, ZoneChoice>();
-  private readonly held = new Set<string>();
-  private booting: Room[] | null = null;
+export class GangReservations {
+  private readonly zoneChoices = new Map<string, ZoneChoice>();
+  private readonly reservedMachines = new Set<string>();
+  private bootingCapacities: FreeCapacity[] | null = null;
 
-  constructor(private readonly ledger: Ledger) {}
+  constructor(private readonly state: ClusterState) {}
 
   beginPass(): void {
-    this.held.clear();
-    this.booting = null;
+    this.reservedMachines.clear();
+    this.bootingCapacities = null;
   }
 
   /** Forgets gangs that no longer wait, and keeps the machines held in this pass from being returned as idle. */
   endPass(waiting: ReadonlySet<string>): void {
-    for (const job of this.chosen.keys()) if (!waiting.has(job)) this.chosen.delete(job);
-    this.ledger.gathered = new Set(this.held);
+    for (const job of this.zoneChoices.keys()) if (!waiting.has(job)) this.zoneChoices.delete(job);
+    this.state.gatheredMachines = new Set(this.reservedMachines);
   }
 
   /** Takes the free rooms that a gang can use out of `rooms`, in one zone if it must be in one. */
-  reserve(rooms: Room[], want: Want, count: number, now: number): GangNeed {
-    const zone = this.zoneOf(rooms, want, count, now);
-    const task: Want = { ...want, whole: false, together: false, zone, slackS: null, aimS: null };
-    const missing = fill(rooms, task, count, this.ledger.scarce, (room) => this.held.add(room.name));
+  reserve(capacities: FreeCapacity[], request: ResourceRequest, count: number, now: number): GangShortfall {
+    const zone = this.zoneOf(capacities, request, count, now);
+    const task: ResourceRequest = {
+      ...request,
+      allOrNothing: false,
+      zoneAffinity: false,
+      zone,
+      slackSeconds: null,
+      objectiveSeconds: null,
+    };
+    const missing = fill(capacities, task, count, this.state.scarceZone, (capacity) =>
+      this.reservedMachines.add(capacity.machineName),
+    );
     return { task, missing };
   }
 
-  private zoneOf(rooms: Room[], want: Want, count: number, now: number): string | null {
-    if (!want.together || want.zone !== null) return want.zone;
-    const before = this.chosen.get(want.job);
+  private zoneOf(
+    capacities: FreeCapacity[],
+    request: ResourceRequest,
+    count: number,
+    now: number,
+  ): string | null {
+    if (!request.zoneAffinity || request.zone !== null) return request.zone;
+    const before = this.zoneChoices.get(request.jobId);
     if (before && now - before.since < KEEP_ZONE_MS) return before.zone;
-    const zone = this.bestZone(rooms, want, count, now);
-    this.chosen.set(want.job, { zone, since: now });
+    const zone = this.bestZone(capacities, request, count, now);
+    this.zoneChoices.set(request.jobId, { zone, since: now });
     return zone;
   }
 
   /** The zone in which the gang lacks least: by what is free, then by what is booting, then by what may be rented. */
-  private bestZone(rooms: Room[], want: Want, count: number, now: number): string | null {
+  private bestZone(
+    capacities: FreeCapacity[],
+    request: ResourceRequest,
+    count: number,
+    now: number,
+  ): string | null {
     let best: { zone: string; score: number } | null = null;
-    for (const zone of this.zones(want)) {
-      const pinned: Want = { ...want, whole: false, together: false, zone };
-      const free = count - fill(copyOf(rooms), pinned, count, null, () => {});
+    for (const zone of this.zones(request)) {
+      const pinned: ResourceRequest = { ...request, allOrNothing: false, zoneAffinity: false, zone };
+      const free = count - fill(copyCapacities(capacities), pinned, count, null, () => {});
       const booting = Math.min(count - free, this.bootingSlots(pinned, now));
-      const rest = this.mayRent(pinned, now) ? count - free - booting : 0;
+      const rest = this.canRent(pinned, now) ? count - free - booting : 0;
       const score = free + 0.75 * booting + 0.5 * rest;
       if (!best || score > best.score) best = { zone, score };
     }
     return best?.zone ?? null;
   }
 
-  private zones(want: Want): Set<string> {
+  private zones(request: ResourceRequest): Set<string> {
     const zones = new Set<string>();
-    for (const type of this.ledger.types.values())
-      if (!want.types || want.types.includes(type.name)) for (const zone of type.zones) zones.add(zone);
+    for (const type of this.state.machineTypes.values())
+      if (!request.machineTypes || request.machineTypes.includes(type.name))
+        for (const zone of type.zones) zones.add(zone);
     return zones;
   }
 
-  private bootingSlots(want: Want, now: number): number {
-    this.booting ??= bootingRooms(this.ledger, now);
-    return this.booting
-      .filter((room) => room.zone === want.zone && (want.spot || !room.spot))
-      .reduce((sum, room) => sum + slots(room, want), 0);
+  private bootingSlots(request: ResourceRequest, now: number): number {
+    this.bootingCapacities ??= bootingCapacities(this.state, now);
+    return this.bootingCapacities
+      .filter((capacity) => capacity.zone === request.zone && (request.spotAllowed || !capacity.isSpot))
+      .reduce((sum, capacity) => sum + slotsIn(capacity, request), 0);
   }
 
-  private mayRent(want: Want, now: number): boolean {
-    for (const type of this.ledger.types.values()) {
-      if (slots(type, want) < 1 || !type.zones.includes(want.zone ?? '')) continue;
-      if (this.ledger.capacity.open({ type: type.name, zone: want.zone ?? '', spot: false }, now))
+  private canRent(request: ResourceRequest, now: number): boolean {
+    for (const type of this.state.machineTypes.values()) {
+      if (slotsIn(type, request) < 1 || !type.zones.includes(request.zone ?? '')) continue;
+      if (
+        this.state.rentalBackoff.isOpen(
+          { machineType: type.name, zone: request.zone ?? '', isSpot: false },
+          now,
+        )
+      )
         return true;
     }
     return false;
   }
 }
 
-function copyOf(rooms: Room[]): Room[] {
-  return rooms.map((room) => ({ ...room }));
+function copyCapacities(capacities: FreeCapacity[]): FreeCapacity[] {
+  return capacities.map((capacity) => ({ ...capacity }));
 }
--- a/src/core/graph.ts
+++ b/src/core/graph.ts
@@ -2,12 +2,12 @@
  * The release graph. A node has inputs; it is released when all of them are counted. A job is a
  * fan-out from its release (a leaf: no inputs) to its tasks, and a fan-in from them to its completion.
  */
-export class Counter {
+export class DependencyCounter {
   readonly bits: Uint8Array;
-  n = 0;
+  count = 0;
 
-  constructor(readonly inputs: number) {
-    this.bits = new Uint8Array((inputs + 7) >> 3);
+  constructor(readonly inputCount: number) {
+    this.bits = new Uint8Array((inputCount + 7) >> 3);
   }
 
   has(i: number): boolean {
@@ -16,22 +16,22 @@
 
   /** Counts an input once; a repeat adds nothing. */
   add(i: number): boolean {
-    if (i < 0 || i >= this.inputs || this.has(i)) return false;
+    if (i < 0 || i >= this.inputCount || this.has(i)) return false;
     this.bits[i >> 3] = (this.bits[i >> 3] ?? 0) | (1 << (i & 7));
-    this.n++;
+    this.count++;
     return true;
   }
 
-  get full(): boolean {
-    return this.n >= this.inputs;
+  get isFull(): boolean {
+    return this.count >= this.inputCount;
   }
 
   /** Bytes [from, to) of the record, as stored. */
-  encode(from: number, to: number): string {
+  encodeBits(from: number, to: number): string {
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  merge(from: number, stored: string): void {
+  mergeBits(from: number, stored: string): void {
     const b = Buffer.from(stored, 'base64');
     for (let k = 0; k < b.length; k++) {
       const byte = b[k] ?? 0;
@@ -46,8 +46,8 @@
  */
 export class FanOut {
   private next = 0;
-  private low = 0;
-  private back: number[] = [];
+  private firstUncounted = 0;
+  private returnedInOrder: number[] = [];
   private readonly returned = new Set<number>();
 
   constructor(
@@ -55,36 +55,37 @@
     readonly window: number,
   ) {}
 
-  skipTo(counted: (i: number) => boolean): void {
-    while (this.next < this.size && counted(this.next)) this.next++;
+  skipTo(isCounted: (i: number) => boolean): void {
+    while (this.next < this.size && isCounted(this.next)) this.next++;
   }
 
   /** Takes the next input that `taken` does not exclude, or -1. */
-  take(taken: (i: number) => boolean, counted: (i: number) => boolean): number {
-    while (this.back.length > 0) {
-      const i = this.back.shift() as number;
+  takeNext(isTaken: (i: number) => boolean, isCounted: (i: number) => boolean): number {
+    while (this.returnedInOrder.length > 0) {
+      const i = this.returnedInOrder.shift() as number;
       this.returned.delete(i);
-      if (!taken(i)) return i;
+      if (!isTaken(i)) return i;
     }
-    while (this.low < this.next && counted(this.low)) this.low++;
-    while (this.next < this.size && this.next - this.low < this.window) {
+    while (this.firstUncounted < this.next && isCounted(this.firstUncounted)) this.firstUncounted++;
+    while (this.next < this.size && this.next - this.firstUncounted < this.window) {
       const i = this.next++;
-      if (!taken(i)) return i;
+      if (!isTaken(i)) return i;
     }
     return -1;
   }
 
   /** Inputs that may be taken now, in the order in which they would be. */
   waiting(taken: (i: number) => boolean): number[] {
-    const waiting = this.back.filter((i) => !taken(i));
-    for (let i = this.next; i < this.size && i - this.low < this.window; i++) if (!taken(i)) waiting.push(i);
+    const waiting = this.returnedInOrder.filter((i) => !taken(i));
+    for (let i = this.next; i < this.size && i - this.firstUncounted < this.window; i++)
+      if (!taken(i)) waiting.push(i);
     return waiting;
   }
 
   /** A successor that lost its place goes to the front. */
-  giveBack(i: number): void {
+  putBack(i: number): void {
     if (i >= this.next || this.returned.has(i)) return;
     this.returned.add(i);
-    this.back.push(i);
+    this.returnedInOrder.push(i);
   }
 }
--- a/src/core/ledger.ts
+++ b/src/core/ledger.ts
@@ -1,149 +1,164 @@
-import { Capacity } from './autoscale.js';
+import { RentalBackoff } from './autoscale.js';
 import { EndedAttempts } from './ended-attempts.js';
-import { type Cover, coversMachine, Horizons, windowMs } from './horizon.js';
-import type { ImageFacts } from './images.js';
-import { type Entry, emptySum, isUnstored, type Machine, newMachine, provenAt, sumUp } from './machine.js';
+import {
+  type CancellationCoverage,
+  CancellationWatermarks,
+  isLeaseRenewalCovered,
+  renewalWindowMs,
+} from './horizon.js';
+import type { ImageLocations } from './images.js';
+import {
+  type Allocation,
+  createMachine,
+  emptyTotals,
+  isWithoutStoredPlacement,
+  lastProofOfLife,
+  type Machine,
+  totalsOf,
+} from './machine.js';
 import type { Policy, PolicyInput } from './policy.js';
-import { emptyRoom, type Room } from './room.js';
+import { emptyCapacity, type FreeCapacity } from './room.js';
 import type {
   Clock,
-  CloudPort,
-  Held,
+  CloudProvider,
+  LeaderMessage,
   Logger,
   MachineType,
-  Objective,
-  SchedulerMsg,
+  PlacementSpec,
+  ResourceRequest,
+  ServiceLevelObjective,
+  TaskAttempt,
   Team,
-  Want,
-  WorkerPort,
+  WorkerCommandPort,
 } from './types.js';
 
 export interface SchedulerOptions {
-  inst: string;
-  token: number;
+  instanceId: string;
+  fencingToken: number;
   teams: Map<string, Team>;
-  workers: { reportS: number; leaseS: number; cancelS: number };
-  listLagS: number;
+  workerTiming: { heartbeatIntervalSeconds: number; leaseSeconds: number; cancellationSeconds: number };
+  machineListLagSeconds: number;
   /** Calls a second that the cloud takes. */
-  cloudRps: number;
-  images: ImageFacts;
-  objectives: Objective[];
+  cloudCallsPerSecond: number;
+  images: ImageLocations;
+  objectives: ServiceLevelObjective[];
   /** A first scheduler ever finds no machines of an earlier one on their way. */
-  first: boolean;
+  isFirstEver: boolean;
   clock: Clock;
   log: Logger;
-  cloud: CloudPort;
-  worker: WorkerPort;
-  types(): MachineType[];
-  policy(i: PolicyInput): Policy;
+  cloud: CloudProvider;
+  workers: WorkerCommandPort;
+  machineTypes(): MachineType[];
+  policy(input: PolicyInput): Policy;
   /** Still known to be the leader: new starts, rentals and deletions are allowed. */
-  entitled(): boolean;
-  send(inst: string, msg: SchedulerMsg): void;
+  holdsLeadership(): boolean;
+  send(instanceId: string, message: LeaderMessage): void;
   wake(): void;
   /** A higher token was seen: another scheduler acts. */
-  deposed(token: number): void;
+  onHigherToken(token: number): void;
   /** Siblings heard from a moment ago. */
-  siblings(): number;
+  reachablePeers(): number;
   /** What the leader before this one had told of cancellations. */
-  inherited(): Cover | null;
+  inheritedCoverage(): CancellationCoverage | null;
   /** Known here to be stored as cancelled, whatever its owner has read. */
   isCancelled(job: string): boolean;
   /** All that any user was told to be cancelled between the two times is known here. */
-  told(now: number): { since: number; at: number };
+  cancellationsKnown(now: number): { since: number; at: number };
   /** Nothing but this controller's own network explains what is seen. */
-  resign(why: string): void;
+  resign(reason: string): void;
   /** Held-back commands stand in the way of a stop: a higher token would end them. */
-  raise(why: string): void;
+  raiseFencingToken(reason: string): void;
 }
 
-export interface OwnerRef {
-  inst: string;
-  gen: number;
-  synced: boolean;
+export interface ShardOwnerRef {
+  instanceId: string;
+  shardEpoch: number;
+  isSynced: boolean;
   /** When this controller learnt of it. */
   since: number;
 }
 
-export interface WantRef {
-  want: Want;
-  inst: string;
+export interface QueuedRequest {
+  request: ResourceRequest;
+  instanceId: string;
 }
 
 /**
  * What the scheduler knows: machines, the entries on them, owners and what they want. Sums are kept by what changes, so
  * that nothing costs by the size of the fleet that need not.
  */
-export class Ledger {
-  readonly token: number;
+export class ClusterState {
+  readonly fencingToken: number;
   readonly machines = new Map<string, Machine>();
-  readonly gone = new Set<string>();
-  readonly owners = new Map<string, OwnerRef>();
-  readonly wants = new Map<string, Want[]>();
+  readonly deletedMachines = new Set<string>();
+  readonly owners = new Map<string, ShardOwnerRef>();
+  readonly requests = new Map<string, ResourceRequest[]>();
   /** Grants not yet told to be stored, by job, and where each is. */
-  readonly holds = new Map<string, Set<number>>();
-  readonly grantAt = new Map<number, Machine>();
+  readonly openGrants = new Map<string, Set<number>>();
+  readonly grantMachines = new Map<number, Machine>();
   /** Machines whose entries changed since they were last summed up. */
-  private readonly touched = new Set<Machine>();
+  private readonly changedMachines = new Set<Machine>();
   /** Machines that are up and have something free, or something about to be free. */
-  readonly withRoom = new Set<Machine>();
-  readonly withStops = new Set<Machine>();
+  readonly machinesWithCapacity = new Set<Machine>();
+  readonly machinesWithStops = new Set<Machine>();
   /** Machines on which something may have to be stopped yet. */
-  private readonly stopping = new Set<Machine>();
-  readonly horizons: Horizons;
-  private readonly window: number;
+  private readonly machinesStopping = new Set<Machine>();
+  readonly watermarks: CancellationWatermarks;
+  private readonly renewalWindowMs: number;
   /** Entries whose owners were asked to stop them. */
-  readonly evictions = new Set<Entry>();
-  private readonly used = new Map<string, { cpus: number; gpus: number }>();
-  readonly total = { services: 0, serviceCpus: 0, batchTasks: 0, ranks: [0, 0, 0, 0] };
-  private typeList: MachineType[] = [];
-  types = new Map<string, MachineType>();
-  scarce: string | null = null;
-  scarceAt = Number.NEGATIVE_INFINITY;
+  readonly evictions = new Set<Allocation>();
+  private readonly usedByTeam = new Map<string, { cpus: number; gpus: number }>();
+  readonly totals = { services: 0, serviceCpus: 0, batchTasks: 0, ranks: [0, 0, 0, 0] };
+  private machineTypeList: MachineType[] = [];
+  machineTypes = new Map<string, MachineType>();
+  scarceZone: string | null = null;
+  scarceZoneAt = Number.NEGATIVE_INFINITY;
   /** Zones most of whose machines are silent while others are heard: cut off rather than dead. */
   cutZones = new Set<string>();
   /** Ordinary machines without replicas that the reserve lies on. */
-  spare = new Set<string>();
+  reserveMachines = new Set<string>();
   /** Until then work is short of places. */
-  shortUntil = 0;
-  readonly reserved = new Set<Machine>();
+  shortageUntil = 0;
+  readonly reservedMachines = new Set<Machine>();
   readonly endedAttempts = new EndedAttempts();
   /** Machines whose ended attempts alone keep work waiting: they are removed without waiting for others. */
-  blocking: ReadonlySet<string> = new Set();
+  blockingMachines: ReadonlySet<string> = new Set();
   /** Machines with places that a waiting gang has gathered: they are kept although they are empty. */
-  gathered: ReadonlySet<string> = new Set();
+  gatheredMachines: ReadonlySet<string> = new Set();
   /** Refused rentals. */
-  readonly capacity = new Capacity(5000, 15000);
+  readonly rentalBackoff = new RentalBackoff(5000, 15000);
   readonly startedAt: number;
-  readonly serviceShapes = new Map<string, { want: Want; at: number }>();
-  dirty = true;
-  listed = false;
-  policyNow: Policy;
+  readonly serviceProfiles = new Map<string, { request: ResourceRequest; at: number }>();
+  isDirty = true;
+  machinesListed = false;
+  policy: Policy;
 
-  constructor(readonly o: SchedulerOptions) {
-    this.token = o.token;
-    this.startedAt = o.clock.now();
-    this.horizons = new Horizons([...o.teams.keys()]);
-    this.window = windowMs(o.workers);
-    this.policyNow = o.policy(this.policyInput());
+  constructor(readonly options: SchedulerOptions) {
+    this.fencingToken = options.fencingToken;
+    this.startedAt = options.clock.now();
+    this.watermarks = new CancellationWatermarks([...options.teams.keys()]);
+    this.renewalWindowMs = renewalWindowMs(options.workerTiming);
+    this.policy = options.policy(this.policyInput());
   }
 
   isSynced(team: string): boolean {
-    return this.owners.get(team)?.synced === true;
+    return this.owners.get(team)?.isSynced === true;
   }
 
   allSynced(): boolean {
-    for (const t of this.o.teams.keys()) if (!this.isSynced(t)) return false;
+    for (const t of this.options.teams.keys()) if (!this.isSynced(t)) return false;
     return true;
   }
 
-  heeds(inst: string, team: string): boolean {
-    const r = this.owners.get(team);
-    return r?.inst === inst && r.synced;
+  isCurrentOwner(instanceId: string, team: string): boolean {
+    const owner = this.owners.get(team);
+    return owner?.instanceId === instanceId && owner.isSynced;
   }
 
-  fetchS(w: { imageGb: number }): number {
+  imageFetchSeconds(w: { imageGb: number }): number {
     let slowest = Number.POSITIVE_INFINITY;
-    for (const t of this.o.types()) slowest = Math.min(slowest, t.fetchGbPerS);
+    for (const machineType of this.options.machineTypes())
+      slowest = Math.min(slowest, machineType.imageFetchGbPerSecond);
     return Number.isFinite(slowest) ? w.imageGb / Math.max(0.01, slowest) : 0;
   }
 
@@ -151,77 +166,81 @@
    * What services need, by image and by whether they must be spread: one kind must not hide the other, and a new
    * scheduler learns both from the replicas that run, not only from those that wait.
    */
-  learnShape(w: Want): void {
-    const key = `${w.image}|${w.zoneRoom !== null}`;
-    if (!this.serviceShapes.has(key)) this.scarceAt = Number.NEGATIVE_INFINITY;
-    this.serviceShapes.set(key, { want: w, at: this.o.clock.now() });
+  learnServiceProfile(request: ResourceRequest): void {
+    const key = `${request.image}|${request.zoneAllowance !== null}`;
+    if (!this.serviceProfiles.has(key)) this.scarceZoneAt = Number.NEGATIVE_INFINITY;
+    this.serviceProfiles.set(key, { request: request, at: this.options.clock.now() });
   }
 
-  holdOf(id: number): Entry | undefined {
-    return this.grantAt.get(id)?.entries.get(`grant#${id}`);
+  allocationOfGrant(id: number): Allocation | undefined {
+    return this.grantMachines.get(id)?.allocations.get(`grant#${id}`);
   }
 
-  dropHolds(ids: number[]): void {
+  dropGrants(ids: number[]): void {
     for (const id of ids) {
-      const m = this.grantAt.get(id);
-      const e = m?.entries.get(`grant#${id}`);
-      if (m && e) this.removeEntry(m, e);
+      const machine = this.grantMachines.get(id);
+      const allocation = machine?.allocations.get(`grant#${id}`);
+      if (machine && allocation) this.removeAllocation(machine, allocation);
     }
-    this.dirty = true;
+    this.isDirty = true;
   }
 
-  removeEntry(m: Machine, e: Entry): void {
-    m.entries.delete(e.key);
-    this.evictions.delete(e);
-    if (e.want === 'hold') {
-      this.grantAt.delete(e.grant);
-      const ids = this.holds.get(e.job);
-      ids?.delete(e.grant);
-      if (ids?.size === 0) this.holds.delete(e.job);
+  removeAllocation(machine: Machine, allocation: Allocation): void {
+    machine.allocations.delete(allocation.key);
+    this.evictions.delete(allocation);
+    if (allocation.desiredState === 'hold') {
+      this.grantMachines.delete(allocation.grantId);
+      const ids = this.openGrants.get(allocation.jobId);
+      ids?.delete(allocation.grantId);
+      if (ids?.size === 0) this.openGrants.delete(allocation.jobId);
     }
-    this.touch(m);
+    this.markChanged(machine);
   }
 
-  touch(m: Machine): void {
-    this.touched.add(m);
-    this.dirty = true;
+  markChanged(machine: Machine): void {
+    this.changedMachines.add(machine);
+    this.isDirty = true;
   }
 
   /** Sums up what has changed, so that a pass costs by the changes and not by the size of the fleet. */
   refresh(): void {
-    const list = this.o.types();
-    if (list !== this.typeList) {
-      this.typeList = list;
-      this.types = new Map(list.map((t) => [t.name, t]));
-      for (const m of this.machines.values()) this.touched.add(m);
+    const list = this.options.machineTypes();
+    if (list !== this.machineTypeList) {
+      this.machineTypeList = list;
+      this.machineTypes = new Map(list.map((machineType) => [machineType.name, machineType]));
+      for (const machine of this.machines.values()) this.changedMachines.add(machine);
     }
-    for (const m of this.touched) {
-      this.count(m, -1);
-      const busy = m.sum.busy;
-      m.sum = this.machines.get(m.name) === m ? sumUp(m, this.types.get(m.type)) : emptySum();
-      this.count(m, 1);
-      const s = m.sum;
-      if (busy > 0 && s.busy === 0) m.idleSince = this.o.clock.now();
-      if (m.up && s.known && s.free.cpus > 1e-9) this.withRoom.add(m);
-      else this.withRoom.delete(m);
-      if (m.up && s.known && s.stopping.cpus > 0) this.withStops.add(m);
-      else this.withStops.delete(m);
+    for (const machine of this.changedMachines) {
+      this.addToTotals(machine, -1);
+      const busy = machine.totals.unfinishedTasks;
+      machine.totals =
+        this.machines.get(machine.name) === machine
+          ? totalsOf(machine, this.machineTypes.get(machine.machineType))
+          : emptyTotals();
+      this.addToTotals(machine, 1);
+      const totals = machine.totals;
+      if (busy > 0 && totals.unfinishedTasks === 0) machine.idleSince = this.options.clock.now();
+      if (machine.isUp && totals.isTypeKnown && totals.free.cpus > 1e-9)
+        this.machinesWithCapacity.add(machine);
+      else this.machinesWithCapacity.delete(machine);
+      if (machine.isUp && totals.isTypeKnown && totals.stopping.cpus > 0) this.machinesWithStops.add(machine);
+      else this.machinesWithStops.delete(machine);
     }
-    this.touched.clear();
+    this.changedMachines.clear();
   }
 
-  private count(m: Machine, sign: 1 | -1): void {
-    const s = m.sum;
-    for (const t of s.teams) {
-      const u = this.used.get(t.team) ?? { cpus: 0, gpus: 0 };
+  private addToTotals(machine: Machine, sign: 1 | -1): void {
+    const totals = machine.totals;
+    for (const t of totals.teams) {
+      const u = this.usedByTeam.get(t.team) ?? { cpus: 0, gpus: 0 };
       u.cpus += sign * t.cpus;
       u.gpus += sign * t.gpus;
-      this.used.set(t.team, u);
+      this.usedByTeam.set(t.team, u);
     }
-    this.total.services += sign * s.services;
-    this.total.serviceCpus += sign * s.serviceCpus;
-    this.total.batchTasks += sign * s.batchTasks;
-    for (let k = 0; k < 4; k++) this.total.ranks[k]! += sign * s.ranks[k]!;
+    this.totals.services += sign * totals.replicas;
+    this.totals.serviceCpus += sign * totals.replicaCpus;
+    this.totals.batchTasks += sign * totals.batchTasks;
+    for (let k = 0; k < 4; k++) this.totals.ranks[k]! += sign * totals.runningByPriority[k]!;
   }
 
   // ---- cancellations --------------------------------------------------------------------------------
@@ -230,21 +249,21 @@
    * Before this time whatever users were told to be cancelled has become stops for a team: by what its owner has read,
    * or, from there on, by what all controllers have told one another.
    */
-  private horizon(team: string, now: number): number {
-    const h = this.horizons.of(team);
-    const told = this.o.told(now);
+  private watermark(team: string, now: number): number {
+    const h = this.watermarks.of(team);
+    const told = this.options.cancellationsKnown(now);
     return h >= told.since ? Math.max(h, told.at) : h;
   }
 
-  private least(now: number): number {
+  private lowestWatermark(now: number): number {
     let h = Number.POSITIVE_INFINITY;
-    for (const t of this.o.teams.keys()) h = Math.min(h, this.horizon(t, now));
+    for (const t of this.options.teams.keys()) h = Math.min(h, this.watermark(t, now));
     return h;
   }
 
   /** All that was cancelled before some moment young enough has become stops for this team. */
-  covered(team: string, now: number): boolean {
-    return now - this.horizon(team, now) <= this.window;
+  isCovered(team: string, now: number): boolean {
+    return now - this.watermark(team, now) <= this.renewalWindowMs;
   }
 
   /**
@@ -252,136 +271,175 @@
    * horizon of every team with tasks there; what was cancelled later ends with this lease, in time. Before all owners
    * have told what they hold nobody knows what is there: then what the last leader told of cancellations must do.
    */
-  mayRenew(m: Machine, now: number): boolean {
-    if (!this.horizons.whole) {
-      const c = this.o.inherited();
-      const told = this.o.told(now);
+  canRenewLease(machine: Machine, now: number): boolean {
+    if (!this.watermarks.coversAllTeams) {
+      const coverage = this.options.inheritedCoverage();
+      const told = this.options.cancellationsKnown(now);
       // What users were told since is known by name: its tasks are stopped wherever a report lists them.
-      const at = c && c.at >= told.since ? Math.max(c.at, told.at) : (c?.at ?? 0);
-      return coversMachine(c && { ...c, at }, m.name, now, this.window);
+      const at =
+        coverage && coverage.completeUntil >= told.since
+          ? Math.max(coverage.completeUntil, told.at)
+          : (coverage?.completeUntil ?? 0);
+      return isLeaseRenewalCovered(
+        coverage && { ...coverage, completeUntil: at },
+        machine.name,
+        now,
+        this.renewalWindowMs,
+      );
     }
-    if (m.strangers.size > 0 && this.strange(m)) return now - this.least(now) <= this.window;
+    if (machine.unknownTasks.size > 0 && this.runsUnknownTask(machine))
+      return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
-    for (const e of m.entries.values()) if (e.want !== 'reap' && !isUnstored(e)) teams.add(e.team);
-    for (const t of teams) if (!this.covered(t, now)) return false;
+    for (const allocation of machine.allocations.values())
+      if (allocation.desiredState !== 'reap' && !isWithoutStoredPlacement(allocation))
+        teams.add(allocation.team);
+    for (const t of teams) if (!this.isCovered(t, now)) return false;
     if (teams.size > 0) return true;
-    for (const t of this.o.teams.keys()) if (this.covered(t, now)) return true;
+    for (const t of this.options.teams.keys()) if (this.isCovered(t, now)) return true;
     return false;
   }
 
   /** An entry is to be stopped. */
-  noteStop(m: Machine, e: Entry): void {
-    e.want = 'stop';
-    this.stopping.add(m);
+  noteStop(machine: Machine, allocation: Allocation): void {
+    allocation.desiredState = 'stop';
+    this.machinesStopping.add(machine);
   }
 
   /** Stored as cancelled: stopping its tasks is always right, whoever owns them. Returns where some may run. */
   cancel(job: string): Machine[] {
     const out: Machine[] = [];
-    for (const m of this.machines.values())
-      for (const e of m.entries.values()) {
+    for (const machine of this.machines.values())
+      for (const allocation of machine.allocations.values()) {
         // Also one that is stopped to make room, and may be saving.
-        if (e.job !== job || (e.want !== 'run' && e.want !== 'stop')) continue;
-        e.graceS = 0;
-        this.noteStop(m, e);
-        this.touch(m);
-        out.push(m);
+        if (
+          allocation.jobId !== job ||
+          (allocation.desiredState !== 'run' && allocation.desiredState !== 'stop')
+        )
+          continue;
+        allocation.gracePeriodSeconds = 0;
+        this.noteStop(machine, allocation);
+        this.markChanged(machine);
+        out.push(machine);
       }
     return out;
   }
 
   /** For siblings: see `Cover`. Null as long as some owner has not told what it holds. */
-  cover(): { at: number; pending: string[] } | null {
-    if (!this.horizons.whole) return null;
-    const pending: string[] = [];
-    for (const m of this.stopping) {
+  coverage(): { at: number; pendingMachines: string[] } | null {
+    if (!this.watermarks.coversAllTeams) return null;
+    const pendingMachines: string[] = [];
+    for (const machine of this.machinesStopping) {
       let some = false;
-      if (this.machines.get(m.name) === m)
-        for (const e of m.entries.values())
-          if (e.want === 'stop' && !e.settled && e.listed?.phase !== 'exited') some = true;
-      if (some) pending.push(m.name);
-      else this.stopping.delete(m);
+      if (this.machines.get(machine.name) === machine)
+        for (const allocation of machine.allocations.values())
+          if (
+            allocation.desiredState === 'stop' &&
+            !allocation.isFinalized &&
+            allocation.reported?.phase !== 'exited'
+          )
+            some = true;
+      if (some) pendingMachines.push(machine.name);
+      else this.machinesStopping.delete(machine);
     }
-    return { at: this.least(this.o.clock.now()), pending };
+    return { at: this.lowestWatermark(this.options.clock.now()), pendingMachines };
   }
 
   // ---- workers --------------------------------------------------------------------------------------
 
   machine(name: string): Machine {
-    let m = this.machines.get(name);
-    if (!m) {
-      m = newMachine(name, this.o.clock.now());
-      for (const [image, gb] of this.o.images.of(name) ?? []) m.images.set(image, gb);
-      this.machines.set(name, m);
+    let machine = this.machines.get(name);
+    if (!machine) {
+      machine = createMachine(name, this.options.clock.now());
+      for (const [image, sizeGb] of this.options.images.imagesOf(name) ?? [])
+        machine.images.set(image, sizeGb);
+      this.machines.set(name, machine);
     }
-    return m;
+    return machine;
   }
 
   // ---- room -----------------------------------------------------------------------------------------
 
   /** Fit to be given work. A machine not heard of lately gets nothing new. */
-  usable(m: Machine, now: number): boolean {
-    if (!m.up || m.removing || m.retired || m.leaving || m.leaveAt !== null || m.probeFails > 0) return false;
-    if (!m.confirmed || m.deaf > 0) return false;
+  isUsable(machine: Machine, now: number): boolean {
+    if (
+      !machine.isUp ||
+      machine.isBeingDeleted ||
+      machine.isQuarantined ||
+      machine.isDraining ||
+      machine.evictionDeadline !== null ||
+      machine.failedDirectCalls > 0
+    )
+      return false;
+    if (!machine.hasCurrentToken || machine.missedAnswers > 0) return false;
     // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
-    return now - provenAt(m) <= this.quietMs() * 1.6 && !this.strange(m);
+    return now - lastProofOfLife(machine) <= this.quietMs() * 1.6 && !this.runsUnknownTask(machine);
   }
 
   quietMs(): number {
-    return (this.o.workers.reportS * 1.25 + 1) * 1000;
+    return (this.options.workerTiming.heartbeatIntervalSeconds * 1.25 + 1) * 1000;
   }
 
-  roomOf(m: Machine, now: number): Room | null {
-    const t = this.types.get(m.type);
-    if (!t || !m.sum.known) return null;
-    const r = emptyRoom(t, m.zone, m.spot, m.name);
-    r.images = m.images;
-    if (m.reserved && m.reserved.until > now) r.reserved = m.reserved;
-    r.penalty = (now - provenAt(m) > this.quietMs() ? 10 : 0) + (m.errors.size > 0 ? 20 : 0);
-    r.surplus = this.isSurplus(m, now);
-    r.cpus = m.sum.free.cpus;
-    r.gpus = m.sum.free.gpus;
-    r.mem = m.sum.free.mem;
-    return r;
+  capacityOf(machine: Machine, now: number): FreeCapacity | null {
+    const machineType = this.machineTypes.get(machine.machineType);
+    if (!machineType || !machine.totals.isTypeKnown) return null;
+    const capacity = emptyCapacity(machineType, machine.zone, machine.isSpot, machine.name);
+    capacity.images = machine.images;
+    if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
+    capacity.penaltySeconds =
+      (now - lastProofOfLife(machine) > this.quietMs() ? 10 : 0) + (machine.failedJobs.size > 0 ? 20 : 0);
+    capacity.isSurplus = this.isSurplus(machine, now);
+    capacity.cpus = machine.totals.free.cpus;
+    capacity.gpus = machine.totals.free.gpus;
+    capacity.memoryGb = machine.totals.free.memoryGb;
+    return capacity;
   }
 
   /** See `Room.surplus`. */
-  isSurplus(m: Machine, now: number): boolean {
-    return !m.spot && m.sum.services === 0 && !this.spare.has(m.name) && now > this.shortUntil;
+  isSurplus(machine: Machine, now: number): boolean {
+    return (
+      !machine.isSpot &&
+      machine.totals.replicas === 0 &&
+      !this.reserveMachines.has(machine.name) &&
+      now > this.shortageUntil
+    );
   }
 
   /** Free room of the machines that have any. */
-  rooms(now: number): Room[] {
+  freeCapacities(now: number): FreeCapacity[] {
     this.refresh();
-    const out: Room[] = [];
-    for (const m of this.withRoom) {
-      const r = this.usable(m, now) ? this.roomOf(m, now) : null;
-      if (r) out.push(r);
+    const out: FreeCapacity[] = [];
+    for (const machine of this.machinesWithCapacity) {
+      const capacity = this.isUsable(machine, now) ? this.capacityOf(machine, now) : null;
+      if (capacity) out.push(capacity);
     }
     return out;
   }
 
   /** Runs something nobody claims: how much room it takes is not known. */
-  private strange(m: Machine): boolean {
-    for (const key of m.strangers.keys())
-      if (!m.entries.has(key) && m.tasks.get(key)?.phase !== 'exited') return true;
+  private runsUnknownTask(machine: Machine): boolean {
+    for (const key of machine.unknownTasks.keys())
+      if (!machine.allocations.has(key) && machine.tasks.get(key)?.phase !== 'exited') return true;
     return false;
   }
 
   usage(): Map<string, { cpus: number; gpus: number }> {
     const u = new Map<string, { cpus: number; gpus: number }>();
-    for (const t of this.o.teams.keys()) u.set(t, { ...(this.used.get(t) ?? { cpus: 0, gpus: 0 }) });
+    for (const t of this.options.teams.keys())
+      u.set(t, { ...(this.usedByTeam.get(t) ?? { cpus: 0, gpus: 0 }) });
     return u;
   }
 
-  within(
+  isWithinGuarantee(
     u: { cpus: number; gpus: number } | undefined,
     team: string,
     more: { cpus: number; gpus: number },
   ): boolean {
-    const t = this.o.teams.get(team);
-    if (!t || !u || (t.cpus <= 0 && t.gpus <= 0)) return false;
-    return u.cpus + more.cpus <= t.cpus + 1e-9 && (more.gpus <= 0 || u.gpus + more.gpus <= t.gpus + 1e-9);
+    const t = this.options.teams.get(team);
+    if (!t || !u || (t.guaranteedCpus <= 0 && t.guaranteedGpus <= 0)) return false;
+    return (
+      u.cpus + more.cpus <= t.guaranteedCpus + 1e-9 &&
+      (more.gpus <= 0 || u.gpus + more.gpus <= t.guaranteedGpus + 1e-9)
+    );
   }
 
   // ---- fleet ----------------------------------------------------------------------------------------
@@ -389,87 +447,88 @@
   policyInput(): PolicyInput {
     let queued = 0;
     let queuedCpus = 0;
-    for (const l of this.wants.values())
-      for (const w of l) {
-        queued += w.count;
-        queuedCpus += w.count * w.cpus;
+    for (const l of this.requests.values())
+      for (const request of l) {
+        queued += request.taskCount;
+        queuedCpus += request.taskCount * request.cpus;
       }
-    const boots = this.o.types().map((t) => t.bootS);
+    const boots = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
     return {
-      services: this.total.services,
-      service_cpus: this.total.serviceCpus,
+      services: this.totals.services,
+      service_cpus: this.totals.serviceCpus,
       queued,
       queued_cpus: queuedCpus,
-      batch_running: this.total.batchTasks,
+      batch_running: this.totals.batchTasks,
       machines: this.machines.size,
-      report_s: this.o.workers.reportS,
-      lease_s: this.o.workers.leaseS,
+      report_s: this.options.workerTiming.heartbeatIntervalSeconds,
+      lease_s: this.options.workerTiming.leaseSeconds,
       boot_s: boots.length > 0 ? Math.min(...boots) : 30,
     };
   }
 
   /** Room that services would find if lower work were stopped for them. */
-  reserveRooms(now: number): Room[] {
+  preemptibleCapacities(now: number): FreeCapacity[] {
     this.refresh();
-    const out: Room[] = [];
-    for (const m of this.machines.values()) {
-      const b = m.sum.batch;
-      if (m.sum.free.cpus + b.cpus <= 1e-9 || !this.usable(m, now)) continue;
-      const r = this.roomOf(m, now);
-      if (!r) continue;
-      r.cpus += b.cpus;
-      r.gpus += b.gpus;
-      r.mem += b.mem;
-      out.push(r);
+    const out: FreeCapacity[] = [];
+    for (const machine of this.machines.values()) {
+      const b = machine.totals.batch;
+      if (machine.totals.free.cpus + b.cpus <= 1e-9 || !this.isUsable(machine, now)) continue;
+      const capacity = this.capacityOf(machine, now);
+      if (!capacity) continue;
+      capacity.cpus += b.cpus;
+      capacity.gpus += b.gpus;
+      capacity.memoryGb += b.memoryGb;
+      out.push(capacity);
     }
     return out;
   }
 
-  evictAll(entries: Entry[], now: number, why: string): void {
-    const stops = new Map<string, { job: string; idx: number; attempt: number }[]>();
-    for (const e of entries) {
-      e.evicting = now;
-      this.evictions.add(e);
-      const m = this.machines.get(e.machine);
-      if (m) this.touch(m);
-      const inst = this.owners.get(e.team)?.inst;
-      if (!inst) continue;
-      const l = stops.get(inst) ?? [];
-      l.push({ job: e.job, idx: e.idx, attempt: e.attempt });
-      stops.set(inst, l);
+  requestEvictions(entries: Allocation[], now: number, reason: string): void {
+    const stops = new Map<string, TaskAttempt[]>();
+    for (const allocation of entries) {
+      allocation.evictionRequestedAt = now;
+      this.evictions.add(allocation);
+      const machine = this.machines.get(allocation.machine);
+      if (machine) this.markChanged(machine);
+      const instanceId = this.owners.get(allocation.team)?.instanceId;
+      if (!instanceId) continue;
+      const l = stops.get(instanceId) ?? [];
+      l.push({ jobId: allocation.jobId, taskIndex: allocation.taskIndex, attempt: allocation.attempt });
+      stops.set(instanceId, l);
     }
-    for (const [inst, tasks] of stops) this.o.send(inst, { type: 'evict', token: this.token, tasks, why });
+    for (const [instanceId, tasks] of stops)
+      this.options.send(instanceId, { type: 'evict', fencingToken: this.fencingToken, tasks, reason });
   }
 
-  baseWant(e: Omit<Held, 'want'>): Want {
+  requestLike(e: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
     return {
-      job: e.job,
+      jobId: e.jobId,
       team: e.team,
-      cls: '',
-      rank: e.rank,
-      order: 0,
-      stage: 0,
-      count: 1,
-      whole: false,
-      service: e.service,
+      jobClass: '',
+      priority: e.priority,
+      queuePosition: 0,
+      missedObjectives: 0,
+      taskCount: 1,
+      allOrNothing: false,
+      isService: e.isService,
       cpus: e.cpus,
       gpus: e.gpus,
-      mem: e.mem,
+      memoryGb: e.memoryGb,
       image: e.image,
       imageGb: e.imageGb,
-      estimateS: e.estimateS,
-      types: e.types,
-      spot: false,
+      estimatedRunSeconds: e.estimatedRunSeconds,
+      machineTypes: e.machineTypes,
+      spotAllowed: false,
       zone: null,
-      together: false,
-      zoneRoom: null,
-      zoneCap: 1,
-      avoid: [],
-      near: '',
-      patienceS: null,
-      aimS: null,
-      slackS: null,
-      seen: 0,
+      zoneAffinity: false,
+      zoneAllowance: null,
+      maxTasksPerZone: 1,
+      avoidedMachines: [],
+      preferredMachine: '',
+      maxWaitSeconds: null,
+      objectiveSeconds: null,
+      slackSeconds: null,
+      lastGrantTaken: 0,
     };
   }
 }
--- a/src/core/limited-log.ts
+++ b/src/core/limited-log.ts
@@ -1,4 +1,4 @@
-import type { Clock, Fields, Logger } from './types.js';
+import type { Clock, LogFields, Logger } from './types.js';
 
 /** Lines of one message let through in a window. */
 const LINES_PER_WINDOW = 20;
@@ -22,16 +22,16 @@
     private readonly clock: Clock,
   ) {}
 
-  info(fields: Fields, message: string): void {
+  info(fields: LogFields, message: string): void {
     const extra = this.admit(message);
     if (extra) this.log.info({ ...fields, ...extra }, message);
   }
 
   /** Fields to add; null: the line is left out. */
-  private admit(message: string): Fields | null {
+  private admit(message: string): LogFields | null {
     const now = this.clock.now();
     let window = this.windows.get(message);
-    let extra: Fields = {};
+    let extra: LogFields = {};
     if (!window || now - window.from >= WINDOW_MS) {
       if (window && window.suppressed > 0) extra = { suppressed: window.suppressed };
       window = { from: now, lines: 0, suppressed: 0 };
--- a/src/core/limits.ts
+++ b/src/core/limits.ts
@@ -2,50 +2,50 @@
  * A limit on requests in progress that follows measured times: it grows while answers come about as fast as
  * the fastest of late, and shrinks when they take several times as long.
  */
-export class ProgressLimit {
+export class ConcurrencyLimit {
   private limit: number;
   private running = 0;
-  private base = Number.POSITIVE_INFINITY;
-  private baseAt = 0;
-  private shrunkAt = 0;
+  private fastestMs = Number.POSITIVE_INFINITY;
+  private fastestAt = 0;
+  private lastShrunkAt = 0;
 
   constructor(
-    start: number,
-    private readonly least: number,
-    private readonly most: number,
+    initialLimit: number,
+    private readonly minLimit: number,
+    private readonly maxLimit: number,
     /** Below this many ms an answer is never slow. */
     private readonly fastMs: number,
   ) {
-    this.limit = start;
+    this.limit = initialLimit;
   }
 
   get current(): number {
     return Math.floor(this.limit);
   }
 
-  enter(): boolean {
+  tryAcquire(): boolean {
     if (this.running >= this.limit) return false;
     this.running++;
     return true;
   }
 
-  leave(now: number, tookMs: number): void {
+  release(now: number, durationMs: number): void {
     const used = this.running;
     this.running--;
     // The fastest time is forgotten slowly, so that a lasting change is learnt.
-    if (now - this.baseAt > 10000) {
-      this.base *= 1.5;
-      this.baseAt = now;
+    if (now - this.fastestAt > 10000) {
+      this.fastestMs *= 1.5;
+      this.fastestAt = now;
     }
-    if (tookMs < this.base) {
-      this.base = Math.max(1, tookMs);
-      this.baseAt = now;
+    if (durationMs < this.fastestMs) {
+      this.fastestMs = Math.max(1, durationMs);
+      this.fastestAt = now;
     }
-    if (tookMs > Math.max(this.fastMs, this.base * 4)) {
-      if (now - this.shrunkAt > tookMs) {
-        this.shrunkAt = now;
-        this.limit = Math.max(this.least, this.limit * 0.8);
+    if (durationMs > Math.max(this.fastMs, this.fastestMs * 4)) {
+      if (now - this.lastShrunkAt > durationMs) {
+        this.lastShrunkAt = now;
+        this.limit = Math.max(this.minLimit, this.limit * 0.8);
       }
-    } else if (used > this.limit / 2) this.limit = Math.min(this.most, this.limit + 1 / this.limit + 0.1);
+    } else if (used > this.limit / 2) this.limit = Math.min(this.maxLimit, this.limit + 1 / this.limit + 0.1);
   }
 }
--- a/src/core/machine.ts
+++ b/src/core/machine.ts
@@ -1,241 +1,251 @@
 import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
-import type { Held, TaskReport, WorkerReport } from './types.js';
+import type { Heartbeat, PlacementSpec, TaskStatus } from './types.js';
 import { taskKey } from './types.js';
 
 /** A placement as the scheduler holds it: room taken on a machine, and what its worker should do. */
-export interface Entry extends Omit<Held, 'want'> {
+export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
   key: string;
   /** `hold`: granted, not yet told to be stored. */
-  want: Held['want'] | 'hold';
+  desiredState: PlacementSpec['desiredState'] | 'hold';
   /** Tally of the report whose answer carries its start, until a later report comes. */
-  sentWith: number;
+  sentWithHeartbeat: number;
   /** A direct command with its start is under way. */
-  direct: boolean;
-  listed: TaskReport | null;
+  directStartInFlight: boolean;
+  reported: TaskStatus | null;
   /** Its worker has listed it as ended: it is never started again, whatever the worker lists later. */
-  ended: boolean;
-  settled: boolean;
-  told: string;
-  since: number;
+  hasExited: boolean;
+  isFinalized: boolean;
+  lastEventSent: string;
+  phaseSince: number;
   /** Since when it runs is known: this scheduler saw it before it ran, or sent its start. */
-  timed: boolean;
+  startObserved: boolean;
   /** When a stop was asked of its owner; 0: not. */
-  evicting: number;
+  evictionRequestedAt: number;
 }
 
 export interface Machine {
   name: string;
-  addr: string;
-  type: string;
+  address: string;
+  machineType: string;
   zone: string;
-  spot: boolean;
-  season: number;
-  tally: number;
+  isSpot: boolean;
+  agentEpoch: number;
+  sequence: number;
   /** Tally of the newest report that came as a report, and not as the answer to a direct command. */
-  reportTally: number;
-  token: number;
+  heartbeatSequence: number;
+  fencingToken: number;
   /** Any sign of life; reports alone; first seen to be up. */
   heardAt: number;
-  reportAt: number;
+  heartbeatAt: number;
   upAt: number;
   /** The last report was answered, with a renewal of its lease. */
-  answered: boolean;
+  leaseRenewed: boolean;
   /** Last asked a sibling, which sent it here. */
-  strayAt: number;
-  up: boolean;
+  redirectedAt: number;
+  isUp: boolean;
   /** Has shown this scheduler's token: what it was heard to say is no late copy from before. */
-  confirmed: boolean;
+  hasCurrentToken: boolean;
   /** Signs in a row that what is told to this machine does not reach it, although it is heard; since when. */
-  deaf: number;
-  deafSince: number;
+  missedAnswers: number;
+  missedAnswersSince: number;
   rentedAt: number;
   /** The list calls it running, whether or not its worker was heard. */
-  listedUp: boolean;
-  leaveAt: number | null;
-  entries: Map<string, Entry>;
-  tasks: Map<string, TaskReport>;
-  directBusy: boolean;
-  probeAt: number;
-  probeFails: number;
+  listedAsRunning: boolean;
+  evictionDeadline: number | null;
+  allocations: Map<string, Allocation>;
+  tasks: Map<string, TaskStatus>;
+  directCallInFlight: boolean;
+  directCallAt: number;
+  failedDirectCalls: number;
   /** Starts sent directly without an answer, with the token they were sent under: they may still arrive. */
-  doubt: Map<string, number>;
-  doubtSince: number;
+  indeterminateStarts: Map<string, number>;
+  indeterminateSince: number;
   /** Attempts that this scheduler started directly: a late repeat of the command would start them once more. */
-  direct: Set<string>;
+  directlyStarted: Set<string>;
   images: Map<string, number>;
-  removing: boolean;
-  retired: boolean;
+  isBeingDeleted: boolean;
+  isQuarantined: boolean;
   /** Being emptied, to be returned. */
-  leaving: boolean;
+  isDraining: boolean;
   idleSince: number;
-  errors: Map<string, number>;
+  failedJobs: Map<string, number>;
   /** By job: of which tasks it lists an ended attempt. */
   endedTasks: ReadonlyMap<string, EndedTasks>;
-  strangers: Map<string, number>;
+  unknownTasks: Map<string, number>;
   /** Room being freed here by stops is for this job. */
-  reserved: { job: string; rank: number; until: number } | null;
-  runs: number;
-  slow: number;
+  reservation: { jobId: string; priority: number; until: number } | null;
+  measuredRuns: number;
+  meanSlowdown: number;
   /** What its entries come to, kept by the scheduler's `refresh`. */
-  sum: Sum;
+  totals: MachineTotals;
 }
 
-export interface Amount {
+export interface Resources {
   cpus: number;
   gpus: number;
-  mem: number;
+  memoryGb: number;
 }
 
-export interface Sum {
+export interface MachineTotals {
   /** Its type was known: `free` means something. */
-  known: boolean;
-  free: Amount;
+  isTypeKnown: boolean;
+  free: Resources;
   /** Taken by arrays and gangs, which may be stopped for services. */
-  batch: Amount;
+  batch: Resources;
   /** Taken by tasks that are being stopped. */
-  stopping: Amount;
+  stopping: Resources;
   teams: { team: string; cpus: number; gpus: number }[];
-  services: number;
-  serviceCpus: number;
+  replicas: number;
+  replicaCpus: number;
   batchTasks: number;
   /** Entries whose outcome is not stored yet: a machine without any is empty, whatever it still lists as ended. */
-  busy: number;
+  unfinishedTasks: number;
   /** Something may have to be sent at once: a start or a stop. */
-  todo: boolean;
+  hasPendingCommands: boolean;
   /** Running entries by rank. */
-  ranks: [number, number, number, number];
+  runningByPriority: [number, number, number, number];
 }
 
-export function emptySum(): Sum {
-  const none = () => ({ cpus: 0, gpus: 0, mem: 0 });
+export function emptyTotals(): MachineTotals {
+  const none = () => ({ cpus: 0, gpus: 0, memoryGb: 0 });
   return {
-    known: false,
+    isTypeKnown: false,
     free: none(),
     batch: none(),
     stopping: none(),
     teams: [],
-    services: 0,
-    serviceCpus: 0,
+    replicas: 0,
+    replicaCpus: 0,
     batchTasks: 0,
-    busy: 0,
-    todo: false,
-    ranks: [0, 0, 0, 0],
+    unfinishedTasks: 0,
+    hasPendingCommands: false,
+    runningByPriority: [0, 0, 0, 0],
   };
 }
 
-function add(a: Amount, e: Amount, sign = 1): void {
-  a.cpus += sign * e.cpus;
-  a.gpus += sign * e.gpus;
-  a.mem += sign * e.mem;
+function addResources(sum: Resources, amount: Resources, sign = 1): void {
+  sum.cpus += sign * amount.cpus;
+  sum.gpus += sign * amount.gpus;
+  sum.memoryGb += sign * amount.memoryGb;
 }
 
-export function sumUp(m: Machine, t: Amount | undefined): Sum {
-  const s = emptySum();
+export function totalsOf(machine: Machine, t: Resources | undefined): MachineTotals {
+  const totals = emptyTotals();
   if (t) {
-    s.known = true;
-    s.free = { cpus: t.cpus, gpus: t.gpus, mem: t.mem };
+    totals.isTypeKnown = true;
+    totals.free = { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb };
   }
-  for (const e of m.entries.values()) {
-    if (e.want !== 'reap') s.busy++;
-    if (e.want === 'stop' || (e.want === 'run' && !e.listed)) s.todo = true;
-    if (!takesRoom(e)) continue;
-    add(s.free, e, -1);
-    if (e.want === 'stop' || e.evicting) add(s.stopping, e);
-    const u = s.teams.find((x) => x.team === e.team);
+  for (const allocation of machine.allocations.values()) {
+    if (allocation.desiredState !== 'reap') totals.unfinishedTasks++;
+    if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !allocation.reported))
+      totals.hasPendingCommands = true;
+    if (!usesCapacity(allocation)) continue;
+    addResources(totals.free, allocation, -1);
+    if (allocation.desiredState === 'stop' || allocation.evictionRequestedAt)
+      addResources(totals.stopping, allocation);
+    const u = totals.teams.find((x) => x.team === allocation.team);
     if (u) {
-      u.cpus += e.cpus;
-      u.gpus += e.gpus;
-    } else s.teams.push({ team: e.team, cpus: e.cpus, gpus: e.gpus });
-    if (e.service) {
-      s.services++;
-      s.serviceCpus += e.cpus;
+      u.cpus += allocation.cpus;
+      u.gpus += allocation.gpus;
+    } else totals.teams.push({ team: allocation.team, cpus: allocation.cpus, gpus: allocation.gpus });
+    if (allocation.isService) {
+      totals.replicas++;
+      totals.replicaCpus += allocation.cpus;
     } else {
-      s.batchTasks++;
-      if (e.rank > 0) add(s.batch, e);
+      totals.batchTasks++;
+      if (allocation.priority > 0) addResources(totals.batch, allocation);
     }
-    if (e.want === 'run') s.ranks[e.rank]++;
+    if (allocation.desiredState === 'run') totals.runningByPriority[allocation.priority]++;
   }
-  return s;
+  return totals;
 }
 
-export function newMachine(name: string, now: number): Machine {
+export function createMachine(name: string, now: number): Machine {
   return {
     name,
-    addr: '',
-    type: '',
+    address: '',
+    machineType: '',
     zone: '',
-    spot: false,
-    season: 0,
-    tally: -1,
-    reportTally: -1,
-    token: 0,
+    isSpot: false,
+    agentEpoch: 0,
+    sequence: -1,
+    heartbeatSequence: -1,
+    fencingToken: 0,
     heardAt: now,
-    reportAt: Number.NEGATIVE_INFINITY,
+    heartbeatAt: Number.NEGATIVE_INFINITY,
     upAt: Number.NEGATIVE_INFINITY,
-    answered: false,
-    strayAt: Number.NEGATIVE_INFINITY,
-    up: false,
-    confirmed: false,
-    deaf: 0,
-    deafSince: 0,
+    leaseRenewed: false,
+    redirectedAt: Number.NEGATIVE_INFINITY,
+    isUp: false,
+    hasCurrentToken: false,
+    missedAnswers: 0,
+    missedAnswersSince: 0,
     rentedAt: now,
-    listedUp: false,
-    leaveAt: null,
-    entries: new Map(),
+    listedAsRunning: false,
+    evictionDeadline: null,
+    allocations: new Map(),
     tasks: new Map(),
-    directBusy: false,
-    probeAt: 0,
-    probeFails: 0,
-    doubt: new Map(),
-    doubtSince: 0,
-    direct: new Set(),
+    directCallInFlight: false,
+    directCallAt: 0,
+    failedDirectCalls: 0,
+    indeterminateStarts: new Map(),
+    indeterminateSince: 0,
+    directlyStarted: new Set(),
     images: new Map(),
-    removing: false,
-    retired: false,
-    leaving: false,
+    isBeingDeleted: false,
+    isQuarantined: false,
+    isDraining: false,
     idleSince: now,
-    errors: new Map(),
+    failedJobs: new Map(),
     endedTasks: NO_ENDED_TASKS,
-    strangers: new Map(),
-    reserved: null,
-    runs: 0,
-    slow: 0,
-    sum: emptySum(),
+    unknownTasks: new Map(),
+    reservation: null,
+    measuredRuns: 0,
+    meanSlowdown: 0,
+    totals: emptyTotals(),
   };
 }
 
 /** Room promised or asked for, without a stored placement: its worker has never been told of it. */
-export function isUnstored(e: Entry): boolean {
-  return e.want === 'hold' || e.want === 'pending';
+export function isWithoutStoredPlacement(allocation: Allocation): boolean {
+  return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
 }
 
-export function newEntry(h: Held, now: number): Entry {
+export function createAllocation(placement: PlacementSpec, now: number): Allocation {
   return {
-    ...h,
-    key: taskKey(h.job, h.idx, h.attempt),
-    sentWith: -1,
-    direct: false,
-    listed: null,
-    ended: false,
-    settled: false,
-    told: '',
-    since: now,
-    timed: false,
-    evicting: 0,
+    ...placement,
+    key: taskKey(placement.jobId, placement.taskIndex, placement.attempt),
+    sentWithHeartbeat: -1,
+    directStartInFlight: false,
+    reported: null,
+    hasExited: false,
+    isFinalized: false,
+    lastEventSent: '',
+    phaseSince: now,
+    startObserved: false,
+    evictionRequestedAt: 0,
   };
 }
 
 /** Since when it may have gone without a renewal of its lease: direct commands renew none. */
-export function provenAt(m: Machine): number {
-  return Math.max(m.reportAt, m.upAt);
+export function lastProofOfLife(machine: Machine): number {
+  return Math.max(machine.heartbeatAt, machine.upAt);
 }
 
 /** Newer than all that was seen from this machine? */
-export function isNewer(m: Machine, r: WorkerReport): boolean {
-  return r.season > m.season || (r.season === m.season && r.tally > m.tally);
+export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
+  return (
+    heartbeat.agentEpoch > machine.agentEpoch ||
+    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence)
+  );
 }
 
 /** Takes part in the room of its machine: until its worker says that it ended, or it is settled. */
-export function takesRoom(e: Entry): boolean {
-  return !e.settled && e.listed?.phase !== 'exited' && e.want !== 'reap' && e.want !== 'keep';
+export function usesCapacity(allocation: Allocation): boolean {
+  return (
+    !allocation.isFinalized &&
+    allocation.reported?.phase !== 'exited' &&
+    allocation.desiredState !== 'reap' &&
+    allocation.desiredState !== 'keep'
+  );
 }
--- a/src/core/mirror.ts
+++ b/src/core/mirror.ts
@@ -1,52 +1,53 @@
-import { type Clock, type StateEvent, type StatePort, URGENCY } from './types.js';
+import { type Clock, type KeyValueStore, URGENCY, type WatchEvent } from './types.js';
 
 /** Least time between two reads on behalf of questions: all that come meanwhile share the next one. */
-const READ_GAP_MS = 150;
+const READ_INTERVAL_MS = 150;
 /** A copy nobody asks about is caught up now and then, or the service would forget the changes it lacks. */
-const IDLE_READ_MS = 20000;
+const IDLE_READ_INTERVAL_MS = 20000;
 
 /**
  * A copy of all keys under a prefix. While followed it is kept by watching, and may lag; `fresh` brings it up to
  * what was stored when it was called.
  */
-export class Mirror {
-  readonly items = new Map<string, { value: unknown; version: number; lease: number | undefined }>();
-  ready = false;
+export class WatchCache {
+  readonly items = new Map<string, { value: unknown; modRevision: number; leaseId: number | undefined }>();
+  isReady = false;
   /** When the last read that was answered had been sent: all that was stored by then is in the copy. */
-  readAsOf = Number.NEGATIVE_INFINITY;
-  private rev = 0;
+  freshAsOf = Number.NEGATIVE_INFINITY;
+  private storeRevision = 0;
   private listing = false;
   private watching = false;
   private reading = false;
   private readAt = Number.NEGATIVE_INFINITY;
   private readTimer = false;
   private failed = false;
-  private asks: ((ok: boolean) => void)[] = [];
+  private waitingReads: ((ok: boolean) => void)[] = [];
   /** Counts listings: an answer asked for before one is not applied after it. */
-  private epoch = 0;
+  private listEpoch = 0;
 
   constructor(
     private readonly prefix: string,
     private readonly waitMs: number,
     /** Least time between two watches: each change of a busy prefix must not cost a request of its own. */
-    private readonly gapMs: number,
-    private readonly state: StatePort,
+    private readonly watchIntervalMs: number,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
-    private readonly changed: (key: string, value: unknown, version: number) => void,
-    private followed = true,
+    private readonly onChange: (key: string, value: unknown, version: number) => void,
+    private isFollowed = true,
   ) {}
 
   start(): void {
     this.list();
     const idle = () => {
-      if (!this.followed && this.ready && this.clock.now() - this.readAt > IDLE_READ_MS) this.fresh(() => {});
-      this.clock.after(IDLE_READ_MS / 4, idle);
+      if (!this.isFollowed && this.isReady && this.clock.now() - this.readAt > IDLE_READ_INTERVAL_MS)
+        this.linearizableRead(() => {});
+      this.clock.after(IDLE_READ_INTERVAL_MS / 4, idle);
     };
     idle();
   }
 
   follow(on: boolean): void {
-    this.followed = on;
+    this.isFollowed = on;
     this.watch();
   }
 
@@ -54,36 +55,36 @@
    * Calls back once the copy holds everything stored before this call, or with false if that can't be had now. The
    * read that answers a question is always sent after the question came: no answer is older than its question.
    */
-  fresh(cb: (ok: boolean) => void): void {
+  linearizableRead(callback: (ok: boolean) => void): void {
     // After a read has failed or hung nobody is kept waiting for the next: it probes, and those that come meanwhile
     // are answered at once.
-    if (this.failing) {
-      this.probe();
-      return cb(false);
+    if (this.isFailing) {
+      this.requestRead();
+      return callback(false);
     }
-    this.asks.push(cb);
+    this.waitingReads.push(callback);
     this.read();
   }
 
   /** The last read failed; told on the next question, or by asking for a read. */
-  get failing(): boolean {
+  get isFailing(): boolean {
     return this.failed;
   }
 
-  probe(): void {
-    if (this.asks.length > 0 || this.reading) return;
-    this.asks.push(() => {});
+  requestRead(): void {
+    if (this.waitingReads.length > 0 || this.reading) return;
+    this.waitingReads.push(() => {});
     this.read();
   }
 
   private read(): void {
-    if (this.reading || this.readTimer || this.asks.length === 0) return;
+    if (this.reading || this.readTimer || this.waitingReads.length === 0) return;
     const now = this.clock.now();
-    if (!this.ready || this.listing) {
-      for (const cb of this.asks.splice(0)) cb(false);
+    if (!this.isReady || this.listing) {
+      for (const callback of this.waitingReads.splice(0)) callback(false);
       return;
     }
-    const wait = this.readAt + READ_GAP_MS - now;
+    const wait = this.readAt + READ_INTERVAL_MS - now;
     if (wait > 0) {
       this.readTimer = true;
       this.clock.after(wait, () => {
@@ -94,17 +95,17 @@
     }
     this.readAt = now;
     this.reading = true;
-    const mine = this.asks.splice(0);
-    const epoch = this.epoch;
-    this.state.watch(this.prefix, this.rev, 0, (r) => {
+    const mine = this.waitingReads.splice(0);
+    const epoch = this.listEpoch;
+    this.store.watch(this.prefix, this.storeRevision, 0, (result) => {
       this.reading = false;
-      const ok = r.ok && epoch === this.epoch;
-      this.failed = !r.ok;
+      const ok = result.ok && epoch === this.listEpoch;
+      this.failed = !result.ok;
       if (ok) {
-        this.apply(r.value);
-        this.readAsOf = now;
-      } else if (!r.ok && r.kind === 'gone') this.list();
-      for (const cb of mine) cb(ok);
+        this.apply(result.value);
+        this.freshAsOf = now;
+      } else if (!result.ok && result.kind === 'gone') this.list();
+      for (const callback of mine) callback(ok);
       this.read();
     });
   }
@@ -112,29 +113,29 @@
   private list(): void {
     if (this.listing) return;
     this.listing = true;
-    this.epoch++;
+    this.listEpoch++;
     const seen = new Set<string>();
     let first = 0;
     const page = (since: string) => {
-      this.state.list(this.prefix, since, URGENCY.user, (r) => {
-        if (!r.ok) {
+      this.store.list(this.prefix, since, URGENCY.user, (result) => {
+        if (!result.ok) {
           this.clock.after(300, () => {
             this.listing = false;
             this.list();
           });
           return;
         }
-        if (first === 0) first = r.value.rev;
-        for (const it of r.value.items) {
-          seen.add(it.key);
-          this.set(it.key, it.value, it.version, it.lease);
+        if (first === 0) first = result.value.storeRevision;
+        for (const item of result.value.items) {
+          seen.add(item.key);
+          this.set(item.key, item.value, item.modRevision, item.leaseId);
         }
-        const last = r.value.items.at(-1);
-        if (r.value.more && last) return page(last.key);
+        const last = result.value.items.at(-1);
+        if (result.value.more && last) return page(last.key);
         for (const key of [...this.items.keys()]) if (!seen.has(key)) this.drop(key, first);
-        this.rev = first;
+        this.storeRevision = first;
         this.listing = false;
-        this.ready = true;
+        this.isReady = true;
         this.watch();
       });
     };
@@ -142,24 +143,24 @@
   }
 
   private watch(): void {
-    if (!this.followed || this.watching || this.listing || !this.ready) return;
+    if (!this.isFollowed || this.watching || this.listing || !this.isReady) return;
     this.watching = true;
     const began = this.clock.now();
-    const epoch = this.epoch;
+    const epoch = this.listEpoch;
     const again = (ms: number) =>
       this.clock.after(ms, () => {
         this.watching = false;
         this.watch();
       });
-    this.state.watch(this.prefix, this.rev, this.waitMs, (r) => {
-      if (r.ok) {
-        if (epoch === this.epoch) this.apply(r.value);
-        return void again(Math.max(0, began + this.gapMs - this.clock.now()));
+    this.store.watch(this.prefix, this.storeRevision, this.waitMs, (result) => {
+      if (result.ok) {
+        if (epoch === this.listEpoch) this.apply(result.value);
+        return void again(Math.max(0, began + this.watchIntervalMs - this.clock.now()));
       }
-      if (r.kind === 'refused') return void again(250);
+      if (result.kind === 'refused') return void again(250);
       // History lost, or the answer was: read the keys again.
       this.watching = false;
-      if (r.kind === 'gone') this.list();
+      if (result.kind === 'gone') this.list();
       else this.clock.after(250, () => this.list());
     });
   }
@@ -168,28 +169,28 @@
    * Takes the changes of an answer. Two reads may be under way at once: what an earlier answer already told is passed
    * over, or a key dropped since would come back; of several changes of a key only the last counts.
    */
-  private apply(v: { rev: number; events: StateEvent[] }): void {
-    if (v.rev <= this.rev) return;
-    const last = new Map<string, StateEvent>();
-    for (const e of v.events) if (e.version > this.rev) last.set(e.key, e);
-    this.rev = v.rev;
-    for (const e of last.values()) {
-      if (e.gone) this.drop(e.key, e.version);
-      else this.set(e.key, e.value, e.version, undefined);
+  private apply(v: { storeRevision: number; events: WatchEvent[] }): void {
+    if (v.storeRevision <= this.storeRevision) return;
+    const last = new Map<string, WatchEvent>();
+    for (const event of v.events) if (event.modRevision > this.storeRevision) last.set(event.key, event);
+    this.storeRevision = v.storeRevision;
+    for (const event of last.values()) {
+      if (event.deleted) this.drop(event.key, event.modRevision);
+      else this.set(event.key, event.value, event.modRevision, undefined);
     }
   }
 
   private set(key: string, value: unknown, version: number, lease: number | undefined): void {
     const cur = this.items.get(key);
-    if (cur && cur.version >= version) return;
-    this.items.set(key, { value, version, lease });
-    this.changed(key, value, version);
+    if (cur && cur.modRevision >= version) return;
+    this.items.set(key, { value, modRevision: version, leaseId: lease });
+    this.onChange(key, value, version);
   }
 
   private drop(key: string, version: number): void {
     const cur = this.items.get(key);
-    if (!cur || cur.version > version) return;
+    if (!cur || cur.modRevision > version) return;
     this.items.delete(key);
-    this.changed(key, undefined, version);
+    this.onChange(key, undefined, version);
   }
 }
--- a/src/core/owner/grant-intake.ts
+++ b/src/core/owner/grant-intake.ts
@@ -7,34 +7,34 @@
 export const AVOID_AFTER_REFUSAL_MS = 2000;
 
 /** Places a task of the job on what is granted; its use counts from then on. */
-export type Place = (grant: Grant, idx: number) => void;
+export type PlaceTask = (grant: Grant, taskIndex: number) => void;
 
 /**
  * Gives tasks of a job to the places that the leader has granted it, within the limit of its team and the zones that the job
  * allows. Returns the grants taken; the others go back to the leader.
  */
-export function takeGrants(
+export function assignGrants(
   job: OwnedJob,
   grants: Grant[],
   usage: TeamUsage,
   nowMs: number,
-  place: Place,
+  place: PlaceTask,
 ): Grant[] {
-  if (job.spec.shape === 'gang') return placeGang(job, grants, usage, place);
+  if (job.spec.kind === 'gang') return placeGang(job, grants, usage, place);
   return grants.filter((grant) => {
     if (!usage.admits(job.spec) || !zoneAllows(job, grant.zone)) return false;
-    const idx = nextTask(job, grant, nowMs);
-    if (idx < 0) return false;
-    place(grant, idx);
+    const taskIndex = nextTask(job, grant, nowMs);
+    if (taskIndex < 0) return false;
+    place(grant, taskIndex);
     return true;
   });
 }
 
 /** Takes all of these places for a gang, or none. */
-function placeGang(job: OwnedJob, grants: Grant[], usage: TeamUsage, place: Place): Grant[] {
+function placeGang(job: OwnedJob, grants: Grant[], usage: TeamUsage, place: PlaceTask): Grant[] {
   if (!admitsGang(job, grants, usage)) return [];
   const { tasks } = assignTasks(
-    Array.from({ length: job.spec.tasks }, (_, idx) => idx),
+    Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
     grants.map((grant) => grant.endedTasks && new Set(grant.endedTasks)),
   );
   // A machine that lists an ended attempt of its task would refuse it, and all others would be stopped.
@@ -49,27 +49,27 @@
  */
 function admitsGang(job: OwnedJob, grants: Grant[], usage: TeamUsage): boolean {
   const { spec } = job;
-  if (grants.length !== spec.tasks || job.placed.size > 0) return false;
+  if (grants.length !== spec.taskCount || job.placements.size > 0) return false;
   const left = usage.remaining(spec.team);
-  if (left === null || tasksWithin(left, spec) < spec.tasks) return false;
+  if (left === null || tasksWithin(left, spec) < spec.taskCount) return false;
   const byZone = new Map<string, number>();
   for (const { zone } of grants) byZone.set(zone, (byZone.get(zone) ?? 0) + 1);
   if (spec.zone !== null && [...byZone.keys()].some((zone) => zone !== spec.zone)) return false;
-  if (spec.apart && Math.max(...byZone.values()) > Math.ceil(spec.tasks / 2)) return false;
-  return !spec.together || byZone.size === 1;
+  if (spec.zoneAntiAffinity && Math.max(...byZone.values()) > Math.ceil(spec.taskCount / 2)) return false;
+  return !spec.zoneAffinity || byZone.size === 1;
 }
 
 /** The next task to be placed, other than those of which the machine lists an ended attempt; -1: none. */
 function nextTask(job: OwnedJob, { machine, endedTasks }: Grant, nowMs: number): number {
-  const isCounted = (task: number) => job.count.has(task);
-  const isTaken = (task: number) => isCounted(task) || job.placed.has(task);
+  const isCounted = (task: number) => job.counter.has(task);
+  const isTaken = (task: number) => isCounted(task) || job.placements.has(task);
   const refused: number[] = [];
-  let idx = job.fan.take(isTaken, isCounted);
-  while (idx >= 0 && endedTasks?.includes(idx)) {
-    refused.push(idx);
-    idx = job.fan.take(isTaken, isCounted);
+  let taskIndex = job.fanOut.takeNext(isTaken, isCounted);
+  while (taskIndex >= 0 && endedTasks?.includes(taskIndex)) {
+    refused.push(taskIndex);
+    taskIndex = job.fanOut.takeNext(isTaken, isCounted);
   }
-  for (const task of refused) job.fan.giveBack(task);
-  if (idx < 0 && refused.length > 0) job.avoid.set(machine, nowMs + AVOID_AFTER_REFUSAL_MS);
-  return idx;
+  for (const task of refused) job.fanOut.putBack(task);
+  if (taskIndex < 0 && refused.length > 0) job.avoidedMachines.set(machine, nowMs + AVOID_AFTER_REFUSAL_MS);
+  return taskIndex;
 }
--- a/src/core/owner/job-sizes.ts
+++ b/src/core/owner/job-sizes.ts
@@ -17,17 +17,17 @@
   private readonly thresholds = new Map<string, { tasks: Threshold; estimateS: Threshold }>();
 
   learn(spec: JobSpec): void {
-    if (spec.shape === 'service') return;
-    const jobs = this.latest.get(spec.cls) ?? [];
+    if (spec.kind === 'service') return;
+    const jobs = this.latest.get(spec.jobClass) ?? [];
     jobs.push(spec);
     if (jobs.length > REMEMBERED_JOBS) jobs.shift();
-    this.latest.set(spec.cls, jobs);
-    this.thresholds.delete(spec.cls);
+    this.latest.set(spec.jobClass, jobs);
+    this.thresholds.delete(spec.jobClass);
   }
 
   isLarge(spec: JobSpec): boolean {
-    const { tasks, estimateS } = this.thresholdsOf(spec.cls);
-    return exceeds(spec.tasks, tasks) || exceeds(spec.estimateS, estimateS);
+    const { tasks, estimateS } = this.thresholdsOf(spec.jobClass);
+    return exceeds(spec.taskCount, tasks) || exceeds(spec.estimatedRunSeconds, estimateS);
   }
 
   private thresholdsOf(jobClass: string): { tasks: Threshold; estimateS: Threshold } {
@@ -35,8 +35,8 @@
     if (known) return known;
     const jobs = this.latest.get(jobClass) ?? [];
     const thresholds = {
-      tasks: threshold(jobs.map((job) => job.tasks)),
-      estimateS: threshold(jobs.map((job) => job.estimateS)),
+      tasks: threshold(jobs.map((job) => job.taskCount)),
+      estimateS: threshold(jobs.map((job) => job.estimatedRunSeconds)),
     };
     this.thresholds.set(jobClass, thresholds);
     return thresholds;
--- a/src/core/owner/job-transactions.ts
+++ b/src/core/owner/job-transactions.ts
@@ -1,10 +1,17 @@
-import { type Clock, type Logger, type Result, type StatePort, type Txn, URGENCY } from '../types.js';
+import {
+  type Clock,
+  type KeyValueStore,
+  type Logger,
+  type Result,
+  type Transaction,
+  URGENCY,
+} from '../types.js';
 import { isOver, type OwnedJob } from './job.js';
 import {
-  counterKey,
+  counterRecordKey,
   type JobWrite,
-  jobKey,
-  keyOf,
+  jobRecordKey,
+  keyOfOperation,
   revisionOf,
   type WriteEvents,
   writeChanges,
@@ -17,14 +24,14 @@
 /** Conditions that a job adds beside those on what it changes: its record, its counter and its team. */
 const CONDITIONS_PER_JOB = 3;
 /** Values in one transaction, of the 64 KiB that it may have in all. */
-const MOST_BYTES = 40_000;
+const MAX_BATCH_BYTES = 40_000;
 /** Pause after a transaction that was surely not carried out. */
 const REFUSED_PAUSE_MS = 100;
 /** Pause after one that failed since a team has another owner: the watch tells which. */
-const MOVED_PAUSE_MS = 200;
+const OWNERSHIP_MOVED_PAUSE_MS = 200;
 /** Bounds of how long a count that fills nothing waits for others of its job. */
-const LEAST_LAZY_MS = 1000;
-const MOST_LAZY_MS = 5000;
+const MIN_LAZY_MS = 1000;
+const MAX_LAZY_MS = 5000;
 /** Part of the writes that such counts may take. */
 const LAZY_SHARE = 0.2;
 
@@ -32,28 +39,28 @@
 type Kind = 'work' | 'tidy';
 
 export interface JobTransactionsOptions {
-  state: StatePort;
+  store: KeyValueStore;
   clock: Clock;
   log: Logger;
   fence: WriteFence;
   events: WriteEvents;
-  txnOps: number;
-  writeRps: number;
+  maxTransactionOperations: number;
+  writesPerSecond: number;
   /** Tasks to a placement record. */
-  chunk: number;
+  tasksPerChunk: number;
   /** Version of the record that makes this owner the team's; undefined: it is not. */
   teamRevision(team: string): number | undefined;
   /** Whether the owner still holds this very job. */
-  holds(job: OwnedJob): boolean;
+  isOwned(job: OwnedJob): boolean;
   /** Jobs whose stored records decide now. `inDoubt`: nobody knows yet whether their transaction is carried out. */
-  unconfirmed(jobs: OwnedJob[], inDoubt: boolean, fence: number): void;
+  onUnconfirmed(jobs: OwnedJob[], isIndeterminate: boolean, fence: number): void;
   wake(): void;
   wakeAt(at: number): void;
 }
 
 /** A transaction being put together: its conditions and changes, and the jobs that they are of. */
 interface Batch {
-  txn: Txn;
+  transaction: Transaction;
   fence: number;
   jobs: OwnedJob[];
   writes: JobWrite[];
@@ -71,13 +78,13 @@
   constructor(private readonly options: JobTransactionsOptions) {}
 
   /** Something of a job is to be written within `ms`. */
-  mark(job: OwnedJob, ms: number): void {
+  markDirty(job: OwnedJob, ms: number): void {
     this.dirty.add(job);
     job.dueAt = Math.min(job.dueAt, this.options.clock.now() + ms);
   }
 
   /** The owner holds this job no longer. */
-  drop(job: OwnedJob): void {
+  forget(job: OwnedJob): void {
     this.dirty.delete(job);
   }
 
@@ -85,9 +92,9 @@
    * How long a count that fills nothing may wait for others of its job: longer when many jobs have such, so that they
    * take a part of the writes only.
    */
-  lazyMs(): number {
-    const wait = (this.dirty.size / (this.options.writeRps * LAZY_SHARE)) * 1000;
-    return Math.min(MOST_LAZY_MS, Math.max(LEAST_LAZY_MS, wait));
+  lazyDelayMs(): number {
+    const wait = (this.dirty.size / (this.options.writesPerSecond * LAZY_SHARE)) * 1000;
+    return Math.min(MAX_LAZY_MS, Math.max(MIN_LAZY_MS, wait));
   }
 
   /**
@@ -102,13 +109,13 @@
   private writeKind(kind: Kind): void {
     if (this.inFlight[kind] || this.dirty.size === 0) return;
     if (this.options.clock.now() < this.pausedUntil) return this.options.wakeAt(this.pausedUntil);
-    const fence = this.options.fence.condition();
+    const fence = this.options.fence.precondition();
     if (!fence) return;
     const due = this.due(kind);
     if (due.length === 0) return;
     const batch: Batch = {
-      txn: { when: [fence], then: [] },
-      fence: fence.version,
+      transaction: { preconditions: [fence], operations: [] },
+      fence: fence.modRevision,
       jobs: [],
       writes: [],
       teams: new Set(),
@@ -124,9 +131,9 @@
     const due: OwnedJob[] = [];
     let next = Number.POSITIVE_INFINITY;
     for (const job of this.dirty) {
-      if (job.reloading || job.busy) continue;
+      if (job.isReloading || job.writeInFlight) continue;
       const over = isOver(job);
-      if (!over && !job.dirtyCount && job.dirtyChunks.size === 0) {
+      if (!over && !job.counterDirty && job.dirtyChunks.size === 0) {
         job.dueAt = Number.POSITIVE_INFINITY;
         this.dirty.delete(job);
       } else if (over === (kind === 'tidy')) {
@@ -135,25 +142,31 @@
       }
     }
     if (due.length === 0) this.options.wakeAt(next);
-    return due.sort((a, b) => a.spec.rank - b.spec.rank || a.dueAt - b.dueAt || a.order - b.order);
+    return due.sort(
+      (a, b) =>
+        a.spec.priority - b.spec.priority || a.dueAt - b.dueAt || a.acceptedRevision - b.acceptedRevision,
+    );
   }
 
   /** False: the transaction is full. */
   private add(batch: Batch, job: OwnedJob, kind: Kind): boolean {
-    const { txn } = batch;
-    const { chunk, events } = this.options;
+    const { transaction } = batch;
+    const { tasksPerChunk: chunk, events } = this.options;
     const room = this.changesLeft(batch);
-    if (room < 1 || batch.bytes > MOST_BYTES) return false;
+    if (room < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
     const write = kind === 'tidy' ? writeFinal(job, room, events) : writeChanges(job, room, chunk, events);
     if (!write) return true;
-    const written = new Set(write.ops.map(keyOf));
-    for (const op of write.ops) {
+    const written = new Set(write.operations.map(keyOfOperation));
+    for (const op of write.operations) {
       batch.bytes += JSON.stringify(op).length;
-      txn.when.push({ key: keyOf(op), version: revisionOf(job, keyOf(op)) });
-      txn.then.push(op);
+      transaction.preconditions.push({
+        key: keyOfOperation(op),
+        modRevision: revisionOf(job, keyOfOperation(op)),
+      });
+      transaction.operations.push(op);
     }
-    for (const key of [jobKey(job.spec.id), counterKey(job.spec.id)])
-      if (!written.has(key)) txn.when.push({ key, version: revisionOf(job, key) });
+    for (const key of [jobRecordKey(job.spec.id), counterRecordKey(job.spec.id)])
+      if (!written.has(key)) transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
     batch.teams.add(job.spec.team);
     batch.jobs.push(job);
     batch.writes.push(write);
@@ -161,22 +174,26 @@
   }
 
   /** Changes that a transaction has room for, with the conditions of one more job and of the teams in it. */
-  private changesLeft({ txn, teams }: Batch): number {
-    const { txnOps } = this.options;
-    const conditions = txnOps * CONDITIONS_PER_CHANGE - txn.when.length - teams.size - CONDITIONS_PER_JOB;
-    return Math.min(txnOps - txn.then.length, conditions);
+  private changesLeft({ transaction, teams }: Batch): number {
+    const { maxTransactionOperations: txnOps } = this.options;
+    const conditions =
+      txnOps * CONDITIONS_PER_CHANGE - transaction.preconditions.length - teams.size - CONDITIONS_PER_JOB;
+    return Math.min(txnOps - transaction.operations.length, conditions);
   }
 
   private send(batch: Batch, kind: Kind): void {
     for (const team of batch.teams)
-      batch.txn.when.push({ key: `sys/team/${team}`, version: this.options.teamRevision(team) ?? -1 });
+      batch.transaction.preconditions.push({
+        key: `sys/team/${team}`,
+        modRevision: this.options.teamRevision(team) ?? -1,
+      });
     for (const job of batch.jobs) {
-      job.busy = true;
+      job.writeInFlight = true;
       job.dueAt = Number.POSITIVE_INFINITY;
     }
     this.inFlight[kind] = true;
     const urgency = kind === 'tidy' ? URGENCY.cleanup : URGENCY.placement;
-    this.options.state.txn(batch.txn, urgency, (result) => {
+    this.options.store.compareAndSwap(batch.transaction, urgency, (result) => {
       this.inFlight[kind] = false;
       this.answered(batch, result);
       this.options.wake();
@@ -185,28 +202,30 @@
 
   private answered(batch: Batch, result: Result<number>): void {
     for (const job of batch.jobs) {
-      job.busy = false;
+      job.writeInFlight = false;
       // Looked at again by the next write, and let go there if nothing is left to store.
-      if (this.options.holds(job)) this.mark(job, job.dirtyCount && !job.count.full ? this.lazyMs() : 0);
+      if (this.options.isOwned(job))
+        this.markDirty(job, job.counterDirty && !job.counter.isFull ? this.lazyDelayMs() : 0);
     }
     if (result.ok) {
-      for (const write of batch.writes) write.stored(result.value);
+      for (const write of batch.writes) write.onStored(result.value);
     } else if (result.kind === 'refused' || this.options.fence.isOnlyConflict(result)) {
       // Surely not executed: what was to be stored still is.
-      for (const write of batch.writes) write.undone();
+      for (const write of batch.writes) write.onNotExecuted();
       this.pause(REFUSED_PAUSE_MS);
     } else this.notConfirmed(batch, result);
   }
 
   /** Not applied, or nobody knows: the stored records decide. */
   private notConfirmed({ jobs, fence }: Batch, result: Result<number> & { ok: false }): void {
-    const { kind, failed = [] } = result;
+    const { kind, failedKeys: failed = [] } = result;
     this.options.log.debug({ kind, failed, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
     // Ownership moved; the watch will tell. Nothing of ours was stored.
-    if (kind === 'conflict' && failed.every((key) => key.startsWith('sys/team/'))) this.pause(MOVED_PAUSE_MS);
+    if (kind === 'conflict' && failed.every((key) => key.startsWith('sys/team/')))
+      this.pause(OWNERSHIP_MOVED_PAUSE_MS);
     const inDoubt = kind !== 'conflict' && kind !== 'bad';
-    this.options.unconfirmed(
-      jobs.filter((job) => this.options.holds(job)),
+    this.options.onUnconfirmed(
+      jobs.filter((job) => this.options.isOwned(job)),
       inDoubt,
       fence,
     );
--- a/src/core/owner/job-writes.ts
+++ b/src/core/owner/job-writes.ts
@@ -1,41 +1,41 @@
 import { counterRecord, finalRecord, placementRecord } from '../../wire/record-codec.js';
-import { countRecord, type Placed, placeKey } from '../records.js';
-import type { StateOp } from '../types.js';
-import type { OwnedJob, Placement, SettledPlacement } from './job.js';
+import { makeCounterRecord, type PlacementEntry, placementKey } from '../records.js';
+import type { StoreOperation } from '../types.js';
+import type { FinalizedPlacement, OwnedJob, Placement } from './job.js';
 
 /** What follows from a write of a job. */
 export interface WriteEvents {
-  placementStored(job: OwnedJob, placement: Placement): void;
+  onPlacementStored(job: OwnedJob, placement: Placement): void;
   /** A settled placement is stored as such: its worker may remove it. */
-  outcomeStored(job: OwnedJob, settled: SettledPlacement): void;
-  counterFull(job: OwnedJob): void;
-  filed(job: OwnedJob): void;
+  onOutcomeStored(job: OwnedJob, settled: FinalizedPlacement): void;
+  onCounterFull(job: OwnedJob): void;
+  onFiled(job: OwnedJob): void;
 }
 
 /** A job's part of a transaction. */
 export interface JobWrite {
-  ops: StateOp[];
-  stored(revision: number): void;
+  operations: StoreOperation[];
+  onStored(revision: number): void;
   /** Surely not executed: what was to be written still is. */
-  undone(): void;
+  onNotExecuted(): void;
 }
 
-export function jobKey(id: string): string {
+export function jobRecordKey(id: string): string {
   return `open/${id}/a`;
 }
 
-export function counterKey(id: string): string {
+export function counterRecordKey(id: string): string {
   return `open/${id}/n`;
 }
 
-export function keyOf(op: StateOp): string {
-  return 'put' in op ? op.put : op.del;
+export function keyOfOperation(operation: StoreOperation): string {
+  return 'put' in operation ? operation.put : operation.del;
 }
 
 /** The revision under which an owner knows a record of a job; 0: it does not exist. */
 export function revisionOf(job: OwnedJob, key: string): number {
-  if (key === jobKey(job.spec.id)) return job.jobRevision;
-  if (key === counterKey(job.spec.id)) return job.counterRevision;
+  if (key === jobRecordKey(job.spec.id)) return job.jobRevision;
+  if (key === counterRecordKey(job.spec.id)) return job.counterRevision;
   return key.startsWith('place/') ? (job.chunkRevisions.get(chunkOf(key)) ?? 0) : 0;
 }
 
@@ -46,108 +46,119 @@
 /** Writes the counter and the chunks of placements that have changed, in at most `room` operations. */
 export function writeChanges(
   job: OwnedJob,
-  room: number,
+  maxOperations: number,
   chunkSize: number,
   events: WriteEvents,
 ): JobWrite | null {
-  if (room < 1) return null;
+  if (maxOperations < 1) return null;
   const { id } = job.spec;
-  const withCounter = job.dirtyCount;
-  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, room - (withCounter ? 1 : 0)));
-  const ops: StateOp[] = [];
+  const withCounter = job.counterDirty;
+  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, maxOperations - (withCounter ? 1 : 0)));
+  const ops: StoreOperation[] = [];
   const added: Placement[] = [];
   if (withCounter)
-    ops.push({ put: counterKey(id), value: counterRecord.encode(countRecord(job.count, job.shownRunning)) });
+    ops.push({
+      put: counterRecordKey(id),
+      value: counterRecord.encode(makeCounterRecord(job.counter, job.runningTasks)),
+    });
   for (const chunk of chunks) {
-    const op = chunkOp(job, chunk, chunkSize, added);
+    const op = chunkOperation(job, chunk, chunkSize, added);
     if (op) ops.push(op);
   }
   for (const chunk of chunks) job.dirtyChunks.delete(chunk);
   if (ops.length === 0) return null;
-  const isWritten = ({ placement: { idx } }: SettledPlacement) =>
-    chunks.includes(Math.floor(idx / chunkSize)) || (withCounter && job.count.has(idx));
-  const settled = job.toReap.filter(isWritten);
-  job.toReap = job.toReap.filter((reap) => !isWritten(reap));
+  const isWritten = ({ placement: { taskIndex } }: FinalizedPlacement) =>
+    chunks.includes(Math.floor(taskIndex / chunkSize)) || (withCounter && job.counter.has(taskIndex));
+  const settled = job.outcomesToStore.filter(isWritten);
+  job.outcomesToStore = job.outcomesToStore.filter((reap) => !isWritten(reap));
   job.outcomesInFlight = settled;
-  const running = job.shownRunning;
-  job.dirtyCount = false;
+  const running = job.runningTasks;
+  job.counterDirty = false;
   return {
-    ops,
-    stored: (revision) => {
+    operations: ops,
+    onStored: (revision) => {
       if (withCounter) {
         job.counterRevision = revision;
-        job.storedRunning = running;
-        if (job.count.full) events.counterFull(job);
+        job.storedRunningTasks = running;
+        if (job.counter.isFull) events.onCounterFull(job);
       }
       keepRevisions(job, ops, revision);
       for (const placement of added) {
-        placement.stored = true;
-        job.attempts.set(placement.idx, placement.attempt);
-        if (job.placed.get(placement.idx) === placement) events.placementStored(job, placement);
+        placement.isStored = true;
+        job.attempts.set(placement.taskIndex, placement.attempt);
+        if (job.placements.get(placement.taskIndex) === placement) events.onPlacementStored(job, placement);
       }
       job.outcomesInFlight = [];
-      for (const reap of settled) events.outcomeStored(job, reap);
+      for (const reap of settled) events.onOutcomeStored(job, reap);
     },
-    undone: () => {
+    onNotExecuted: () => {
       job.outcomesInFlight = [];
-      job.dirtyCount ||= withCounter;
+      job.counterDirty ||= withCounter;
       for (const chunk of chunks) job.dirtyChunks.add(chunk);
-      job.toReap.push(...settled);
+      job.outcomesToStore.push(...settled);
     },
   };
 }
 
-function keepRevisions(job: OwnedJob, ops: StateOp[], revision: number): void {
-  for (const op of ops) {
+function keepRevisions(job: OwnedJob, operations: StoreOperation[], revision: number): void {
+  for (const op of operations) {
     if ('del' in op) job.chunkRevisions.delete(chunkOf(op.del));
     else if (op.put.startsWith('place/')) job.chunkRevisions.set(chunkOf(op.put), revision);
   }
 }
 
 /** The record of a chunk of tasks, or its removal; new placements in it are added to `added`. */
-function chunkOp(job: OwnedJob, chunk: number, chunkSize: number, added: Placement[]): StateOp | null {
-  const tasks = new Map<number, Placed>();
-  const end = Math.min(job.spec.tasks, (chunk + 1) * chunkSize);
-  for (let idx = chunk * chunkSize; idx < end; idx++) {
-    const placement = job.placed.get(idx);
-    const attempt = job.attempts.get(idx);
+function chunkOperation(
+  job: OwnedJob,
+  chunk: number,
+  chunkSize: number,
+  added: Placement[],
+): StoreOperation | null {
+  const tasks = new Map<number, PlacementEntry>();
+  const end = Math.min(job.spec.taskCount, (chunk + 1) * chunkSize);
+  for (let taskIndex = chunk * chunkSize; taskIndex < end; taskIndex++) {
+    const placement = job.placements.get(taskIndex);
+    const attempt = job.attempts.get(taskIndex);
     if (placement) {
-      const { machine, season, zone } = placement;
-      tasks.set(idx, { attempt: placement.attempt, location: { machine, season, zone } });
-      if (!placement.stored) added.push(placement);
-    } else if (attempt && !job.count.has(idx)) tasks.set(idx, { attempt, location: null });
+      const { machine, agentEpoch, zone } = placement;
+      tasks.set(taskIndex, { attempt: placement.attempt, location: { machine, agentEpoch, zone } });
+      if (!placement.isStored) added.push(placement);
+    } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
-  const key = placeKey(job.spec.id, chunk);
-  if (tasks.size > 0) return { put: key, value: placementRecord.encode({ t: tasks }) };
+  const key = placementKey(job.spec.id, chunk);
+  if (tasks.size > 0) return { put: key, value: placementRecord.encode({ tasks: tasks }) };
   return job.chunkRevisions.get(chunk) ? { del: key } : null;
 }
 
 /** A job that is over leaves one final record; its working records are dropped, placements first. */
-export function writeFinal(job: OwnedJob, room: number, events: WriteEvents): JobWrite | null {
+export function writeFinal(job: OwnedJob, maxOperations: number, events: WriteEvents): JobWrite | null {
   const { id } = job.spec;
   const hasCounter = job.counterRevision > 0;
   const finalOps = 2 + (hasCounter ? 1 : 0);
-  if (room < finalOps + Math.min(1, job.chunkRevisions.size)) return null;
-  const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, room - finalOps));
+  if (maxOperations < finalOps + Math.min(1, job.chunkRevisions.size)) return null;
+  const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOps));
   const isLast = chunks.length === job.chunkRevisions.size;
-  const ops: StateOp[] = chunks.map((chunk) => ({ del: placeKey(id, chunk) }));
+  const ops: StoreOperation[] = chunks.map((chunk) => ({ del: placementKey(id, chunk) }));
   if (isLast) {
-    ops.push({ put: `end/${id}`, value: finalRecord.encode({ d: !job.cancelled, n: job.count.n }) });
-    ops.push({ del: jobKey(id) });
-    if (hasCounter) ops.push({ del: counterKey(id) });
+    ops.push({
+      put: `end/${id}`,
+      value: finalRecord.encode({ isDone: !job.cancelled, finishedTasks: job.counter.count }),
+    });
+    ops.push({ del: jobRecordKey(id) });
+    if (hasCounter) ops.push({ del: counterRecordKey(id) });
   }
-  const settled = job.toReap;
+  const settled = job.outcomesToStore;
   return {
-    ops,
-    stored: () => {
+    operations: ops,
+    onStored: () => {
       for (const chunk of chunks) {
         job.chunkRevisions.delete(chunk);
         job.dirtyChunks.delete(chunk);
       }
-      for (const reap of settled) events.outcomeStored(job, reap);
-      job.toReap = [];
-      if (isLast) events.filed(job);
+      for (const reap of settled) events.onOutcomeStored(job, reap);
+      job.outcomesToStore = [];
+      if (isLast) events.onFiled(job);
     },
-    undone: () => {},
+    onNotExecuted: () => {},
   };
 }
--- a/src/core/owner/job.ts
+++ b/src/core/owner/job.ts
@@ -1,68 +1,68 @@
-import { Counter, FanOut } from '../graph.js';
+import { DependencyCounter, FanOut } from '../graph.js';
 import type { StoredJob } from '../records.js';
-import type { Held, JobSpec } from '../types.js';
+import type { JobSpec, PlacementSpec } from '../types.js';
 
 /** One attempt of a task on a machine, from its grant until it is settled. */
 export interface Placement {
-  idx: number;
+  taskIndex: number;
   attempt: number;
   machine: string;
-  season: number;
+  agentEpoch: number;
   zone: string;
-  grant: number;
+  grantId: number;
   /** In the state service; before that no start may be sent. */
-  stored: boolean;
-  want: 'run' | 'stop';
-  running: boolean;
+  isStored: boolean;
+  desiredState: 'run' | 'stop';
+  isRunning: boolean;
 }
 
 /** A settled placement to be removed from its worker's list once its outcome is stored; `listed`: the worker lists it. */
-export interface SettledPlacement {
+export interface FinalizedPlacement {
   placement: Placement;
-  listed: boolean;
+  isListed: boolean;
 }
 
 /** A job as its owner holds it: the stored records, and what has changed since they were written. */
 export interface OwnedJob {
   spec: JobSpec;
   /** Revision at which it was accepted. */
-  order: number;
+  acceptedRevision: number;
   jobRevision: number;
   counterRevision: number;
   cancelled: boolean;
-  count: Counter;
-  fan: FanOut;
-  placed: Map<number, Placement>;
+  counter: DependencyCounter;
+  fanOut: FanOut;
+  placements: Map<number, Placement>;
   /** The last attempt of each task that has had one. */
   attempts: Map<number, number>;
   chunkRevisions: Map<number, number>;
   dirtyChunks: Set<number>;
-  dirtyCount: boolean;
+  counterDirty: boolean;
   /** When what is dirty should be written; Infinity: nothing is. */
   dueAt: number;
   /** In the transaction now in flight. */
-  busy: boolean;
+  writeInFlight: boolean;
   /** Stored state is being read again; nothing is decided meanwhile. */
-  reloading: boolean;
+  isReloading: boolean;
   /** Nothing of it is started before this time: it has failed. */
   holdUntil: number;
   failures: number;
   /** Machines that get none of its tasks until the given time. */
-  avoid: Map<string, number>;
+  avoidedMachines: Map<string, number>;
   /** Where its last finished task ran: the next one goes there if it can. */
-  near: string;
-  shownRunning: number;
-  storedRunning: number;
-  toReap: SettledPlacement[];
+  preferredMachine: string;
+  runningTasks: number;
+  storedRunningTasks: number;
+  outcomesToStore: FinalizedPlacement[];
   /** Those whose outcome is in the transaction now in flight, or in doubt. */
-  outcomesInFlight: SettledPlacement[];
+  outcomesInFlight: FinalizedPlacement[];
 }
 
 /**
  * A job from its stored records; `old` is what its owner held before reading them again. A cancellation that the watch has
  * shown meanwhile is never taken back.
  */
-export function newJob(
+export function createOwnedJob(
   spec: JobSpec,
   stored: StoredJob,
   old: OwnedJob | undefined,
@@ -70,45 +70,45 @@
 ): OwnedJob {
   return {
     spec,
-    order: stored.order,
+    acceptedRevision: stored.acceptedRevision,
     jobRevision: Math.max(stored.jobRevision, old?.jobRevision ?? 0),
     counterRevision: stored.counterRevision,
     cancelled: stored.cancelled || old?.cancelled === true,
-    count: stored.count ?? new Counter(spec.tasks),
-    fan: new FanOut(spec.tasks, window),
-    placed: new Map(),
+    counter: stored.counter ?? new DependencyCounter(spec.taskCount),
+    fanOut: new FanOut(spec.taskCount, window),
+    placements: new Map(),
     attempts: new Map(),
     chunkRevisions: new Map(),
     dirtyChunks: new Set(),
-    dirtyCount: false,
+    counterDirty: false,
     dueAt: Number.POSITIVE_INFINITY,
-    busy: false,
-    reloading: false,
+    writeInFlight: false,
+    isReloading: false,
     holdUntil: old?.holdUntil ?? 0,
     failures: old?.failures ?? 0,
-    avoid: old?.avoid ?? new Map(),
-    near: old?.near ?? '',
-    shownRunning: 0,
-    storedRunning: stored.running,
-    toReap: [],
+    avoidedMachines: old?.avoidedMachines ?? new Map(),
+    preferredMachine: old?.preferredMachine ?? '',
+    runningTasks: 0,
+    storedRunningTasks: stored.runningTasks,
+    outcomesToStore: [],
     outcomesInFlight: [],
   };
 }
 
 /** Over: done or cancelled, and nothing of it is left on any machine. */
 export function isOver(job: OwnedJob): boolean {
-  return (job.cancelled || (job.count.full && !job.dirtyCount)) && job.placed.size === 0;
+  return (job.cancelled || (job.counter.isFull && !job.counterDirty)) && job.placements.size === 0;
 }
 
 /** Whether placements of it that are not known to be stored may be: a write is in flight, or what became of it is being read. */
-export function isInDoubt(job: OwnedJob): boolean {
-  return job.busy || job.reloading;
+export function hasIndeterminateWrite(job: OwnedJob): boolean {
+  return job.writeInFlight || job.isReloading;
 }
 
 /** All tasks of a gang share one attempt number, above every earlier one. */
-export function gangAttempt(job: OwnedJob): number {
+export function nextGangAttempt(job: OwnedJob): number {
   let latest = 0;
-  for (const placement of job.placed.values()) if (!placement.stored) return placement.attempt;
+  for (const placement of job.placements.values()) if (!placement.isStored) return placement.attempt;
   for (const attempt of job.attempts.values()) latest = Math.max(latest, attempt);
   return latest + 1;
 }
@@ -117,46 +117,52 @@
 export function zoneAllows(job: OwnedJob, zone: string): boolean {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== zone) return false;
-  if (!spec.together && !spec.apart) return true;
+  if (!spec.zoneAffinity && !spec.zoneAntiAffinity) return true;
   let there = 0;
-  for (const placement of job.placed.values()) {
+  for (const placement of job.placements.values()) {
     if (placement.zone === zone) there++;
-    else if (spec.together) return false;
+    else if (spec.zoneAffinity) return false;
   }
-  return !spec.apart || there < Math.ceil(spec.tasks / 2);
+  return !spec.zoneAntiAffinity || there < Math.ceil(spec.taskCount / 2);
 }
 
 /** What identifies a placement to the scheduler. */
 export interface PlacementRef {
-  idx: number;
+  taskIndex: number;
   attempt: number;
   machine: string;
-  season: number;
+  agentEpoch: number;
 }
 
 /** A placement as the scheduler is told of it. */
-export function heldOf(job: OwnedJob, at: PlacementRef, want: Held['want'], graceS = 0, grant = 0): Held {
+export function placementSpecOf(
+  job: OwnedJob,
+  placement: PlacementRef,
+  desiredState: PlacementSpec['desiredState'],
+  gracePeriodSeconds = 0,
+  grantId = 0,
+): PlacementSpec {
   const { spec } = job;
   return {
-    job: spec.id,
-    idx: at.idx,
-    attempt: at.attempt,
-    machine: at.machine,
-    season: at.season,
-    want,
-    graceS,
+    jobId: spec.id,
+    taskIndex: placement.taskIndex,
+    attempt: placement.attempt,
+    machine: placement.machine,
+    agentEpoch: placement.agentEpoch,
+    desiredState: desiredState,
+    gracePeriodSeconds: gracePeriodSeconds,
     team: spec.team,
-    rank: spec.rank,
-    gang: spec.shape === 'gang',
-    service: spec.shape === 'service',
+    priority: spec.priority,
+    isGang: spec.kind === 'gang',
+    isService: spec.kind === 'service',
     cpus: spec.cpus,
     gpus: spec.gpus,
-    mem: spec.mem,
+    memoryGb: spec.memoryGb,
     image: spec.image,
     imageGb: spec.imageGb,
-    estimateS: spec.estimateS,
-    types: spec.types,
-    spread: spec.apart && spec.tasks > 1,
-    grant,
+    estimatedRunSeconds: spec.estimatedRunSeconds,
+    machineTypes: spec.machineTypes,
+    spreadOverZones: spec.zoneAntiAffinity && spec.taskCount > 1,
+    grantId: grantId,
   };
 }
