--- a/src/core/owner/owner.ts
+++ b/src/core/owner/owner.ts
@@ -1,127 +1,127 @@
-import { Marks } from '../horizon.js';
+import { PeerTimestamps } from '../horizon.js';
 import { LimitedLog } from '../limited-log.js';
-import { chunkSize, readJob, releaseWindow, type StoredJob } from '../records.js';
+import { readStoredItem, releaseWindow, type StoredJob, tasksPerChunk } from '../records.js';
 import {
+  type AllocationEvent,
   type Clock,
   type Grant,
-  type Held,
+  type KeyValueStore,
+  type LeaderMessage,
   type Logger,
-  type Objective,
-  type OwnerMsg,
-  type SchedulerMsg,
-  type Seen,
-  type StatePort,
+  type PlacementSpec,
+  type ResourceRequest,
+  type ServiceLevelObjective,
+  type ShardMessage,
   type Team,
   taskKey,
-  type Want,
 } from '../types.js';
-import { AVOID_AFTER_REFUSAL_MS, takeGrants } from './grant-intake.js';
+import { AVOID_AFTER_REFUSAL_MS, assignGrants } from './grant-intake.js';
 import {
-  gangAttempt,
-  heldOf,
-  isInDoubt,
+  createOwnedJob,
+  type FinalizedPlacement,
+  hasIndeterminateWrite,
   isOver,
-  newJob,
+  nextGangAttempt,
   type OwnedJob,
   type Placement,
-  type SettledPlacement,
+  placementSpecOf,
 } from './job.js';
 import { JobTransactions } from './job-transactions.js';
 import type { WriteEvents } from './job-writes.js';
-import { ReleaseOrder } from './release-order.js';
+import { ReleaseQueue } from './release-order.js';
 import { readStoredJobs } from './stored-jobs.js';
 import { TeamUsage, type UsageCause } from './team-usage.js';
 import { UsageLog } from './usage-log.js';
-import { listWants } from './wants.js';
+import { listRequests } from './wants.js';
 import { WriteFence } from './write-fence.js';
 
-export interface OwnerOptions {
-  host: string;
-  inst: string;
+export interface ShardOwnerOptions {
+  nodeName: string;
+  instanceId: string;
   teams: Map<string, Team>;
-  valueKb: number;
-  txnOps: number;
-  writeRps: number;
+  maxValueKb: number;
+  maxTransactionOperations: number;
+  writesPerSecond: number;
   /** Most tasks of one job asked for at a time: the pace of a large fan-out. */
-  batch: number;
-  noticeGraceS: number;
-  objectives: Objective[];
-  state: StatePort;
+  maxTasksPerRequest: number;
+  noticeGraceSeconds: number;
+  objectives: ServiceLevelObjective[];
+  store: KeyValueStore;
   clock: Clock;
   log: Logger;
   /** The mirrored records under `open/`. */
-  openItems(): Iterable<[string, { value: unknown; version: number }]>;
+  openJobItems(): Iterable<[string, { value: unknown; modRevision: number }]>;
   /** The sending time of the latest read of `open/` whose changes have been passed on here; and a new read, if it is due. */
-  openReadAsOf(): number;
-  readOpen(): void;
-  send(msg: OwnerMsg): void;
+  openJobsFreshAsOf(): number;
+  refreshOpenJobs(): void;
+  send(message: ShardMessage): void;
   wake(): void;
 }
 
 /** Pause before a read that failed is repeated. */
-const RETRY_MS = 300;
+const READ_RETRY_MS = 300;
 
 /** Most placements told in one message. */
-const SYNC_PART = 400;
+const MAX_PLACEMENTS_PER_CHUNK = 400;
 
 /** Holds the teams assigned to this controller: release, queue, limits, one attempt per task, counters. */
-export class Owner implements WriteEvents {
+export class ShardOwner implements WriteEvents {
   private readonly jobs = new Map<string, OwnedJob>();
-  private readonly teams = new Map<string, { gen: number; loaded: boolean; loading: boolean }>();
+  private readonly teams = new Map<string, { shardEpoch: number; isLoaded: boolean; isLoading: boolean }>();
   private readonly usage: TeamUsage;
-  private flushTimer = 0;
-  private wantsAt = 0;
+  private nextWakeAt = 0;
+  private nextRequestsAt = 0;
   /** The newest grant taken in from this scheduler. */
-  private lastGrant = 0;
-  private syncs = 0;
+  private lastGrantTaken = 0;
+  private syncNumber = 0;
   /** Messages with placements since the last sync. */
-  private heldSent = 0;
+  private placementMessagesSent = 0;
   /** The leader's marks, and the newest told to be covered. */
-  private readonly marks = new Marks();
-  private coveredTold = Number.NEGATIVE_INFINITY;
-  private readonly order: ReleaseOrder;
+  private readonly leaderTimestamps = new PeerTimestamps();
+  private coverageSentUpTo = Number.NEGATIVE_INFINITY;
+  private readonly releaseQueue: ReleaseQueue;
   private readonly fence: WriteFence;
   private readonly transactions: JobTransactions;
   private readonly usageLog: UsageLog;
   private readonly limitedLog: LimitedLog;
   private readonly archived = new Set<string>();
-  private readonly chunk: number;
-  private readonly window: number;
-  private token = 0;
-  private synced = false;
-  private needSync = false;
-  private wantsDirty = false;
-  private lastWants = '';
-  private outHeld: Held[] = [];
-  private outDrop: { tasks: { machine: string; key: string }[]; grants: number[] } = {
+  private readonly tasksPerChunk: number;
+  private readonly releaseWindow: number;
+  private fencingToken = 0;
+  private isSynced = false;
+  private needsFullSync = false;
+  private requestsDirty = false;
+  private lastRequestsSent = '';
+  private placementsToSend: PlacementSpec[] = [];
+  private releasesToSend: { tasks: { machine: string; taskKey: string }[]; grants: number[] } = {
     tasks: [],
     grants: [],
   };
 
-  constructor(private readonly options: OwnerOptions) {
-    this.chunk = chunkSize(options.valueKb);
-    this.order = new ReleaseOrder(options.objectives);
+  constructor(private readonly options: ShardOwnerOptions) {
+    this.tasksPerChunk = tasksPerChunk(options.maxValueKb);
+    this.releaseQueue = new ReleaseQueue(options.objectives);
     this.usage = new TeamUsage(options.teams);
     this.limitedLog = new LimitedLog(options.log, options.clock);
     this.usageLog = new UsageLog(this.usage, options.clock, options.log);
-    this.window = releaseWindow(options.valueKb);
+    this.releaseWindow = releaseWindow(options.maxValueKb);
     this.fence = new WriteFence({
-      key: `fence/${options.host}`,
-      inst: options.inst,
-      state: options.state,
+      key: `fence/${options.nodeName}`,
+      instanceId: options.instanceId,
+      store: options.store,
       clock: options.clock,
       log: options.log,
-      ready: () => options.wake(),
+      onReady: () => options.wake(),
     });
     this.transactions = new JobTransactions({
       ...options,
       fence: this.fence,
       events: this,
-      chunk: this.chunk,
-      teamRevision: (team) => this.teams.get(team)?.gen,
-      holds: (job) => this.jobs.get(job.spec.id) === job,
-      unconfirmed: (jobs, inDoubt, fence) => {
-        if (inDoubt) this.usageLog.inDoubt(jobs, fence);
+      tasksPerChunk: this.tasksPerChunk,
+      teamRevision: (team) => this.teams.get(team)?.shardEpoch,
+      isOwned: (job) => this.jobs.get(job.spec.id) === job,
+      onUnconfirmed: (jobs, inDoubt, fence) => {
+        if (inDoubt) this.usageLog.logIndeterminateWrite(jobs, fence);
         for (const job of jobs) this.reload(job, inDoubt);
       },
       wakeAt: (at) => this.wakeAt(at),
@@ -135,130 +135,131 @@
   /** For logs and tests. */
   stats(): { jobs: number; placed: number } {
     let placed = 0;
-    for (const job of this.jobs.values()) placed += job.placed.size;
+    for (const job of this.jobs.values()) placed += job.placements.size;
     return { jobs: this.jobs.size, placed };
   }
 
   /** The teams whose records name this instance, by record version. */
-  setTeams(now: Map<string, number>): void {
+  setShards(now: Map<string, number>): void {
     for (const [name, team] of this.teams) {
-      if (now.get(name) === team.gen) continue;
+      if (now.get(name) === team.shardEpoch) continue;
       this.teams.delete(name);
-      for (const job of [...this.jobs.values()]) if (job.spec.team === name) this.letGo(job);
+      for (const job of [...this.jobs.values()]) if (job.spec.team === name) this.dropJob(job);
       this.options.log.debug({ team: name }, 'team let go');
-      this.needSync = true;
+      this.needsFullSync = true;
     }
-    for (const [name, gen] of now) {
+    for (const [name, shardEpoch] of now) {
       if (this.teams.has(name)) continue;
-      this.teams.set(name, { gen, loaded: false, loading: false });
-      this.options.log.debug({ team: name, gen }, 'team taken on');
+      this.teams.set(name, { shardEpoch: shardEpoch, isLoaded: false, isLoading: false });
+      this.options.log.debug({ team: name, gen: shardEpoch }, 'team taken on');
     }
     this.options.wake();
   }
 
-  private letGo(job: OwnedJob): void {
-    this.usage.remove(job.spec, 'let_go', job.placed.size);
+  private dropJob(job: OwnedJob): void {
+    this.usage.remove(job.spec, 'let_go', job.placements.size);
     this.jobs.delete(job.spec.id);
-    this.transactions.drop(job);
+    this.transactions.forget(job);
   }
 
-  private putPlaced(job: OwnedJob, placement: Placement, cause: UsageCause): void {
-    job.placed.set(placement.idx, placement);
+  private addPlacement(job: OwnedJob, placement: Placement, cause: UsageCause): void {
+    job.placements.set(placement.taskIndex, placement);
     this.usage.add(job.spec, cause);
   }
 
-  private dropPlaced(job: OwnedJob, placement: Placement, cause: UsageCause): void {
-    if (job.placed.delete(placement.idx)) this.usage.remove(job.spec, cause);
+  private removePlacement(job: OwnedJob, placement: Placement, cause: UsageCause): void {
+    if (job.placements.delete(placement.taskIndex)) this.usage.remove(job.spec, cause);
   }
 
   /** A scheduler with a higher token is heeded from now on; one with a lower token never again. */
-  setScheduler(token: number): void {
-    if (token <= this.token) return;
-    this.token = token;
+  setLeader(token: number): void {
+    if (token <= this.fencingToken) return;
+    this.fencingToken = token;
     this.options.log.info({ token }, 'owner heeds leader');
-    this.marks.clear();
-    this.coveredTold = Number.NEGATIVE_INFINITY;
-    this.lastGrant = 0;
+    this.leaderTimestamps.clear();
+    this.coverageSentUpTo = Number.NEGATIVE_INFINITY;
+    this.lastGrantTaken = 0;
     // Numbers of the last leader's grants: the next one counts anew.
-    for (const job of this.jobs.values()) for (const placement of job.placed.values()) placement.grant = 0;
-    this.synced = false;
-    this.needSync = true;
+    for (const job of this.jobs.values())
+      for (const placement of job.placements.values()) placement.grantId = 0;
+    this.isSynced = false;
+    this.needsFullSync = true;
     this.options.wake();
   }
 
   resync(): void {
-    this.synced = false;
-    this.needSync = true;
+    this.isSynced = false;
+    this.needsFullSync = true;
     this.options.wake();
   }
 
   // ---- stored state -------------------------------------------------------------------------
 
   private loadTeams(): void {
-    const wanted = [...this.teams].filter(([, team]) => !team.loaded && !team.loading);
+    const wanted = [...this.teams].filter(([, team]) => !team.isLoaded && !team.isLoading);
     if (wanted.length === 0) return;
-    for (const [, team] of wanted) team.loading = true;
+    for (const [, team] of wanted) team.isLoading = true;
     this.fence.learn();
-    readStoredJobs(this.options.state, null, (found) => {
-      for (const [, team] of wanted) team.loading = false;
-      if (!found) return void this.options.clock.after(RETRY_MS, () => this.options.wake());
+    readStoredJobs(this.options.store, null, (found) => {
+      for (const [, team] of wanted) team.isLoading = false;
+      if (!found) return void this.options.clock.after(READ_RETRY_MS, () => this.options.wake());
       for (const [name, team] of wanted) if (this.teams.get(name) === team) this.loadTeam(name, team, found);
       // Jobs accepted between the listing and now were shown by the watch before the team was loaded.
-      for (const [key, item] of this.options.openItems()) {
+      for (const [key, item] of this.options.openJobItems()) {
         const [, id, part] = key.split('/');
-        if (id && part === 'a') this.openChanged(id, part, item.value, item.version);
+        if (id && part === 'a') this.onOpenJobChanged(id, part, item.value, item.modRevision);
       }
-      this.needSync = true;
+      this.needsFullSync = true;
       this.options.wake();
     });
   }
 
   private loadTeam(
     name: string,
-    team: { gen: number; loaded: boolean },
+    team: { shardEpoch: number; isLoaded: boolean },
     found: Map<string, StoredJob>,
   ): void {
-    team.loaded = true;
+    team.isLoaded = true;
     const jobs = [...found.values()].filter(({ spec }) => spec?.team === name);
     for (const job of jobs) this.adopt(job);
-    const fields = { team: name, jobs: jobs.length, gen: team.gen, ...this.usage.describe(name) };
+    const fields = { team: name, jobs: jobs.length, epoch: team.shardEpoch, ...this.usage.describe(name) };
     this.options.log.info(fields, 'team loaded');
     this.usageLog.checkLimit(name);
   }
 
   private adopt(stored: StoredJob): void {
     const spec = stored.spec;
-    if (!spec || stored.order === 0) return;
+    if (!spec || stored.acceptedRevision === 0) return;
     const old = this.jobs.get(spec.id);
-    if (old) this.letGo(old);
-    const job = newJob(spec, stored, old, this.window);
-    for (const [chunk, record] of stored.places) {
-      job.chunkRevisions.set(chunk, record.mark);
-      for (const [idx, { attempt, location }] of record.tasks) {
-        job.attempts.set(idx, attempt);
-        if (!location || job.count.has(idx)) continue;
-        this.putPlaced(
+    if (old) this.dropJob(old);
+    const job = createOwnedJob(spec, stored, old, this.releaseWindow);
+    for (const [chunk, record] of stored.placementChunks) {
+      job.chunkRevisions.set(chunk, record.modRevision);
+      for (const [taskIndex, { attempt, location }] of record.tasks) {
+        job.attempts.set(taskIndex, attempt);
+        if (!location || job.counter.has(taskIndex)) continue;
+        this.addPlacement(
           job,
           {
-            idx,
+            taskIndex: taskIndex,
             attempt,
             ...location,
-            grant: 0,
-            stored: true,
-            want: job.cancelled ? 'stop' : 'run',
-            running: old?.placed.get(idx)?.running ?? false,
+            grantId: 0,
+            isStored: true,
+            desiredState: job.cancelled ? 'stop' : 'run',
+            isRunning: old?.placements.get(taskIndex)?.isRunning ?? false,
           },
           'read',
         );
       }
     }
-    if (spec.shape === 'gang' && job.count.full)
-      for (const placement of job.placed.values()) placement.want = 'stop';
-    for (const placement of job.placed.values()) if (placement.running) job.shownRunning++;
-    job.fan.skipTo((i) => job.count.has(i));
+    if (spec.kind === 'gang' && job.counter.isFull)
+      for (const placement of job.placements.values()) placement.desiredState = 'stop';
+    for (const placement of job.placements.values()) if (placement.isRunning) job.runningTasks++;
+    job.fanOut.skipTo((i) => job.counter.has(i));
     this.jobs.set(spec.id, job);
-    if (!old) this.order.learn(spec);
-    if (isOver(job)) this.transactions.mark(job, 0);
+    if (!old) this.releaseQueue.learn(spec);
+    if (isOver(job)) this.transactions.markDirty(job, 0);
   }
 
   /**
@@ -266,17 +267,18 @@
    * out: else what the read does not show may still be stored after it, beyond the team's limit or in another zone.
    */
   private reload(job: OwnedJob, inDoubt = false): void {
-    if (job.reloading) return;
-    job.reloading = true;
+    if (job.isReloading) return;
+    job.isReloading = true;
     const { id } = job.spec;
     const since = this.options.clock.now();
     const read = () =>
-      readStoredJobs(this.options.state, id, (found) => {
+      readStoredJobs(this.options.store, id, (found) => {
         if (this.jobs.get(id) !== job) return;
-        if (!found) return void this.options.clock.after(RETRY_MS, () => this.jobs.get(id) === job && read());
+        if (!found)
+          return void this.options.clock.after(READ_RETRY_MS, () => this.jobs.get(id) === job && read());
         this.reloaded(job, found.get(id));
         const now = this.jobs.get(id);
-        if (inDoubt && now) this.usageLog.resolved(now, job, since);
+        if (inDoubt && now) this.usageLog.logResolvedWrite(now, job, since);
       });
     if (inDoubt) this.fence.move(read);
     else read();
@@ -286,38 +288,39 @@
     const { id, team } = job.spec;
     if (stored?.spec) this.adopt(stored);
     else this.forget(id);
-    const { jobRevision, counterRevision, places } = stored ?? {};
+    const { jobRevision, counterRevision, placementChunks: places } = stored ?? {};
     const revisions = { job: jobRevision, counter: counterRevision, places: places?.size };
     this.options.log.debug({ job: id, found: !!stored?.spec, revisions }, 'job read again');
     this.usageLog.checkLimit(team);
-    this.needSync = true;
+    this.needsFullSync = true;
     this.options.wake();
   }
 
   private forget(id: string): void {
     const job = this.jobs.get(id);
-    if (job) this.letGo(job);
+    if (job) this.dropJob(job);
     this.archived.add(id);
     if (this.archived.size > 5000) for (const x of [...this.archived].slice(0, 1000)) this.archived.delete(x);
-    this.wantsDirty = true;
+    this.requestsDirty = true;
   }
 
   /** A change under `open/`, from the watch. */
-  openChanged(id: string, part: string, value: unknown, mark: number): void {
+  onOpenJobChanged(id: string, part: string, value: unknown, modRevision: number): void {
     const job = this.jobs.get(id);
     if (part === 'n') {
-      if (job && mark > job.counterRevision && !job.busy && !job.reloading) this.reload(job);
+      if (job && modRevision > job.counterRevision && !job.writeInFlight && !job.isReloading)
+        this.reload(job);
       return;
     }
     if (part !== 'a') return;
     if (job) {
       // Also of a job that is being read again: that read may wait out an outage, while what runs must be stopped.
-      if (mark > job.jobRevision) {
+      if (modRevision > job.jobRevision) {
         const found = new Map<string, StoredJob>();
-        readJob(found, { key: `open/${id}/a`, value, version: mark });
-        const s = found.get(id);
-        if (s?.cancelled) {
-          job.jobRevision = mark;
+        readStoredItem(found, { key: `open/${id}/a`, value, modRevision: modRevision });
+        const stored = found.get(id);
+        if (stored?.cancelled) {
+          job.jobRevision = modRevision;
           this.cancel(job);
         }
       }
@@ -325,202 +328,231 @@
     }
     if (this.archived.has(id)) return;
     const found = new Map<string, StoredJob>();
-    readJob(found, { key: `open/${id}/a`, value, version: mark });
-    const s = found.get(id);
-    if (!s?.spec || !this.teams.get(s.spec.team)?.loaded) return;
-    this.adopt(s);
-    this.options.log.debug({ job: id, tasks: s.spec.tasks, team: s.spec.team }, 'released');
-    this.wantsDirty = true;
+    readStoredItem(found, { key: `open/${id}/a`, value, modRevision: modRevision });
+    const stored = found.get(id);
+    if (!stored?.spec || !this.teams.get(stored.spec.team)?.isLoaded) return;
+    this.adopt(stored);
+    this.options.log.debug({ job: id, tasks: stored.spec.taskCount, team: stored.spec.team }, 'released');
+    this.requestsDirty = true;
     this.options.wake();
   }
 
   private cancel(job: OwnedJob): void {
     if (job.cancelled) return;
     job.cancelled = true;
-    this.options.log.debug({ job: job.spec.id, placed: job.placed.size }, 'cancelled');
-    for (const placement of [...job.placed.values()]) {
-      if (!placement.stored && !isInDoubt(job)) {
-        const key = taskKey(job.spec.id, placement.idx, placement.attempt);
-        this.outDrop.grants.push(placement.grant);
-        this.outDrop.tasks.push({ machine: placement.machine, key });
-        this.dropPlaced(job, placement, 'returned');
+    this.options.log.debug({ job: job.spec.id, placed: job.placements.size }, 'cancelled');
+    for (const placement of [...job.placements.values()]) {
+      if (!placement.isStored && !hasIndeterminateWrite(job)) {
+        const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
+        this.releasesToSend.grants.push(placement.grantId);
+        this.releasesToSend.tasks.push({ machine: placement.machine, taskKey: key });
+        this.removePlacement(job, placement, 'returned');
       } else this.stop(job, placement, 0);
     }
-    this.transactions.mark(job, 0);
-    this.wantsDirty = true;
+    this.transactions.markDirty(job, 0);
+    this.requestsDirty = true;
     this.options.wake();
   }
 
   // ---- scheduler ---------------------------------------------------------------------------------
 
-  fromScheduler(message: SchedulerMsg): void {
-    if (message.token !== this.token) return;
+  onLeaderMessage(message: LeaderMessage): void {
+    if (message.fencingToken !== this.fencingToken) return;
     switch (message.type) {
-      case 'synced':
+      case 'syncAccepted':
         // With another telling on its way, grants sent before that one is taken in are dropped by the leader and must be here:
         // their places are granted again.
-        if (message.sync !== undefined && message.sync !== this.syncs) return;
-        this.synced = true;
-        this.wantsDirty = true;
-        this.lastWants = '';
+        if (message.syncNumber !== undefined && message.syncNumber !== this.syncNumber) return;
+        this.isSynced = true;
+        this.requestsDirty = true;
+        this.lastRequestsSent = '';
         break;
-      case 'resync':
+      case 'syncRequested':
         this.resync();
         break;
       case 'grants':
-        this.granted(message.grants);
+        this.takeGrants(message.grants);
         break;
-      case 'seen':
-        for (const seen of message.seen) this.saw(seen);
+      case 'allocationEvents':
+        for (const event of message.events) this.onAllocationEvent(event);
         break;
-      case 'mark':
-        this.marks.add(message.at, this.options.clock.now());
-        this.options.readOpen();
+      case 'timestamp':
+        this.leaderTimestamps.add(message.leaderTimestamp, this.options.clock.now());
+        this.options.refreshOpenJobs();
         break;
       case 'evict':
-        for (const task of message.tasks) this.evict(task.job, task.idx, task.attempt, message.why);
+        for (const task of message.tasks)
+          this.evict(task.jobId, task.taskIndex, task.attempt, message.reason);
         break;
     }
     this.options.wake();
   }
 
-  private granted(grants: Grant[]): void {
+  private takeGrants(grants: Grant[]): void {
     const byJob = new Map<string, Grant[]>();
     for (const grant of grants) {
-      this.lastGrant = Math.max(this.lastGrant, grant.id);
-      const offered = byJob.get(grant.job);
+      this.lastGrantTaken = Math.max(this.lastGrantTaken, grant.id);
+      const offered = byJob.get(grant.jobId);
       if (offered) offered.push(grant);
-      else byJob.set(grant.job, [grant]);
+      else byJob.set(grant.jobId, [grant]);
     }
     for (const [id, offered] of byJob) {
       const job = this.jobs.get(id);
-      const ok = job && !job.cancelled && !job.reloading && !job.count.full && this.synced;
-      const place = (grant: Grant, idx: number) => job && this.place(job, grant, idx);
+      const ok = job && !job.cancelled && !job.isReloading && !job.counter.isFull && this.isSynced;
+      const place = (grant: Grant, taskIndex: number) => job && this.place(job, grant, taskIndex);
       const now = this.options.clock.now();
-      const placed = new Set(ok ? takeGrants(job, offered, this.usage, now, place) : []);
-      for (const grant of offered) if (!placed.has(grant)) this.outDrop.grants.push(grant.id);
+      const placed = new Set(ok ? assignGrants(job, offered, this.usage, now, place) : []);
+      for (const grant of offered) if (!placed.has(grant)) this.releasesToSend.grants.push(grant.id);
     }
-    this.wantsDirty = true;
+    this.requestsDirty = true;
   }
 
-  private place(job: OwnedJob, grant: Grant, idx: number): void {
-    const attempt = job.spec.shape === 'gang' ? gangAttempt(job) : (job.attempts.get(idx) ?? 0) + 1;
-    this.putPlaced(
+  private place(job: OwnedJob, grant: Grant, taskIndex: number): void {
+    const attempt = job.spec.kind === 'gang' ? nextGangAttempt(job) : (job.attempts.get(taskIndex) ?? 0) + 1;
+    this.addPlacement(
       job,
       {
-        idx,
+        taskIndex: taskIndex,
         attempt,
         machine: grant.machine,
-        season: grant.season,
+        agentEpoch: grant.agentEpoch,
         zone: grant.zone,
-        grant: grant.id,
-        stored: false,
-        want: 'run',
-        running: false,
+        grantId: grant.id,
+        isStored: false,
+        desiredState: 'run',
+        isRunning: false,
       },
       'granted',
     );
-    job.dirtyChunks.add(Math.floor(idx / this.chunk));
-    this.transactions.mark(job, 0);
+    job.dirtyChunks.add(Math.floor(taskIndex / this.tasksPerChunk));
+    this.transactions.markDirty(job, 0);
   }
 
-  private saw(seen: Seen): void {
-    const job = this.jobs.get(seen.job);
-    const placement = job?.placed.get(seen.idx);
+  private onAllocationEvent(event: AllocationEvent): void {
+    const job = this.jobs.get(event.jobId);
+    const placement = job?.placements.get(event.taskIndex);
     if (
       !job ||
       !placement ||
-      placement.attempt !== seen.attempt ||
-      placement.machine !== seen.machine ||
-      !placement.stored
+      placement.attempt !== event.attempt ||
+      placement.machine !== event.machine ||
+      !placement.isStored
     ) {
       // Told again after its outcome was stored: the reap was lost with an earlier scheduler.
-      if (seen.type === 'phase' && seen.phase === 'exited' && !job?.reloading) this.reapStored(job, seen);
+      if (event.type === 'phase' && event.phase === 'exited' && !job?.isReloading)
+        this.forgetStoredOutcome(job, event);
       return;
     }
-    if (seen.type === 'settled') {
-      this.settle(job, placement, 'gone');
+    if (event.type === 'finalized') {
+      this.finalize(job, placement, 'gone');
       return;
     }
-    if (seen.phase !== 'exited') {
-      const running = seen.phase === 'running';
-      if (running !== placement.running) {
-        placement.running = running;
-        job.shownRunning += running ? 1 : -1;
+    if (event.phase !== 'exited') {
+      const running = event.phase === 'running';
+      if (running !== placement.isRunning) {
+        placement.isRunning = running;
+        job.runningTasks += running ? 1 : -1;
         // Users are told `running` from the stored record; one write when the first task runs will do.
-        if (running && job.storedRunning === 0) {
-          job.storedRunning = 1;
-          job.dirtyCount = true;
-          this.transactions.mark(job, this.transactions.lazyMs());
+        if (running && job.storedRunningTasks === 0) {
+          job.storedRunningTasks = 1;
+          job.counterDirty = true;
+          this.transactions.markDirty(job, this.transactions.lazyDelayMs());
         }
         if (running)
-          this.options.log.debug({ job: seen.job, idx: seen.idx, machine: seen.machine }, 'task runs');
+          this.options.log.debug(
+            { job: event.jobId, idx: event.taskIndex, machine: event.machine },
+            'task runs',
+          );
       }
       return;
     }
     this.options.log.debug(
-      { job: seen.job, idx: seen.idx, machine: seen.machine, attempt: seen.attempt, why: seen.why },
+      {
+        job: event.jobId,
+        idx: event.taskIndex,
+        machine: event.machine,
+        attempt: event.attempt,
+        why: event.exitReason,
+      },
       'task ended',
     );
     const now = this.options.clock.now();
-    if (seen.why === 'done' && job.spec.shape !== 'service') {
-      if (job.count.add(placement.idx)) job.dirtyCount = true;
+    if (event.exitReason === 'done' && job.spec.kind !== 'service') {
+      if (job.counter.add(placement.taskIndex)) job.counterDirty = true;
       // "When one is done, all are": the rest of a gang is counted with it, and settled as it is reported.
-      if (job.spec.shape === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.count.add(i);
-      this.transactions.mark(job, job.count.full ? 0 : this.transactions.lazyMs());
+      if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.taskCount; i++) job.counter.add(i);
+      this.transactions.markDirty(job, job.counter.isFull ? 0 : this.transactions.lazyDelayMs());
       job.failures = 0;
-      job.near = placement.machine;
-    } else if (seen.why === 'error' || seen.why === 'unknown') {
+      job.preferredMachine = placement.machine;
+    } else if (event.exitReason === 'error' || event.exitReason === 'unknown') {
       job.failures++;
-      job.avoid.set(placement.machine, now + 60000);
+      job.avoidedMachines.set(placement.machine, now + 60000);
       const pause = Math.min(60000, 500 * 2 ** Math.min(7, job.failures - 1));
       job.holdUntil = now + pause;
       this.options.log.info(
-        { job: seen.job, idx: seen.idx, machine: seen.machine, why: seen.why, pause_ms: pause },
+        {
+          job: event.jobId,
+          idx: event.taskIndex,
+          machine: event.machine,
+          why: event.exitReason,
+          pause_ms: pause,
+        },
         'task failed',
       );
       this.options.clock.after(pause, () => this.changed());
-    } else if (seen.why === 'no_room' || seen.why === 'busy') {
-      job.avoid.set(placement.machine, now + AVOID_AFTER_REFUSAL_MS);
-      const { idx, attempt, machine, why } = seen;
-      this.limitedLog.info({ job: seen.job, idx, attempt, machine, why }, 'start refused');
+    } else if (event.exitReason === 'no_room' || event.exitReason === 'busy') {
+      job.avoidedMachines.set(placement.machine, now + AVOID_AFTER_REFUSAL_MS);
+      const { taskIndex, attempt, machine, exitReason: reason } = event;
+      this.limitedLog.info(
+        { job: event.jobId, idx: taskIndex, attempt, machine, why: reason },
+        'start refused',
+      );
     }
-    this.settle(job, placement, seen.why ?? 'exited');
+    this.finalize(job, placement, event.exitReason ?? 'exited');
   }
 
   private changed(): void {
-    this.wantsDirty = true;
+    this.requestsDirty = true;
     this.options.wake();
   }
 
-  private reapStored(job: OwnedJob | undefined, seen: Seen): void {
+  private forgetStoredOutcome(job: OwnedJob | undefined, event: AllocationEvent): void {
     if (!job) return;
     if (
-      !job.count.has(seen.idx) &&
-      (job.attempts.get(seen.idx) ?? 0) <= seen.attempt &&
-      job.placed.has(seen.idx)
+      !job.counter.has(event.taskIndex) &&
+      (job.attempts.get(event.taskIndex) ?? 0) <= event.attempt &&
+      job.placements.has(event.taskIndex)
+    )
+      return;
+    if (
+      job.writeInFlight ||
+      job.counterDirty ||
+      job.dirtyChunks.has(Math.floor(event.taskIndex / this.tasksPerChunk))
     )
       return;
-    if (job.busy || job.dirtyCount || job.dirtyChunks.has(Math.floor(seen.idx / this.chunk))) return;
-    if (job.toReap.some((reap) => reap.placement.idx === seen.idx)) return;
-    this.outHeld.push(heldOf(job, { ...seen, season: 0 }, 'reap'));
+    if (job.outcomesToStore.some((reap) => reap.placement.taskIndex === event.taskIndex)) return;
+    this.placementsToSend.push(placementSpecOf(job, { ...event, agentEpoch: 0 }, 'reap'));
   }
 
-  private settle(job: OwnedJob, placement: Placement, why: string): void {
-    if (placement.running) job.shownRunning--;
-    this.dropPlaced(job, placement, why === 'gone' ? 'gone' : 'ended');
-    job.attempts.set(placement.idx, Math.max(placement.attempt, job.attempts.get(placement.idx) ?? 0));
-    job.toReap.push({ placement: placement, listed: why !== 'gone' });
-    if (isOver(job)) this.transactions.mark(job, 0);
+  private finalize(job: OwnedJob, placement: Placement, reason: string): void {
+    if (placement.isRunning) job.runningTasks--;
+    this.removePlacement(job, placement, reason === 'gone' ? 'gone' : 'ended');
+    job.attempts.set(
+      placement.taskIndex,
+      Math.max(placement.attempt, job.attempts.get(placement.taskIndex) ?? 0),
+    );
+    job.outcomesToStore.push({ placement: placement, isListed: reason !== 'gone' });
+    if (isOver(job)) this.transactions.markDirty(job, 0);
     // What the counter holds is settled by it; its old placement needs no write of its own.
-    if (!job.count.has(placement.idx)) {
-      job.dirtyChunks.add(Math.floor(placement.idx / this.chunk));
-      this.transactions.mark(job, this.transactions.lazyMs());
-      job.fan.giveBack(placement.idx);
-      if (job.spec.shape === 'gang')
-        for (const mate of job.placed.values()) if (mate.want === 'run') this.stopGangMate(job, mate);
+    if (!job.counter.has(placement.taskIndex)) {
+      job.dirtyChunks.add(Math.floor(placement.taskIndex / this.tasksPerChunk));
+      this.transactions.markDirty(job, this.transactions.lazyDelayMs());
+      job.fanOut.putBack(placement.taskIndex);
+      if (job.spec.kind === 'gang')
+        for (const mate of job.placements.values())
+          if (mate.desiredState === 'run') this.stopGangMate(job, mate);
     }
-    this.wantsDirty = true;
+    this.requestsDirty = true;
   }
 
   /** A gang that lost a task starts anew as a whole, once all its tasks are settled. */
@@ -529,18 +561,26 @@
   }
 
   private stop(job: OwnedJob, placement: Placement, graceS: number): void {
-    placement.want = 'stop';
-    if (placement.stored) this.outHeld.push(heldOf(job, placement, 'stop', graceS, placement.grant));
+    placement.desiredState = 'stop';
+    if (placement.isStored)
+      this.placementsToSend.push(placementSpecOf(job, placement, 'stop', graceS, placement.grantId));
   }
 
-  private evict(id: string, idx: number, attempt: number, why: string): void {
+  private evict(id: string, taskIndex: number, attempt: number, reason: string): void {
     const job = this.jobs.get(id);
-    const placement = job?.placed.get(idx);
-    if (!job || !placement || placement.attempt !== attempt || placement.want === 'stop') return;
-    this.options.log.debug({ job: id, idx, machine: placement.machine, why }, 'task stopped to make room');
-    const grace = job.spec.checkpointS > 0 ? job.spec.saveS + this.options.noticeGraceS : 0;
-    if (job.spec.shape === 'gang') {
-      for (const mate of job.placed.values()) if (mate.want === 'run') this.stop(job, mate, grace);
+    const placement = job?.placements.get(taskIndex);
+    if (!job || !placement || placement.attempt !== attempt || placement.desiredState === 'stop') return;
+    this.options.log.debug(
+      { job: id, idx: taskIndex, machine: placement.machine, why: reason },
+      'task stopped to make room',
+    );
+    const grace =
+      job.spec.checkpointIntervalSeconds > 0
+        ? job.spec.checkpointSaveSeconds + this.options.noticeGraceSeconds
+        : 0;
+    if (job.spec.kind === 'gang') {
+      for (const mate of job.placements.values())
+        if (mate.desiredState === 'run') this.stop(job, mate, grace);
     } else this.stop(job, placement, grace);
   }
 
@@ -549,102 +589,111 @@
   flush(): void {
     this.loadTeams();
     this.transactions.write();
-    this.tell();
-    this.usageLog.look(this.teams.keys(), this.jobs.values());
+    this.sendUpdates();
+    this.usageLog.update(this.teams.keys(), this.jobs.values());
   }
 
   private wakeAt(at: number): void {
     const now = this.options.clock.now();
-    if (!Number.isFinite(at) || (this.flushTimer > now && this.flushTimer <= at)) return;
-    this.flushTimer = at;
+    if (!Number.isFinite(at) || (this.nextWakeAt > now && this.nextWakeAt <= at)) return;
+    this.nextWakeAt = at;
     this.options.clock.after(Math.max(1, at - now), () => this.options.wake());
   }
 
-  private tell(): void {
-    if (this.token === 0) return;
-    const base = { token: this.token, inst: this.options.inst };
-    if (this.needSync) {
-      this.needSync = false;
-      this.outHeld = [];
-      this.outDrop = { tasks: [], grants: [] };
-      this.dropNew();
-      const held: Held[] = [];
+  private sendUpdates(): void {
+    if (this.fencingToken === 0) return;
+    const base = { fencingToken: this.fencingToken, instanceId: this.options.instanceId };
+    if (this.needsFullSync) {
+      this.needsFullSync = false;
+      this.placementsToSend = [];
+      this.releasesToSend = { tasks: [], grants: [] };
+      this.dropUnsentPlacements();
+      const placements: PlacementSpec[] = [];
       for (const job of this.jobs.values()) {
         // Without its places in flight or in doubt the leader would give them to others.
-        for (const placement of job.placed.values())
-          held.push(heldOf(job, placement, placement.stored ? placement.want : 'pending'));
+        for (const placement of job.placements.values())
+          placements.push(
+            placementSpecOf(job, placement, placement.isStored ? placement.desiredState : 'pending'),
+          );
         // Settled but not yet stored so: still ours, or the scheduler would have what nobody claims removed. A write that turns
         // out not to have been carried out would then bring the attempt back as one to be started.
-        for (const reap of [...job.toReap, ...job.outcomesInFlight]) {
-          if (reap.listed) held.push(heldOf(job, reap.placement, 'keep'));
+        for (const reap of [...job.outcomesToStore, ...job.outcomesInFlight]) {
+          if (reap.isListed) placements.push(placementSpecOf(job, reap.placement, 'keep'));
         }
       }
-      const gens = this.gens();
-      this.synced = false;
-      this.heldSent = 0;
+      const shardEpochs = this.shardEpochs();
+      this.isSynced = false;
+      this.placementMessagesSent = 0;
       // In parts, so that no message is large; the scheduler takes them as one when it has the last.
-      const sync = ++this.syncs;
-      const parts = Math.max(1, Math.ceil(held.length / SYNC_PART));
+      const sync = ++this.syncNumber;
+      const parts = Math.max(1, Math.ceil(placements.length / MAX_PLACEMENTS_PER_CHUNK));
       for (let i = 0; i < parts; i++)
         this.options.send({
-          type: 'sync',
+          type: 'fullSync',
           ...base,
-          sync,
-          parts,
-          part: i,
-          gens,
-          held: held.slice(i * SYNC_PART, (i + 1) * SYNC_PART),
-          wants: i === parts - 1 ? this.listWants() : [],
+          syncNumber: sync,
+          chunkCount: parts,
+          chunkIndex: i,
+          shardEpochs,
+          placements: placements.slice(i * MAX_PLACEMENTS_PER_CHUNK, (i + 1) * MAX_PLACEMENTS_PER_CHUNK),
+          requests: i === parts - 1 ? this.listRequests() : [],
         });
       return;
     }
-    if (!this.synced) return;
-    if (this.outHeld.length > 0) {
-      this.options.send({ type: 'held', ...base, held: this.outHeld });
-      this.outHeld = [];
-      this.heldSent++;
+    if (!this.isSynced) return;
+    if (this.placementsToSend.length > 0) {
+      this.options.send({ type: 'placements', ...base, placements: this.placementsToSend });
+      this.placementsToSend = [];
+      this.placementMessagesSent++;
     }
     // After the stops that follow from what was read.
-    const mark = this.marks.by(this.options.openReadAsOf());
-    if (mark !== null && mark > this.coveredTold) {
-      this.coveredTold = mark;
-      const n = this.heldSent;
-      this.options.send({ type: 'covered', ...base, sync: this.syncs, n, gens: this.gens(), mark });
+    const mark = this.leaderTimestamps.latestReceivedBy(this.options.openJobsFreshAsOf());
+    if (mark !== null && mark > this.coverageSentUpTo) {
+      this.coverageSentUpTo = mark;
+      const n = this.placementMessagesSent;
+      this.options.send({
+        type: 'cancellationCoverage',
+        ...base,
+        syncNumber: this.syncNumber,
+        placementMessages: n,
+        shardEpochs: this.shardEpochs(),
+        leaderTimestamp: mark,
+      });
     }
-    if (this.outDrop.tasks.length + this.outDrop.grants.length > 0) {
-      this.options.send({ type: 'drop', ...base, ...this.outDrop });
-      this.outDrop = { tasks: [], grants: [] };
+    if (this.releasesToSend.tasks.length + this.releasesToSend.grants.length > 0) {
+      this.options.send({ type: 'release', ...base, ...this.releasesToSend });
+      this.releasesToSend = { tasks: [], grants: [] };
     }
-    if (this.wantsDirty) {
+    if (this.requestsDirty) {
       const now = this.options.clock.now();
-      if (now < this.wantsAt) return this.wakeAt(this.wantsAt);
-      this.wantsDirty = false;
-      const wants = this.listWants();
+      if (now < this.nextRequestsAt) return this.wakeAt(this.nextRequestsAt);
+      this.requestsDirty = false;
+      const requests = this.listRequests();
       // A long list is told less often: it costs both sides, and few places come free between two tellings.
-      this.wantsAt = now + Math.min(300, 10 + wants.length * 3);
-      const text = JSON.stringify(wants);
-      if (text === this.lastWants) return;
-      this.lastWants = text;
-      this.options.send({ type: 'wants', ...base, wants });
+      this.nextRequestsAt = now + Math.min(300, 10 + requests.length * 3);
+      const text = JSON.stringify(requests);
+      if (text === this.lastRequestsSent) return;
+      this.lastRequestsSent = text;
+      this.options.send({ type: 'resourceRequests', ...base, requests });
     }
   }
 
-  private gens(): Record<string, number> {
-    const gens: Record<string, number> = {};
-    for (const [name, team] of this.teams) if (team.loaded) gens[name] = team.gen;
-    return gens;
+  private shardEpochs(): Record<string, number> {
+    const shardEpochs: Record<string, number> = {};
+    for (const [name, team] of this.teams) if (team.isLoaded) shardEpochs[name] = team.shardEpoch;
+    return shardEpochs;
   }
 
-  private listWants(): Want[] {
-    return listWants({
+  private listRequests(): ResourceRequest[] {
+    return listRequests({
       jobs: this.jobs.values(),
-      teams: [...this.teams].filter(([, team]) => team.loaded).map(([name]) => name),
-      order: this.order,
+      teams: [...this.teams].filter(([, team]) => team.isLoaded).map(([name]) => name),
+      releaseQueue: this.releaseQueue,
       usage: this.usage,
-      batch: this.options.batch,
+      maxTasksPerRequest: this.options.maxTasksPerRequest,
       nowMs: this.options.clock.now(),
       wallMs: this.options.clock.wall(),
-      lastGrant: this.lastGrant,
+      lastGrantTaken: this.lastGrantTaken,
     });
   }
 
@@ -652,49 +701,52 @@
    * Grants of an earlier scheduler are void; what was not yet sent to the state service goes back. What was sent and is
    * in doubt stays and counts: given back, its room would be granted to other jobs and the team go over its limit.
    */
-  private dropNew(): void {
+  private dropUnsentPlacements(): void {
     for (const job of this.jobs.values()) {
-      if (isInDoubt(job)) continue;
-      for (const placement of [...job.placed.values()]) {
-        if (placement.stored) continue;
-        this.dropPlaced(job, placement, 'returned');
-        this.transactions.mark(job, 0);
-        job.fan.giveBack(placement.idx);
+      if (hasIndeterminateWrite(job)) continue;
+      for (const placement of [...job.placements.values()]) {
+        if (placement.isStored) continue;
+        this.removePlacement(job, placement, 'returned');
+        this.transactions.markDirty(job, 0);
+        job.fanOut.putBack(placement.taskIndex);
       }
     }
   }
 
   // ---- what follows from writes ------------------------------------------------------------------
 
-  placementStored(job: OwnedJob, placement: Placement): void {
-    if (job.cancelled) placement.want = 'stop';
-    this.outHeld.push(heldOf(job, placement, placement.want, 0, placement.grant));
+  onPlacementStored(job: OwnedJob, placement: Placement): void {
+    if (job.cancelled) placement.desiredState = 'stop';
+    this.placementsToSend.push(placementSpecOf(job, placement, placement.desiredState, 0, placement.grantId));
     this.options.log.debug(
       {
         job: job.spec.id,
-        idx: placement.idx,
+        idx: placement.taskIndex,
         attempt: placement.attempt,
         machine: placement.machine,
         team: job.spec.team,
-        grant: placement.grant,
+        grant: placement.grantId,
         ...this.usage.describe(job.spec.team),
       },
       'placement stored',
     );
   }
 
-  outcomeStored(job: OwnedJob, { placement, listed }: SettledPlacement): void {
-    if (listed) return void this.outHeld.push(heldOf(job, placement, 'reap'));
-    const key = taskKey(job.spec.id, placement.idx, placement.attempt);
-    this.outDrop.tasks.push({ machine: placement.machine, key });
+  onOutcomeStored(job: OwnedJob, { placement, isListed: listed }: FinalizedPlacement): void {
+    if (listed) return void this.placementsToSend.push(placementSpecOf(job, placement, 'reap'));
+    const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
+    this.releasesToSend.tasks.push({ machine: placement.machine, taskKey: key });
   }
 
-  counterFull(job: OwnedJob): void {
+  onCounterFull(job: OwnedJob): void {
     this.options.log.debug({ job: job.spec.id }, 'counter full: job done');
   }
 
-  filed(job: OwnedJob): void {
+  onFiled(job: OwnedJob): void {
     this.forget(job.spec.id);
-    this.options.log.debug({ job: job.spec.id, cancelled: job.cancelled, done: job.count.n }, 'job filed');
+    this.options.log.debug(
+      { job: job.spec.id, cancelled: job.cancelled, done: job.counter.count },
+      'job filed',
+    );
   }
 }
--- a/src/core/owner/release-order.ts
+++ b/src/core/owner/release-order.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, Objective } from '../types.js';
+import type { JobSpec, ServiceLevelObjective } from '../types.js';
 import { JobSizes } from './job-sizes.js';
 
 /** Longest time that a large array is moved back in its queue, and that a long task is moved forward. */
@@ -30,17 +30,17 @@
 export interface QueuedJob {
   spec: JobSpec;
   /** Revision at which the job was accepted. */
-  order: number;
+  acceptedRevision: number;
   /** Tasks that are finished, and tasks that are placed now. */
-  finished: number;
-  placed: number;
+  finishedTasks: number;
+  placedTasks: number;
   failures: number;
 }
 
 /** Place in the queue within a priority: by stage first, by position second, lower first. */
 export interface QueueKey {
   /** 0 while the job can still meet its first aim or its deadline, more for each aim missed. */
-  stage: number;
+  missedObjectives: number;
   /** Time of day of its acceptance in ms, shifted by what the job still needs. */
   position: number;
 }
@@ -67,25 +67,25 @@
  * Jobs that can still begin in full within `BEGIN_WITHIN_S` precede the others, and among these the large ones of each
  * class do as long as they run less than their share.
  */
-export class ReleaseOrder {
+export class ReleaseQueue {
   /** Aims on finishing by class, shortest first. */
-  private readonly finishAims = new Map<string, number[]>();
+  private readonly finishObjectives = new Map<string, number[]>();
   private readonly sizes = new JobSizes();
 
-  constructor(objectives: readonly Objective[]) {
+  constructor(objectives: readonly ServiceLevelObjective[]) {
     for (const aim of objectives) {
       if (aim.kind !== 'finished') continue;
-      const aims = [...(this.finishAims.get(aim.cls) ?? []), aim.withinS];
-      this.finishAims.set(
-        aim.cls,
+      const aims = [...(this.finishObjectives.get(aim.jobClass) ?? []), aim.withinSeconds];
+      this.finishObjectives.set(
+        aim.jobClass,
         aims.sort((a, b) => a - b),
       );
     }
   }
 
   /** The shortest aim on finishing of a job's class, if it has one. */
-  firstAimS(spec: JobSpec): number | undefined {
-    return this.finishAims.get(spec.cls)?.[0];
+  firstObjectiveSeconds(spec: JobSpec): number | undefined {
+    return this.finishObjectives.get(spec.jobClass)?.[0];
   }
 
   /** A job has been accepted: what counts as large in its class depends on it. */
@@ -104,8 +104,8 @@
   ): { job: J; key: QueueKey }[] {
     const queues = new Map<string, J[]>();
     for (const job of jobs) {
-      const { team, rank, shape } = job.spec;
-      const name = `${rank}|${shape === 'service'}|${team}`;
+      const { team, priority, kind } = job.spec;
+      const name = `${priority}|${kind === 'service'}|${team}`;
       const queue = queues.get(name);
       if (queue) queue.push(job);
       else queues.set(name, [job]);
@@ -115,10 +115,10 @@
     );
     return sorted.sort(
       (a, b) =>
-        a.job.spec.rank - b.job.spec.rank ||
-        a.key.stage - b.key.stage ||
+        a.job.spec.priority - b.job.spec.priority ||
+        a.key.missedObjectives - b.key.missedObjectives ||
         a.key.position - b.key.position ||
-        a.job.order - b.job.order,
+        a.job.acceptedRevision - b.job.acceptedRevision,
     );
   }
 
@@ -132,7 +132,9 @@
     const keyed = waiting.map((job) => ({ job, key: this.key(job, wallMs, load) }));
     if (!waiting.some((job) => isStarved(job, wallMs, load))) return keyed;
     // The turns of this queue among those of other teams stay as they are; which of its jobs takes which changes.
-    const turns = keyed.map(({ key }) => key).sort((a, b) => a.stage - b.stage || a.position - b.position);
+    const turns = keyed
+      .map(({ key }) => key)
+      .sort((a, b) => a.missedObjectives - b.missedObjectives || a.position - b.position);
     return this.byResponseRatio(waiting, this.largeHaveTheirShare(queue), wallMs, load).map((job, i) => ({
       job,
       key: turns[i]!,
@@ -150,18 +152,20 @@
       const first = inTime && !largeHaveTheirShare && this.isLargeAndDue(job.spec, wallMs);
       return { job, tier: first ? 0 : inTime ? 1 : 2, ratio: responseRatio(job, wallMs, load) };
     });
-    ranked.sort((a, b) => a.tier - b.tier || b.ratio - a.ratio || a.job.order - b.job.order);
+    ranked.sort(
+      (a, b) => a.tier - b.tier || b.ratio - a.ratio || a.job.acceptedRevision - b.job.acceptedRevision,
+    );
     return ranked.map(({ job }) => job);
   }
 
   private isLargeAndDue(spec: JobSpec, wallMs: number): boolean {
-    return this.sizes.isLarge(spec) && (spec.shape !== 'gang' || waitS(spec, wallMs) >= LARGE_GANG_AFTER_S);
+    return this.sizes.isLarge(spec) && (spec.kind !== 'gang' || waitS(spec, wallMs) >= LARGE_GANG_AFTER_S);
   }
 
   private largeHaveTheirShare(queue: readonly QueuedJob[]): boolean {
     let running = 0;
     let large = 0;
-    for (const { spec, placed } of queue) {
+    for (const { spec, placedTasks: placed } of queue) {
       running += placed;
       if (this.sizes.isLarge(spec)) large += placed;
     }
@@ -169,69 +173,71 @@
   }
 
   private key(job: QueuedJob, wallMs: number, load: TeamLoad): QueueKey {
-    return { stage: this.stage(job, wallMs), position: position(job, wallMs, load) };
+    return { missedObjectives: this.missedObjectives(job, wallMs), position: position(job, wallMs, load) };
   }
 
-  private stage(job: QueuedJob, wallMs: number): number {
+  private missedObjectives(job: QueuedJob, wallMs: number): number {
     const { spec } = job;
     if (hasWaitedLong(job, wallMs)) return 0;
-    if (spec.deadlineS !== null)
-      return wallMs + spec.estimateS * 1000 <= spec.at + spec.deadlineS * 1000 ? 0 : 1;
-    const aims = this.finishAims.get(spec.cls);
-    if (!aims || spec.shape === 'service') return 0;
-    const ageS = (wallMs - spec.at) / 1000;
+    if (spec.deadlineSeconds !== null)
+      return wallMs + spec.estimatedRunSeconds * 1000 <= spec.acceptedAtMs + spec.deadlineSeconds * 1000
+        ? 0
+        : 1;
+    const aims = this.finishObjectives.get(spec.jobClass);
+    if (!aims || spec.kind === 'service') return 0;
+    const ageS = (wallMs - spec.acceptedAtMs) / 1000;
     if (ageS > (aims.at(-1) ?? 0) * OVERDUE_FACTOR) return 0;
-    const next = aims.findIndex((aimS) => ageS + spec.estimateS <= aimS);
+    const next = aims.findIndex((aimS) => ageS + spec.estimatedRunSeconds <= aimS);
     return next < 0 ? aims.length : next;
   }
 }
 
 function position(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
-  if (spec.shape === 'service') return spec.at;
+  if (spec.kind === 'service') return spec.acceptedAtMs;
   // Before all that may still be moved back, in the order of acceptance.
-  if (hasWaitedLong(job, wallMs)) return spec.at - 10 * MAX_SHIFT_MS;
+  if (hasWaitedLong(job, wallMs)) return spec.acceptedAtMs - 10 * MAX_SHIFT_MS;
   const parallel = parallelTasks(spec, load);
-  const backMs = (2000 * spec.estimateS * (spec.tasks - job.finished)) / parallel;
+  const backMs = (2000 * spec.estimatedRunSeconds * (spec.taskCount - job.finishedTasks)) / parallel;
   // What must start first to be in time goes first: long tasks before short ones of the same age.
-  const forwardMs = ESTIMATE_MARGIN * spec.estimateS * 1000;
-  return spec.at + Math.min(MAX_SHIFT_MS, backMs) - Math.min(MAX_SHIFT_MS, forwardMs);
+  const forwardMs = ESTIMATE_MARGIN * spec.estimatedRunSeconds * 1000;
+  return spec.acceptedAtMs + Math.min(MAX_SHIFT_MS, backMs) - Math.min(MAX_SHIFT_MS, forwardMs);
 }
 
 /** Tasks that run beside one another. Before any gang runs, the limit of its team tells how many will. */
 function parallelTasks(spec: JobSpec, load: TeamLoad): number {
-  const atLimit = spec.shape === 'gang' ? load.tasksAtLimit(spec) : 0;
+  const atLimit = spec.kind === 'gang' ? load.tasksAtLimit(spec) : 0;
   return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(atLimit) ? atLimit : 0);
 }
 
 function openTasks(job: QueuedJob): number {
-  return job.spec.tasks - job.finished - job.placed;
+  return job.spec.taskCount - job.finishedTasks - job.placedTasks;
 }
 
 function hasWaitedLong(job: QueuedJob, wallMs: number): boolean {
-  return job.spec.shape !== 'service' && wallMs - job.spec.at > MAX_WAIT_MS && openTasks(job) > 0;
+  return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > MAX_WAIT_MS && openTasks(job) > 0;
 }
 
 /** Jobs that fail wherever they run wait for their users, not for room. */
 function isStarved(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
-  if (job.spec.shape === 'service' || job.failures > 0) return false;
-  return wallMs - job.spec.at > OVERLOADED_AFTER_MS && tasksToBegin(job, load) > 0;
+  if (job.spec.kind === 'service' || job.failures > 0) return false;
+  return wallMs - job.spec.acceptedAtMs > OVERLOADED_AFTER_MS && tasksToBegin(job, load) > 0;
 }
 
 /** Tasks that must begin until all have, or as many as the limit of the team admits at a time: begun in full. */
 function tasksToBegin(job: QueuedJob, load: TeamLoad): number {
-  const wanted = Math.min(job.spec.tasks, load.maxParallel(job.spec));
-  return Math.max(0, wanted - job.finished - job.placed);
+  const wanted = Math.min(job.spec.taskCount, load.maxParallel(job.spec));
+  return Math.max(0, wanted - job.finishedTasks - job.placedTasks);
 }
 
 /** Time that some tasks of a job take in the places that the team has now. */
 function workS(spec: JobSpec, tasks: number, load: TeamLoad): number {
   const parallel = Math.max(MIN_PARALLEL_TASKS, load.runningTasks);
-  return Math.max(MIN_WORK_S, (tasks * spec.estimateS) / parallel);
+  return Math.max(MIN_WORK_S, (tasks * spec.estimatedRunSeconds) / parallel);
 }
 
 function waitS(spec: JobSpec, wallMs: number): number {
-  return Math.max(0, (wallMs - spec.at) / 1000);
+  return Math.max(0, (wallMs - spec.acceptedAtMs) / 1000);
 }
 
 function canBeginInTime(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
@@ -244,6 +250,6 @@
 function responseRatio(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
   const toBegin = tasksToBegin(job, load);
-  const work = workS(spec, toBegin > 0 ? toBegin : spec.tasks * BEGUN_WORK_FACTOR, load);
+  const work = workS(spec, toBegin > 0 ? toBegin : spec.taskCount * BEGUN_WORK_FACTOR, load);
   return (waitS(spec, wallMs) + work) / work;
 }
--- a/src/core/owner/stored-jobs.ts
+++ b/src/core/owner/stored-jobs.ts
@@ -1,14 +1,14 @@
-import { readJob, type StoredJob } from '../records.js';
-import { type StatePort, URGENCY } from '../types.js';
+import { readStoredItem, type StoredJob } from '../records.js';
+import { type KeyValueStore, URGENCY } from '../types.js';
 
 /** Jobs by id, as their stored records tell; null: a read failed. */
-export type StoredJobsThen = (found: Map<string, StoredJob> | null) => void;
+export type StoredJobsCallback = (found: Map<string, StoredJob> | null) => void;
 
 /**
  * Reads the records of one job, or of all. Jobs come first and placements second: a job cancelled in between is noticed by its
  * version, and whoever reads knows that nobody else places its tasks meanwhile.
  */
-export function readStoredJobs(state: StatePort, id: string | null, then: StoredJobsThen): void {
+export function readStoredJobs(state: KeyValueStore, id: string | null, then: StoredJobsCallback): void {
   const found = new Map<string, StoredJob>();
   const suffix = id === null ? '' : `${id}/`;
   readPages(state, `open/${suffix}`, found, (ok) => {
@@ -18,7 +18,7 @@
 }
 
 function readPages(
-  state: StatePort,
+  state: KeyValueStore,
   prefix: string,
   found: Map<string, StoredJob>,
   then: (ok: boolean) => void,
@@ -26,7 +26,7 @@
   const page = (since: string) =>
     state.list(prefix, since, URGENCY.user, (result) => {
       if (!result.ok) return then(false);
-      for (const item of result.value.items) readJob(found, item);
+      for (const item of result.value.items) readStoredItem(found, item);
       const last = result.value.items.at(-1);
       if (result.value.more && last) page(last.key);
       else then(true);
--- a/src/core/owner/team-budget.ts
+++ b/src/core/owner/team-budget.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, Rank } from '../types.js';
+import type { JobSpec, Priority } from '../types.js';
 import type { QueuedJob } from './release-order.js';
 import { type Amounts, type TeamUsage, tasksWithin } from './team-usage.js';
 
@@ -12,10 +12,10 @@
 const LOWER_PRIORITY_SHARE = 0.25;
 
 interface Reservation {
-  rank: Rank;
+  priority: Priority;
   amounts: Amounts;
   /** What work of lower priority may still take. */
-  lower: Amounts;
+  lowerPriority: Amounts;
 }
 
 /** What one team may still start within its limit, in the order of release, with reservations for gangs that wait. */
@@ -30,41 +30,45 @@
   ) {}
 
   /** Null: there is no such team. `jobs` are all its unfinished jobs. */
-  static of(team: string, usage: TeamUsage, jobs: readonly QueuedJob[]): TeamBudget | null {
+  static forTeam(team: string, usage: TeamUsage, jobs: readonly QueuedJob[]): TeamBudget | null {
     const left = usage.remaining(team);
     return left && new TeamBudget(left, team, usage, jobs);
   }
 
   /** Tasks of this job that fit now. */
-  fit(spec: JobSpec): number {
+  tasksThatFit(spec: JobSpec): number {
     const { left, reservation } = this;
     if (!reservation) return tasksWithin(left, spec);
-    if (spec.rank > reservation.rank) return tasksWithin(least(left, reservation.lower), spec);
+    if (spec.priority > reservation.priority)
+      return tasksWithin(least(left, reservation.lowerPriority), spec);
     return tasksWithin(minus(left, reservation.amounts), spec);
   }
 
   take(spec: JobSpec, tasks: number): void {
     subtract(this.left, spec, tasks);
-    if (this.reservation && spec.rank > this.reservation.rank) subtract(this.reservation.lower, spec, tasks);
+    if (this.reservation && spec.priority > this.reservation.priority)
+      subtract(this.reservation.lowerPriority, spec, tasks);
   }
 
   /** Keeps room free for a gang that has waited: from now on for jobs of its priority, and in part for lower ones. */
   reserve(job: QueuedJob, wallMs: number): void {
-    const { spec, placed } = job;
-    if (spec.shape !== 'gang' || placed > 0 || wallMs - spec.at < RESERVE_AFTER_MS) return;
-    if (this.usage.load(this.team).maxParallel(spec) < spec.tasks) return;
+    const { spec, placedTasks: placed } = job;
+    if (spec.kind !== 'gang' || placed > 0 || wallMs - spec.acceptedAtMs < RESERVE_AFTER_MS) return;
+    if (this.usage.load(this.team).maxParallel(spec) < spec.taskCount) return;
     this.reservation ??= {
-      rank: spec.rank,
+      priority: spec.priority,
       amounts: { cpus: 0, gpus: 0 },
-      lower: this.lowerAllowance(spec.rank),
+      lowerPriority: this.lowerAllowance(spec.priority),
     };
-    if (this.reservation.rank === spec.rank) subtract(this.reservation.amounts, spec, -spec.tasks);
+    if (this.reservation.priority === spec.priority)
+      subtract(this.reservation.amounts, spec, -spec.taskCount);
   }
 
-  private lowerAllowance(rank: Rank): Amounts {
+  private lowerAllowance(priority: Priority): Amounts {
     const limit = this.usage.limit(this.team);
     const allowance = { cpus: limit.cpus * LOWER_PRIORITY_SHARE, gpus: limit.gpus * LOWER_PRIORITY_SHARE };
-    for (const { spec, placed } of this.jobs) if (spec.rank > rank) subtract(allowance, spec, placed);
+    for (const { spec, placedTasks: placed } of this.jobs)
+      if (spec.priority > priority) subtract(allowance, spec, placed);
     return allowance;
   }
 }
--- a/src/core/owner/team-usage.ts
+++ b/src/core/owner/team-usage.ts
@@ -46,10 +46,10 @@
   }
 
   private change(spec: JobSpec, tasks: number): void {
-    const usage = this.of(spec.team);
+    const usage = this.usageOf(spec.team);
     usage.cpus += tasks * spec.cpus;
     usage.gpus += tasks * spec.gpus;
-    if (spec.shape !== 'service') usage.batchTasks += tasks;
+    if (spec.kind !== 'service') usage.batchTasks += tasks;
     this.used.set(spec.team, usage);
   }
 
@@ -57,8 +57,8 @@
   limit(team: string): Amounts {
     const limit = this.teams.get(team);
     return {
-      cpus: limit && limit.cpusMax > 0 ? limit.cpusMax : Number.POSITIVE_INFINITY,
-      gpus: limit && limit.gpusMax > 0 ? limit.gpusMax : Number.POSITIVE_INFINITY,
+      cpus: limit && limit.maxCpus > 0 ? limit.maxCpus : Number.POSITIVE_INFINITY,
+      gpus: limit && limit.maxGpus > 0 ? limit.maxGpus : Number.POSITIVE_INFINITY,
     };
   }
 
@@ -66,7 +66,7 @@
   remaining(team: string): Amounts | null {
     if (!this.teams.has(team)) return null;
     const limit = this.limit(team);
-    const { cpus, gpus } = this.of(team);
+    const { cpus, gpus } = this.usageOf(team);
     return { cpus: limit.cpus - cpus, gpus: limit.gpus - gpus };
   }
 
@@ -83,7 +83,7 @@
 
   /** What a team uses and may use, for logs; a limit of null: none. */
   describe(team: string): { cpus: number; cpus_max: number | null; gpus: number; gpus_max: number | null } {
-    const { cpus, gpus } = this.of(team);
+    const { cpus, gpus } = this.usageOf(team);
     const limit = this.limit(team);
     const finite = (amount: number) => (Number.isFinite(amount) ? amount : null);
     return { cpus, cpus_max: finite(limit.cpus), gpus, gpus_max: finite(limit.gpus) };
@@ -99,13 +99,13 @@
   load(team: string): TeamLoad {
     const whole = this.limit(team);
     return {
-      runningTasks: this.of(team).batchTasks,
-      maxParallel: (spec) => Math.min(spec.tasks, tasksWithin(whole, spec)),
+      runningTasks: this.usageOf(team).batchTasks,
+      maxParallel: (spec) => Math.min(spec.taskCount, tasksWithin(whole, spec)),
       tasksAtLimit: (spec) => tasksWithin(whole, spec),
     };
   }
 
-  private of(team: string): Usage {
+  private usageOf(team: string): Usage {
     return this.used.get(team) ?? { cpus: 0, gpus: 0, batchTasks: 0 };
   }
 }
--- a/src/core/owner/usage-log.ts
+++ b/src/core/owner/usage-log.ts
@@ -24,15 +24,15 @@
   }
 
   /** Called after each batch of commands. */
-  look(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
+  update(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
     const now = this.clock.now();
     if (now - this.changesAt >= CHANGES_MS) {
       this.changesAt = now;
-      this.tellChanges();
+      this.logChanges();
     }
     if (now - this.summaryAt < SUMMARY_MS) return;
     this.summaryAt = now;
-    const inDoubt = countBy([...jobs].filter((job) => job.reloading).map((job) => job.spec.team));
+    const inDoubt = countBy([...jobs].filter((job) => job.isReloading).map((job) => job.spec.team));
     for (const team of teams)
       this.log.info(
         { team, ...this.usage.describe(team), jobs_read_again: inDoubt.get(team) ?? 0 },
@@ -41,15 +41,18 @@
   }
 
   /** A transaction without an answer: what it places counts until its outcome is known. */
-  inDoubt(jobs: readonly OwnedJob[], fence: number | null): void {
-    const unstored = jobs.flatMap((job) => [...job.placed.values()].filter((placement) => !placement.stored));
+  logIndeterminateWrite(jobs: readonly OwnedJob[], fence: number | null): void {
+    const unstored = jobs.flatMap((job) =>
+      [...job.placements.values()].filter((placement) => !placement.isStored),
+    );
     this.limited.info({ ...named(jobs), placements: unstored.length, fence }, 'write in doubt');
   }
 
   /** What its records say of a job that had a write in doubt. */
-  resolved(job: OwnedJob, before: OwnedJob, sinceMs: number): void {
-    const found = [...before.placed.values()].filter(
-      ({ idx, attempt, stored }) => !stored && job.placed.get(idx)?.attempt === attempt,
+  logResolvedWrite(job: OwnedJob, before: OwnedJob, sinceMs: number): void {
+    const found = [...before.placements.values()].filter(
+      ({ taskIndex, attempt, isStored: stored }) =>
+        !stored && job.placements.get(taskIndex)?.attempt === attempt,
     );
     const fields = { job: job.spec.id, team: job.spec.team, found: found.length };
     this.limited.info({ ...fields, ms: Math.round(this.clock.now() - sinceMs) }, 'write in doubt resolved');
@@ -61,7 +64,7 @@
     this.limited.info({ team, ...this.usage.describe(team) }, 'team counted over its limit');
   }
 
-  private tellChanges(): void {
+  private logChanges(): void {
     for (const [team, changes] of this.usage.takeChanges())
       this.log.debug({ team, ...changes, ...this.usage.describe(team) }, 'team usage changed');
   }
--- a/src/core/owner/write-fence.ts
+++ b/src/core/owner/write-fence.ts
@@ -1,5 +1,12 @@
 import { teamRecord } from '../../wire/record-codec.js';
-import { type Clock, type Logger, type Result, type StatePort, type Txn, URGENCY } from '../types.js';
+import {
+  type Clock,
+  type KeyValueStore,
+  type Logger,
+  type Result,
+  type Transaction,
+  URGENCY,
+} from '../types.js';
 
 /** Pause before a request that failed is sent again. */
 const RETRY_MS = 300;
@@ -8,12 +15,12 @@
 export interface WriteFenceOptions {
   /** One record a host: a process that follows on the same host goes on from the version it finds. */
   key: string;
-  inst: string;
-  state: StatePort;
+  instanceId: string;
+  store: KeyValueStore;
   clock: Clock;
   log: Logger;
   /** Something can be written again. */
-  ready(): void;
+  onReady(): void;
 }
 
 /**
@@ -27,88 +34,92 @@
  */
 export class WriteFence {
   /** Null: not known, and to be read before anything is written. */
-  private version: number | null = null;
+  private revision: number | null = null;
   /** The version that is to be left behind; null: the fence is not being moved. */
-  private leaving: number | null = null;
-  private waiting: (() => void)[] = [];
-  private busy = false;
+  private revisionToLeave: number | null = null;
+  private waitingForMove: (() => void)[] = [];
+  private requestInFlight = false;
 
   constructor(private readonly options: WriteFenceOptions) {}
 
   /** Reads the fence if it is not known. */
   learn(): void {
-    if (this.version === null) this.step();
+    if (this.revision === null) this.proceed();
   }
 
   /** The condition of a transaction; null: nothing may be written yet, `ready` tells when. */
-  condition(): Txn['when'][number] | null {
+  precondition(): Transaction['preconditions'][number] | null {
     this.learn();
-    if (this.version === null || this.waiting.length > 0) return null;
-    return { key: this.options.key, version: this.version };
+    if (this.revision === null || this.waitingForMove.length > 0) return null;
+    return { key: this.options.key, modRevision: this.revision };
   }
 
   /** Whether a transaction failed for nothing but its fence, and so was surely not executed. It is read anew. */
   isOnlyConflict(result: Result<unknown>): boolean {
-    if (result.ok || result.kind !== 'conflict' || !result.failed?.includes(this.options.key)) return false;
-    this.version = null;
-    return result.failed.length === 1;
+    if (result.ok || result.kind !== 'conflict' || !result.failedKeys?.includes(this.options.key))
+      return false;
+    this.revision = null;
+    return result.failedKeys.length === 1;
   }
 
   /** Calls back once no transaction sent until now can be carried out any more. */
   move(moved: () => void): void {
-    this.waiting.push(moved);
-    this.step();
+    this.waitingForMove.push(moved);
+    this.proceed();
   }
 
-  private step(): void {
-    if (this.busy) return;
-    if (this.version === null) this.read();
-    else if (this.waiting.length > 0) this.write(this.version);
+  private proceed(): void {
+    if (this.requestInFlight) return;
+    if (this.revision === null) this.read();
+    else if (this.waitingForMove.length > 0) this.write(this.revision);
   }
 
   private read(): void {
-    this.busy = true;
-    this.options.state.get(this.options.key, URGENCY.user, (result) => {
+    this.requestInFlight = true;
+    this.options.store.get(this.options.key, URGENCY.user, (result) => {
       if (!result.ok) return this.retry();
-      this.busy = false;
-      this.version = result.value?.version ?? 0;
-      if (this.leaving !== null && this.version !== this.leaving) this.passed();
-      else if (this.waiting.length > 0) this.step();
-      else this.options.ready();
+      this.requestInFlight = false;
+      this.revision = result.value?.modRevision ?? 0;
+      if (this.revisionToLeave !== null && this.revision !== this.revisionToLeave) this.onMoved();
+      else if (this.waitingForMove.length > 0) this.proceed();
+      else this.options.onReady();
     });
   }
 
   private write(version: number): void {
-    this.busy = true;
-    this.leaving = version;
-    const { key, inst, state } = this.options;
-    const txn: Txn = { when: [{ key, version }], then: [{ put: key, value: teamRecord.encode({ inst }) }] };
-    state.txn(txn, URGENCY.placement, (result) => {
+    this.requestInFlight = true;
+    this.revisionToLeave = version;
+    const { key, instanceId, store: state } = this.options;
+    const transaction: Transaction = {
+      preconditions: [{ key, modRevision: version }],
+      operations: [{ put: key, value: teamRecord.encode({ instanceId }) }],
+    };
+    state.compareAndSwap(transaction, URGENCY.placement, (result) => {
       if (result.ok) {
-        this.busy = false;
-        this.version = result.value;
-        return this.passed();
+        this.requestInFlight = false;
+        this.revision = result.value;
+        return this.onMoved();
       }
       if (result.kind === 'refused') return this.retry();
       // Its own answer may be lost, or an earlier write of it carried out late: its version tells.
-      this.version = null;
+      this.revision = null;
       this.read();
     });
   }
 
-  private passed(): void {
-    this.leaving = null;
-    const moved = this.waiting;
-    this.waiting = [];
+  private onMoved(): void {
+    this.revisionToLeave = null;
+    const moved = this.waitingForMove;
+    this.waitingForMove = [];
     for (const done of moved) done();
-    this.options.log.debug({ fence: this.version, waiting: moved.length }, 'write fence moved');
-    this.options.ready();
+    this.options.log.debug({ fence: this.revision, waiting: moved.length }, 'write fence moved');
+    this.options.onReady();
   }
 
   private retry(): void {
     this.options.clock.after(RETRY_MS, () => {
-      this.busy = false;
-      this.step();
+      this.requestInFlight = false;
+      this.proceed();
     });
   }
 }
--- a/src/core/placing.ts
+++ b/src/core/placing.ts
@@ -1,209 +1,234 @@
-import { AIM_MARGIN } from './autoscale.js';
-import { GangGathering } from './gang-gathering.js';
-import type { Ledger, SchedulerOptions, WantRef } from './ledger.js';
+import { OBJECTIVE_MARGIN } from './autoscale.js';
+import { GangReservations } from './gang-gathering.js';
+import type { ClusterState, QueuedRequest, SchedulerOptions } from './ledger.js';
 import { LimitedLog } from './limited-log.js';
-import { type Machine, newEntry, provenAt } from './machine.js';
-import { addUse, Preemption, type Usage } from './preemption.js';
-import { Refusals } from './refusals.js';
-import { avoidsAny, fill, type Room, shapeKey, take } from './room.js';
-import type { Grant, Want } from './types.js';
+import { createAllocation, lastProofOfLife, type Machine } from './machine.js';
+import { addUsage, Preemption, type Usage } from './preemption.js';
+import { AttemptConflicts } from './refusals.js';
+import { avoidsAnyMachine, equivalenceKey, type FreeCapacity, fill, take } from './room.js';
+import type { Grant, ResourceRequest } from './types.js';
 
 /** Part of an aim on waiting after which lower work is stopped for it. */
-const STOP_AFTER = 0.25;
+const PREEMPT_AFTER_SHARE = 0.25;
 
 /** So long nothing of a job may find room before it takes what is kept for others. */
 const STARVED_MS = 45000;
 
 /** What a pass knows. */
-interface Pass {
-  rooms: Room[];
+interface PlacementPass {
+  capacities: FreeCapacity[];
   /** Room that stops under way will free. */
-  promised: Room[];
+  expectedCapacities: FreeCapacity[];
   usage: Usage;
   now: number;
 }
 
 /** Gives room to what owners want, by rank, guarantee and order, and has lower work stopped for it. */
-export class Placing {
-  readonly declined = new Map<string, number>();
+export class PlacementEngine {
+  readonly declinedUntil = new Map<string, number>();
   /** Classes with an aim on waiting, and the mean size of their jobs. */
-  private readonly waits = new Map<string, number>();
-  private guaranteeS = Number.POSITIVE_INFINITY;
+  private readonly waitObjectiveSeconds = new Map<string, number>();
+  private guaranteeObjectiveSeconds = Number.POSITIVE_INFINITY;
   /** Since when a job's work has found no room. */
-  private readonly unmet = new Map<string, number>();
+  private readonly unplacedSince = new Map<string, number>();
   /** Since when nothing at all of a job has found room. */
-  private readonly nothing = new Map<string, number>();
-  private readonly batchShapes = new Map<string, { want: Want; mean: number }>();
-  private grants = 0;
+  private readonly nothingPlacedSince = new Map<string, number>();
+  private readonly batchProfiles = new Map<string, { request: ResourceRequest; meanTaskCount: number }>();
+  private lastGrantId = 0;
   /** Kinds of wants that find no room in this pass. */
-  private readonly full = new Set<string>();
+  private readonly exhaustedKeys = new Set<string>();
   private readonly preemption: Preemption;
-  private readonly gathering: GangGathering;
-  private readonly refusals: Refusals;
+  private readonly gangReservations: GangReservations;
+  private readonly attemptConflicts: AttemptConflicts;
   private readonly log: LimitedLog;
 
   constructor(
-    private readonly o: SchedulerOptions,
-    private readonly l: Ledger,
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
   ) {
-    this.log = new LimitedLog(o.log, o.clock);
-    this.gathering = new GangGathering(l);
-    this.refusals = new Refusals(l, (why) => o.raise(why));
-    this.preemption = new Preemption(o, l, (job) => this.unmet.get(job));
-    for (const a of o.objectives) {
-      if (a.kind === 'wait') this.waits.set(a.cls, Math.min(a.withinS, this.waits.get(a.cls) ?? a.withinS));
-      if (a.kind === 'guarantee') this.guaranteeS = Math.min(this.guaranteeS, a.withinS);
+    this.log = new LimitedLog(options.log, options.clock);
+    this.gangReservations = new GangReservations(state);
+    this.attemptConflicts = new AttemptConflicts(state, (reason) => options.raiseFencingToken(reason));
+    this.preemption = new Preemption(options, state, (job) => this.unplacedSince.get(job));
+    for (const a of options.objectives) {
+      if (a.kind === 'wait')
+        this.waitObjectiveSeconds.set(
+          a.jobClass,
+          Math.min(a.withinSeconds, this.waitObjectiveSeconds.get(a.jobClass) ?? a.withinSeconds),
+        );
+      if (a.kind === 'guarantee')
+        this.guaranteeObjectiveSeconds = Math.min(this.guaranteeObjectiveSeconds, a.withinSeconds);
     }
   }
 
   /** Its slack less its run, with room for estimates that are too low, and the fetch of its image. */
-  private patience(w: Want): number | null {
-    if (w.slackS === null || w.service || w.whole) return null;
-    return Math.max(0, w.slackS - (w.aimS ?? 0) * AIM_MARGIN - 1.75 * w.estimateS - this.l.fetchS(w));
+  private maxWaitSeconds(request: ResourceRequest): number | null {
+    if (request.slackSeconds === null || request.isService || request.allOrNothing) return null;
+    return Math.max(
+      0,
+      request.slackSeconds -
+        (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN -
+        1.75 * request.estimatedRunSeconds -
+        this.state.imageFetchSeconds(request),
+    );
   }
 
-  setWants(inst: string, wants: Want[]): void {
-    const old = new Set(this.l.wants.get(inst)?.map((w) => w.job));
-    for (const w of wants) w.patienceS = this.patience(w);
-    for (const w of wants)
-      if (!w.service && !w.whole && !old.has(w.job) && this.waits.has(w.cls)) {
-        const b = this.batchShapes.get(w.cls);
-        this.batchShapes.set(w.cls, { want: w, mean: b ? b.mean * 0.9 + w.count * 0.1 : w.count });
+  setRequests(instanceId: string, requests: ResourceRequest[]): void {
+    const old = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
+    for (const w of requests) w.maxWaitSeconds = this.maxWaitSeconds(w);
+    for (const w of requests)
+      if (!w.isService && !w.allOrNothing && !old.has(w.jobId) && this.waitObjectiveSeconds.has(w.jobClass)) {
+        const b = this.batchProfiles.get(w.jobClass);
+        this.batchProfiles.set(w.jobClass, {
+          request: w,
+          meanTaskCount: b ? b.meanTaskCount * 0.9 + w.taskCount * 0.1 : w.taskCount,
+        });
       }
-    this.l.wants.set(inst, wants);
-    for (const w of wants) if (w.service) this.l.learnShape(w);
+    this.state.requests.set(instanceId, requests);
+    for (const w of requests) if (w.isService) this.state.learnServiceProfile(w);
   }
 
   /** The zone with the fewest types, then the least ordinary room, while jobs must be spread over zones. */
   private findScarceZone(): string | null {
     let spread = false;
-    for (const s of this.l.serviceShapes.values()) if (s.want.zoneRoom) spread = true;
+    for (const s of this.state.serviceProfiles.values()) if (s.request.zoneAllowance) spread = true;
     if (!spread) return null;
     const room = new Map<string, { types: number; cpus: number }>();
-    for (const t of this.l.types.values())
-      for (const z of t.zones) {
+    for (const machineType of this.state.machineTypes.values())
+      for (const z of machineType.zones) {
         const r = room.get(z) ?? { types: 0, cpus: 0 };
         r.types++;
         room.set(z, r);
       }
     if (room.size < 2) return null;
-    for (const m of this.l.machines.values()) {
-      const r = room.get(m.zone);
-      if (r && !m.spot) r.cpus += this.l.types.get(m.type)?.cpus ?? 0;
+    for (const machine of this.state.machines.values()) {
+      const r = room.get(machine.zone);
+      if (r && !machine.isSpot) r.cpus += this.state.machineTypes.get(machine.machineType)?.cpus ?? 0;
     }
     const sorted = [...room].sort((a, b) => a[1].types - b[1].types || a[1].cpus - b[1].cpus);
     return sorted[0]?.[0] ?? null;
   }
 
-  pass(now: number): { want: Want; count: number }[] {
-    this.l.refresh();
-    this.full.clear();
+  runPass(now: number): { request: ResourceRequest; count: number }[] {
+    this.state.refresh();
+    this.exhaustedKeys.clear();
     this.preemption.beginPass();
-    this.gathering.beginPass();
-    this.refusals.beginPass();
-    if (now - this.l.scarceAt > 1000) {
-      this.l.scarceAt = now;
-      this.l.scarce = this.findScarceZone();
+    this.gangReservations.beginPass();
+    this.attemptConflicts.beginPass();
+    if (now - this.state.scarceZoneAt > 1000) {
+      this.state.scarceZoneAt = now;
+      this.state.scarceZone = this.findScarceZone();
     }
-    const left: { want: Want; count: number }[] = [];
-    const refs: (WantRef & { inside: boolean })[] = [];
-    const usage = this.l.usage();
-    for (const [inst, wants] of this.l.wants)
-      for (const want of wants)
-        if (this.l.heeds(inst, want.team)) {
-          const inside = this.l.within(usage.get(want.team), want.team, want);
-          refs.push({ want: this.seenFrom(want, inside, now), inst, inside });
+    const left: { request: ResourceRequest; count: number }[] = [];
+    const refs: (QueuedRequest & { inside: boolean })[] = [];
+    const usage = this.state.usage();
+    for (const [instanceId, requests] of this.state.requests)
+      for (const request of requests)
+        if (this.state.isCurrentOwner(instanceId, request.team)) {
+          const inside = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
+          refs.push({ request: this.requestInPass(request, inside, now), instanceId: instanceId, inside });
         }
     refs.sort(
       (a, b) =>
-        a.want.rank - b.want.rank ||
+        a.request.priority - b.request.priority ||
         Number(b.inside) - Number(a.inside) ||
-        a.want.stage - b.want.stage ||
-        a.want.order - b.want.order,
+        a.request.missedObjectives - b.request.missedObjectives ||
+        a.request.queuePosition - b.request.queuePosition,
     );
-    const list = this.l.rooms(now);
-    const scarce = this.l.scarce;
-    const byImage = new Map<string, Room[]>();
-    const warmRooms = (image: string): Room[] => {
+    const list = this.state.freeCapacities(now);
+    const scarce = this.state.scarceZone;
+    const byImage = new Map<string, FreeCapacity[]>();
+    const warmRooms = (image: string): FreeCapacity[] => {
       let l = byImage.get(image);
       if (!l) {
-        l = list.filter((r) => r.images?.has(image));
+        l = list.filter((capacity) => capacity.images?.has(image));
         byImage.set(image, l);
       }
       return l;
     };
-    const held = new Set<string>();
-    for (const m of this.l.reserved) if (m.reserved) held.add(m.reserved.job);
+    const placements = new Set<string>();
+    for (const machine of this.state.reservedMachines)
+      if (machine.reservation) placements.add(machine.reservation.jobId);
     const grants = new Map<string, Grant[]>();
     const wanted = new Set<string>();
     const served = new Set<string>();
-    const promised = this.freeing(now);
-    const ready = this.o.entitled();
-    const kept = [...this.batchShapes.values()].sort((a, b) => a.want.rank - b.want.rank);
-    const place = ({ want, inst }: WantRef, count: number, rooms: Room[]): number => {
+    const promised = this.capacitiesBeingFreed(now);
+    const ready = this.options.holdsLeadership();
+    const kept = [...this.batchProfiles.values()].sort((a, b) => a.request.priority - b.request.priority);
+    const place = (
+      { request, instanceId }: QueuedRequest,
+      count: number,
+      capacities: FreeCapacity[],
+    ): number => {
       if (!ready || count <= 0) return count;
       const key =
-        want.whole || held.has(want.job) ? null : `${shapeKey(want)}|${rooms === list ? '' : want.image}`;
-      if (key !== null && this.full.has(key)) return count;
-      const give = (r: Room) => {
-        const m = this.l.machines.get(r.name) as Machine;
-        addUse(usage, want);
-        const g = this.grant(m, want, now);
-        const l = grants.get(inst);
-        if (l) l.push(g);
-        else grants.set(inst, [g]);
+        request.allOrNothing || placements.has(request.jobId)
+          ? null
+          : `${equivalenceKey(request)}|${capacities === list ? '' : request.image}`;
+      if (key !== null && this.exhaustedKeys.has(key)) return count;
+      const give = (capacity: FreeCapacity) => {
+        const machine = this.state.machines.get(capacity.machineName) as Machine;
+        addUsage(usage, request);
+        const grant = this.grant(machine, request, now);
+        const l = grants.get(instanceId);
+        if (l) l.push(grant);
+        else grants.set(instanceId, [grant]);
       };
-      if (want.whole) return this.placeGang(rooms, want, count, give);
-      const left = fill(rooms, want, count, scarce, give);
+      if (request.allOrNothing) return this.placeGang(capacities, request, count, give);
+      const left = fill(capacities, request, count, scarce, give);
       // One that must be spread or joined may have left some for want of a zone, and not of room.
-      const none = want.zoneRoom || want.together ? left === count : left > 0;
-      if (key !== null && none && !avoidsAny(want)) this.full.add(key);
+      const none = request.zoneAllowance || request.zoneAffinity ? left === count : left > 0;
+      if (key !== null && none && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
       return left;
     };
-    const finish = (ref: WantRef & { inside: boolean }, count: number): void => {
-      const { want } = ref;
+    const finish = (ref: QueuedRequest & { inside: boolean }, count: number): void => {
+      const { request } = ref;
       let open = count;
-      if (want.service) {
+      if (request.isService) {
         // A replica that has to fetch its image is late by far more than one that waits for a task to stop.
-        const warm = (r: Room) => r.images?.has(want.image) === true;
-        open = place(ref, open, warmRooms(want.image));
-        if (open > 0) open = fill(promised.filter(warm), want, open, scarce, () => addUse(usage, want));
-        if (open > 0 && ready) open -= this.preemption.preempt(want, open, usage, now, true);
+        const warm = (capacity: FreeCapacity) => capacity.images?.has(request.image) === true;
+        open = place(ref, open, warmRooms(request.image));
+        if (open > 0)
+          open = fill(promised.filter(warm), request, open, scarce, () => addUsage(usage, request));
+        if (open > 0 && ready) open -= this.preemption.preempt(request, open, usage, now, true);
       }
       open = place(ref, open, list);
       if (open < count) {
-        this.nothing.delete(want.job);
-        this.refusals.placed(want.job);
+        this.nothingPlacedSince.delete(request.jobId);
+        this.attemptConflicts.onPlaced(request.jobId);
       } else {
-        if (!this.nothing.has(want.job)) this.nothing.set(want.job, now);
-        this.refusals.unplaced(want, count, list, now);
+        if (!this.nothingPlacedSince.has(request.jobId)) this.nothingPlacedSince.set(request.jobId, now);
+        this.attemptConflicts.onUnplaced(request, count, list, now);
       }
-      if (open <= 0) return void this.unmet.delete(want.job);
-      if (want.whole) return void left.push(...this.gather(ref, open, { rooms: list, promised, usage, now }));
+      if (open <= 0) return void this.unplacedSince.delete(request.jobId);
+      if (request.allOrNothing)
+        return void left.push(
+          ...this.reserveForGang(ref, open, { capacities: list, expectedCapacities: promised, usage, now }),
+        );
       // Room that stops already under way will free is waited for before more is stopped; what comes into it
       // counts as used, or one task's guarantee would be claimed for all.
-      const key = `${shapeKey(want)}|promised`;
+      const key = `${equivalenceKey(request)}|promised`;
       let waiting = open;
-      if (!this.full.has(key)) {
-        waiting = fill(promised, want, open, scarce, () => addUse(usage, want));
-        if (waiting === open && !avoidsAny(want)) this.full.add(key);
+      if (!this.exhaustedKeys.has(key)) {
+        waiting = fill(promised, request, open, scarce, () => addUsage(usage, request));
+        if (waiting === open && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
       }
       if (waiting <= 0) return;
       // Places come free all the time: a moment's wait often saves the work that a stop would lose.
-      const since = this.unmet.get(want.job) ?? now;
-      this.unmet.set(want.job, since);
-      if (ready && now - since >= this.stopAfterMs(want, ref.inside))
-        waiting -= this.preemption.preempt(want, waiting, usage, now);
+      const since = this.unplacedSince.get(request.jobId) ?? now;
+      this.unplacedSince.set(request.jobId, since);
+      if (ready && now - since >= this.preemptAfterMs(request, ref.inside))
+        waiting -= this.preemption.preempt(request, waiting, usage, now);
       // What room is being freed for needs no machine.
-      if (waiting > 0) left.push({ want, count: waiting });
+      if (waiting > 0) left.push({ request, count: waiting });
     };
     // Work that can wait goes first where its image is, as long as nothing that can't wait is before it: a fetch keeps
     // a place about as long as a task does. What finds none takes its turn after the others like it.
-    let cold: { ref: WantRef & { inside: boolean }; count: number }[] = [];
+    let cold: { ref: QueuedRequest & { inside: boolean }; count: number }[] = [];
     let group = '';
     for (const ref of refs) {
-      const { want } = ref;
-      const next = `${want.rank}${ref.inside}`;
+      const { request } = ref;
+      const next = `${request.priority}${ref.inside}`;
       if (next !== group) {
         for (const c of cold) finish(c.ref, c.count);
         cold = [];
@@ -211,30 +236,40 @@
       }
       // Lower work leaves the room that the next job of a class with an aim on waiting will need; not for ever, or it would
       // wait beside free machines where the cloud has no more (seen in a seeded day).
-      while (kept.length > 0 && kept[0]!.want.rank < want.rank) {
+      while (kept.length > 0 && kept[0]!.request.priority < request.priority) {
         const k = kept.shift()!;
         for (const r of refs) {
-          const c = r.want.starved && r.want.rank > k.want.rank ? this.openCount(r.want, now) : 0;
+          const c =
+            r.request.isStarved && r.request.priority > k.request.priority
+              ? this.openTaskCount(r.request, now)
+              : 0;
           if (c > 0) finish(r, c);
-          if (c > 0) served.add(r.want.job);
+          if (c > 0) served.add(r.request.jobId);
         }
-        const free: Want = { ...k.want, avoid: [], near: '', zoneRoom: null };
-        fill(list, free, Math.round(k.mean * this.l.policyNow.reserve_batch), scarce, () => {});
+        const free: ResourceRequest = {
+          ...k.request,
+          avoidedMachines: [],
+          preferredMachine: '',
+          zoneAllowance: null,
+        };
+        fill(list, free, Math.round(k.meanTaskCount * this.state.policy.reserve_batch), scarce, () => {});
       }
-      wanted.add(want.job);
-      const count = served.has(want.job) ? 0 : this.openCount(want, now);
+      wanted.add(request.jobId);
+      const count = served.has(request.jobId) ? 0 : this.openTaskCount(request, now);
       if (count <= 0) continue;
-      if (want.service || want.whole || (want.patienceS ?? 0) <= 0) finish(ref, count);
+      if (request.isService || request.allOrNothing || (request.maxWaitSeconds ?? 0) <= 0) finish(ref, count);
       else {
-        cold.push({ ref, count: place(ref, count, warmRooms(want.image)) });
+        cold.push({ ref, count: place(ref, count, warmRooms(request.image)) });
       }
     }
     for (const c of cold) finish(c.ref, c.count);
-    for (const [inst, g] of grants) this.o.send(inst, { type: 'grants', token: this.l.token, grants: g });
-    this.gathering.endPass(wanted);
-    this.refusals.endPass(wanted);
-    for (const job of this.unmet.keys()) if (!wanted.has(job)) this.unmet.delete(job);
-    for (const job of this.nothing.keys()) if (!wanted.has(job)) this.nothing.delete(job);
+    for (const [instanceId, g] of grants)
+      this.options.send(instanceId, { type: 'grants', fencingToken: this.state.fencingToken, grants: g });
+    this.gangReservations.endPass(wanted);
+    this.attemptConflicts.endPass(wanted);
+    for (const job of this.unplacedSince.keys()) if (!wanted.has(job)) this.unplacedSince.delete(job);
+    for (const job of this.nothingPlacedSince.keys())
+      if (!wanted.has(job)) this.nothingPlacedSince.delete(job);
     this.preemption.endPass(wanted);
     this.endReservations(wanted, now);
     return left;
@@ -244,144 +279,155 @@
    * A gang without room for all of its tasks keeps what there is out of reach of what comes after it; what it lacks is
    * freed of lower work once it has waited, or rented.
    */
-  private gather(
-    ref: WantRef & { inside: boolean },
+  private reserveForGang(
+    ref: QueuedRequest & { inside: boolean },
     count: number,
-    pass: Pass,
-  ): { want: Want; count: number }[] {
-    const { want } = ref;
-    const { rooms, promised, usage, now } = pass;
-    const { task, missing } = this.gathering.reserve(rooms, want, count, now);
-    let waiting = fill(promised, task, missing, this.l.scarce, () => addUse(usage, want));
-    const since = this.unmet.get(want.job) ?? now;
-    this.unmet.set(want.job, since);
-    const mayStop = this.o.entitled() && now - since >= this.stopAfterMs(want, ref.inside);
+    pass: PlacementPass,
+  ): { request: ResourceRequest; count: number }[] {
+    const { request } = ref;
+    const { capacities, expectedCapacities: promised, usage, now } = pass;
+    const { task, missing } = this.gangReservations.reserve(capacities, request, count, now);
+    let waiting = fill(promised, task, missing, this.state.scarceZone, () => addUsage(usage, request));
+    const since = this.unplacedSince.get(request.jobId) ?? now;
+    this.unplacedSince.set(request.jobId, since);
+    const mayStop = this.options.holdsLeadership() && now - since >= this.preemptAfterMs(request, ref.inside);
     if (waiting > 0 && mayStop) waiting -= this.preemption.preempt(task, waiting, usage, now);
-    return waiting > 0 ? [{ want: task, count: waiting }] : [];
+    return waiting > 0 ? [{ request: task, count: waiting }] : [];
   }
 
   /** Room that was freed for a job is kept no longer once the job has what it wants, or the time for it is over. */
   private endReservations(wanted: ReadonlySet<string>, now: number): void {
-    for (const m of this.l.reserved) {
-      const { reserved } = m;
-      if (reserved && wanted.has(reserved.job) && reserved.until > now) continue;
-      if (reserved && wanted.has(reserved.job))
-        this.log.info({ machine: m.name, job: reserved.job }, 'freed room not used');
-      m.reserved = null;
-      this.l.reserved.delete(m);
+    for (const machine of this.state.reservedMachines) {
+      const { reservation: reserved } = machine;
+      if (reserved && wanted.has(reserved.jobId) && reserved.until > now) continue;
+      if (reserved && wanted.has(reserved.jobId))
+        this.log.info({ machine: machine.name, job: reserved.jobId }, 'freed room not used');
+      machine.reservation = null;
+      this.state.reservedMachines.delete(machine);
     }
   }
 
   /** How much of a want is open: what its owner has taken in of the grants is no longer wanted by it. */
-  private openCount(want: Want, now: number): number {
-    let count = want.count;
-    for (const id of this.l.holds.get(want.job) ?? []) if (id > want.seen) count--;
-    const pause = this.declined.get(want.job);
+  private openTaskCount(request: ResourceRequest, now: number): number {
+    let count = request.taskCount;
+    for (const id of this.state.openGrants.get(request.jobId) ?? []) if (id > request.lastGrantTaken) count--;
+    const pause = this.declinedUntil.get(request.jobId);
     if (pause !== undefined) {
       if (pause > now) return 0;
-      this.declined.delete(want.job);
+      this.declinedUntil.delete(request.jobId);
     }
-    return want.whole && count < want.count ? 0 : count;
+    return request.allOrNothing && count < request.taskCount ? 0 : count;
   }
 
   /** A want as this pass sees it. */
-  private seenFrom(want: Want, inside: boolean, now: number): Want {
-    const since = this.nothing.get(want.job) ?? now;
+  private requestInPass(request: ResourceRequest, inside: boolean, now: number): ResourceRequest {
+    const since = this.nothingPlacedSince.get(request.jobId) ?? now;
     const starved = now - since > STARVED_MS;
     // A worker that lists an ended attempt of a task refuses the next: places taken there came back again and again, each
     // time at the cost of work stopped for it (seen in a seeded day: nothing ended any more).
-    const refusedBy = this.refusals.machinesFor(want);
-    if (!starved && !refusedBy && !(inside && want.patienceS)) return want;
-    const w: Want = { ...want, starved };
+    const refusedBy = this.attemptConflicts.refusingMachines(request);
+    if (!starved && !refusedBy && !(inside && request.maxWaitSeconds)) return request;
+    const w: ResourceRequest = { ...request, isStarved: starved };
     // A guarantee is to be had at once, whatever the aim allows.
-    if (inside && w.patienceS) w.patienceS = 0;
-    if (refusedBy) w.refusedBy = refusedBy;
+    if (inside && w.maxWaitSeconds) w.maxWaitSeconds = 0;
+    if (refusedBy) w.refusingMachines = refusedBy;
     return w;
   }
 
   /** Room for all tasks of a gang, or for none. Returns how many were left. */
-  private placeGang(rooms: Room[], want: Want, count: number, give: (room: Room) => void): number {
-    const chosen = this.refusals.chooseForGang(rooms, want, count, this.l.scarce);
+  private placeGang(
+    capacities: FreeCapacity[],
+    request: ResourceRequest,
+    count: number,
+    give: (capacity: FreeCapacity) => void,
+  ): number {
+    const chosen = this.attemptConflicts.chooseForGang(capacities, request, count, this.state.scarceZone);
     if (!chosen) return count;
     for (const room of chosen) {
-      take(room, want);
+      take(room, request);
       give(room);
     }
     return 0;
   }
 
-  private grant(m: Machine, w: Want, now: number): Grant {
-    const id = ++this.grants;
-    const e = newEntry(
+  private grant(machine: Machine, request: ResourceRequest, now: number): Grant {
+    const id = ++this.lastGrantId;
+    const allocation = createAllocation(
       {
-        job: w.job,
-        idx: -1,
+        jobId: request.jobId,
+        taskIndex: -1,
         attempt: 0,
-        machine: m.name,
-        season: m.season,
-        want: 'run',
-        graceS: 0,
-        team: w.team,
-        rank: w.rank,
-        gang: w.whole,
-        service: w.service,
-        cpus: w.cpus,
-        gpus: w.gpus,
-        mem: w.mem,
-        image: w.image,
-        imageGb: w.imageGb,
-        estimateS: w.estimateS,
-        types: w.types,
-        spread: w.zoneRoom !== null,
-        grant: id,
+        machine: machine.name,
+        agentEpoch: machine.agentEpoch,
+        desiredState: 'run',
+        gracePeriodSeconds: 0,
+        team: request.team,
+        priority: request.priority,
+        isGang: request.allOrNothing,
+        isService: request.isService,
+        cpus: request.cpus,
+        gpus: request.gpus,
+        memoryGb: request.memoryGb,
+        image: request.image,
+        imageGb: request.imageGb,
+        estimatedRunSeconds: request.estimatedRunSeconds,
+        machineTypes: request.machineTypes,
+        spreadOverZones: request.zoneAllowance !== null,
+        grantId: id,
       },
       now,
     );
-    e.key = `grant#${id}`;
-    e.want = 'hold';
-    m.entries.set(e.key, e);
-    this.l.touch(m);
-    this.l.grantAt.set(id, m);
-    const ids = this.l.holds.get(w.job);
+    allocation.key = `grant#${id}`;
+    allocation.desiredState = 'hold';
+    machine.allocations.set(allocation.key, allocation);
+    this.state.markChanged(machine);
+    this.state.grantMachines.set(id, machine);
+    const ids = this.state.openGrants.get(request.jobId);
     if (ids) ids.add(id);
-    else this.l.holds.set(w.job, new Set([id]));
-    const endedTasks = m.endedTasks.get(w.job)?.tasks;
+    else this.state.openGrants.set(request.jobId, new Set([id]));
+    const endedTasks = machine.endedTasks.get(request.jobId)?.tasks;
     return {
       id,
-      job: w.job,
-      team: w.team,
-      machine: m.name,
-      zone: m.zone,
-      season: m.season,
+      jobId: request.jobId,
+      team: request.team,
+      machine: machine.name,
+      zone: machine.zone,
+      agentEpoch: machine.agentEpoch,
       ...(endedTasks && { endedTasks: [...endedTasks] }),
     };
   }
 
   /** Room that will be free once the tasks being stopped are gone. */
-  private freeing(now: number): Room[] {
-    const out: Room[] = [];
-    for (const m of this.l.withStops) {
-      if (m.removing || m.retired || m.leaveAt !== null || now - provenAt(m) >= 10000) continue;
-      const r = this.l.roomOf(m, now);
-      if (!r) continue;
-      const s = m.sum.stopping;
-      r.cpus += s.cpus;
-      r.gpus += s.gpus;
-      r.mem += s.mem;
-      r.penalty = 0;
-      r.reserved = null;
-      out.push(r);
+  private capacitiesBeingFreed(now: number): FreeCapacity[] {
+    const out: FreeCapacity[] = [];
+    for (const machine of this.state.machinesWithStops) {
+      if (
+        machine.isBeingDeleted ||
+        machine.isQuarantined ||
+        machine.evictionDeadline !== null ||
+        now - lastProofOfLife(machine) >= 10000
+      )
+        continue;
+      const capacity = this.state.capacityOf(machine, now);
+      if (!capacity) continue;
+      const s = machine.totals.stopping;
+      capacity.cpus += s.cpus;
+      capacity.gpus += s.gpus;
+      capacity.memoryGb += s.memoryGb;
+      capacity.penaltySeconds = 0;
+      capacity.reservation = null;
+      out.push(capacity);
     }
     return out;
   }
 
   /** How long work waits for places to come free by themselves before others are stopped for it. */
-  private stopAfterMs(w: Want, inside: boolean): number {
-    if (w.service) return 0;
-    const aims = [this.waits.get(w.cls) ?? Number.POSITIVE_INFINITY];
-    if (inside) aims.push(this.guaranteeS);
+  private preemptAfterMs(request: ResourceRequest, inside: boolean): number {
+    if (request.isService) return 0;
+    const aims = [this.waitObjectiveSeconds.get(request.jobClass) ?? Number.POSITIVE_INFINITY];
+    if (inside) aims.push(this.guaranteeObjectiveSeconds);
     const aim = Math.min(...aims);
-    if (Number.isFinite(aim)) return aim * 1000 * STOP_AFTER;
-    return Math.min(5, w.patienceS ?? 0) * 1000;
+    if (Number.isFinite(aim)) return aim * 1000 * PREEMPT_AFTER_SHARE;
+    return Math.min(5, request.maxWaitSeconds ?? 0) * 1000;
   }
 }
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -35,4 +35,4 @@
   /** Seconds that work which waits behind running tasks is left waiting before machines are rented for it. */
   patience_s: number;
 }
-export type PolicyFn = (i: PolicyInput) => Policy;
+export type PolicyFn = (input: PolicyInput) => Policy;
--- a/src/core/room.ts
+++ b/src/core/room.ts
@@ -1,37 +1,51 @@
-import type { MachineType, Want } from './types.js';
+import type { MachineType, ResourceRequest } from './types.js';
+
+/** A machine that may be rented or has been: its type, its zone, and whether it is a spot instance. */
+export interface MachineOffer {
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+}
 
 /** Free room of one machine, real or expected. */
-export interface Room {
-  name: string;
-  type: string;
+export interface FreeCapacity {
+  machineName: string;
+  machineType: string;
   zone: string;
-  spot: boolean;
+  isSpot: boolean;
   cpus: number;
   gpus: number;
-  mem: number;
+  memoryGb: number;
   totalCpus: number;
   images: ReadonlyMap<string, number> | null;
-  fetchGbPerS: number;
+  imageFetchGbPerSecond: number;
   /** Seconds added to its rank: a machine not heard lately, or slow. */
-  penalty: number;
-  reserved: { job: string; rank: number } | null;
+  penaltySeconds: number;
+  reservation: { jobId: string; priority: number } | null;
   /** Ordinary, without replicas and no part of the reserve: kept only as long as work can't wait. */
-  surplus: boolean;
+  isSurplus: boolean;
 }
 
-const EPS = 1e-9;
+const EPSILON = 1e-9;
 /** Machines that the replicas of one job are spread over where there is a choice. */
-const SPREAD = 4;
+const MAX_MACHINES_PER_SERVICE = 4;
 
-export function fits(r: Room, w: { cpus: number; gpus: number; mem: number }): boolean {
-  return r.cpus + EPS >= w.cpus && r.gpus + EPS >= w.gpus && r.mem + EPS >= w.mem;
+export function fits(
+  capacity: FreeCapacity,
+  demand: { cpus: number; gpus: number; memoryGb: number },
+): boolean {
+  return (
+    capacity.cpus + EPSILON >= demand.cpus &&
+    capacity.gpus + EPSILON >= demand.gpus &&
+    capacity.memoryGb + EPSILON >= demand.memoryGb
+  );
 }
 
-export function allowed(r: { type: string; zone: string; spot: boolean }, w: Want): boolean {
-  if (r.spot && !w.spot) return false;
-  if (w.types && !w.types.includes(r.type)) return false;
-  if (w.zone !== null && w.zone !== r.zone) return false;
-  return !w.zoneRoom || (w.zoneRoom[r.zone] ?? w.zoneCap) > 0;
+export function isAllowed(r: MachineOffer, request: ResourceRequest): boolean {
+  if (r.isSpot && !request.spotAllowed) return false;
+  if (request.machineTypes && !request.machineTypes.includes(r.machineType)) return false;
+  if (request.zone !== null && request.zone !== r.zone) return false;
+  return !request.zoneAllowance || (request.zoneAllowance[r.zone] ?? request.maxTasksPerZone) > 0;
 }
 
 /**
@@ -39,105 +53,119 @@
  * them did not find the others need not look for. What ties a want to itself (machines it avoids, room kept for it) is
  * not part of it.
  */
-export function shapeKey(w: Want): string {
-  let key = keys.get(w);
+export function equivalenceKey(request: ResourceRequest): string {
+  let key = equivalenceKeys.get(request);
   if (key === undefined) {
-    key = makeKey(w);
-    keys.set(w, key);
+    key = makeEquivalenceKey(request);
+    equivalenceKeys.set(request, key);
   }
   return key;
 }
 
-const keys = new WeakMap<Want, string>();
+const equivalenceKeys = new WeakMap<ResourceRequest, string>();
 
-function makeKey(w: Want): string {
-  const zones = w.zoneRoom ? JSON.stringify(w.zoneRoom) : '';
-  const patient = w.spot && !w.service && (w.patienceS ?? 0) > 0;
+function makeEquivalenceKey(request: ResourceRequest): string {
+  const zones = request.zoneAllowance ? JSON.stringify(request.zoneAllowance) : '';
+  const patient = request.spotAllowed && !request.isService && (request.maxWaitSeconds ?? 0) > 0;
   return [
-    w.team,
-    w.rank,
-    w.cpus,
-    w.gpus,
-    w.mem,
-    w.types?.join() ?? '',
-    w.spot,
-    w.service,
-    w.zone ?? '',
+    request.team,
+    request.priority,
+    request.cpus,
+    request.gpus,
+    request.memoryGb,
+    request.machineTypes?.join() ?? '',
+    request.spotAllowed,
+    request.isService,
+    request.zone ?? '',
     zones,
-    w.zoneCap,
-    w.together,
+    request.maxTasksPerZone,
+    request.zoneAffinity,
     patient,
-    w.starved === true,
+    request.isStarved === true,
   ].join('|');
 }
 
-export function slots(
-  t: { cpus: number; gpus: number; mem: number },
-  w: { cpus: number; gpus: number; mem: number },
+export function slotsIn(
+  available: { cpus: number; gpus: number; memoryGb: number },
+  demand: { cpus: number; gpus: number; memoryGb: number },
 ): number {
   let n = Number.POSITIVE_INFINITY;
-  if (w.cpus > 0) n = Math.min(n, Math.floor(t.cpus / w.cpus + EPS));
-  if (w.gpus > 0) n = Math.min(n, Math.floor(t.gpus / w.gpus + EPS));
-  if (w.mem > 0) n = Math.min(n, Math.floor(t.mem / w.mem + EPS));
+  if (demand.cpus > 0) n = Math.min(n, Math.floor(available.cpus / demand.cpus + EPSILON));
+  if (demand.gpus > 0) n = Math.min(n, Math.floor(available.gpus / demand.gpus + EPSILON));
+  if (demand.memoryGb > 0) n = Math.min(n, Math.floor(available.memoryGb / demand.memoryGb + EPSILON));
   return Number.isFinite(n) ? n : 1;
 }
 
-export function take(r: Room, w: { cpus: number; gpus: number; mem: number }): void {
-  r.cpus -= w.cpus;
-  r.gpus -= w.gpus;
-  r.mem -= w.mem;
+export function take(capacity: FreeCapacity, demand: { cpus: number; gpus: number; memoryGb: number }): void {
+  capacity.cpus -= demand.cpus;
+  capacity.gpus -= demand.gpus;
+  capacity.memoryGb -= demand.memoryGb;
 }
 
 /** Seconds-like rank of a room for a want, lower is better: image fetch, then packing, then kind. */
-export function rankRoom(r: Room, w: Want, scarceZone: string | null): number {
-  let v = r.penalty;
-  if (r.images && !r.images.has(w.image)) v += w.imageGb / Math.max(0.01, r.fetchGbPerS);
+export function score(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): number {
+  let v = capacity.penaltySeconds;
+  if (capacity.images && !capacity.images.has(request.image))
+    v += request.imageGb / Math.max(0.01, capacity.imageFetchGbPerSecond);
   // Fullest machine first, so that others empty and can be returned.
-  v += (2 * (r.cpus - w.cpus)) / Math.max(1, r.totalCpus);
+  v += (2 * (capacity.cpus - request.cpus)) / Math.max(1, capacity.totalCpus);
   // Replicas leave the room of machines with many images to those that come next.
-  if (w.service && r.images) v += 0.1 * r.images.size;
+  if (request.isService && capacity.images) v += 0.1 * capacity.images.size;
   // A small machine is given back sooner than a big one is emptied.
-  if (w.near === r.name) v -= 1;
+  if (request.preferredMachine === capacity.machineName) v -= 1;
   // Work that may use cheap machines leaves the ordinary ones to work that may not.
-  if (w.spot && !r.spot) v += 4;
-  if (scarceZone === r.zone && !r.spot && !w.zoneRoom) v += 6;
+  if (request.spotAllowed && !capacity.isSpot) v += 4;
+  if (scarceZone === capacity.zone && !capacity.isSpot && !request.zoneAllowance) v += 6;
   return v;
 }
 
 /** Whether a want passes this machine over for reasons of its own. */
-export function avoids(w: Want, machine: string): boolean {
-  return w.avoid.includes(machine) || w.refusedBy?.has(machine) === true;
+export function isAvoided(request: ResourceRequest, machine: string): boolean {
+  return request.avoidedMachines.includes(machine) || request.refusingMachines?.has(machine) === true;
 }
 
 /** Whether a want passes any machine over for reasons of its own: what it finds says nothing of others of its kind. */
-export function avoidsAny(w: Want): boolean {
-  return w.avoid.length > 0 || w.refusedBy !== undefined;
+export function avoidsAnyMachine(request: ResourceRequest): boolean {
+  return request.avoidedMachines.length > 0 || request.refusingMachines !== undefined;
 }
 
 /** Whether a task of this want may go here now. */
-export function isOpen(r: Room, w: Want, scarceZone: string | null): boolean {
-  if (!fits(r, w)) return false;
-  if (r.reserved && r.reserved.job !== w.job && w.rank > 0) return false;
-  if (w.starved) return allowed(r, w) && !avoids(w, r.name);
+export function isOpenTo(
+  capacity: FreeCapacity,
+  request: ResourceRequest,
+  scarceZone: string | null,
+): boolean {
+  if (!fits(capacity, request)) return false;
+  if (capacity.reservation && capacity.reservation.jobId !== request.jobId && request.priority > 0)
+    return false;
+  if (request.isStarved) return isAllowed(capacity, request) && !isAvoided(request, capacity.machineName);
   // The ordinary room of a zone that jobs which must be spread depend on is theirs; what can be stopped
   // for them may use it meanwhile.
-  if (scarceZone === r.zone && !r.spot && w.service && !w.zoneRoom && w.zone === null) return false;
+  if (
+    scarceZone === capacity.zone &&
+    !capacity.isSpot &&
+    request.isService &&
+    !request.zoneAllowance &&
+    request.zone === null
+  )
+    return false;
   // Work that has time and may use cheap machines lets it run empty, to be returned.
-  if (r.surplus && w.spot && !w.service && (w.patienceS ?? 0) > 0) return false;
-  return allowed(r, w) && !avoids(w, r.name);
+  if (capacity.isSurplus && request.spotAllowed && !request.isService && (request.maxWaitSeconds ?? 0) > 0)
+    return false;
+  return isAllowed(capacity, request) && !isAvoided(request, capacity.machineName);
 }
 
-export function best(
-  rooms: Iterable<Room>,
-  w: Want,
+export function bestCapacity(
+  capacities: Iterable<FreeCapacity>,
+  request: ResourceRequest,
   scarceZone: string | null,
-  full?: (r: Room) => boolean,
-): Room | null {
-  let found: Room | null = null;
+  full?: (capacity: FreeCapacity) => boolean,
+): FreeCapacity | null {
+  let found: FreeCapacity | null = null;
   let rank = Number.POSITIVE_INFINITY;
-  for (const r of rooms) {
-    if (!isOpen(r, w, scarceZone) || full?.(r)) continue;
-    const v = rankRoom(r, w, scarceZone);
+  for (const r of capacities) {
+    if (!isOpenTo(r, request, scarceZone) || full?.(r)) continue;
+    const v = score(r, request, scarceZone);
     if (v < rank) {
       rank = v;
       found = r;
@@ -148,42 +176,50 @@
 
 /** Places up to `count` tasks of a want; calls back per task. Returns how many were left. */
 export function fill(
-  rooms: Room[],
-  w: Want,
+  capacities: FreeCapacity[],
+  request: ResourceRequest,
   count: number,
   scarceZone: string | null,
-  each: (r: Room) => void,
+  each: (capacity: FreeCapacity) => void,
 ): number {
-  if (w.whole) return fillWhole(rooms, w, count, scarceZone, each);
-  const zoneRoom = w.zoneRoom ? { ...w.zoneRoom } : null;
-  const v: Want = { ...w, zoneRoom };
+  if (request.allOrNothing) return fillGang(capacities, request, count, scarceZone, each);
+  const zoneRoom = request.zoneAllowance ? { ...request.zoneAllowance } : null;
+  const v: ResourceRequest = { ...request, zoneAllowance: zoneRoom };
   let left = count;
   // Replicas of a job go to several machines: less is lost with one, and its image is in more places for the next.
-  const per = w.service && w.job !== '' ? Math.max(1, Math.ceil(count / SPREAD)) : count;
-  const here = new Map<Room, number>();
-  const use = (r: Room, most: number) => {
+  const per =
+    request.isService && request.jobId !== ''
+      ? Math.max(1, Math.ceil(count / MAX_MACHINES_PER_SERVICE))
+      : count;
+  const here = new Map<FreeCapacity, number>();
+  const use = (capacity: FreeCapacity, most: number) => {
     // The fuller a machine the better it ranks: the best one stays the best while it has room.
-    while (left > 0 && fits(r, w) && allowed(r, v) && (here.get(r) ?? 0) < most) {
-      if (v.together && v.zone === null) v.zone = r.zone;
-      take(r, w);
-      if (zoneRoom) zoneRoom[r.zone] = (zoneRoom[r.zone] ?? w.zoneCap) - 1;
-      each(r);
+    while (
+      left > 0 &&
+      fits(capacity, request) &&
+      isAllowed(capacity, v) &&
+      (here.get(capacity) ?? 0) < most
+    ) {
+      if (v.zoneAffinity && v.zone === null) v.zone = capacity.zone;
+      take(capacity, request);
+      if (zoneRoom) zoneRoom[capacity.zone] = (zoneRoom[capacity.zone] ?? request.maxTasksPerZone) - 1;
+      each(capacity);
       left--;
-      here.set(r, (here.get(r) ?? 0) + 1);
+      here.set(capacity, (here.get(capacity) ?? 0) + 1);
     }
   };
   // Taking from one room changes the rank of no other: they are ranked once, and not for every task anew.
   for (const most of per < count ? [per, count] : [count]) {
     if (left <= 0) break;
     if (left === 1) {
-      const r = best(rooms, v, scarceZone, (x) => (here.get(x) ?? 0) >= most);
+      const r = bestCapacity(capacities, v, scarceZone, (x) => (here.get(x) ?? 0) >= most);
       if (r) use(r, most);
       continue;
     }
-    const ranked: { r: Room; rank: number }[] = [];
-    for (const r of rooms)
-      if (isOpen(r, v, scarceZone) && (here.get(r) ?? 0) < most)
-        ranked.push({ r, rank: rankRoom(r, w, scarceZone) });
+    const ranked: { r: FreeCapacity; rank: number }[] = [];
+    for (const r of capacities)
+      if (isOpenTo(r, v, scarceZone) && (here.get(r) ?? 0) < most)
+        ranked.push({ r, rank: score(r, request, scarceZone) });
     ranked.sort((x, y) => x.rank - y.rank);
     for (const { r } of ranked) {
       if (left <= 0) break;
@@ -194,54 +230,71 @@
 }
 
 /** A gang takes all its places or none. */
-function fillWhole(
-  rooms: Room[],
-  w: Want,
+function fillGang(
+  capacities: FreeCapacity[],
+  request: ResourceRequest,
   count: number,
   scarceZone: string | null,
-  each: (r: Room) => void,
+  each: (capacity: FreeCapacity) => void,
 ): number {
-  const chosen = chooseWhole(rooms, w, count, scarceZone);
+  const chosen = chooseForGang(capacities, request, count, scarceZone);
   if (!chosen) return count;
   for (const r of chosen) {
-    take(r, w);
+    take(r, request);
     each(r);
   }
   return 0;
 }
 
 /** The rooms for all tasks of a gang, one a task, or null; with one zone demanded, each zone is tried in turn. */
-export function chooseWhole(rooms: Room[], w: Want, count: number, scarceZone: string | null): Room[] | null {
-  const usable = rooms.filter((r) => isOpen(r, w, scarceZone));
-  const zones = w.together && w.zone === null ? [...new Set(usable.map((r) => r.zone))] : [w.zone];
+export function chooseForGang(
+  capacities: FreeCapacity[],
+  request: ResourceRequest,
+  count: number,
+  scarceZone: string | null,
+): FreeCapacity[] | null {
+  const usable = capacities.filter((capacity) => isOpenTo(capacity, request, scarceZone));
+  const zones =
+    request.zoneAffinity && request.zone === null
+      ? [...new Set(usable.map((capacity) => capacity.zone))]
+      : [request.zone];
   for (const zone of zones) {
-    const here = usable.filter((r) => zone === null || r.zone === zone);
-    if (here.reduce((sum, r) => sum + slots(r, w), 0) < count) continue;
-    const copies = new Map<Room, Room>();
+    const here = usable.filter((capacity) => zone === null || capacity.zone === zone);
+    if (here.reduce((sum, capacity) => sum + slotsIn(capacity, request), 0) < count) continue;
+    const copies = new Map<FreeCapacity, FreeCapacity>();
     for (const r of here) copies.set({ ...r }, r);
-    const chosen: Room[] = [];
-    const left = fill([...copies.keys()], { ...w, whole: false, zone }, count, scarceZone, (copy) =>
-      chosen.push(copies.get(copy)!),
+    const chosen: FreeCapacity[] = [];
+    const left = fill(
+      [...copies.keys()],
+      { ...request, allOrNothing: false, zone },
+      count,
+      scarceZone,
+      (copy) => chosen.push(copies.get(copy)!),
     );
     if (left === 0) return chosen;
   }
   return null;
 }
 
-export function emptyRoom(t: MachineType, zone: string, spot: boolean, name: string): Room {
+export function emptyCapacity(
+  machineType: MachineType,
+  zone: string,
+  spot: boolean,
+  name: string,
+): FreeCapacity {
   return {
-    name,
-    type: t.name,
+    machineName: name,
+    machineType: machineType.name,
     zone,
-    spot,
-    cpus: t.cpus,
-    gpus: t.gpus,
-    mem: t.mem,
-    totalCpus: t.cpus,
+    isSpot: spot,
+    cpus: machineType.cpus,
+    gpus: machineType.gpus,
+    memoryGb: machineType.memoryGb,
+    totalCpus: machineType.cpus,
     images: null,
-    fetchGbPerS: t.fetchGbPerS,
-    penalty: 0,
-    reserved: null,
-    surplus: false,
+    imageFetchGbPerSecond: machineType.imageFetchGbPerSecond,
+    penaltySeconds: 0,
+    reservation: null,
+    isSurplus: false,
   };
 }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -1,455 +1,598 @@
 import { FailureDetector } from './failure-detector.js';
-import { Fleet } from './fleet.js';
-import { Ledger, type SchedulerOptions } from './ledger.js';
-import { type Entry, isNewer, isUnstored, type Machine, newEntry } from './machine.js';
-import { Placing } from './placing.js';
+import { FleetManager } from './fleet.js';
+import { ClusterState, type SchedulerOptions } from './ledger.js';
+import {
+  type Allocation,
+  createAllocation,
+  isNewer,
+  isWithoutStoredPlacement,
+  type Machine,
+} from './machine.js';
+import { PlacementEngine } from './placing.js';
 import type { Policy } from './policy.js';
 import type {
-  Held,
+  AllocationEvent,
+  Heartbeat,
   ListedMachine,
-  OwnerMsg,
-  Seen,
-  TaskReport,
+  PlacementSpec,
+  ShardMessage,
+  TaskStatus,
   WorkerCommand,
-  WorkerReport,
 } from './types.js';
 import { taskKey } from './types.js';
 
-const COMMANDS_AT_ONCE = 200;
+const MAX_COMMANDS_PER_MESSAGE = 200;
 /** Ended tasks of a machine that are removed together, and how long one waits for others. */
-const REAPS_TOGETHER = 4;
-const REAP_MS = 20000;
+const FORGET_BATCH = 4;
+const MAX_FORGET_DELAY_MS = 20000;
 /** Tasks that a machine lists from which a higher token is taken, to remove those that ended: a report holds some 600. */
-const MOST_KEPT = 300;
+const MAX_EXITED_TASKS_LISTED = 300;
 
 /** The elected leader's part: machines, reports, room. It stores nothing; owners and workers tell it all. */
 export class Scheduler {
-  private readonly l: Ledger;
-  private readonly placing: Placing;
-  private readonly fleet: Fleet;
-  private readonly failures: FailureDetector;
+  private readonly state: ClusterState;
+  private readonly placement: PlacementEngine;
+  private readonly fleet: FleetManager;
+  private readonly failureDetector: FailureDetector;
   /** Machines to which something may have to be sent. */
-  private readonly toDirect = new Set<Machine>();
-  private readonly parts = new Map<string, { sync: number; next: number; held: Held[] }>();
-  private median = { at: Number.NEGATIVE_INFINITY, value: 0 };
-  private readonly outbox = new Map<string, Seen[]>();
-  private nextPass = 0;
-  private passTimer = false;
-  private nextScale = 0;
-  private nextList = 0;
-  private nextAsk = 0;
-  private listing = false;
-  private removeBusy = false;
-  private removeRetryAt = 0;
-  private readonly removeQueue = new Set<string>();
-
-  constructor(private readonly o: SchedulerOptions) {
-    this.l = new Ledger(o);
-    this.placing = new Placing(o, this.l);
-    this.fleet = new Fleet(o, this.l, (m, why) => this.remove(m, why));
-    this.failures = new FailureDetector(o, this.l, {
-      probe: (m) => this.direct(m, true),
-      remove: (m, why) => this.remove(m, why),
-      keeps: (m, rooms, now) => this.fleet.waitFor(m, rooms, now),
+  private readonly machinesToContact = new Set<Machine>();
+  private readonly syncsInProgress = new Map<
+    string,
+    { syncNumber: number; nextChunk: number; placements: PlacementSpec[] }
+  >();
+  private medianSlowdown = { at: Number.NEGATIVE_INFINITY, value: 0 };
+  private readonly eventsToSend = new Map<string, AllocationEvent[]>();
+  private nextPassAt = 0;
+  private passScheduled = false;
+  private nextScaleAt = 0;
+  private nextListAt = 0;
+  private nextSyncRequestAt = 0;
+  private listInFlight = false;
+  private deletionInFlight = false;
+  private deletionRetryAt = 0;
+  private readonly deletionQueue = new Set<string>();
+
+  constructor(private readonly options: SchedulerOptions) {
+    this.state = new ClusterState(options);
+    this.placement = new PlacementEngine(options, this.state);
+    this.fleet = new FleetManager(options, this.state, (machine, reason) =>
+      this.deleteMachine(machine, reason),
+    );
+    this.failureDetector = new FailureDetector(options, this.state, {
+      probe: (machine) => this.sendDirectly(machine, true),
+      remove: (machine, reason) => this.deleteMachine(machine, reason),
+      keepsUnreachable: (machine, capacities, now) => this.fleet.keepsUnreachable(machine, capacities, now),
     });
   }
 
-  get token(): number {
-    return this.l.token;
+  get fencingToken(): number {
+    return this.state.fencingToken;
   }
 
-  get policyNow(): Policy {
-    return this.l.policyNow;
+  get policy(): Policy {
+    return this.state.policy;
   }
 
   isSynced(team: string): boolean {
-    return this.l.isSynced(team);
+    return this.state.isSynced(team);
   }
 
   // ---- owners ---------------------------------------------------------------------------------------
 
-  setOwners(records: Map<string, { inst: string; gen: number }>): void {
+  setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
     for (const [team, r] of records) {
-      const cur = this.l.owners.get(team);
-      if (cur && cur.inst === r.inst && cur.gen === r.gen) continue;
-      this.l.owners.set(team, { inst: r.inst, gen: r.gen, synced: false, since: this.o.clock.now() });
-      this.l.dropHolds([...this.l.grantAt.keys()].filter((id) => this.l.holdOf(id)?.team === team));
+      const cur = this.state.owners.get(team);
+      if (cur && cur.instanceId === r.instanceId && cur.shardEpoch === r.shardEpoch) continue;
+      this.state.owners.set(team, {
+        instanceId: r.instanceId,
+        shardEpoch: r.shardEpoch,
+        isSynced: false,
+        since: this.options.clock.now(),
+      });
+      this.state.dropGrants(
+        [...this.state.grantMachines.keys()].filter((id) => this.state.allocationOfGrant(id)?.team === team),
+      );
       // Its owner may have learnt of the record, and told all it holds, before this scheduler did.
-      this.o.send(r.inst, { type: 'resync', token: this.l.token });
+      this.options.send(r.instanceId, { type: 'syncRequested', fencingToken: this.state.fencingToken });
     }
   }
 
   /** Before a team's record is changed: what its present owner says no longer counts. */
   suspend(team: string): void {
-    const cur = this.l.owners.get(team);
-    if (cur) cur.synced = false;
+    const cur = this.state.owners.get(team);
+    if (cur) cur.isSynced = false;
   }
 
-  unsync(inst: string): void {
-    for (const r of this.l.owners.values()) if (r.inst === inst) r.synced = false;
-    this.o.send(inst, { type: 'resync', token: this.l.token });
+  requestSync(instanceId: string): void {
+    for (const owner of this.state.owners.values())
+      if (owner.instanceId === instanceId) owner.isSynced = false;
+    this.options.send(instanceId, { type: 'syncRequested', fencingToken: this.state.fencingToken });
   }
 
-  fromOwner(m: OwnerMsg): void {
-    if (m.token !== this.l.token) return;
-    switch (m.type) {
-      case 'sync': {
-        const all = this.assemble(m.inst, m);
+  onShardMessage(message: ShardMessage): void {
+    if (message.fencingToken !== this.state.fencingToken) return;
+    switch (message.type) {
+      case 'fullSync': {
+        const all = this.assembleSync(message.instanceId, message);
         if (!all) return;
-        this.l.horizons.synced(m.inst, m.sync);
-        this.sync(m.inst, m.sync, m.gens, all);
-        this.placing.setWants(m.inst, m.wants);
+        this.state.watermarks.fullSyncTaken(message.instanceId, message.syncNumber);
+        this.applyFullSync(message.instanceId, message.syncNumber, message.shardEpochs, all);
+        this.placement.setRequests(message.instanceId, message.requests);
         break;
       }
-      case 'wants':
-        this.placing.setWants(m.inst, m.wants);
+      case 'resourceRequests':
+        this.placement.setRequests(message.instanceId, message.requests);
         break;
-      case 'held':
-        this.l.horizons.held(m.inst);
-        for (const h of m.held) if (this.l.heeds(m.inst, h.team)) this.hold(h);
+      case 'placements':
+        this.state.watermarks.placementMessageTaken(message.instanceId);
+        for (const placement of message.placements)
+          if (this.state.isCurrentOwner(message.instanceId, placement.team)) this.applyPlacement(placement);
         break;
-      case 'drop':
-        this.drop(m.inst, m.tasks, m.grants);
+      case 'release':
+        this.releaseAllocations(message.instanceId, message.tasks, message.grants);
         break;
-      case 'covered':
-        this.advance(m.inst, m.sync, m.n, m.gens, m.mark);
+      case 'cancellationCoverage':
+        this.advanceWatermarks(
+          message.instanceId,
+          message.syncNumber,
+          message.placementMessages,
+          message.shardEpochs,
+          message.leaderTimestamp,
+        );
         return;
     }
-    this.l.dirty = true;
-    this.o.wake();
+    this.state.isDirty = true;
+    this.options.wake();
   }
 
   /**
    * All placements of a full sync once its last part has come. A connection made anew in between loses any of the parts:
    * then there is none, and the owner is asked again, or tasks in the lost part would be taken for nobody's and stopped.
    */
-  private assemble(
-    inst: string,
-    m: { sync: number; part: number; parts: number; held: Held[] },
-  ): Held[] | null {
-    const begun = this.parts.get(inst);
-    this.parts.delete(inst);
-    if (m.part > 0 && (begun?.sync !== m.sync || begun.next !== m.part)) {
-      this.unsync(inst);
+  private assembleSync(
+    instanceId: string,
+    chunk: Extract<ShardMessage, { type: 'fullSync' }>,
+  ): PlacementSpec[] | null {
+    const begun = this.syncsInProgress.get(instanceId);
+    this.syncsInProgress.delete(instanceId);
+    if (
+      chunk.chunkIndex > 0 &&
+      (begun?.syncNumber !== chunk.syncNumber || begun.nextChunk !== chunk.chunkIndex)
+    ) {
+      this.requestSync(instanceId);
       return null;
     }
-    const held = m.part === 0 ? [...m.held] : [...begun!.held, ...m.held];
-    if (m.part === m.parts - 1) return held;
-    this.parts.set(inst, { sync: m.sync, next: m.part + 1, held });
+    const placements =
+      chunk.chunkIndex === 0 ? [...chunk.placements] : [...begun!.placements, ...chunk.placements];
+    if (chunk.chunkIndex === chunk.chunkCount - 1) return placements;
+    this.syncsInProgress.set(instanceId, {
+      syncNumber: chunk.syncNumber,
+      nextChunk: chunk.chunkIndex + 1,
+      placements: placements,
+    });
     return null;
   }
 
   /** A message with a stop may be lost with its connection: then the horizon stays, and all is told again. */
-  private advance(inst: string, sync: number, n: number, gens: Record<string, number>, mark: number): void {
-    if (mark > this.o.clock.now()) return;
-    if (!this.l.horizons.complete(inst, sync, n)) return this.unsync(inst);
-    for (const [team, gen] of Object.entries(gens)) {
-      const r = this.l.owners.get(team);
-      if (r?.inst === inst && r.gen === gen && r.synced) this.l.horizons.advance(team, mark);
+  private advanceWatermarks(
+    instanceId: string,
+    sync: number,
+    n: number,
+    shardEpochs: Record<string, number>,
+    mark: number,
+  ): void {
+    if (mark > this.options.clock.now()) return;
+    if (!this.state.watermarks.isComplete(instanceId, sync, n)) return this.requestSync(instanceId);
+    for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
+      const owner = this.state.owners.get(team);
+      if (owner?.instanceId === instanceId && owner.shardEpoch === shardEpoch && owner.isSynced)
+        this.state.watermarks.advance(team, mark);
     }
   }
 
   /** How long a team's owner has told of no cancellations; it counts from when it got the team. */
-  unheardFor(team: string, now: number): number {
-    const since = this.l.owners.get(team)?.since ?? now;
-    return now - Math.max(since, this.l.horizons.of(team));
+  coverageSilenceMs(team: string, now: number): number {
+    const since = this.state.owners.get(team)?.since ?? now;
+    return now - Math.max(since, this.state.watermarks.of(team));
   }
 
   /** A sibling has stored a cancellation. Also without the state service: its stops ride with answers at once. */
-  cancelled(job: string): void {
-    for (const m of this.l.cancel(job)) this.toDirect.add(m);
-    this.o.wake();
+  onJobCancelled(job: string): void {
+    for (const machine of this.state.cancel(job)) this.machinesToContact.add(machine);
+    this.options.wake();
   }
 
-  cover(): { at: number; pending: string[] } | null {
-    return this.l.cover();
+  coverage(): { at: number; pendingMachines: string[] } | null {
+    return this.state.coverage();
   }
 
-  private sync(inst: string, sync: number, gens: Record<string, number>, held: Held[]): void {
+  private applyFullSync(
+    instanceId: string,
+    sync: number,
+    shardEpochs: Record<string, number>,
+    placements: PlacementSpec[],
+  ): void {
     const teams = new Set<string>();
-    for (const [team, gen] of Object.entries(gens)) {
-      const r = this.l.owners.get(team);
-      if (r?.inst !== inst || r.gen !== gen) continue;
-      r.synced = true;
+    for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
+      const owner = this.state.owners.get(team);
+      if (owner?.instanceId !== instanceId || owner.shardEpoch !== shardEpoch) continue;
+      owner.isSynced = true;
       teams.add(team);
     }
-    this.o.log.debug({ inst, teams: [...teams], held: held.length }, 'owner synced');
+    this.options.log.debug({ inst: instanceId, teams: [...teams], held: placements.length }, 'owner synced');
     const keep = new Set<string>();
-    for (const h of held) if (teams.has(h.team)) keep.add(taskKey(h.job, h.idx, h.attempt));
-    for (const m of this.l.machines.values())
-      for (const e of m.entries.values())
-        if (teams.has(e.team) && (e.want === 'hold' || !keep.has(e.key))) this.l.removeEntry(m, e);
-    for (const h of held) {
-      if (!teams.has(h.team)) continue;
-      const e = this.hold(h);
-      if (e) e.told = '';
-    }
-    this.o.send(inst, { type: 'synced', token: this.l.token, sync });
-    this.o.send(inst, { type: 'mark', token: this.l.token, at: this.o.clock.now() });
-    for (const m of this.l.machines.values())
-      for (const e of m.entries.values()) if (teams.has(e.team)) this.tell(m, e);
-  }
-
-  private hold(h: Held): Entry | null {
-    if (h.service) this.l.learnShape({ ...this.l.baseWant(h), zoneRoom: h.spread ? {} : null });
-    const key = taskKey(h.job, h.idx, h.attempt);
-    if (this.l.gone.has(h.machine)) {
-      this.say(h.team, { type: 'settled', job: h.job, idx: h.idx, attempt: h.attempt, machine: h.machine });
+    for (const placement of placements)
+      if (teams.has(placement.team))
+        keep.add(taskKey(placement.jobId, placement.taskIndex, placement.attempt));
+    for (const machine of this.state.machines.values())
+      for (const allocation of machine.allocations.values())
+        if (teams.has(allocation.team) && (allocation.desiredState === 'hold' || !keep.has(allocation.key)))
+          this.state.removeAllocation(machine, allocation);
+    for (const placement of placements) {
+      if (!teams.has(placement.team)) continue;
+      const allocation = this.applyPlacement(placement);
+      if (allocation) allocation.lastEventSent = '';
+    }
+    this.options.send(instanceId, {
+      type: 'syncAccepted',
+      fencingToken: this.state.fencingToken,
+      syncNumber: sync,
+    });
+    this.options.send(instanceId, {
+      type: 'timestamp',
+      fencingToken: this.state.fencingToken,
+      leaderTimestamp: this.options.clock.now(),
+    });
+    for (const machine of this.state.machines.values())
+      for (const allocation of machine.allocations.values())
+        if (teams.has(allocation.team)) this.emitStatus(machine, allocation);
+  }
+
+  private applyPlacement(placement: PlacementSpec): Allocation | null {
+    if (placement.isService)
+      this.state.learnServiceProfile({
+        ...this.state.requestLike(placement),
+        zoneAllowance: placement.spreadOverZones ? {} : null,
+      });
+    const key = taskKey(placement.jobId, placement.taskIndex, placement.attempt);
+    if (this.state.deletedMachines.has(placement.machine)) {
+      this.emit(placement.team, {
+        type: 'finalized',
+        jobId: placement.jobId,
+        taskIndex: placement.taskIndex,
+        attempt: placement.attempt,
+        machine: placement.machine,
+      });
       return null;
     }
-    const m = this.l.machine(h.machine);
-    this.l.touch(m);
-    if (h.grant > 0) {
-      const g = m.entries.get(`grant#${h.grant}`);
-      if (g?.job === h.job) this.l.removeEntry(m, g);
+    const machine = this.state.machine(placement.machine);
+    this.state.markChanged(machine);
+    if (placement.grantId > 0) {
+      const g = machine.allocations.get(`grant#${placement.grantId}`);
+      if (g?.jobId === placement.jobId) this.state.removeAllocation(machine, g);
     }
-    let e = m.entries.get(key);
-    if (!e) {
+    let allocation = machine.allocations.get(key);
+    if (!allocation) {
       // A reap of what this scheduler never knew: only the worker's list matters.
-      e = newEntry(h, this.o.clock.now());
-      m.entries.set(key, e);
-      e.listed = m.tasks.get(key) ?? null;
-      e.ended = e.listed?.phase === 'exited';
+      allocation = createAllocation(placement, this.options.clock.now());
+      machine.allocations.set(key, allocation);
+      allocation.reported = machine.tasks.get(key) ?? null;
+      allocation.hasExited = allocation.reported?.phase === 'exited';
     } else {
       // A stop is not taken back.
-      if (h.want === 'reap' && e.want !== 'reap') e.since = this.o.clock.now();
-      if (!(e.want === 'stop' && h.want === 'run')) e.want = h.want;
-      e.graceS = h.graceS;
-      e.season = h.season > 0 ? h.season : e.season;
-    }
-    if (e.want === 'stop' || (e.want === 'run' && this.o.isCancelled(e.job))) this.l.noteStop(m, e);
-    if (e.want === 'reap' && m.up && !m.tasks.has(key) && !e.direct && e.sentWith < 0) {
-      this.l.removeEntry(m, e);
+      if (placement.desiredState === 'reap' && allocation.desiredState !== 'reap')
+        allocation.phaseSince = this.options.clock.now();
+      if (!(allocation.desiredState === 'stop' && placement.desiredState === 'run'))
+        allocation.desiredState = placement.desiredState;
+      allocation.gracePeriodSeconds = placement.gracePeriodSeconds;
+      allocation.agentEpoch = placement.agentEpoch > 0 ? placement.agentEpoch : allocation.agentEpoch;
+    }
+    if (
+      allocation.desiredState === 'stop' ||
+      (allocation.desiredState === 'run' && this.options.isCancelled(allocation.jobId))
+    )
+      this.state.noteStop(machine, allocation);
+    if (
+      allocation.desiredState === 'reap' &&
+      machine.isUp &&
+      !machine.tasks.has(key) &&
+      !allocation.directStartInFlight &&
+      allocation.sentWithHeartbeat < 0
+    ) {
+      this.state.removeAllocation(machine, allocation);
       return null;
     }
-    if (m.up && m.season > e.season && e.want !== 'reap') e.settled = true;
-    this.judgeAbsent(m, e);
-    this.tell(m, e);
-    this.toDirect.add(m);
-    return e;
+    if (machine.isUp && machine.agentEpoch > allocation.agentEpoch && allocation.desiredState !== 'reap')
+      allocation.isFinalized = true;
+    this.reconcileMissing(machine, allocation);
+    this.emitStatus(machine, allocation);
+    this.machinesToContact.add(machine);
+    return allocation;
   }
 
-  private drop(inst: string, tasks: { machine: string; key: string }[], grants: number[]): void {
+  private releaseAllocations(
+    instanceId: string,
+    tasks: { machine: string; taskKey: string }[],
+    grants: number[],
+  ): void {
     for (const t of tasks) {
-      const m = this.l.machines.get(t.machine);
-      const e = m?.entries.get(t.key);
-      if (m && e && this.l.heeds(inst, e.team) && (e.settled || e.want === 'pending'))
-        this.l.removeEntry(m, e);
+      const machine = this.state.machines.get(t.machine);
+      const allocation = machine?.allocations.get(t.taskKey);
+      if (
+        machine &&
+        allocation &&
+        this.state.isCurrentOwner(instanceId, allocation.team) &&
+        (allocation.isFinalized || allocation.desiredState === 'pending')
+      )
+        this.state.removeAllocation(machine, allocation);
     }
     // A grant its owner can't use is not offered again at once.
-    const until = this.o.clock.now() + 300;
+    const until = this.options.clock.now() + 300;
     for (const id of grants) {
-      const e = this.l.holdOf(id);
-      if (e) this.placing.declined.set(e.job, until);
+      const allocation = this.state.allocationOfGrant(id);
+      if (allocation) this.placement.declinedUntil.set(allocation.jobId, until);
     }
-    this.l.dropHolds(grants);
+    this.state.dropGrants(grants);
   }
 
-  private say(team: string, s: Seen): void {
-    const r = this.l.owners.get(team);
-    if (!r?.synced) return;
-    const l = this.outbox.get(r.inst);
-    if (l) l.push(s);
-    else this.outbox.set(r.inst, [s]);
+  private emit(team: string, event: AllocationEvent): void {
+    const owner = this.state.owners.get(team);
+    if (!owner?.isSynced) return;
+    const l = this.eventsToSend.get(owner.instanceId);
+    if (l) l.push(event);
+    else this.eventsToSend.set(owner.instanceId, [event]);
   }
 
-  private tell(m: Machine, e: Entry): void {
-    if (isUnstored(e)) return;
-    const text = e.settled ? 'settled' : e.listed ? `${e.listed.phase}/${e.listed.why ?? ''}` : '';
-    if (text === '' || text === e.told || !this.l.isSynced(e.team)) return;
-    e.told = text;
-    const id = { job: e.job, idx: e.idx, attempt: e.attempt, machine: m.name };
-    if (e.settled) this.say(e.team, { type: 'settled', ...id });
-    else if (e.listed)
-      this.say(e.team, {
+  private emitStatus(machine: Machine, allocation: Allocation): void {
+    if (isWithoutStoredPlacement(allocation)) return;
+    const text = allocation.isFinalized
+      ? 'settled'
+      : allocation.reported
+        ? `${allocation.reported.phase}/${allocation.reported.exitReason ?? ''}`
+        : '';
+    if (text === '' || text === allocation.lastEventSent || !this.state.isSynced(allocation.team)) return;
+    allocation.lastEventSent = text;
+    const id = {
+      jobId: allocation.jobId,
+      taskIndex: allocation.taskIndex,
+      attempt: allocation.attempt,
+      machine: machine.name,
+    };
+    if (allocation.isFinalized) this.emit(allocation.team, { type: 'finalized', ...id });
+    else if (allocation.reported)
+      this.emit(allocation.team, {
         type: 'phase',
         ...id,
-        phase: e.listed.phase,
-        why: e.listed.why,
-        saved: e.listed.saved,
+        phase: allocation.reported.phase,
+        exitReason: allocation.reported.exitReason,
+        checkpointSaved: allocation.reported.checkpointSaved,
       });
   }
 
   /** A report. Null: answer that this controller is not entitled; `later`: nothing that would renew its lease. */
-  report(r: WorkerReport): WorkerCommand[] | 'later' | null {
-    if (r.token > this.l.token) {
-      this.o.deposed(r.token);
+  handleHeartbeat(heartbeat: Heartbeat): WorkerCommand[] | 'later' | null {
+    if (heartbeat.fencingToken > this.state.fencingToken) {
+      this.options.onHigherToken(heartbeat.fencingToken);
       return null;
     }
-    if (this.l.gone.has(r.machine)) return [];
-    const m = this.l.machine(r.machine);
-    const now = this.o.clock.now();
-    const late = r.season < m.season || (r.season === m.season && r.tally <= m.reportTally);
+    if (this.state.deletedMachines.has(heartbeat.machine)) return [];
+    const machine = this.state.machine(heartbeat.machine);
+    const now = this.options.clock.now();
+    const late =
+      heartbeat.agentEpoch < machine.agentEpoch ||
+      (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.heartbeatSequence);
     // A late copy proves no life. Of an old report only this stays true for ever: the season it names had begun, and
     // a task it lists as ended had ended; neither is taken from it where something newer was heard.
     if (late) return [];
-    if (m.answered) this.judgeHearing(m, r, now);
-    m.heardAt = now;
-    if (m.deaf === 0) m.probeFails = 0;
-    m.reportAt = now;
-    const fresh = isNewer(m, r);
-    const before = m.reportTally;
-    m.reportTally = r.tally;
-    if (fresh) this.take(m, r, true);
-    else if (before < 0 || r.season === m.season) {
+    if (machine.leaseRenewed) this.checkAnswersArrive(machine, heartbeat, now);
+    machine.heardAt = now;
+    if (machine.missedAnswers === 0) machine.failedDirectCalls = 0;
+    machine.heartbeatAt = now;
+    const fresh = isNewer(machine, heartbeat);
+    const before = machine.heartbeatSequence;
+    machine.heartbeatSequence = heartbeat.sequence;
+    if (fresh) this.reconcile(machine, heartbeat, true);
+    else if (before < 0 || heartbeat.agentEpoch === machine.agentEpoch) {
       // Overtaken by the answer to a direct command: its list is old, but it is still waiting for an answer.
-      for (const e of m.entries.values()) if (e.sentWith >= 0 && r.tally > e.sentWith) e.sentWith = -1;
+      for (const allocation of machine.allocations.values())
+        if (allocation.sentWithHeartbeat >= 0 && heartbeat.sequence > allocation.sentWithHeartbeat)
+          allocation.sentWithHeartbeat = -1;
     }
-    this.o.wake();
-    m.answered = this.l.mayRenew(m, now);
-    return m.answered ? this.commands(m, r.tally) : 'later';
+    this.options.wake();
+    machine.leaseRenewed = this.state.canRenewLease(machine, now);
+    return machine.leaseRenewed ? this.commandsFor(machine, heartbeat.sequence) : 'later';
   }
 
   /**
    * A machine whose reports arrive while nothing told to it does looks alive. It shows by what it does not do: its
    * next report is without the token or the starts of the last answer, or its lease ran out although it was answered.
    */
-  private judgeHearing(m: Machine, r: WorkerReport, now: number): void {
-    if (m.reportTally < 0) return;
+  private checkAnswersArrive(machine: Machine, heartbeat: Heartbeat, now: number): void {
+    if (machine.heartbeatSequence < 0) return;
     let missed = false;
     let heard = false;
-    if (r.season > m.season) missed = now - m.reportAt < this.o.workers.leaseS * 500;
-    else if (r.token < this.l.token) missed = true;
+    if (heartbeat.agentEpoch > machine.agentEpoch)
+      missed = now - machine.heartbeatAt < this.options.workerTiming.leaseSeconds * 500;
+    else if (heartbeat.fencingToken < this.state.fencingToken) missed = true;
     else
-      for (const e of m.entries.values()) {
-        if (e.want !== 'run' || e.sentWith < 0 || r.tally <= e.sentWith) continue;
-        if (r.tasks.some((t) => t.job === e.job && t.idx === e.idx && t.attempt === e.attempt)) heard = true;
+      for (const allocation of machine.allocations.values()) {
+        if (
+          allocation.desiredState !== 'run' ||
+          allocation.sentWithHeartbeat < 0 ||
+          heartbeat.sequence <= allocation.sentWithHeartbeat
+        )
+          continue;
+        if (
+          heartbeat.tasks.some(
+            (status) =>
+              status.jobId === allocation.jobId &&
+              status.taskIndex === allocation.taskIndex &&
+              status.attempt === allocation.attempt,
+          )
+        )
+          heard = true;
         else missed = true;
       }
     if (missed) {
-      if (m.deaf++ === 0) m.deafSince = now;
-      if (m.deaf === 2) this.o.log.info({ machine: m.name }, 'machine is heard but seems not to hear');
-    } else if (heard || (r.token === this.l.token && m.token < this.l.token)) m.deaf = 0;
-  }
-
-  private take(m: Machine, r: WorkerReport, asReport: boolean): void {
-    const now = this.o.clock.now();
-    const known = m.up;
-    if (r.season > m.season) {
-      m.doubt.clear();
-      for (const e of m.entries.values()) e.sentWith = -1;
-    }
-    m.addr = r.addr;
-    m.type = r.type;
-    m.zone = r.zone;
-    m.spot = r.spot;
-    m.season = r.season;
-    m.tally = r.tally;
-    m.token = Math.max(m.token, r.token);
-    if (r.token === this.l.token) m.confirmed = true;
-    m.heardAt = now;
-    m.up = true;
-    if (!known) m.upAt = now;
-    m.leaveAt = r.noticeS === null ? null : now + r.noticeS * 1000;
-    for (const [key, token] of m.doubt) if (r.token > token) m.doubt.delete(key);
+      if (machine.missedAnswers++ === 0) machine.missedAnswersSince = now;
+      if (machine.missedAnswers === 2)
+        this.options.log.info({ machine: machine.name }, 'machine is heard but seems not to hear');
+    } else if (
+      heard ||
+      (heartbeat.fencingToken === this.state.fencingToken && machine.fencingToken < this.state.fencingToken)
+    )
+      machine.missedAnswers = 0;
+  }
+
+  private reconcile(machine: Machine, heartbeat: Heartbeat, asReport: boolean): void {
+    const now = this.options.clock.now();
+    const known = machine.isUp;
+    if (heartbeat.agentEpoch > machine.agentEpoch) {
+      machine.indeterminateStarts.clear();
+      for (const allocation of machine.allocations.values()) allocation.sentWithHeartbeat = -1;
+    }
+    machine.address = heartbeat.address;
+    machine.machineType = heartbeat.machineType;
+    machine.zone = heartbeat.zone;
+    machine.isSpot = heartbeat.isSpot;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.sequence = heartbeat.sequence;
+    machine.fencingToken = Math.max(machine.fencingToken, heartbeat.fencingToken);
+    if (heartbeat.fencingToken === this.state.fencingToken) machine.hasCurrentToken = true;
+    machine.heardAt = now;
+    machine.isUp = true;
+    if (!known) machine.upAt = now;
+    machine.evictionDeadline =
+      heartbeat.evictionNoticeSeconds === null ? null : now + heartbeat.evictionNoticeSeconds * 1000;
+    for (const [key, token] of machine.indeterminateStarts)
+      if (heartbeat.fencingToken > token) machine.indeterminateStarts.delete(key);
     if (!known) {
-      m.idleSince = now;
-      this.o.log.debug({ machine: m.name, type: m.type, zone: m.zone, spot: m.spot }, 'machine up');
-    }
-    this.l.touch(m);
-    m.tasks.clear();
-    this.l.endedAttempts.update(m, r.tasks);
-    for (const t of r.tasks) m.tasks.set(taskKey(t.job, t.idx, t.attempt), t);
-    for (const e of [...m.entries.values()]) {
-      if (e.want === 'hold') {
-        if (e.season !== m.season) this.l.removeEntry(m, e);
+      machine.idleSince = now;
+      this.options.log.debug(
+        { machine: machine.name, type: machine.machineType, zone: machine.zone, spot: machine.isSpot },
+        'machine up',
+      );
+    }
+    this.state.markChanged(machine);
+    machine.tasks.clear();
+    this.state.endedAttempts.update(machine, heartbeat.tasks);
+    for (const status of heartbeat.tasks)
+      machine.tasks.set(taskKey(status.jobId, status.taskIndex, status.attempt), status);
+    for (const allocation of [...machine.allocations.values()]) {
+      if (allocation.desiredState === 'hold') {
+        if (allocation.agentEpoch !== machine.agentEpoch) this.state.removeAllocation(machine, allocation);
         continue;
       }
-      const t = m.tasks.get(e.key) ?? null;
-      if (e.want === 'stop' || (e.want === 'run' && !t)) this.toDirect.add(m);
-      if (t) {
+      const status = machine.tasks.get(allocation.key) ?? null;
+      if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !status))
+        this.machinesToContact.add(machine);
+      if (status) {
         // The answer that carried its start has been handled, or was dropped.
-        if (asReport && r.tally > e.sentWith) e.sentWith = -1;
-        if (t.phase !== e.listed?.phase) this.phase(m, e, t, now);
-        e.listed = t;
-        e.ended = t.phase === 'exited';
-        e.settled = false;
+        if (asReport && heartbeat.sequence > allocation.sentWithHeartbeat) allocation.sentWithHeartbeat = -1;
+        if (status.phase !== allocation.reported?.phase) this.onPhaseChange(machine, allocation, status, now);
+        allocation.reported = status;
+        allocation.hasExited = status.phase === 'exited';
+        allocation.isFinalized = false;
       } else {
-        if (m.season > e.season) {
-          if (e.want === 'reap') {
-            this.l.removeEntry(m, e);
+        if (machine.agentEpoch > allocation.agentEpoch) {
+          if (allocation.desiredState === 'reap') {
+            this.state.removeAllocation(machine, allocation);
             continue;
           }
-          e.settled = true;
-          e.listed = null;
+          allocation.isFinalized = true;
+          allocation.reported = null;
         } else {
-          if (asReport && e.sentWith >= 0 && r.tally > e.sentWith) e.sentWith = -1;
-          if (e.want === 'reap' && !e.direct && e.sentWith < 0) {
-            this.l.removeEntry(m, e);
+          if (
+            asReport &&
+            allocation.sentWithHeartbeat >= 0 &&
+            heartbeat.sequence > allocation.sentWithHeartbeat
+          )
+            allocation.sentWithHeartbeat = -1;
+          if (
+            allocation.desiredState === 'reap' &&
+            !allocation.directStartInFlight &&
+            allocation.sentWithHeartbeat < 0
+          ) {
+            this.state.removeAllocation(machine, allocation);
             continue;
           }
-          e.listed = null;
-          this.judgeRemoved(m, e);
-          this.judgeAbsent(m, e);
+          allocation.reported = null;
+          this.reconcileForgotten(machine, allocation);
+          this.reconcileMissing(machine, allocation);
         }
       }
-      this.tell(m, e);
+      this.emitStatus(machine, allocation);
     }
-    for (const key of m.direct) if (!m.tasks.has(key) && !m.entries.has(key)) m.direct.delete(key);
-    for (const key of m.strangers.keys()) if (!m.tasks.has(key)) m.strangers.delete(key);
-    for (const key of m.tasks.keys())
-      if (!m.entries.has(key) && !m.strangers.has(key)) m.strangers.set(key, now);
+    for (const key of machine.directlyStarted)
+      if (!machine.tasks.has(key) && !machine.allocations.has(key)) machine.directlyStarted.delete(key);
+    for (const key of machine.unknownTasks.keys())
+      if (!machine.tasks.has(key)) machine.unknownTasks.delete(key);
+    for (const key of machine.tasks.keys())
+      if (!machine.allocations.has(key) && !machine.unknownTasks.has(key)) machine.unknownTasks.set(key, now);
   }
 
-  private phase(m: Machine, e: Entry, t: { phase: string; why: string | null }, now: number): void {
+  private onPhaseChange(machine: Machine, allocation: Allocation, t: TaskStatus, now: number): void {
     if (t.phase === 'running' || t.phase === 'waiting') {
-      m.images.delete(e.image);
-      m.images.set(e.image, e.imageGb);
-      this.o.images.learn(m.name, e.image, e.imageGb);
-      this.trimImages(m);
-      if (t.phase === 'running') e.since = now;
+      machine.images.delete(allocation.image);
+      machine.images.set(allocation.image, allocation.imageGb);
+      this.options.images.learn(machine.name, allocation.image, allocation.imageGb);
+      this.trimImageCache(machine);
+      if (t.phase === 'running') allocation.phaseSince = now;
     }
-    if (t.phase === 'fetching' || t.phase === 'waiting') e.timed = true;
+    if (t.phase === 'fetching' || t.phase === 'waiting') allocation.startObserved = true;
     if (t.phase !== 'exited') return;
-    if (t.why === 'error') {
-      m.errors.set(e.job, now);
-      if (m.errors.size >= 2 && !m.retired) {
-        m.retired = true;
-        this.o.log.info(
-          { machine: m.name, jobs: [...m.errors.keys()] },
+    if (t.exitReason === 'error') {
+      machine.failedJobs.set(allocation.jobId, now);
+      if (machine.failedJobs.size >= 2 && !machine.isQuarantined) {
+        machine.isQuarantined = true;
+        this.options.log.info(
+          { machine: machine.name, jobs: [...machine.failedJobs.keys()] },
           'machine retired: several jobs fail on it',
         );
       }
-    } else if (t.why === 'done') {
-      m.errors.delete(e.job);
+    } else if (t.exitReason === 'done') {
+      machine.failedJobs.delete(allocation.jobId);
       // What ran before this scheduler led looks much too fast: whoever was measured in full looked slow beside it, and
       // a new scheduler retired half its fleet (seen on rekrut-szkoly-fleet, apart).
       // A gang runs at the speed of its slowest machine: its run time tells nothing of the others (seen on
       // bhuj-relief-works: 37 healthy machines retired on a day without troubles).
-      if (e.estimateS > 0 && e.timed && !e.gang) this.speed(m, (now - e.since) / 1000 / e.estimateS);
+      if (allocation.estimatedRunSeconds > 0 && allocation.startObserved && !allocation.isGang)
+        this.recordSlowdown(machine, (now - allocation.phaseSince) / 1000 / allocation.estimatedRunSeconds);
     }
   }
 
   /** A task's run time against its estimate, as a moving mean; compared with the other machines' means. */
-  private speed(m: Machine, ratio: number): void {
-    m.runs++;
-    m.slow = m.runs === 1 ? ratio : m.slow * 0.7 + ratio * 0.3;
-    if (m.runs < 4 || m.retired) return;
-    const now = this.o.clock.now();
-    if (now - this.median.at > 3000) {
-      const all = [...this.l.machines.values()].filter((x) => x.runs >= 3).map((x) => x.slow);
+  private recordSlowdown(machine: Machine, ratio: number): void {
+    machine.measuredRuns++;
+    machine.meanSlowdown = machine.measuredRuns === 1 ? ratio : machine.meanSlowdown * 0.7 + ratio * 0.3;
+    if (machine.measuredRuns < 4 || machine.isQuarantined) return;
+    const now = this.options.clock.now();
+    if (now - this.medianSlowdown.at > 3000) {
+      const all = [...this.state.machines.values()]
+        .filter((x) => x.measuredRuns >= 3)
+        .map((x) => x.meanSlowdown);
       all.sort((a, b) => a - b);
-      this.median = { at: now, value: all.length > 3 ? (all[all.length >> 1] ?? 0) : 0 };
+      this.medianSlowdown = { at: now, value: all.length > 3 ? (all[all.length >> 1] ?? 0) : 0 };
     }
-    const median = this.median.value;
+    const median = this.medianSlowdown.value;
     if (median <= 0) return;
-    if (m.slow > median * 2.5) {
-      m.retired = true;
-      this.o.log.info(
-        { machine: m.name, ratio: m.slow, median },
+    if (machine.meanSlowdown > median * 2.5) {
+      machine.isQuarantined = true;
+      this.options.log.info(
+        { machine: machine.name, ratio: machine.meanSlowdown, median },
         'machine retired: far slower than its peers',
       );
     }
   }
 
-  private trimImages(m: Machine): void {
-    const cache = this.l.types.get(m.type)?.cacheGb ?? Number.POSITIVE_INFINITY;
+  private trimImageCache(machine: Machine): void {
+    const cache = this.state.machineTypes.get(machine.machineType)?.imageCacheGb ?? Number.POSITIVE_INFINITY;
     let sum = 0;
-    for (const gb of m.images.values()) sum += gb;
-    for (const [name, gb] of m.images) {
+    for (const sizeGb of machine.images.values()) sum += sizeGb;
+    for (const [name, sizeGb] of machine.images) {
       if (sum <= cache) break;
-      m.images.delete(name);
-      sum -= gb;
+      machine.images.delete(name);
+      sum -= sizeGb;
     }
   }
 
@@ -457,85 +600,130 @@
    * Settled by absence: the worker has seen the current token, so starts under older ones are void; it does
    * not list the attempt; and no start of it under this token is on its way or in doubt.
    */
-  private judgeAbsent(m: Machine, e: Entry): void {
-    if (e.want !== 'stop' || e.settled || e.listed || !m.up || e.season !== m.season) return;
-    if (m.token !== this.l.token || m.tasks.has(e.key)) return;
-    if (e.direct || m.directBusy || e.sentWith >= 0 || m.doubt.has(e.key)) return;
-    e.settled = true;
-    this.l.touch(m);
+  private reconcileMissing(machine: Machine, allocation: Allocation): void {
+    if (
+      allocation.desiredState !== 'stop' ||
+      allocation.isFinalized ||
+      allocation.reported ||
+      !machine.isUp ||
+      allocation.agentEpoch !== machine.agentEpoch
+    )
+      return;
+    if (machine.fencingToken !== this.state.fencingToken || machine.tasks.has(allocation.key)) return;
+    if (
+      allocation.directStartInFlight ||
+      machine.directCallInFlight ||
+      allocation.sentWithHeartbeat >= 0 ||
+      machine.indeterminateStarts.has(allocation.key)
+    )
+      return;
+    allocation.isFinalized = true;
+    this.state.markChanged(machine);
   }
 
   /**
    * Settled by having ended: the worker listed it as ended, and was told to remove it when nobody claimed it. Its owner
    * may claim it only now; a start would run it once more, beside its successor (seen in hunt-f5ff-7: ran_twice).
    */
-  private judgeRemoved(m: Machine, e: Entry): void {
-    if (!e.ended || e.settled || e.want === 'reap' || e.want === 'hold') return;
-    e.settled = true;
-    this.l.touch(m);
+  private reconcileForgotten(machine: Machine, allocation: Allocation): void {
+    if (
+      !allocation.hasExited ||
+      allocation.isFinalized ||
+      allocation.desiredState === 'reap' ||
+      allocation.desiredState === 'hold'
+    )
+      return;
+    allocation.isFinalized = true;
+    this.state.markChanged(machine);
   }
 
-  private canStart(m: Machine, e: Entry): boolean {
-    if (!m.up || m.removing || e.ended || e.season !== m.season || !this.o.entitled()) return false;
+  private canStart(machine: Machine, allocation: Allocation): boolean {
+    if (
+      !machine.isUp ||
+      machine.isBeingDeleted ||
+      allocation.hasExited ||
+      allocation.agentEpoch !== machine.agentEpoch ||
+      !this.options.holdsLeadership()
+    )
+      return false;
     // What its owner told before a long silence may have been cancelled since.
-    return this.l.isSynced(e.team) && this.l.covered(e.team, this.o.clock.now());
+    return (
+      this.state.isSynced(allocation.team) && this.state.isCovered(allocation.team, this.options.clock.now())
+    );
   }
 
   /** What this machine should do now. With `tally`: carried by the answer to that report. */
-  private commands(m: Machine, tally: number | null): WorkerCommand[] {
+  private commandsFor(machine: Machine, sequence: number | null): WorkerCommand[] {
     const out: WorkerCommand[] = [];
     const reaps: WorkerCommand[] = [];
-    const now = this.o.clock.now();
+    const now = this.options.clock.now();
     let since = now;
     // Stops first: the answer that renews a lease carries all there are.
-    for (const e of m.entries.values()) {
-      if (e.want !== 'stop' || e.settled) continue;
-      const t = m.tasks.get(e.key);
-      if (!t || t.phase === 'exited' || (t.phase === 'saving' && e.graceS > 0)) continue;
-      out.push({ op: 'stop', job: e.job, idx: e.idx, attempt: e.attempt, graceS: e.graceS });
-    }
-    for (const e of m.entries.values()) {
-      if (out.length >= COMMANDS_AT_ONCE) break;
-      if (e.want === 'hold' || e.settled) continue;
-      const id = { job: e.job, idx: e.idx, attempt: e.attempt };
-      const t = m.tasks.get(e.key);
-      if (e.want === 'run') {
-        if (t || e.direct || !this.canStart(m, e)) continue;
-        if (tally === null) {
-          if (e.sentWith >= 0) continue;
-          e.direct = true;
-          m.direct.add(e.key);
-        } else e.sentWith = tally;
-        e.timed = true;
-        out.push({ op: 'start', ...id });
-      } else if (e.want === 'reap') {
+    for (const allocation of machine.allocations.values()) {
+      if (allocation.desiredState !== 'stop' || allocation.isFinalized) continue;
+      const status = machine.tasks.get(allocation.key);
+      if (
+        !status ||
+        status.phase === 'exited' ||
+        (status.phase === 'saving' && allocation.gracePeriodSeconds > 0)
+      )
+        continue;
+      out.push({
+        type: 'stop',
+        jobId: allocation.jobId,
+        taskIndex: allocation.taskIndex,
+        attempt: allocation.attempt,
+        gracePeriodSeconds: allocation.gracePeriodSeconds,
+      });
+    }
+    for (const allocation of machine.allocations.values()) {
+      if (out.length >= MAX_COMMANDS_PER_MESSAGE) break;
+      if (allocation.desiredState === 'hold' || allocation.isFinalized) continue;
+      const id = { jobId: allocation.jobId, taskIndex: allocation.taskIndex, attempt: allocation.attempt };
+      const status = machine.tasks.get(allocation.key);
+      if (allocation.desiredState === 'run') {
+        if (status || allocation.directStartInFlight || !this.canStart(machine, allocation)) continue;
+        if (sequence === null) {
+          if (allocation.sentWithHeartbeat >= 0) continue;
+          allocation.directStartInFlight = true;
+          machine.directlyStarted.add(allocation.key);
+        } else allocation.sentWithHeartbeat = sequence;
+        allocation.startObserved = true;
+        out.push({ type: 'start', ...id });
+      } else if (allocation.desiredState === 'reap') {
         // A start that may still arrive would run the task again once it is forgotten.
-        if (t?.phase !== 'exited' || e.direct || e.sentWith >= 0 || !this.mayReap(m, t, e.key)) continue;
-        reaps.push({ op: 'reap', ...id });
-        since = Math.min(since, e.since);
+        if (
+          status?.phase !== 'exited' ||
+          allocation.directStartInFlight ||
+          allocation.sentWithHeartbeat >= 0 ||
+          !this.canForget(machine, status, allocation.key)
+        )
+          continue;
+        reaps.push({ type: 'reap', ...id });
+        since = Math.min(since, allocation.phaseSince);
       }
     }
     // Each change of a machine's tasks makes it report once more: ended ones are removed together, or with something else.
-    const atOnce = this.l.blocking.has(m.name) || now - since > REAP_MS;
-    if (out.length > 0 || reaps.length >= REAPS_TOGETHER || atOnce) out.push(...reaps);
-    if (m.strangers.size > 0) {
-      const synced = this.l.allSynced();
-      const entitled = this.o.entitled();
-      for (const [key, since] of m.strangers) {
-        if (out.length >= COMMANDS_AT_ONCE) break;
-        const t = m.tasks.get(key);
-        if (!t || m.entries.has(key)) {
-          m.strangers.delete(key);
+    const atOnce = this.state.blockingMachines.has(machine.name) || now - since > MAX_FORGET_DELAY_MS;
+    if (out.length > 0 || reaps.length >= FORGET_BATCH || atOnce) out.push(...reaps);
+    if (machine.unknownTasks.size > 0) {
+      const synced = this.state.allSynced();
+      const entitled = this.options.holdsLeadership();
+      for (const [key, since] of machine.unknownTasks) {
+        if (out.length >= MAX_COMMANDS_PER_MESSAGE) break;
+        const status = machine.tasks.get(key);
+        if (!status || machine.allocations.has(key)) {
+          machine.unknownTasks.delete(key);
           continue;
         }
-        const cancelled = this.o.isCancelled(t.job);
-        if (!synced && !(cancelled && t.phase !== 'exited')) continue;
-        if (!cancelled && (now - since < 3000 || now - this.l.startedAt < 3000)) continue;
-        const id = { job: t.job, idx: t.idx, attempt: t.attempt };
+        const cancelled = this.options.isCancelled(status.jobId);
+        if (!synced && !(cancelled && status.phase !== 'exited')) continue;
+        if (!cancelled && (now - since < 3000 || now - this.state.startedAt < 3000)) continue;
+        const id = { jobId: status.jobId, taskIndex: status.taskIndex, attempt: status.attempt };
         // Nobody's, as far as all owners have told: also without entitlement, since later tokens bar it.
-        if (t.phase !== 'exited') out.push({ op: 'stop', ...id, graceS: 0 });
+        if (status.phase !== 'exited') out.push({ type: 'stop', ...id, gracePeriodSeconds: 0 });
         else if (!entitled) continue;
-        else if (this.mayReap(m, t, key)) out.push({ op: 'reap', ...id });
+        else if (this.canForget(machine, status, key)) out.push({ type: 'reap', ...id });
       }
     }
     return out;
@@ -546,214 +734,274 @@
    * out may be repeated late, as long as its token is the highest: one that was stopped would run again, perhaps beside
    * its successor. What is done ends at once when it is started again.
    */
-  private mayReap(m: Machine, t: TaskReport, key: string): boolean {
-    if (m.doubt.has(key)) return false;
-    if (t.why === 'done' || !m.direct.has(key)) return true;
+  private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
+    if (machine.indeterminateStarts.has(key)) return false;
+    if (status.exitReason === 'done' || !machine.directlyStarted.has(key)) return true;
     // Its reports have a limit: under a higher token no repeat counts, and all may go.
-    if (m.tasks.size > MOST_KEPT) this.o.raise(`${m.name} keeps ${m.tasks.size} ended tasks`);
+    if (machine.tasks.size > MAX_EXITED_TASKS_LISTED)
+      this.options.raiseFencingToken(`${machine.name} keeps ${machine.tasks.size} ended tasks`);
     return false;
   }
 
   /** Sends what there is straight to the worker, one call at a time. */
-  private direct(m: Machine, probe = false): void {
-    if (m.directBusy || m.addr === '' || m.removing) return;
-    if (!probe && m.probeFails > 0) return;
-    const entitled = this.o.entitled();
+  private sendDirectly(machine: Machine, probe = false): void {
+    if (machine.directCallInFlight || machine.address === '' || machine.isBeingDeleted) return;
+    if (!probe && machine.failedDirectCalls > 0) return;
+    const entitled = this.options.holdsLeadership();
     if (probe && !entitled) return;
-    let cmds = m.up ? this.commands(m, null) : [];
+    let commands = machine.isUp ? this.commandsFor(machine, null) : [];
     // A stop is right whoever leads now: what was started under a later token drops it.
-    if (!entitled) cmds = cmds.filter((c) => c.op === 'stop');
+    if (!entitled) commands = commands.filter((command) => command.type === 'stop');
     // Ended tasks take no room: their removal rides with the next answer or command.
-    if (!probe && cmds.every((c) => c.op === 'reap')) cmds = [];
-    if (cmds.length === 0 && !probe) return;
-    m.directBusy = true;
-    m.probeAt = this.o.clock.now();
-    const season = m.season;
-    const known = m.tally;
-    const starts = cmds.filter((c) => c.op === 'start').map((c) => taskKey(c.job, c.idx, c.attempt));
-    this.o.worker.commands(m.addr, this.l.token, season, cmds, (res) => {
-      m.directBusy = false;
-      const maybe = !res.ok && res.kind === 'unknown';
-      for (const key of starts) {
-        const e = m.entries.get(key);
-        if (e) e.direct = false;
-        if (maybe && m.season === season) {
-          if (m.doubt.size === 0) m.doubtSince = this.o.clock.now();
-          m.doubt.set(key, this.l.token);
+    if (!probe && commands.every((command) => command.type === 'reap')) commands = [];
+    if (commands.length === 0 && !probe) return;
+    machine.directCallInFlight = true;
+    machine.directCallAt = this.options.clock.now();
+    const agentEpoch = machine.agentEpoch;
+    const known = machine.sequence;
+    const starts = commands
+      .filter((command) => command.type === 'start')
+      .map((c) => taskKey(c.jobId, c.taskIndex, c.attempt));
+    this.options.workers.sendCommands(
+      machine.address,
+      this.state.fencingToken,
+      agentEpoch,
+      commands,
+      (res) => {
+        machine.directCallInFlight = false;
+        const maybe = !res.ok && res.kind === 'unknown';
+        for (const key of starts) {
+          const allocation = machine.allocations.get(key);
+          if (allocation) allocation.directStartInFlight = false;
+          if (maybe && machine.agentEpoch === agentEpoch) {
+            if (machine.indeterminateStarts.size === 0) machine.indeterminateSince = this.options.clock.now();
+            machine.indeterminateStarts.set(key, this.state.fencingToken);
+          }
         }
-      }
-      if (this.l.gone.has(m.name)) return;
-      const r = res.ok ? res.value : res.report;
-      if (!r) {
-        m.probeFails++;
-        if (starts.length > 0 && !res.ok)
-          this.o.log.debug(
-            { machine: m.name, kind: res.kind, starts: starts.length },
-            'direct command failed',
-          );
-      } else {
-        if (r.token > this.l.token) return this.o.deposed(r.token);
-        m.probeFails = 0;
-        m.deaf = 0;
-        m.heardAt = this.o.clock.now();
-        // An answer is newer than all that was heard before its question, or its worker began anew and knows nothing of
-        // what was placed there: its reports would pass for late copies until its count has caught up.
-        if (r.machine === m.name && (r.season < season || (r.season === season && r.tally <= known)))
-          this.remove(m, 'its worker began anew');
-        else if (r.machine === m.name && isNewer(m, r)) this.take(m, r, false);
-      }
-      this.l.dirty = true;
-      this.direct(m);
-      this.o.wake();
-    });
+        if (this.state.deletedMachines.has(machine.name)) return;
+        const heartbeat = res.ok ? res.value : res.heartbeat;
+        if (!heartbeat) {
+          machine.failedDirectCalls++;
+          if (starts.length > 0 && !res.ok)
+            this.options.log.debug(
+              { machine: machine.name, kind: res.kind, starts: starts.length },
+              'direct command failed',
+            );
+        } else {
+          if (heartbeat.fencingToken > this.state.fencingToken)
+            return this.options.onHigherToken(heartbeat.fencingToken);
+          machine.failedDirectCalls = 0;
+          machine.missedAnswers = 0;
+          machine.heardAt = this.options.clock.now();
+          // An answer is newer than all that was heard before its question, or its worker began anew and knows nothing of
+          // what was placed there: its reports would pass for late copies until its count has caught up.
+          if (
+            heartbeat.machine === machine.name &&
+            (heartbeat.agentEpoch < agentEpoch ||
+              (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence <= known))
+          )
+            this.deleteMachine(machine, 'its worker began anew');
+          else if (heartbeat.machine === machine.name && isNewer(machine, heartbeat))
+            this.reconcile(machine, heartbeat, false);
+        }
+        this.state.isDirty = true;
+        this.sendDirectly(machine);
+        this.options.wake();
+      },
+    );
   }
 
   // ---- cloud ----------------------------------------------------------------------------------------
 
-  private pollList(now: number): void {
-    if (this.listing || now < this.nextList || !this.o.entitled()) return;
-    this.listing = true;
+  private refreshMachineList(now: number): void {
+    if (this.listInFlight || now < this.nextListAt || !this.options.holdsLeadership()) return;
+    this.listInFlight = true;
     const all: ListedMachine[] = [];
     const page = (since: string) => {
-      this.o.cloud.list(since, (r) => {
-        if (!r.ok) {
-          this.listing = false;
-          this.nextList = this.o.clock.now() + 2000;
+      this.options.cloud.listMachines(since, (result) => {
+        if (!result.ok) {
+          this.listInFlight = false;
+          this.nextListAt = this.options.clock.now() + 2000;
           return;
         }
-        all.push(...r.value.machines);
-        const last = r.value.machines.at(-1);
-        if (r.value.more && last) return page(last.name);
-        this.listing = false;
-        this.nextList = this.o.clock.now() + Math.max(3000, this.o.listLagS * 500);
-        this.takeList(all);
-        this.o.wake();
+        all.push(...result.value.machines);
+        const last = result.value.machines.at(-1);
+        if (result.value.more && last) return page(last.name);
+        this.listInFlight = false;
+        this.nextListAt = this.options.clock.now() + Math.max(3000, this.options.machineListLagSeconds * 500);
+        this.reconcileMachineList(all);
+        this.options.wake();
       });
     };
     page('');
   }
 
-  private takeList(all: ListedMachine[]): void {
-    const now = this.o.clock.now();
+  private reconcileMachineList(all: ListedMachine[]): void {
+    const now = this.options.clock.now();
     for (const l of all) {
-      if (this.l.gone.has(l.name)) continue;
-      let m = this.l.machines.get(l.name);
-      if (!m) {
-        m = this.l.machine(l.name);
-        m.rentedAt = now - l.ageS * 1000;
-        this.o.log.debug({ machine: l.name, type: l.type, phase: l.phase }, 'machine found in the list');
+      if (this.state.deletedMachines.has(l.name)) continue;
+      let machine = this.state.machines.get(l.name);
+      if (!machine) {
+        machine = this.state.machine(l.name);
+        machine.rentedAt = now - l.ageSeconds * 1000;
+        this.options.log.debug(
+          { machine: l.name, type: l.machineType, phase: l.phase },
+          'machine found in the list',
+        );
       }
-      if (!m.up) {
-        m.type = l.type;
-        m.zone = l.zone;
-        m.spot = l.spot;
-        m.addr = l.addr;
+      if (!machine.isUp) {
+        machine.machineType = l.machineType;
+        machine.zone = l.zone;
+        machine.isSpot = l.isSpot;
+        machine.address = l.address;
       }
-      m.listedUp = l.phase === 'running';
-      if (l.phase === 'failed') this.remove(m, 'failed');
+      machine.listedAsRunning = l.phase === 'running';
+      if (l.phase === 'failed') this.deleteMachine(machine, 'failed');
       // Our token ends whatever an earlier scheduler has on its way, and makes the worker report.
-      if (!m.up && l.phase === 'running' && l.addr !== '' && now - m.probeAt > 2000) this.direct(m, true);
+      if (!machine.isUp && l.phase === 'running' && l.address !== '' && now - machine.directCallAt > 2000)
+        this.sendDirectly(machine, true);
     }
-    this.l.listed = true;
+    this.state.machinesListed = true;
   }
 
-  private remove(m: Machine, why: string): void {
-    if (m.removing) return;
-    m.removing = true;
-    this.removeQueue.add(m.name);
-    for (const e of m.entries.values()) if (e.want === 'hold') this.l.removeEntry(m, e);
-    this.o.log.info(
-      { machine: m.name, type: m.type, spot: m.spot, why, tasks: m.entries.size },
+  private deleteMachine(machine: Machine, reason: string): void {
+    if (machine.isBeingDeleted) return;
+    machine.isBeingDeleted = true;
+    this.deletionQueue.add(machine.name);
+    for (const allocation of machine.allocations.values())
+      if (allocation.desiredState === 'hold') this.state.removeAllocation(machine, allocation);
+    this.options.log.info(
+      {
+        machine: machine.name,
+        type: machine.machineType,
+        spot: machine.isSpot,
+        why: reason,
+        tasks: machine.allocations.size,
+      },
       'machine returned',
     );
   }
 
-  private pollRemove(now: number): void {
-    if (this.removeBusy || this.removeQueue.size === 0 || now < this.removeRetryAt || !this.o.entitled())
+  private flushDeletions(now: number): void {
+    if (
+      this.deletionInFlight ||
+      this.deletionQueue.size === 0 ||
+      now < this.deletionRetryAt ||
+      !this.options.holdsLeadership()
+    )
       return;
-    const names = [...this.removeQueue].slice(0, 100);
-    this.removeBusy = true;
-    this.o.cloud.remove(names, (r) => {
-      this.removeBusy = false;
-      if (!r.ok) {
-        this.removeRetryAt = this.o.clock.now() + 1000;
+    const names = [...this.deletionQueue].slice(0, 100);
+    this.deletionInFlight = true;
+    this.options.cloud.deleteMachines(names, (result) => {
+      this.deletionInFlight = false;
+      if (!result.ok) {
+        this.deletionRetryAt = this.options.clock.now() + 1000;
         return;
       }
       for (const n of names) {
-        this.removeQueue.delete(n);
-        this.machineGone(n);
+        this.deletionQueue.delete(n);
+        this.onMachineDeleted(n);
       }
-      this.o.wake();
+      this.options.wake();
     });
   }
 
   /** The cloud answered the deletion: the machine and all on it are gone. */
-  private machineGone(name: string): void {
-    this.l.gone.add(name);
-    this.o.images.forget(name);
-    if (this.l.gone.size > 20000) for (const x of [...this.l.gone].slice(0, 5000)) this.l.gone.delete(x);
-    const m = this.l.machines.get(name);
-    if (!m) return;
-    for (const e of [...m.entries.values()]) {
-      if (!isUnstored(e) && e.want !== 'reap')
-        this.say(e.team, { type: 'settled', job: e.job, idx: e.idx, attempt: e.attempt, machine: name });
-      this.l.removeEntry(m, e);
-    }
-    this.l.machines.delete(name);
-    this.l.endedAttempts.update(m, []);
-    this.l.touch(m);
-    this.l.capacity.freed(m);
+  private onMachineDeleted(name: string): void {
+    this.state.deletedMachines.add(name);
+    this.options.images.forget(name);
+    if (this.state.deletedMachines.size > 20000)
+      for (const x of [...this.state.deletedMachines].slice(0, 5000)) this.state.deletedMachines.delete(x);
+    const machine = this.state.machines.get(name);
+    if (!machine) return;
+    for (const allocation of [...machine.allocations.values()]) {
+      if (!isWithoutStoredPlacement(allocation) && allocation.desiredState !== 'reap')
+        this.emit(allocation.team, {
+          type: 'finalized',
+          jobId: allocation.jobId,
+          taskIndex: allocation.taskIndex,
+          attempt: allocation.attempt,
+          machine: name,
+        });
+      this.state.removeAllocation(machine, allocation);
+    }
+    this.state.machines.delete(name);
+    this.state.endedAttempts.update(machine, []);
+    this.state.markChanged(machine);
+    this.state.rentalBackoff.onFreed(machine);
   }
 
   /** Messages may be lost with a connection: who has not told all it holds is asked again. */
-  private askUnsynced(now: number): void {
-    if (now < this.nextAsk) return;
-    this.nextAsk = now + 1500;
+  private requestMissingSyncs(now: number): void {
+    if (now < this.nextSyncRequestAt) return;
+    this.nextSyncRequestAt = now + 1500;
     const asked = new Set<string>();
-    for (const r of this.l.owners.values()) if (!r.synced) asked.add(r.inst);
-    for (const inst of asked) this.o.send(inst, { type: 'resync', token: this.l.token });
+    for (const owner of this.state.owners.values()) if (!owner.isSynced) asked.add(owner.instanceId);
+    for (const instanceId of asked)
+      this.options.send(instanceId, { type: 'syncRequested', fencingToken: this.state.fencingToken });
   }
 
   /** A stop that its owner did not act on is asked for again. */
-  private forgetEvictions(now: number): void {
-    for (const e of this.l.evictions) {
-      if (e.want === 'run' && now - e.evicting <= 5000) continue;
-      this.l.evictions.delete(e);
-      if (e.want !== 'run') continue;
-      e.evicting = 0;
-      const m = this.l.machines.get(e.machine);
-      if (m) this.l.touch(m);
+  private expireEvictions(now: number): void {
+    for (const allocation of this.state.evictions) {
+      if (allocation.desiredState === 'run' && now - allocation.evictionRequestedAt <= 5000) continue;
+      this.state.evictions.delete(allocation);
+      if (allocation.desiredState !== 'run') continue;
+      allocation.evictionRequestedAt = 0;
+      const machine = this.state.machines.get(allocation.machine);
+      if (machine) this.state.markChanged(machine);
     }
   }
 
   /** Tasks on a machine about to be taken, or retired, move while there is time. */
-  private drain(now: number): void {
-    for (const m of this.l.machines.values()) {
-      if (m.removing || (m.leaveAt === null && !m.retired)) continue;
-      const moves: Entry[] = [];
-      for (const e of m.entries.values()) {
-        if (e.want !== 'run' || e.evicting) continue;
-        if (m.leaveAt !== null && !e.service && e.estimateS > 0 && e.listed?.phase === 'running') {
+  private drainMachines(now: number): void {
+    for (const machine of this.state.machines.values()) {
+      if (machine.isBeingDeleted || (machine.evictionDeadline === null && !machine.isQuarantined)) continue;
+      const moves: Allocation[] = [];
+      for (const allocation of machine.allocations.values()) {
+        if (allocation.desiredState !== 'run' || allocation.evictionRequestedAt) continue;
+        if (
+          machine.evictionDeadline !== null &&
+          !allocation.isService &&
+          allocation.estimatedRunSeconds > 0 &&
+          allocation.reported?.phase === 'running'
+        ) {
           // What will be finished before the machine goes is left to finish.
-          if (e.estimateS * 0.8 - (now - e.since) / 1000 < (m.leaveAt - now) / 1000) continue;
-        } else if (m.retired && m.leaveAt === null && !e.service) continue;
-        moves.push(e);
+          if (
+            allocation.estimatedRunSeconds * 0.8 - (now - allocation.phaseSince) / 1000 <
+            (machine.evictionDeadline - now) / 1000
+          )
+            continue;
+        } else if (machine.isQuarantined && machine.evictionDeadline === null && !allocation.isService)
+          continue;
+        moves.push(allocation);
       }
-      this.l.evictAll(moves, now, `${m.name} leaves`);
+      this.state.requestEvictions(moves, now, `${machine.name} leaves`);
     }
   }
 
   /** Machines that asked siblings, as those tell. */
-  strayed(names: string[]): void {
-    this.failures.strayed(names);
+  onMachinesRedirected(names: string[]): void {
+    this.failureDetector.onRedirected(names);
   }
 
-  private watchDoubt(now: number): void {
-    for (const m of this.l.machines.values()) {
-      if (m.doubt.size === 0 || m.removing || now - m.doubtSince < 10000) continue;
-      for (const e of m.entries.values()) {
-        if (e.want !== 'stop' || e.listed || e.settled || !m.doubt.has(e.key)) continue;
-        this.o.raise(`start of ${e.key} on ${m.name} may still arrive`);
+  private checkIndeterminateStarts(now: number): void {
+    for (const machine of this.state.machines.values()) {
+      if (
+        machine.indeterminateStarts.size === 0 ||
+        machine.isBeingDeleted ||
+        now - machine.indeterminateSince < 10000
+      )
+        continue;
+      for (const allocation of machine.allocations.values()) {
+        if (
+          allocation.desiredState !== 'stop' ||
+          allocation.reported ||
+          allocation.isFinalized ||
+          !machine.indeterminateStarts.has(allocation.key)
+        )
+          continue;
+        this.options.raiseFencingToken(`start of ${allocation.key} on ${machine.name} may still arrive`);
         return;
       }
     }
@@ -762,63 +1010,69 @@
   // ---- work at the end of each batch of commands ----------------------------------------------------------
 
   flush(): void {
-    const now = this.o.clock.now();
-    for (const [inst, seen] of this.outbox) this.o.send(inst, { type: 'seen', token: this.l.token, seen });
-    this.outbox.clear();
-    for (const m of this.toDirect) this.direct(m);
-    this.toDirect.clear();
-    if (!this.l.dirty) return;
-    if (now < this.nextPass) {
-      if (!this.passTimer) {
-        this.passTimer = true;
-        this.o.clock.after(Math.max(1, this.nextPass - now), () => {
-          this.passTimer = false;
-          this.o.wake();
+    const now = this.options.clock.now();
+    for (const [instanceId, seen] of this.eventsToSend)
+      this.options.send(instanceId, {
+        type: 'allocationEvents',
+        fencingToken: this.state.fencingToken,
+        events: seen,
+      });
+    this.eventsToSend.clear();
+    for (const machine of this.machinesToContact) this.sendDirectly(machine);
+    this.machinesToContact.clear();
+    if (!this.state.isDirty) return;
+    if (now < this.nextPassAt) {
+      if (!this.passScheduled) {
+        this.passScheduled = true;
+        this.options.clock.after(Math.max(1, this.nextPassAt - now), () => {
+          this.passScheduled = false;
+          this.options.wake();
         });
       }
       return;
     }
-    this.l.dirty = false;
-    const left = this.placing.pass(now);
-    if (now >= this.nextScale) {
-      const from = this.o.clock.now();
-      this.fleet.scale(now, left);
+    this.state.isDirty = false;
+    const left = this.placement.runPass(now);
+    if (now >= this.nextScaleAt) {
+      const from = this.options.clock.now();
+      this.fleet.scaleFleet(now, left);
       // Looks at the whole fleet: less often when that takes long.
-      this.nextScale = now + Math.min(3000, Math.max(1000, (this.o.clock.now() - from) * 40));
+      this.nextScaleAt = now + Math.min(3000, Math.max(1000, (this.options.clock.now() - from) * 40));
     }
-    this.pollRemove(now);
+    this.flushDeletions(now);
     // A pass that takes long is made less often: what comes meanwhile shares the next one.
-    const after = this.o.clock.now();
-    this.nextPass = after + Math.min(500, Math.max(30, (after - now) * 5));
+    const after = this.options.clock.now();
+    this.nextPassAt = after + Math.min(500, Math.max(30, (after - now) * 5));
   }
 
   tick(): void {
-    const now = this.o.clock.now();
+    const now = this.options.clock.now();
     this.fleet.logFleet(now);
-    this.l.refresh();
-    this.l.policyNow = this.o.policy(this.l.policyInput());
-    for (const m of this.l.machines.values())
-      if (m.sum.todo || (m.strangers.size > 0 && m.up)) this.toDirect.add(m);
-    this.pollList(now);
-    this.failures.watch(now);
-    this.watchDoubt(now);
-    this.forgetEvictions(now);
-    this.askUnsynced(now);
-    this.drain(now);
+    this.state.refresh();
+    this.state.policy = this.options.policy(this.state.policyInput());
+    for (const machine of this.state.machines.values())
+      if (machine.totals.hasPendingCommands || (machine.unknownTasks.size > 0 && machine.isUp))
+        this.machinesToContact.add(machine);
+    this.refreshMachineList(now);
+    this.failureDetector.check(now);
+    this.checkIndeterminateStarts(now);
+    this.expireEvictions(now);
+    this.requestMissingSyncs(now);
+    this.drainMachines(now);
     this.fleet.consolidate(now);
-    this.pollRemove(now);
-    this.l.dirty = true;
-    this.o.wake();
+    this.flushDeletions(now);
+    this.state.isDirty = true;
+    this.options.wake();
   }
 
   /** For logs and tests. */
   stats(): Record<string, number> {
     let up = 0;
     let entries = 0;
-    for (const m of this.l.machines.values()) {
-      if (m.up) up++;
-      entries += m.entries.size;
+    for (const machine of this.state.machines.values()) {
+      if (machine.isUp) up++;
+      entries += machine.allocations.size;
     }
-    return { machines: this.l.machines.size, up, entries, holds: this.l.holds.size };
+    return { machines: this.state.machines.size, up, entries, holds: this.state.openGrants.size };
   }
 }
--- a/src/io/cloud.ts
+++ b/src/io/cloud.ts
@@ -1,4 +1,4 @@
-import type { CloudPort, ListedMachine, MachineType, Then } from '../core/types.js';
+import type { CloudProvider, ListedMachine, MachineType, ResultCallback } from '../core/types.js';
 import { readList, readRented, readTypes, writeRemoval, writeRental } from '../wire/cloud.js';
 import { parse } from '../wire/json.js';
 import { HttpClient, type HttpReply } from './http-client.js';
@@ -6,7 +6,7 @@
 type Job = { urgency: number; method: string; path: string; body: unknown; cb: (r: HttpReply) => void };
 
 /** The cloud's interface: one queue, deletions first, then rentals, then lists, under its limit of calls. */
-export class CloudClient implements CloudPort {
+export class CloudClient implements CloudProvider {
   private readonly client: HttpClient;
   private readonly queue: Job[] = [];
   private tokens: number;
@@ -26,9 +26,9 @@
     method: string,
     path: string,
     body: unknown,
-    cb: (r: HttpReply) => void,
+    callback: (r: HttpReply) => void,
   ): void {
-    this.queue.push({ urgency, method, path, body, cb });
+    this.queue.push({ urgency, method, path, body, cb: callback });
     this.queue.sort((a, b) => a.urgency - b.urgency);
     this.pump();
   }
@@ -53,34 +53,41 @@
       }, 50);
   }
 
-  types(cb: Then<MachineType[]>): void {
+  listMachineTypes(callback: ResultCallback<MachineType[]>): void {
     this.call(3, 'GET', '/machine_types', undefined, (r) => {
-      if (r.status !== 200) return cb({ ok: false, kind: 'refused' });
-      cb({ ok: true, value: readTypes(parse(r.text)) });
+      if (r.status !== 200) return callback({ ok: false, kind: 'refused' });
+      callback({ ok: true, value: readTypes(parse(r.text)) });
     });
   }
 
-  rent(claim: string, type: string, zone: string, spot: boolean, n: number, cb: Then<string[]>): void {
+  rentMachines(
+    claim: string,
+    type: string,
+    zone: string,
+    spot: boolean,
+    n: number,
+    callback: ResultCallback<string[]>,
+  ): void {
     this.call(1, 'POST', '/machines', writeRental(claim, type, zone, spot, n), (r) => {
-      if (r.status === 0) return cb({ ok: false, kind: 'unknown' });
-      if (r.status === 400) return cb({ ok: false, kind: 'bad' });
-      if (r.status === 503 && r.text.includes('no capacity')) return cb({ ok: false, kind: 'gone' });
+      if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
+      if (r.status === 400) return callback({ ok: false, kind: 'bad' });
+      if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
       const names = r.status === 200 ? readRented(parse(r.text)) : null;
-      cb(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
+      callback(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
     });
   }
 
-  remove(names: string[], cb: Then<null>): void {
+  deleteMachines(names: string[], callback: ResultCallback<null>): void {
     this.call(0, 'POST', '/machines/delete', writeRemoval(names), (r) =>
-      cb(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
+      callback(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
     );
   }
 
-  list(since: string, cb: Then<{ machines: ListedMachine[]; more: boolean }>): void {
+  listMachines(since: string, callback: ResultCallback<{ machines: ListedMachine[]; more: boolean }>): void {
     const q = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
     this.call(2, 'GET', `/machines?${q}page=500`, undefined, (r) => {
       const v = r.status === 200 ? readList(parse(r.text)) : null;
-      cb(v ? { ok: true, value: v } : { ok: false, kind: 'refused' });
+      callback(v ? { ok: true, value: v } : { ok: false, kind: 'refused' });
     });
   }
 }
--- a/src/io/http-api.ts
+++ b/src/io/http-api.ts
@@ -53,13 +53,13 @@
     log.info({ machine: isObj(body) ? str(body.trunk) : null }, 'malformed heartbeat dropped');
     return { status: 400, body: '{"error":"malformed report"}' };
   }
-  const answer = controller.report(heartbeat);
-  switch (answer.s) {
-    case 'ok':
-      return { status: 200, body: JSON.stringify(writeAnswer(answer.token, answer.cmds)) };
-    case 'other':
-      return { status: 421, body: JSON.stringify(writeRedirect(answer.leader)) };
-    case 'later':
+  const answer = controller.handleHeartbeat(heartbeat);
+  switch (answer.type) {
+    case 'accepted':
+      return { status: 200, body: JSON.stringify(writeAnswer(answer.fencingToken, answer.commands)) };
+    case 'redirected':
+      return { status: 421, body: JSON.stringify(writeRedirect(answer.leaderName)) };
+    case 'unavailable':
       return {
         status: 503,
         body: '{"error":"state service not reached"}',
--- a/src/io/mesh.ts
+++ b/src/io/mesh.ts
@@ -1,6 +1,6 @@
 import net from 'node:net';
 import { Packr, UnpackrStream } from 'msgpackr';
-import type { MeshMsg, MeshPort } from '../core/controller.js';
+import type { PeerMessage, PeerTransport } from '../core/controller.js';
 import type { Logger } from '../core/types.js';
 import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
 
@@ -20,7 +20,7 @@
 }
 
 /** Connections among controllers: each dials every sibling and sends on what it dialled. */
-export class Mesh implements MeshPort {
+export class Mesh implements PeerTransport {
   private readonly peers = new Map<string, Peer>();
   /** Records: the names of fields go once into a message, however many placements it lists. */
   private readonly packr = new Packr();
@@ -29,7 +29,7 @@
     bind: string,
     peers: { host: string; addr: string }[],
     private readonly log: Logger,
-    private readonly got: (m: MeshMsg) => void,
+    private readonly got: (message: PeerMessage) => void,
     private readonly link: (host: string, up: boolean) => void,
   ) {
     const server = net.createServer((s) => this.accept(s));
@@ -81,7 +81,7 @@
     });
   }
 
-  send(host: string, m: MeshMsg): void {
+  send(host: string, message: PeerMessage): void {
     const p = this.peers.get(host);
     if (!p?.up || !p.sock) return;
     if (p.sock.writableLength > MOST_WAITING) {
@@ -89,7 +89,7 @@
       p.sock.destroy();
       return;
     }
-    p.sock.write(this.packr.pack(encodePeerMessage(m)));
+    p.sock.write(this.packr.pack(encodePeerMessage(message)));
   }
 
   /** A sibling not heard of for long although connected: the connection hangs. */
