--- a/src/io/state.ts
+++ b/src/io/state.ts
@@ -1,12 +1,12 @@
 import {
   type Failure,
-  type Item,
-  type StateEvent,
-  type StatePort,
-  type Then,
-  type Txn,
+  type KeyValueStore,
+  type ResultCallback,
+  type StoredItem,
+  type Transaction,
   URGENCY,
   type Urgency,
+  type WatchEvent,
 } from '../core/types.js';
 import { parse } from '../wire/json.js';
 import { readEvents, readFailed, readItem, readItems, readLease, readRev, writeTxn } from '../wire/state.js';
@@ -18,14 +18,14 @@
 function failure(r: HttpReply): Failure {
   if (r.status === 0) return { ok: false, kind: r.sent ? 'unknown' : 'refused' };
   if (r.status === 404 || r.status === 410) return { ok: false, kind: 'gone' };
-  if (r.status === 409) return { ok: false, kind: 'conflict', failed: readFailed(parse(r.text)) };
+  if (r.status === 409) return { ok: false, kind: 'conflict', failedKeys: readFailed(parse(r.text)) };
   if (r.status === 429 || r.status === 503) return { ok: false, kind: 'refused' };
   if (r.status === 400) return { ok: false, kind: 'bad' };
   return { ok: false, kind: 'unknown' };
 }
 
 /** The state service over HTTP, paced under its limits; leases pass the queue. */
-export class StateClient implements StatePort {
+export class StateClient implements KeyValueStore {
   private readonly client: HttpClient;
   private readonly watches: HttpClient;
   private readonly limiter: RateLimiter;
@@ -41,43 +41,43 @@
   }
 
   private run<T>(
-    u: Urgency,
+    urgency: Urgency,
     ops: number,
     method: string,
     path: string,
     body: unknown,
     read: (v: unknown) => T | null,
-    cb: Then<T>,
+    callback: ResultCallback<T>,
     on404?: () => T,
   ): void {
     let tries = 0;
     const go = () =>
-      this.limiter.acquire(u, ops, (ok) => {
-        if (!ok) return cb({ ok: false, kind: 'refused' });
+      this.limiter.acquire(urgency, ops, (ok) => {
+        if (!ok) return callback({ ok: false, kind: 'refused' });
         this.client.call({ method, path, body, deadlineMs: DEADLINE_MS }, (r) => {
           if (r.status === 429) {
             this.limiter.onThrottled();
             // Surely not executed: once more, a little later.
             if (++tries < 4) return void setTimeout(go, 60 * tries + Math.random() * 60);
           }
-          if (r.status === 404 && on404) return cb({ ok: true, value: on404() });
-          if (r.status !== 200) return cb(failure(r));
+          if (r.status === 404 && on404) return callback({ ok: true, value: on404() });
+          if (r.status !== 200) return callback(failure(r));
           const v = read(parse(r.text));
-          cb(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
+          callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
         });
       });
     go();
   }
 
-  get(key: string, u: Urgency, cb: Then<Item | null>): void {
-    this.run<Item | null>(
-      u,
+  get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void {
+    this.run<StoredItem | null>(
+      urgency,
       0,
       'GET',
       `/store/${encodeURI(key)}`,
       undefined,
       (v) => readItem(v),
-      cb,
+      callback,
       () => null,
     );
   }
@@ -85,22 +85,30 @@
   list(
     prefix: string,
     since: string,
-    u: Urgency,
-    cb: Then<{ items: Item[]; more: boolean; rev: number }>,
+    urgency: Urgency,
+    callback: ResultCallback<{ items: StoredItem[]; more: boolean; storeRevision: number }>,
   ): void {
     const q = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=500`;
-    this.run(u, 0, 'GET', `/store?${q}`, undefined, readItems, cb);
+    this.run(urgency, 0, 'GET', `/store?${q}`, undefined, readItems, callback);
   }
 
-  txn(t: Txn, u: Urgency, cb: Then<number>): void {
-    this.run(u, t.then.length, 'POST', '/txn', writeTxn(t), readRev, cb);
+  compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void {
+    this.run(
+      urgency,
+      transaction.operations.length,
+      'POST',
+      '/txn',
+      writeTxn(transaction),
+      readRev,
+      callback,
+    );
   }
 
-  grant(ttlMs: number, cb: Then<number>): void {
-    this.run(URGENCY.lease, 0, 'POST', '/grants', { ttl_ms: Math.round(ttlMs) }, readLease, cb);
+  grantLease(ttlMs: number, callback: ResultCallback<number>): void {
+    this.run(URGENCY.lease, 0, 'POST', '/grants', { ttl_ms: Math.round(ttlMs) }, readLease, callback);
   }
 
-  touch(lease: number, cb: Then<null>): void {
+  keepLeaseAlive(lease: number, callback: ResultCallback<null>): void {
     this.run<null | true>(
       URGENCY.lease,
       0,
@@ -108,11 +116,11 @@
       `/grants/${lease}/touch`,
       {},
       () => true,
-      (r) => cb(r.ok ? { ok: true, value: null } : r),
+      (result) => callback(result.ok ? { ok: true, value: null } : result),
     );
   }
 
-  end(lease: number, cb: Then<null>): void {
+  revokeLease(lease: number, callback: ResultCallback<null>): void {
     this.run<null | true>(
       URGENCY.lease,
       0,
@@ -120,7 +128,7 @@
       `/grants/${lease}`,
       undefined,
       () => true,
-      (r) => cb(r.ok ? { ok: true, value: null } : r),
+      (result) => callback(result.ok ? { ok: true, value: null } : result),
     );
   }
 
@@ -128,17 +136,17 @@
     prefix: string,
     since: number,
     waitMs: number,
-    cb: Then<{ rev: number; events: StateEvent[] }>,
+    callback: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>,
   ): void {
     const q = `prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
     this.limiter.acquire(URGENCY.user, 0, (ok) => {
-      if (!ok) return cb({ ok: false, kind: 'refused' });
+      if (!ok) return callback({ ok: false, kind: 'refused' });
       const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + 3000;
       this.watches.call({ method: 'GET', path: `/watch?${q}`, deadlineMs }, (r) => {
         if (r.status === 429) this.limiter.onThrottled();
-        if (r.status !== 200) return cb(failure(r));
+        if (r.status !== 200) return callback(failure(r));
         const v = readEvents(parse(r.text));
-        cb(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
+        callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
       });
     });
   }
--- a/src/io/user-api.ts
+++ b/src/io/user-api.ts
@@ -3,7 +3,7 @@
 import { type Context, Hono } from 'hono';
 import type { ApiAnswer } from '../core/api.js';
 import type { Controller } from '../core/controller.js';
-import { ProgressLimit } from '../core/limits.js';
+import { ConcurrencyLimit } from '../core/limits.js';
 import type { Clock, Logger } from '../core/types.js';
 import { isJobId, readJob, writeState } from '../wire/jobs.js';
 import { parse } from '../wire/json.js';
@@ -31,20 +31,20 @@
 
 /** Users' requests alone are limited: they never hold up heartbeats and health checks. */
 function createProgressLimit(clock: Clock): LimitProgress {
-  const limit = new ProgressLimit(
+  const limit = new ConcurrencyLimit(
     INITIAL_REQUESTS_IN_PROGRESS,
     MIN_REQUESTS_IN_PROGRESS,
     MAX_REQUESTS_IN_PROGRESS,
     FAST_ANSWER_MS,
   );
   return async (context, work) => {
-    if (!limit.enter()) return respondLater(context, 'too many requests in progress');
+    if (!limit.tryAcquire()) return respondLater(context, 'too many requests in progress');
     const startedAt = clock.now();
     try {
       return await work();
     } finally {
       const now = clock.now();
-      limit.leave(now, now - startedAt);
+      limit.release(now, now - startedAt);
     }
   };
 }
@@ -76,16 +76,18 @@
     if (job.ok) {
       const { spec } = job;
       return new Promise((resolve) =>
-        api.submit(spec, (answer) => resolve(this.respond(context, spec.id, answer))),
+        api.submitJob(spec, (answer) => resolve(this.respond(context, spec.id, answer))),
       );
     }
     const { id, reason } = job;
     if (id === null) return context.json({ error: reason }, 400);
     // The repeat of an accepted job is answered as one, whatever it holds.
     return new Promise((resolve) =>
-      api.poll(id, (answer) =>
+      api.getJob(id, (answer) =>
         resolve(
-          answer.s === 'unknown' ? context.json({ error: reason }, 400) : this.respond(context, id, answer),
+          answer.type === 'notFound'
+            ? context.json({ error: reason }, 400)
+            : this.respond(context, id, answer),
         ),
       ),
     );
@@ -94,28 +96,28 @@
   async poll(context: Context, id: string): Promise<Response> {
     if (!isJobId(id)) return respondUnknown(context);
     return new Promise((resolve) =>
-      this.controller.api.poll(id, (answer) => resolve(this.respond(context, id, answer))),
+      this.controller.api.getJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
   }
 
   async cancel(context: Context, id: string): Promise<Response> {
     if (!isJobId(id)) return respondUnknown(context);
     return new Promise((resolve) =>
-      this.controller.api.abort(id, (answer) => resolve(this.respond(context, id, answer))),
+      this.controller.api.cancelJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
   }
 
   private respond(context: Context, id: string, answer: ApiAnswer): Response {
-    switch (answer.s) {
+    switch (answer.type) {
       case 'job':
         return context.json(writeState(id, answer), answer.created ? 201 : 200);
-      case 'unknown':
+      case 'notFound':
         return respondUnknown(context);
-      case 'never':
+      case 'rejected':
         return context.json({ error: answer.reason }, 422);
-      case 'later':
+      case 'unavailable':
         // The user's next connection is led to a controller that can serve it.
-        if (this.controller.elsewhere()) context.header('Connection', 'close');
+        if (this.controller.shouldRedirectUsers()) context.header('Connection', 'close');
         return respondLater(context, answer.reason);
     }
   }
@@ -136,7 +138,7 @@
     limitProgress(context, () => jobs.cancel(context, context.req.param('id'))),
   );
   app.get(READINESS_PATH, (context) =>
-    controller.ready() ? context.json({ ready: true }) : respondLater(context, 'not ready'),
+    controller.isReady() ? context.json({ ready: true }) : respondLater(context, 'not ready'),
   );
   app.notFound((context) => context.json({ error: 'no such path' }, 404));
   app.onError((error, context) => {
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -1,6 +1,6 @@
 /** Direct commands to workers, over a bounded number of connections. */
 
-import type { Then, WorkerCommand, WorkerPort, WorkerReport } from '../core/types.js';
+import type { Heartbeat, ResultCallback, WorkerCommand, WorkerCommandPort } from '../core/types.js';
 import { parse } from '../wire/json.js';
 import { readReport, writeDirect } from '../wire/worker.js';
 import { HttpClient, type HttpReply } from './http-client.js';
@@ -36,7 +36,7 @@
  * left for their heartbeats. Beyond the bound the connection longest unused is closed; when all are in use, calls that
  * carry commands go before those that only ask for a heartbeat.
  */
-export class WorkerClient implements WorkerPort {
+export class WorkerClient implements WorkerCommandPort {
   /** By the worker's address, in order of last use. */
   private readonly connections = new Map<string, Connection>();
   private readonly waitingCommands: WaitingCall[] = [];
@@ -55,12 +55,12 @@
    * no connection was found in time or none could be made, as `conflict` with the worker's heartbeat if it did not
    * accept the token or the epoch, and as `unknown` if the commands may have been executed.
    */
-  commands(
+  sendCommands(
     address: string,
     token: number,
     agentEpoch: number,
     commands: WorkerCommand[],
-    onResult: Then<WorkerReport>,
+    onResult: ResultCallback<Heartbeat>,
   ): void {
     const expiresAt = Date.now() + CALL_DEADLINE_MS;
     const send = (connection: Connection) => {
@@ -145,7 +145,7 @@
   }
 }
 
-function reportResult(reply: HttpReply, onResult: Then<WorkerReport>): void {
+function reportResult(reply: HttpReply, onResult: ResultCallback<Heartbeat>): void {
   if (reply.status === 0) return onResult({ ok: false, kind: reply.sent ? 'unknown' : 'refused' });
   const heartbeat = readReport(parse(reply.text));
   switch (reply.status) {
@@ -153,7 +153,7 @@
       return onResult(heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' });
     case 409:
       return onResult(
-        heartbeat ? { ok: false, kind: 'conflict', report: heartbeat } : { ok: false, kind: 'refused' },
+        heartbeat ? { ok: false, kind: 'conflict', heartbeat: heartbeat } : { ok: false, kind: 'refused' },
       );
     case 400:
       return onResult({ ok: false, kind: 'bad' });
--- a/src/main.ts
+++ b/src/main.ts
@@ -37,29 +37,44 @@
 /** What a controller takes from the settings. */
 type ControllerParameters = Pick<
   ControllerOptions,
-  'host' | 'peers' | 'teams' | 'workers' | 'state' | 'listLagS' | 'cloudRps' | 'objectives'
+  | 'nodeName'
+  | 'peerNames'
+  | 'teams'
+  | 'workerTiming'
+  | 'storeLimits'
+  | 'machineListLagSeconds'
+  | 'cloudCallsPerSecond'
+  | 'objectives'
 >;
 
 function controllerParameters(settings: Settings): ControllerParameters {
   const { teams, workers, state, cloud, objectives } = settings.params;
   return {
-    host: settings.host_name,
-    peers: settings.siblings.map((peer) => peer.host_name),
+    nodeName: settings.host_name,
+    peerNames: settings.siblings.map((peer) => peer.host_name),
     teams: teams.map((team) => ({
       name: team.name,
-      cpus: team.cpus,
-      cpusMax: team.cpus_max,
-      gpus: team.gpus,
-      gpusMax: team.gpus_max,
+      guaranteedCpus: team.cpus,
+      maxCpus: team.cpus_max,
+      guaranteedGpus: team.gpus,
+      maxGpus: team.gpus_max,
     })),
-    workers: { reportS: workers.report_s, leaseS: workers.lease_s, cancelS: workers.cancel_s },
-    state: { valueKb: state.value_kb, txnOps: state.txn_ops, writeRps: state.write_rps },
-    listLagS: cloud.list_lag_s,
-    cloudRps: cloud.rps,
+    workerTiming: {
+      heartbeatIntervalSeconds: workers.report_s,
+      leaseSeconds: workers.lease_s,
+      cancellationSeconds: workers.cancel_s,
+    },
+    storeLimits: {
+      maxValueKb: state.value_kb,
+      maxTransactionOperations: state.txn_ops,
+      writesPerSecond: state.write_rps,
+    },
+    machineListLagSeconds: cloud.list_lag_s,
+    cloudCallsPerSecond: cloud.rps,
     objectives: objectives.map((objective) => ({
       kind: objective.kind,
-      cls: objective.class ?? '',
-      withinS: objective.within_s ?? 0,
+      jobClass: objective.class ?? '',
+      withinSeconds: objective.within_s ?? 0,
     })),
   };
 }
@@ -75,24 +90,24 @@
     settings.mesh_addr,
     settings.siblings.map((peer) => ({ host: peer.host_name, addr: peer.peer_addr })),
     log,
-    (message) => controller.push({ type: 'mesh', m: message }),
-    (host, up) => controller.push({ type: 'link', host, up }),
+    (message) => controller.push({ type: 'peerMessage', message: message }),
+    (host, up) => controller.push({ type: 'peerConnection', nodeName: host, isUp: up }),
   );
   const controller: Controller = new Controller({
     ...controllerParameters(settings),
-    inst: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
-    ttlMs: CONTROLLER_LEASE_MS,
+    instanceId: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
+    leaseTtlMs: CONTROLLER_LEASE_MS,
     policy,
     clock: systemClock,
     log,
-    statePort: new StateClient(services.state, {
+    store: new StateClient(services.state, {
       rps: params.state.rps,
       writeRps: params.state.write_rps,
       nodes: params.size,
     }),
     cloud: new CloudClient(services.cloud, params.cloud.rps),
-    worker: new WorkerClient(maxWorkerConnections),
-    mesh,
+    workers: new WorkerClient(maxWorkerConnections),
+    peers: mesh,
   });
   return controller;
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -15,12 +15,12 @@
       name,
       cpus,
       gpus: num(t.cards) ?? 0,
-      mem,
-      cacheGb: num(t.cache_gb) ?? 0,
-      fetchGbPerS: num(t.pull_gb_per_s) ?? 0.1,
-      price: num(t.hourly) ?? 1,
-      spotPrice: num(t.spot_price) ?? num(t.hourly) ?? 1,
-      bootS: num(t.ready_s) ?? 30,
+      memoryGb: mem,
+      imageCacheGb: num(t.cache_gb) ?? 0,
+      imageFetchGbPerSecond: num(t.pull_gb_per_s) ?? 0.1,
+      hourlyPrice: num(t.hourly) ?? 1,
+      hourlySpotPrice: num(t.spot_price) ?? num(t.hourly) ?? 1,
+      bootSeconds: num(t.ready_s) ?? 30,
       zones,
     });
   }
@@ -37,12 +37,12 @@
     if (name === null || (phase !== 'booting' && phase !== 'running' && phase !== 'failed')) continue;
     machines.push({
       name,
-      addr: str(m.address) ?? '',
-      type: str(m.bark) ?? '',
+      address: str(m.address) ?? '',
+      machineType: str(m.bark) ?? '',
       zone: str(m.slope) ?? '',
-      spot: m.windfall === true,
+      isSpot: m.windfall === true,
       phase,
-      ageS: num(m.age_s) ?? 0,
+      ageSeconds: num(m.age_s) ?? 0,
     });
   }
   return { machines, more: v.has_next === true };
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,10 +1,10 @@
 import type { ApiAnswer } from '../core/api.js';
-import type { JobSpec, Rank, Shape } from '../core/types.js';
+import type { JobKind, JobSpec, Priority } from '../core/types.js';
 import { count, isObj, num, str } from './json.js';
 
 const ID = /^wk-[0-9A-Za-z]{1,32}$/;
-const SHAPES: Record<string, Shape> = { sweep: 'array', group: 'gang', standing: 'service' };
-const RANKS: Record<string, Rank> = { prod: 0, urgent: 1, standard: 2, low: 3 };
+const SHAPES: Record<string, JobKind> = { sweep: 'array', group: 'gang', standing: 'service' };
+const RANKS: Record<string, Priority> = { prod: 0, urgent: 1, standard: 2, low: 3 };
 const STATES = { queued: 'pending', running: 'running', done: 'done', cancelled: 'withdrawn' };
 const MOST_TASKS = 100000;
 
@@ -21,16 +21,16 @@
   const id = str(body.name_id);
   if (id === null || !ID.test(id)) return { ok: false, id: null, reason: 'name_id is missing or invalid' };
   const bad = (field: string) => ({ ok: false as const, id, reason: `${field} is missing or invalid` });
-  const cls = str(body.grove);
-  if (cls === null || cls.length > 128) return bad('grove');
+  const jobClass = str(body.grove);
+  if (jobClass === null || jobClass.length > 128) return bad('grove');
   const team = str(body.crew);
   if (team === null || team.length > 128) return bad('crew');
-  const shape =
+  const kind =
     typeof body.shape === 'string' && Object.hasOwn(SHAPES, body.shape) ? SHAPES[body.shape] : undefined;
-  if (shape === undefined) return bad('shape');
-  const rank =
+  if (kind === undefined) return bad('shape');
+  const priority =
     typeof body.rank === 'string' && Object.hasOwn(RANKS, body.rank) ? RANKS[body.rank] : undefined;
-  if (rank === undefined) return bad('rank');
+  if (priority === undefined) return bad('rank');
   const tasks = count(body.saplings);
   if (tasks === null || tasks < 1 || tasks > MOST_TASKS) return bad('saplings');
   const amount = (v: unknown, absent: number | null): number | null => {
@@ -84,30 +84,30 @@
     ok: true,
     spec: {
       id,
-      cls,
+      jobClass,
       team,
-      shape,
-      rank,
-      tasks,
+      kind,
+      priority,
+      taskCount: tasks,
       cpus,
       gpus,
-      mem,
+      memoryGb: mem,
       image,
       imageGb,
-      types,
+      machineTypes: types,
       zone,
-      together,
-      apart,
-      spot,
-      estimateS,
-      checkpointS,
-      saveS,
-      deadlineS,
-      at,
+      zoneAffinity: together,
+      zoneAntiAffinity: apart,
+      spotAllowed: spot,
+      estimatedRunSeconds: estimateS,
+      checkpointIntervalSeconds: checkpointS,
+      checkpointSaveSeconds: saveS,
+      deadlineSeconds: deadlineS,
+      acceptedAtMs: at,
     },
   };
 }
 
-export function writeState(id: string, a: Extract<ApiAnswer, { s: 'job' }>): Record<string, unknown> {
+export function writeState(id: string, a: Extract<ApiAnswer, { type: 'job' }>): Record<string, unknown> {
   return { name_id: id, phase: STATES[a.state], done: a.done, running: a.running };
 }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -1,201 +1,236 @@
 /** Messages between controllers: the encoded names are those of every version that may serve at the same time. */
-import type { MeshBody, MeshMsg } from '../core/controller.js';
-import type { Grant, Held, OwnerMsg, SchedulerMsg, Seen, Want } from '../core/types.js';
+import type { PeerMessage, PeerMessageBody } from '../core/controller.js';
+import type {
+  AllocationEvent,
+  Grant,
+  LeaderMessage,
+  PlacementSpec,
+  ResourceRequest,
+  ShardMessage,
+  TaskAttempt,
+} from '../core/types.js';
 import { DecodeError, field, list, object, taggedUnion } from './field-codec.js';
 
-const resourceRequest = object<Want>({
-  job: 'job',
+const resourceRequest = object<ResourceRequest>({
+  jobId: 'job',
   team: 'team',
-  cls: 'cls',
-  rank: 'rank',
-  order: 'order',
-  stage: 'stage',
-  count: 'count',
-  whole: 'whole',
-  service: 'service',
+  jobClass: 'cls',
+  priority: 'rank',
+  queuePosition: 'order',
+  missedObjectives: 'stage',
+  taskCount: 'count',
+  allOrNothing: 'whole',
+  isService: 'service',
   cpus: 'cpus',
   gpus: 'gpus',
-  mem: 'mem',
+  memoryGb: 'mem',
   image: 'image',
   imageGb: 'imageGb',
-  estimateS: 'estimateS',
-  types: 'types',
-  spot: 'spot',
+  estimatedRunSeconds: 'estimateS',
+  machineTypes: 'types',
+  spotAllowed: 'spot',
   zone: 'zone',
-  zoneRoom: 'zoneRoom',
-  zoneCap: 'zoneCap',
-  together: 'together',
-  avoid: 'avoid',
-  tasksLeft: 'tasksLeft',
-  near: 'near',
-  patienceS: 'patienceS',
-  aimS: 'aimS',
-  slackS: 'slackS',
-  seen: 'seen',
-  starved: 'starved',
+  zoneAllowance: 'zoneRoom',
+  maxTasksPerZone: 'zoneCap',
+  zoneAffinity: 'together',
+  avoidedMachines: 'avoid',
+  remainingTasks: 'tasksLeft',
+  preferredMachine: 'near',
+  maxWaitSeconds: 'patienceS',
+  objectiveSeconds: 'aimS',
+  slackSeconds: 'slackS',
+  lastGrantTaken: 'seen',
+  isStarved: 'starved',
   spotOnly: 'spotOnly',
-  refusedBy: 'refusedBy',
+  refusingMachines: 'refusedBy',
 });
 
-const placement = object<Held>({
-  job: 'job',
-  idx: 'idx',
+const placement = object<PlacementSpec>({
+  jobId: 'job',
+  taskIndex: 'idx',
   attempt: 'attempt',
   machine: 'machine',
-  season: 'season',
-  want: 'want',
-  graceS: 'graceS',
+  agentEpoch: 'season',
+  desiredState: 'want',
+  gracePeriodSeconds: 'graceS',
   team: 'team',
-  rank: 'rank',
-  gang: 'gang',
-  service: 'service',
+  priority: 'rank',
+  isGang: 'gang',
+  isService: 'service',
   cpus: 'cpus',
   gpus: 'gpus',
-  mem: 'mem',
+  memoryGb: 'mem',
   image: 'image',
   imageGb: 'imageGb',
-  estimateS: 'estimateS',
-  types: 'types',
-  spread: 'spread',
-  grant: 'grant',
+  estimatedRunSeconds: 'estimateS',
+  machineTypes: 'types',
+  spreadOverZones: 'spread',
+  grantId: 'grant',
 });
 
 const grant = object<Grant>({
   id: 'id',
-  job: 'job',
+  jobId: 'job',
   team: 'team',
   machine: 'machine',
   zone: 'zone',
-  season: 'season',
+  agentEpoch: 'season',
   endedTasks: 'endedTasks',
 });
 
-const allocationEvent = taggedUnion<Seen>('s', {
+const allocationEvent = taggedUnion<AllocationEvent>('s', {
   phase: {
     tagValue: 'phase',
     fields: {
       type: 's',
-      job: 'job',
-      idx: 'idx',
+      jobId: 'job',
+      taskIndex: 'idx',
       attempt: 'attempt',
       machine: 'machine',
       phase: 'phase',
-      why: 'why',
-      saved: 'saved',
+      exitReason: 'why',
+      checkpointSaved: 'saved',
     },
   },
-  settled: {
+  finalized: {
     tagValue: 'settled',
-    fields: { type: 's', job: 'job', idx: 'idx', attempt: 'attempt', machine: 'machine' },
+    fields: { type: 's', jobId: 'job', taskIndex: 'idx', attempt: 'attempt', machine: 'machine' },
   },
 });
 
-const ownerMessage = taggedUnion<OwnerMsg>('k', {
-  sync: {
+const ownerMessage = taggedUnion<ShardMessage>('k', {
+  fullSync: {
     tagValue: 'sync',
     fields: {
       type: 'k',
-      token: 'token',
-      inst: 'inst',
-      sync: 'sync',
-      parts: 'parts',
-      part: 'part',
-      gens: 'gens',
-      held: field('held', list(placement)),
-      wants: field('wants', list(resourceRequest)),
+      fencingToken: 'token',
+      instanceId: 'inst',
+      syncNumber: 'sync',
+      chunkCount: 'parts',
+      chunkIndex: 'part',
+      shardEpochs: 'gens',
+      placements: field('held', list(placement)),
+      requests: field('wants', list(resourceRequest)),
     },
   },
-  wants: {
+  resourceRequests: {
     tagValue: 'wants',
-    fields: { type: 'k', token: 'token', inst: 'inst', wants: field('wants', list(resourceRequest)) },
+    fields: {
+      type: 'k',
+      fencingToken: 'token',
+      instanceId: 'inst',
+      requests: field('wants', list(resourceRequest)),
+    },
   },
-  held: {
+  placements: {
     tagValue: 'held',
-    fields: { type: 'k', token: 'token', inst: 'inst', held: field('held', list(placement)) },
+    fields: {
+      type: 'k',
+      fencingToken: 'token',
+      instanceId: 'inst',
+      placements: field('held', list(placement)),
+    },
   },
-  drop: {
+  release: {
     tagValue: 'drop',
     fields: {
       type: 'k',
-      token: 'token',
-      inst: 'inst',
+      fencingToken: 'token',
+      instanceId: 'inst',
       tasks: field(
         'tasks',
-        list(object<{ machine: string; key: string }>({ machine: 'machine', key: 'key' })),
+        list(object<{ machine: string; taskKey: string }>({ machine: 'machine', taskKey: 'key' })),
       ),
       grants: 'grants',
     },
   },
-  covered: {
+  cancellationCoverage: {
     tagValue: 'covered',
-    fields: { type: 'k', token: 'token', inst: 'inst', sync: 'sync', n: 'n', gens: 'gens', mark: 'mark' },
+    fields: {
+      type: 'k',
+      fencingToken: 'token',
+      instanceId: 'inst',
+      syncNumber: 'sync',
+      placementMessages: 'n',
+      shardEpochs: 'gens',
+      leaderTimestamp: 'mark',
+    },
   },
 });
 
-const evictedTask = object<{ job: string; idx: number; attempt: number }>({
-  job: 'job',
-  idx: 'idx',
+const evictedTask = object<TaskAttempt>({
+  jobId: 'job',
+  taskIndex: 'idx',
   attempt: 'attempt',
 });
 
-const leaderMessage = taggedUnion<SchedulerMsg>('k', {
-  synced: { tagValue: 'synced', fields: { type: 'k', token: 'token', sync: 'sync' } },
-  resync: { tagValue: 'resync', fields: { type: 'k', token: 'token' } },
-  grants: { tagValue: 'grants', fields: { type: 'k', token: 'token', grants: field('grants', list(grant)) } },
-  mark: { tagValue: 'mark', fields: { type: 'k', token: 'token', at: 'at' } },
-  seen: {
+const leaderMessage = taggedUnion<LeaderMessage>('k', {
+  syncAccepted: { tagValue: 'synced', fields: { type: 'k', fencingToken: 'token', syncNumber: 'sync' } },
+  syncRequested: { tagValue: 'resync', fields: { type: 'k', fencingToken: 'token' } },
+  grants: {
+    tagValue: 'grants',
+    fields: { type: 'k', fencingToken: 'token', grants: field('grants', list(grant)) },
+  },
+  timestamp: { tagValue: 'mark', fields: { type: 'k', fencingToken: 'token', leaderTimestamp: 'at' } },
+  allocationEvents: {
     tagValue: 'seen',
-    fields: { type: 'k', token: 'token', seen: field('seen', list(allocationEvent)) },
+    fields: { type: 'k', fencingToken: 'token', events: field('seen', list(allocationEvent)) },
   },
   evict: {
     tagValue: 'evict',
-    fields: { type: 'k', token: 'token', tasks: field('tasks', list(evictedTask)), why: 'why' },
+    fields: { type: 'k', fencingToken: 'token', tasks: field('tasks', list(evictedTask)), reason: 'why' },
   },
 });
 
-const timestamp = object<{ inst: string; mark: number }>({ inst: 'inst', mark: 'mark' });
+const timestamp = object<{ instanceId: string; timestamp: number }>({
+  instanceId: 'inst',
+  timestamp: 'mark',
+});
 
-const coverage = object<{ inst: string; mark: number; pending: string[] | null }>({
-  inst: 'inst',
-  mark: 'mark',
-  pending: 'pending',
+const coverage = object<{ instanceId: string; timestamp: number; pendingMachines: string[] | null }>({
+  instanceId: 'inst',
+  timestamp: 'mark',
+  pendingMachines: 'pending',
 });
 
-const messageBody = taggedUnion<MeshBody>('k', {
-  ping: {
+const messageBody = taggedUnion<PeerMessageBody>('k', {
+  heartbeat: {
     tagValue: 'ping',
     fields: {
       type: 'k',
       leader: 'leader',
-      token: 'token',
-      okAgeMs: 'okAgeMs',
-      strays: 'strays',
-      mark: 'mark',
-      had: field('had', timestamp),
-      told: 'told',
-      cover: field('cover', coverage),
+      fencingToken: 'token',
+      storeContactAgeMs: 'okAgeMs',
+      redirectedMachines: 'strays',
+      timestamp: 'mark',
+      latestTimestamp: field('had', timestamp),
+      cancellationsTold: 'told',
+      coverage: field('cover', coverage),
     },
   },
-  cancelled: { tagValue: 'cancelled', fields: { type: 'k', job: 'job', n: 'n' } },
-  images: { tagValue: 'images', fields: { type: 'k', add: 'add', gone: 'gone' } },
-  owner: { tagValue: 'owner', fields: { type: 'k', to: 'to', m: field('m', ownerMessage) } },
-  scheduler: { tagValue: 'scheduler', fields: { type: 'k', to: 'to', m: field('m', leaderMessage) } },
+  cancelled: { tagValue: 'cancelled', fields: { type: 'k', jobId: 'job', cancellationNumber: 'n' } },
+  images: { tagValue: 'images', fields: { type: 'k', added: 'add', removedMachines: 'gone' } },
+  toLeader: { tagValue: 'owner', fields: { type: 'k', recipient: 'to', message: field('m', ownerMessage) } },
+  toShardOwner: {
+    tagValue: 'scheduler',
+    fields: { type: 'k', recipient: 'to', message: field('m', leaderMessage) },
+  },
 });
 
-const peerMessage = object<MeshMsg>({
-  host: 'host',
-  inst: 'inst',
-  seq: 'seq',
+const peerMessage = object<PeerMessage>({
+  nodeName: 'host',
+  instanceId: 'inst',
+  sequence: 'seq',
   body: field('body', messageBody),
 });
 
 /** The encoded form of a message, to be packed for the connection. */
-export function encodePeerMessage(message: MeshMsg): unknown {
+export function encodePeerMessage(message: PeerMessage): unknown {
   return peerMessage.encode(message);
 }
 
 /** The message that another controller sent; null if it is not of a form that controllers send. */
-export function decodePeerMessage(encoded: unknown): MeshMsg | null {
+export function decodePeerMessage(encoded: unknown): PeerMessage | null {
   if (!isPeerMessage(encoded)) return null;
   try {
     return peerMessage.decode(encoded);
--- a/src/wire/record-codec.ts
+++ b/src/wire/record-codec.ts
@@ -1,6 +1,12 @@
 /** Records in the key-value store: their encoded names are those that every earlier version has written. */
-import type { LeaderRecord, NodeRecord, TeamRecord, TokenRecord } from '../core/controller.js';
-import type { CountRecord, EndRecord, OpenRecord, Placed, PlaceRecord } from '../core/records.js';
+import type { LeaderRecord, NodeRecord, OwnerRecord, TokenRecord } from '../core/controller.js';
+import type {
+  CounterRecord,
+  FinalRecord,
+  JobRecord,
+  PlacementEntry,
+  PlacementRecord,
+} from '../core/records.js';
 import type { JobSpec, MachineType } from '../core/types.js';
 import { type Codec, field, list, object } from './field-codec.js';
 
@@ -12,39 +18,39 @@
 
 const jobSpec = object<JobSpec>({
   id: 'id',
-  cls: 'cls',
+  jobClass: 'cls',
   team: 'team',
-  shape: 'shape',
-  rank: 'rank',
-  tasks: 'tasks',
+  kind: 'shape',
+  priority: 'rank',
+  taskCount: 'tasks',
   cpus: 'cpus',
   gpus: 'gpus',
-  mem: 'mem',
+  memoryGb: 'mem',
   image: 'image',
   imageGb: 'imageGb',
-  types: 'types',
+  machineTypes: 'types',
   zone: 'zone',
-  together: 'together',
-  apart: 'apart',
-  spot: 'spot',
-  estimateS: 'estimateS',
-  checkpointS: 'checkpointS',
-  saveS: 'saveS',
-  deadlineS: 'deadlineS',
-  at: 'at',
+  zoneAffinity: 'together',
+  zoneAntiAffinity: 'apart',
+  spotAllowed: 'spot',
+  estimatedRunSeconds: 'estimateS',
+  checkpointIntervalSeconds: 'checkpointS',
+  checkpointSaveSeconds: 'saveS',
+  deadlineSeconds: 'deadlineS',
+  acceptedAtMs: 'at',
 });
 
 /** `[attempt]` once it is finalized, else `[attempt, machine, agent epoch, zone]`. */
-const placementEntry: Codec<Placed> = {
+const placementEntry: Codec<PlacementEntry> = {
   encode: ({ attempt, location }) =>
-    location ? [attempt, location.machine, location.season, location.zone] : [attempt],
+    location ? [attempt, location.machine, location.agentEpoch, location.zone] : [attempt],
   decode: (encoded) => {
-    const [attempt, machine, season, zone] = encoded as [number, string, number, string];
-    return { attempt, location: zone === undefined ? null : { machine, season, zone } };
+    const [attempt, machine, agentEpoch, zone] = encoded as [number, string, number, string];
+    return { attempt, location: zone === undefined ? null : { machine, agentEpoch, zone } };
   },
 };
 
-const placementsByTask: Codec<Map<number, Placed>> = {
+const placementsByTask: Codec<Map<number, PlacementEntry>> = {
   encode: (tasks) =>
     Object.fromEntries([...tasks].map(([task, placed]) => [task, placementEntry.encode(placed)])),
   decode: (encoded) =>
@@ -57,36 +63,45 @@
 };
 
 /** `open/<id>/a`: a job as accepted. */
-export const jobRecord: Codec<OpenRecord> = object<OpenRecord>({
-  j: field('j', jobSpec),
-  o: 'o',
-  x: field('x', flag),
+export const jobRecord: Codec<JobRecord> = object<JobRecord>({
+  spec: field('j', jobSpec),
+  acceptedRevision: 'o',
+  cancelled: field('x', flag),
 });
 
 /** `open/<id>/n`: a job's counter. */
-export const counterRecord: Codec<CountRecord> = object<CountRecord>({ n: 'n', r: 'r', b: 'b' });
+export const counterRecord: Codec<CounterRecord> = object<CounterRecord>({
+  finishedTasks: 'n',
+  runningTasks: 'r',
+  finishedBitmap: 'b',
+});
 
 /** `place/<id>/<chunk>`: the last placements of a chunk of its tasks. */
-export const placementRecord: Codec<PlaceRecord> = object<PlaceRecord>({ t: field('t', placementsByTask) });
+export const placementRecord: Codec<PlacementRecord> = object<PlacementRecord>({
+  tasks: field('t', placementsByTask),
+});
 
 /** `end/<id>`: the final answer about a job. */
-export const finalRecord: Codec<EndRecord> = object<EndRecord>({ d: field('d', bit), n: 'n' });
+export const finalRecord: Codec<FinalRecord> = object<FinalRecord>({
+  isDone: field('d', bit),
+  finishedTasks: 'n',
+});
 
 /** `sys/leader`. */
 export const leaderRecord: Codec<LeaderRecord> = object<LeaderRecord>({
-  inst: 'inst',
-  host: 'host',
-  token: 'token',
+  instanceId: 'inst',
+  nodeName: 'host',
+  fencingToken: 'token',
 });
 
 /** `sys/token`: the highest fencing token. */
-export const tokenRecord: Codec<TokenRecord> = object<TokenRecord>({ n: 'n' });
+export const tokenRecord: Codec<TokenRecord> = object<TokenRecord>({ fencingToken: 'n' });
 
 /** `sys/node/<host>`: a controller that is alive. */
-export const nodeRecord: Codec<NodeRecord> = object<NodeRecord>({ inst: 'inst', lease: 'lease' });
+export const nodeRecord: Codec<NodeRecord> = object<NodeRecord>({ instanceId: 'inst', leaseId: 'lease' });
 
 /** `sys/team/<name>`, and `fence/<host>`: the instance that the record belongs to. */
-export const teamRecord: Codec<TeamRecord> = object<TeamRecord>({ inst: 'inst' });
+export const teamRecord: Codec<OwnerRecord> = object<OwnerRecord>({ instanceId: 'inst' });
 
 /** `sys/types`: the machine types, as the cloud last told them. */
 export const machineTypesRecord: Codec<MachineType[]> = list(
@@ -94,12 +109,12 @@
     name: 'name',
     cpus: 'cpus',
     gpus: 'gpus',
-    mem: 'mem',
-    cacheGb: 'cacheGb',
-    fetchGbPerS: 'fetchGbPerS',
-    price: 'price',
-    spotPrice: 'spotPrice',
-    bootS: 'bootS',
+    memoryGb: 'mem',
+    imageCacheGb: 'cacheGb',
+    imageFetchGbPerSecond: 'fetchGbPerS',
+    hourlyPrice: 'price',
+    hourlySpotPrice: 'spotPrice',
+    bootSeconds: 'bootS',
     zones: 'zones',
   }),
 );
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,26 +1,28 @@
-import type { Item, StateEvent, Txn } from '../core/types.js';
+import type { StoredItem, Transaction, WatchEvent } from '../core/types.js';
 import { count, isObj, str } from './json.js';
 
-export function readItem(v: unknown): Item | null {
+export function readItem(v: unknown): StoredItem | null {
   if (!isObj(v)) return null;
   const key = str(v.key);
   const version = count(v.mark);
   if (key === null || version === null) return null;
   const lease = count(v.tenure);
-  return lease === null ? { key, value: v.value, version } : { key, value: v.value, version, lease };
+  return lease === null
+    ? { key, value: v.value, modRevision: version }
+    : { key, value: v.value, modRevision: version, leaseId: lease };
 }
 
-export function readItems(v: unknown): { items: Item[]; more: boolean; rev: number } | null {
+export function readItems(v: unknown): { items: StoredItem[]; more: boolean; storeRevision: number } | null {
   if (!isObj(v) || !Array.isArray(v.items)) return null;
   const rev = count(v.ring);
   if (rev === null) return null;
-  const items: Item[] = [];
+  const items: StoredItem[] = [];
   for (const it of v.items) {
     const item = readItem(it);
     if (!item) return null;
     items.push(item);
   }
-  return { items, more: v.has_next === true, rev };
+  return { items, more: v.has_next === true, storeRevision: rev };
 }
 
 export function readRev(v: unknown): number | null {
@@ -37,26 +39,26 @@
   return isObj(v) ? count(v.tenure) : null;
 }
 
-export function readEvents(v: unknown): { rev: number; events: StateEvent[] } | null {
+export function readEvents(v: unknown): { storeRevision: number; events: WatchEvent[] } | null {
   if (!isObj(v)) return null;
   const rev = count(v.ring);
   if (rev === null || !Array.isArray(v.log)) return null;
-  const events: StateEvent[] = [];
+  const events: WatchEvent[] = [];
   for (const e of v.log) {
     if (!isObj(e)) return null;
     const version = count(e.mark);
     const put = str(e.write);
     const del = str(e.drop);
     if (version === null || (put === null && del === null)) return null;
-    events.push({ key: put ?? (del as string), version, value: e.value, gone: put === null });
+    events.push({ key: put ?? (del as string), modRevision: version, value: e.value, deleted: put === null });
   }
-  return { rev, events };
+  return { storeRevision: rev, events };
 }
 
-export function writeTxn(t: Txn): Record<string, unknown> {
+export function writeTxn(transaction: Transaction): Record<string, unknown> {
   return {
-    when: t.when.map((w) => ({ key: w.key, mark: w.version })),
-    then: t.then.map((op) =>
+    when: transaction.preconditions.map((w) => ({ key: w.key, mark: w.modRevision })),
+    then: transaction.operations.map((op) =>
       'del' in op
         ? { drop: op.del }
         : op.lease !== undefined
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -1,8 +1,9 @@
 import { expect, test } from 'vitest';
-import { coversMachine, Marks, windowMs } from '../src/core/horizon.js';
-import { Owner } from '../src/core/owner/owner.js';
-import { Told } from '../src/core/told.js';
-import type { OwnerMsg, StatePort } from '../src/core/types.js';
+import { isLeaseRenewalCovered, PeerTimestamps, renewalWindowMs } from '../src/core/horizon.js';
+import { ShardOwner } from '../src/core/owner/owner.js';
+import { CancellationLog } from '../src/core/told.js';
+import type { KeyValueStore, ShardMessage } from '../src/core/types.js';
+import { jobRecord } from '../src/wire/record-codec.js';
 import { job } from './standin/day.js';
 import { ownerOptions } from './standin/owner.js';
 import { listed, scheduler } from './standin/scheduler.js';
@@ -17,7 +18,7 @@
   const w = new World(seed);
   w.runMs = () => 1e9;
   const ids = ['red', 'blue', 'free'].map((team) => {
-    const j = job(w, { team, tasks: 3, spot: false });
+    const j = job(w, { team, taskCount: 3, spotAllowed: false });
     w.submit(j);
     return j.id;
   });
@@ -30,10 +31,10 @@
 
 /** Cancels through one controller; the answer counts as the confirmation. */
 function cancelAt(w: World, host: string, id: string): void {
-  const j = w.jobs.get(id)!;
-  j.askedCancel = true;
-  w.procs.get(host)!.ctl.api.abort(id, (a) => {
-    if (a.s === 'job' && a.state === 'cancelled') j.cancelledAt ??= w.sim.now;
+  const job = w.jobs.get(id)!;
+  job.askedCancel = true;
+  w.procs.get(host)!.ctl.api.cancelJob(id, (answer) => {
+    if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt ??= w.sim.now;
   });
 }
 
@@ -111,9 +112,9 @@
     w.state.setDown(true);
     // Told to its user just before, by a controller that had it stored.
     const c = w.procs.get(w.hosts.find((h) => h !== old && h !== next())!)!.ctl as unknown as {
-      tellCancelled(id: string): void;
+      announceCancellation(id: string): void;
     };
-    c.tellCancelled(ids[0]!);
+    c.announceCancellation(ids[0]!);
     w.sim.run(w.sim.now + w.shape.cancelS * 2500);
     expect(on(ids[0]!)).toEqual([]);
     expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`))).toEqual(before);
@@ -127,12 +128,12 @@
 test('what runs of a cancelled job is stopped where a report lists it, also before its owner has told what it holds', () => {
   const t = scheduler(5);
   t.report([]);
-  t.k.unsync('o');
-  const other = { ...listed('running'), job: 'wk-2' };
+  t.k.requestSync('o');
+  const other = { ...listed('running'), jobId: 'wk-2' };
   t.report([listed('running'), other]);
   t.cancelled.add('wk-1');
   expect(t.report([listed('running'), other])).toEqual([
-    { op: 'stop', job: 'wk-1', idx: 0, attempt: 1, graceS: 0 },
+    { type: 'stop', jobId: 'wk-1', taskIndex: 0, attempt: 1, gracePeriodSeconds: 0 },
   ]);
 });
 
@@ -151,31 +152,31 @@
   w.sim.run(w.sim.now + 20000);
   expect(leaderOf(w)).toBe(leader);
   expect(w.procs.get(owner)!.ctl.status().teams).toEqual([]);
-  const j = job(w, { team: team as string, tasks: 2 });
+  const j = job(w, { team: team as string, taskCount: 2 });
   w.submit(j);
   w.sim.run(w.sim.now + 60000);
   expect([w.jobs.get(j.id)!.told, w.broken]).toEqual(['done', []]);
 });
 
 test('what siblings told counts from when nothing of it is missing, and only up to the mark they had', () => {
-  const t = new Told(['b', 'c']);
-  expect(t.asOf(100).at).toBe(Number.NEGATIVE_INFINITY);
-  t.word('b', 'b1', 4, 90, 100);
-  t.word('c', 'c1', 0, null, 110);
-  t.word('b', 'b1', 4, 200, 205);
-  t.word('c', 'c1', 0, 180, 206);
-  expect(t.asOf(210)).toEqual({ since: 110, at: 180 });
-  t.there('b', 'b1', 'wk-1', 5, 215);
-  t.word('b', 'b1', 5, 212, 216);
-  t.word('c', 'c1', 0, 213, 217);
-  expect([t.has('wk-1'), t.asOf(220)]).toEqual([true, { since: 110, at: 212 }]);
+  const t = new CancellationLog(['b', 'c']);
+  expect(t.completeSince(100).at).toBe(Number.NEGATIVE_INFINITY);
+  t.acknowledge('b', 'b1', 4, 90, 100);
+  t.acknowledge('c', 'c1', 0, null, 110);
+  t.acknowledge('b', 'b1', 4, 200, 205);
+  t.acknowledge('c', 'c1', 0, 180, 206);
+  expect(t.completeSince(210)).toEqual({ since: 110, at: 180 });
+  t.recordFromPeer('b', 'b1', 'wk-1', 5, 215);
+  t.acknowledge('b', 'b1', 5, 212, 216);
+  t.acknowledge('c', 'c1', 0, 213, 217);
+  expect([t.has('wk-1'), t.completeSince(220)]).toEqual([true, { since: 110, at: 212 }]);
   // The sixth was lost: from the seventh on nothing is missing again.
-  t.there('b', 'b1', 'wk-3', 7, 230);
-  expect(t.asOf(231)).toEqual({ since: 230, at: Number.NEGATIVE_INFINITY });
-  t.word('b', 'b1', 7, 232, 233);
-  t.word('c', 'c2', 0, 234, 235);
-  expect(t.asOf(236)).toEqual({ since: 235, at: Number.NEGATIVE_INFINITY });
-  expect([t.here('wk-9'), t.here('wk-9'), t.n]).toEqual([true, false, 1]);
+  t.recordFromPeer('b', 'b1', 'wk-3', 7, 230);
+  expect(t.completeSince(231)).toEqual({ since: 230, at: Number.NEGATIVE_INFINITY });
+  t.acknowledge('b', 'b1', 7, 232, 233);
+  t.acknowledge('c', 'c2', 0, 234, 235);
+  expect(t.completeSince(236)).toEqual({ since: 235, at: Number.NEGATIVE_INFINITY });
+  expect([t.recordOwn('wk-9'), t.recordOwn('wk-9'), t.toldHere]).toEqual([true, false, 1]);
 });
 
 test('a worker that lost the leader long before its zone did is not kept alive from inside with what was cancelled', () => {
@@ -208,12 +209,12 @@
   cancelAt(w, owner, id);
   const raise = () => {
     const ctl = w.procs.get(leader)!.ctl as unknown as {
-      ledToken: number;
-      raiseAt: number;
-      raise(token: number, why: string): void;
+      leaderTerm: number;
+      nextTokenRaiseAt: number;
+      raiseFencingToken(token: number, reason: string): void;
     };
-    ctl.raiseAt = 0;
-    ctl.raise(ctl.ledToken, 'a test');
+    ctl.nextTokenRaiseAt = 0;
+    ctl.raiseFencingToken(ctl.leaderTerm, 'a test');
     w.sim.after(1500, raise);
   };
   raise();
@@ -224,59 +225,63 @@
 });
 
 test('a cancellation of a job that is being read again is heeded at once and not taken back by that read', () => {
-  const sent: OwnerMsg[] = [];
-  const lists: { prefix: string; cb: Parameters<StatePort['list']>[3] }[] = [];
+  const sent: ShardMessage[] = [];
+  const lists: { prefix: string; cb: Parameters<KeyValueStore['list']>[3] }[] = [];
   let now = 0;
-  const state: Partial<StatePort> = {
-    get: (_key, _urgency, cb) => cb({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, cb) => lists.push({ prefix, cb }),
-    txn: () => {},
+  const state: Partial<KeyValueStore> = {
+    get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
+    list: (prefix, _since, _urgency, callback) => lists.push({ prefix, cb: callback }),
+    compareAndSwap: () => {},
   };
-  const owner = new Owner(
+  const owner = new ShardOwner(
     ownerOptions({
-      teams: new Map([['red', { name: 'red', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
-      state: state as StatePort,
+      teams: new Map([
+        ['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }],
+      ]),
+      store: state as KeyValueStore,
       clock: { now: () => now, wall: () => now, after: () => () => {}, soon: () => {}, random: () => 0 },
-      openReadAsOf: () => now,
-      send: (m) => sent.push(m),
+      openJobsFreshAsOf: () => now,
+      send: (message) => sent.push(message),
     }),
   );
   const spec = job(new World(1), { id: 'wk-1' });
-  const read = (prefix: string, items: { key: string; value: unknown; version: number }[]) => {
+  const read = (prefix: string, items: { key: string; value: unknown; modRevision: number }[]) => {
     const l = lists.shift()!;
     expect(l.prefix.startsWith(prefix)).toBe(true);
-    l.cb({ ok: true, value: { items, more: false, rev: 9 } });
+    l.cb({ ok: true, value: { items, more: false, storeRevision: 9 } });
   };
-  const stored = { key: 'open/wk-1/a', value: { j: spec }, version: 3 };
-  const placed = { key: 'place/wk-1/0', value: { t: { 0: [1, 'm', 1, 'a'] } }, version: 4 };
-  owner.setScheduler(5);
-  owner.setTeams(new Map([['red', 1]]));
+  const stored = { key: 'open/wk-1/a', value: jobRecord.encode({ spec }), modRevision: 3 };
+  const placed = { key: 'place/wk-1/0', value: { t: { 0: [1, 'm', 1, 'a'] } }, modRevision: 4 };
+  owner.setLeader(5);
+  owner.setShards(new Map([['red', 1]]));
   owner.flush();
   read('open/', [stored]);
   read('place/', [placed]);
   owner.flush();
-  owner.fromScheduler({ type: 'synced', token: 5 });
-  owner.openChanged('wk-1', 'n', { n: 1, r: 0, b: '1.1' }, 6);
+  owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 5 });
+  owner.onOpenJobChanged('wk-1', 'n', { n: 1, r: 0, b: '1.1' }, 6);
   expect(lists.length).toBe(1);
-  owner.openChanged('wk-1', 'a', { j: spec, o: 3, x: 1 }, 7);
-  owner.fromScheduler({ type: 'mark', token: 5, at: 1 });
+  owner.onOpenJobChanged('wk-1', 'a', jobRecord.encode({ spec, acceptedRevision: 3, cancelled: true }), 7);
+  owner.onLeaderMessage({ type: 'timestamp', fencingToken: 5, leaderTimestamp: 1 });
   now = 10;
   owner.flush();
-  const stops = sent.flatMap((m) => (m.type === 'held' ? m.held : [])).map((h) => h.want);
+  const stops = sent
+    .flatMap((message) => (message.type === 'placements' ? message.placements : []))
+    .map((placement) => placement.desiredState);
   expect(stops).toEqual(['stop']);
   // The cover comes after the stop that it speaks of.
-  const kinds = sent.map((m) => m.type);
-  expect(kinds.indexOf('covered')).toBeGreaterThan(kinds.indexOf('held'));
+  const kinds = sent.map((message) => message.type);
+  expect(kinds.indexOf('cancellationCoverage')).toBeGreaterThan(kinds.indexOf('placements'));
   read('open/wk-1/', [stored]);
   read('place/wk-1/', [placed]);
   owner.flush();
-  const sync = sent.filter((m) => m.type === 'sync').at(-1)!;
-  expect([sync.held.map((h) => h.want), sync.wants]).toEqual([['stop'], []]);
+  const sync = sent.filter((message) => message.type === 'fullSync').at(-1)!;
+  expect([sync.placements.map((placement) => placement.desiredState), sync.requests]).toEqual([['stop'], []]);
 });
 
 test('a lease is renewed only as long as the owners of what runs there have lately read of cancellations', () => {
   const t = scheduler(5);
-  const w = windowMs({ leaseS: 20, cancelS: 40 });
+  const w = renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 });
   t.report([]);
   t.tell('run');
   t.report([listed('running')]);
@@ -286,14 +291,16 @@
   t.later(200);
   expect(t.report([listed('running')])).toBeNull();
   // Nothing starts by what was told before.
-  t.hold({ ...t.held('run'), idx: 1, machine: 'n' });
-  t.report([], 5, { machine: 'n', addr: 'n' });
+  t.hold({ ...t.held('run'), taskIndex: 1, machine: 'n' });
+  t.report([], 5, { machine: 'n', address: 'n' });
   expect(t.settled()).toBe(false);
-  expect(t.calls.flatMap((c) => c.cmds).some((c) => c.op === 'start' && c.idx === 1)).toBe(false);
+  expect(
+    t.calls.flatMap((c) => c.cmds).some((command) => command.type === 'start' && command.taskIndex === 1),
+  ).toBe(false);
   // The answer that renews again carries the stop.
   t.tell('stop');
   t.owner.follows = true;
-  expect(t.report([listed('running')])?.map((c) => c.op)).toEqual(['stop']);
+  expect(t.report([listed('running')])?.map((command) => command.type)).toEqual(['stop']);
 });
 
 test('a lost message with a stop holds the horizon back, and all is asked for again', () => {
@@ -303,21 +310,29 @@
   t.report([listed('running')]);
   // The owner counts one more message than came.
   t.owner.told++;
-  t.later(windowMs({ leaseS: 20, cancelS: 40 }) + 100);
+  t.later(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
   expect(t.report([listed('running')])).toBeNull();
-  expect(t.said.some((m) => m.type === 'resync')).toBe(true);
+  expect(t.said.some((message) => message.type === 'syncRequested')).toBe(true);
 });
 
 test('a mark that came after a read was sent is not covered by it, and a cover ends with its window', () => {
-  const m = new Marks();
+  const m = new PeerTimestamps();
   m.add(100, 1000);
   m.add(600, 1500);
-  expect([m.by(999), m.by(1000), m.by(1499), m.by(1500)]).toEqual([null, 100, 100, 600]);
-  const c = { at: 1000, pending: new Set(['m']) };
-  expect([coversMachine(c, 'n', 2000, 1000), coversMachine(c, 'n', 2001, 1000)]).toEqual([true, false]);
   expect([
-    coversMachine(c, 'm', 1000, 1000),
-    coversMachine({ ...c, pending: null }, 'n', 1000, 1000),
+    m.latestReceivedBy(999),
+    m.latestReceivedBy(1000),
+    m.latestReceivedBy(1499),
+    m.latestReceivedBy(1500),
+  ]).toEqual([null, 100, 100, 600]);
+  const c = { completeUntil: 1000, pendingMachines: new Set(['m']) };
+  expect([isLeaseRenewalCovered(c, 'n', 2000, 1000), isLeaseRenewalCovered(c, 'n', 2001, 1000)]).toEqual([
+    true,
+    false,
+  ]);
+  expect([
+    isLeaseRenewalCovered(c, 'm', 1000, 1000),
+    isLeaseRenewalCovered({ ...c, pendingMachines: null }, 'n', 1000, 1000),
   ]).toEqual([false, false]);
-  expect(coversMachine(null, 'n', 0, 1e9)).toBe(false);
+  expect(isLeaseRenewalCovered(null, 'n', 0, 1e9)).toBe(false);
 });
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { Mirror } from '../src/core/mirror.js';
-import type { Clock, StateEvent, StatePort, Then } from '../src/core/types.js';
+import { WatchCache } from '../src/core/mirror.js';
+import type { Clock, KeyValueStore, ResultCallback, WatchEvent } from '../src/core/types.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
 import { World } from './standin/world.js';
 
@@ -39,17 +39,17 @@
   t.report([]);
   t.tell('run');
   t.calls[0]!.cb({ ok: false, kind: 'refused' });
-  t.report([], 5, { tally: 10 });
-  t.report([listed('running')], 5, { tally: 11 });
+  t.report([], 5, { sequence: 10 });
+  t.report([listed('running')], 5, { sequence: 11 });
   t.tell('stop');
   // With the current token, from before the start: it does not list the task, which runs.
-  expect(t.report([], 5, { tally: 9 })).toEqual([]);
+  expect(t.report([], 5, { sequence: 9 })).toEqual([]);
   expect(t.settled()).toBe(false);
-  t.report([], 5, { season: 2, tally: 12 });
-  expect(t.report([listed('running')], 5, { season: 1, tally: 20 })).toEqual([]);
+  t.report([], 5, { agentEpoch: 2, sequence: 12 });
+  expect(t.report([listed('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
   // Nothing but copies is heard from here on.
   for (let i = 0; i < 80; i++) {
-    t.report([], 5, { season: 1, tally: 9 });
+    t.report([], 5, { agentEpoch: 1, sequence: 9 });
     t.later(1000);
     for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
   }
@@ -69,20 +69,28 @@
 test('one read answers all questions that waited for it, and none older than a question', () => {
   let now = 0;
   const timers: { at: number; fn: () => void }[] = [];
-  const reads: { since: number; wait: number; cb: Then<{ rev: number; events: StateEvent[] }> }[] = [];
+  const reads: {
+    since: number;
+    wait: number;
+    cb: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>;
+  }[] = [];
   const clock = { now: () => now, after: (ms: number, fn: () => void) => timers.push({ at: now + ms, fn }) };
   const state = {
-    list: (_p: string, _s: string, _u: number, cb: Then<unknown>) =>
-      cb({ ok: true, value: { items: [], more: false, rev: 5 } }),
-    watch: (_p: string, since: number, wait: number, cb: Then<{ rev: number; events: StateEvent[] }>) =>
-      reads.push({ since, wait, cb }),
+    list: (_p: string, _s: string, _u: number, callback: ResultCallback<unknown>) =>
+      callback({ ok: true, value: { items: [], more: false, storeRevision: 5 } }),
+    watch: (
+      _p: string,
+      since: number,
+      wait: number,
+      callback: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>,
+    ) => reads.push({ since, wait, cb: callback }),
   };
   const gone: string[] = [];
-  const m = new Mirror(
+  const m = new WatchCache(
     'open/',
     10000,
     0,
-    state as unknown as StatePort,
+    state as unknown as KeyValueStore,
     clock as unknown as Clock,
     (key, value) => value === undefined && gone.push(key),
   );
@@ -92,24 +100,29 @@
     now += ms;
     for (const t of timers.splice(0)) t.at <= now ? t.fn() : timers.push(t);
   };
-  const ask = (name: string) => m.fresh((ok) => answers.push(`${name} ${ok} ${m.items.size}`));
+  const ask = (name: string) => m.linearizableRead((ok) => answers.push(`${name} ${ok} ${m.items.size}`));
   const long = reads.shift()!;
   ask('a');
   ask('b');
   expect(reads.map((r) => r.wait)).toEqual([0]);
   ask('c');
-  const put = (key: string, version: number) => ({ key, version, value: {}, gone: false });
-  reads.shift()!.cb({ ok: true, value: { rev: 7, events: [put('open/x/a', 6), put('open/y/a', 7)] } });
+  const put = (key: string, modRevision: number) => ({ key, modRevision, value: {}, deleted: false });
+  reads
+    .shift()!
+    .cb({ ok: true, value: { storeRevision: 7, events: [put('open/x/a', 6), put('open/y/a', 7)] } });
   // c came after the read was sent: it waits for the next, though the copy is newer than before.
   expect(answers).toEqual(['a true 2']);
   run(200);
   const next = reads.find((r) => r.wait === 0)!;
   next.cb({
     ok: true,
-    value: { rev: 8, events: [{ key: 'open/x/a', version: 8, value: undefined, gone: true }] },
+    value: {
+      storeRevision: 8,
+      events: [{ key: 'open/x/a', modRevision: 8, value: undefined, deleted: true }],
+    },
   });
   // The long watch, sent before all this, tells of what has been dropped since: it must not come back.
-  long.cb({ ok: true, value: { rev: 6, events: [put('open/x/a', 6)] } });
+  long.cb({ ok: true, value: { storeRevision: 6, events: [put('open/x/a', 6)] } });
   expect([m.items.has('open/x/a'), gone]).toEqual([false, ['open/x/a']]);
   ask('d');
   run(200);
@@ -125,13 +138,13 @@
   reads
     .filter((r) => r.wait === 0)
     .pop()!
-    .cb({ ok: true, value: { rev: 9, events: [] } });
+    .cb({ ok: true, value: { storeRevision: 9, events: [] } });
   ask('f');
   run(200);
   reads
     .filter((r) => r.wait === 0)
     .pop()!
-    .cb({ ok: true, value: { rev: 10, events: [] } });
+    .cb({ ok: true, value: { storeRevision: 10, events: [] } });
   expect(answers.at(-1)).toBe('f true 1');
 });
 
@@ -141,11 +154,11 @@
   const leads = (h: string) => w.procs.get(h)!.ctl.status().scheduler !== null;
   const host = w.hosts.find(leads)!;
   const ctl = w.procs.get(host)!.ctl as unknown as {
-    ledToken: number;
-    resign(token: number, why: string): void;
+    leaderTerm: number;
+    resign(token: number, reason: string): void;
   };
   w.state.refused.add(host);
-  ctl.resign(ctl.ledToken, 'a test');
+  ctl.resign(ctl.leaderTerm, 'a test');
   w.sim.run(w.sim.now + 300);
   w.state.allow(host);
   expect(w.hosts.some(leads)).toBe(false);
@@ -155,38 +168,43 @@
 
 test('a full sync of which a part was lost is not taken for the whole: the owner is asked again', () => {
   const t = scheduler(5);
-  const running = [0, 1, 2].map((idx) => ({ ...t.held('run'), idx }));
-  const tasks = running.map((h) => ({ ...listed('running'), idx: h.idx }));
+  const running = [0, 1, 2].map((taskIndex) => ({ ...t.held('run'), taskIndex }));
+  const tasks = running.map((h) => ({ ...listed('running'), taskIndex: h.taskIndex }));
   for (const h of running) t.hold(h);
   t.report(tasks);
-  const gens = { red: 1, blue: 1, free: 1 };
+  const shardEpochs = { red: 1, blue: 1, free: 1 };
   const part = (n: number, h: (typeof running)[number]) =>
-    t.k.fromOwner({
-      type: 'sync',
-      token: 5,
-      inst: 'o',
-      sync: 2,
-      parts: 3,
-      part: n,
-      gens,
-      held: [h],
-      wants: [],
+    t.k.onShardMessage({
+      type: 'fullSync',
+      fencingToken: 5,
+      instanceId: 'o',
+      syncNumber: 2,
+      chunkCount: 3,
+      chunkIndex: n,
+      shardEpochs,
+      placements: [h],
+      requests: [],
     });
   part(0, running[0]!);
   t.said.length = 0;
   part(2, running[2]!);
-  expect(t.said).toContainEqual({ k: 'resync', token: 5 });
-  expect(t.said.some((m) => m.type === 'synced')).toBe(false);
+  expect(t.said).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
+  expect(t.said.some((message) => message.type === 'syncAccepted')).toBe(false);
   t.later(5000);
-  expect(t.report(tasks)?.filter((c) => c.op === 'stop')).toEqual([]);
+  expect(t.report(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
 });
 
 test('an attempt that was listed as ended and removed is not started again when its owner claims it late', () => {
   const t = scheduler(5);
   t.report([listed('exited')]);
   t.tell('run');
-  expect(t.said.some((m) => m.type === 'seen' && m.seen.some((s) => s.type === 'phase'))).toBe(true);
-  expect(t.report([])?.filter((c) => c.op === 'start')).toEqual([]);
-  expect(t.calls.flatMap((call) => call.cmds).filter((c) => c.op === 'start')).toEqual([]);
+  expect(
+    t.said.some(
+      (message) =>
+        message.type === 'allocationEvents' && message.events.some((event) => event.type === 'phase'),
+    ),
+  ).toBe(true);
+  expect(t.report([])?.filter((command) => command.type === 'start')).toEqual([]);
+  expect(t.calls.flatMap((call) => call.cmds).filter((command) => command.type === 'start')).toEqual([]);
   expect(t.settled()).toBe(true);
 });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,4 +1,5 @@
 import { expect, test } from 'vitest';
+import type { ClusterState } from '../src/core/ledger.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
 import { World } from './standin/world.js';
 
@@ -6,7 +7,7 @@
 
 /** Every machine of `names` reports, one second passes, and what was asked directly is not answered. */
 function second(t: Scheduler, names: string[], over: (name: string) => object = () => ({})): void {
-  for (const machine of names) t.report([], 5, { machine, addr: machine, ...over(machine) });
+  for (const machine of names) t.report([], 5, { machine, address: machine, ...over(machine) });
   t.later(1000);
   t.k.flush();
   for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
@@ -16,22 +17,20 @@
 test('a new scheduler takes no machine for slow because it saw others half way through their tasks', () => {
   const t = scheduler(5);
   const all = names(30);
-  const done = (id: string) => [{ ...listed('exited'), job: id }];
+  const done = (id: string) => [{ ...listed('exited'), jobId: id }];
   // Each runs a task that began before this scheduler led: first seen running, ended a moment later.
   for (let round = 0; round < 5; round++) {
-    for (const m of all) t.hold({ ...t.held('run'), job: `wk-${m}-${round}`, machine: m });
+    for (const m of all) t.hold({ ...t.held('run'), jobId: `wk-${m}-${round}`, machine: m });
     for (const m of all)
-      t.report([{ ...listed('running'), job: `wk-${m}-${round}` }], 5, { machine: m, addr: m });
+      t.report([{ ...listed('running'), jobId: `wk-${m}-${round}` }], 5, { machine: m, address: m });
     t.later(100);
-    for (const m of all.slice(0, 20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, addr: m });
+    for (const m of all.slice(0, 20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
     t.later(3000);
-    for (const m of all.slice(20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, addr: m });
+    for (const m of all.slice(20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
   }
   for (let i = 0; i < 5; i++) second(t, all);
-  const retired = [
-    ...(t.k as unknown as { l: { machines: Map<string, { retired: boolean }> } }).l.machines.values(),
-  ];
-  expect(retired.filter((m) => m.retired)).toEqual([]);
+  const retired = [...(t.k as unknown as { state: ClusterState }).state.machines.values()];
+  expect(retired.filter((m) => m.isQuarantined)).toEqual([]);
 });
 
 test('a scheduler whose workers reach its siblings only resigns and deletes nothing', () => {
@@ -42,7 +41,7 @@
   for (let i = 0; i < 20 && t.resigned.length === 0; i++) {
     second(t, []);
     // What siblings tell of them, some seconds after the first report went unanswered.
-    if (i >= 4) t.k.strayed(all.slice(0, 4 * (i - 3)));
+    if (i >= 4) t.k.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
   }
   expect(t.resigned).toEqual(['workers reach siblings only']);
   expect(t.removed).toEqual([]);
@@ -70,9 +69,9 @@
   const at = (m: string) => ({ zone: far.includes(m) ? 'b' : 'a' });
   for (let i = 0; i < 30; i++) second(t, [...near, ...far], at);
   for (const m of far.slice(1))
-    t.hold({ ...t.held('run'), rank: 0, service: true, job: `wk-${m}`, machine: m });
+    t.hold({ ...t.held('run'), priority: 0, isService: true, jobId: `wk-${m}`, machine: m });
   for (const m of far.slice(1))
-    t.report([{ ...listed('running'), job: `wk-${m}` }], 5, { machine: m, addr: m, zone: 'b' });
+    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m, zone: 'b' });
   for (let i = 0; i < 35; i++) second(t, near, at);
   // Only the one without replicas; the others until `cancel_s` (40 s here) has passed.
   expect(t.removed).toEqual([far[0]]);
@@ -102,21 +101,21 @@
 });
 
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
-  const run = (why: 'stopped' | 'done') => {
+  const run = (reason: 'stopped' | 'done') => {
     const t = scheduler(5, { idle_s: 1e6 });
     t.report([]);
     t.tell('run');
-    expect(t.calls[0]?.cmds[0]?.op).toBe('start');
+    expect(t.calls[0]?.cmds[0]?.type).toBe('start');
     t.report([listed('running')]);
     t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
-    const ended = [{ ...listed('exited'), why }];
+    const ended = [{ ...listed('exited'), exitReason: reason }];
     t.report(ended);
     t.tell('reap');
     const ops = [];
     for (let i = 0; i < 40; i++) {
-      ops.push(...(t.report(ended) ?? []).map((c) => c.op));
+      ops.push(...(t.report(ended) ?? []).map((command) => command.type));
       t.later(1000);
-      ops.push(...t.calls.flatMap((c) => c.cmds.map((x) => x.op)));
+      ops.push(...t.calls.flatMap((c) => c.cmds.map((x) => x.type)));
       for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
     }
     return ops;
@@ -131,7 +130,7 @@
   t.tell('run');
   t.report([listed('running')]);
   t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
-  const ended = [{ ...listed('exited'), why: 'stopped' as const }];
+  const ended = [{ ...listed('exited'), exitReason: 'stopped' as const }];
   t.report(ended);
   t.tell('reap');
   for (let i = 0; i < 30; i++) {
@@ -149,20 +148,20 @@
   t.report([listed('running')]);
   t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
   for (let i = 1; i < 20; i++) {
-    t.report([], 0, { tally: Math.min(i, 8) });
+    t.report([], 0, { sequence: Math.min(i, 8) });
     t.later(1000);
     t.k.flush();
     const r = {
-      addr: 'm',
-      type: 'small',
+      address: 'm',
+      machineType: 'small',
       zone: 'a',
-      spot: false,
-      season: 1,
-      token: 5,
-      noticeS: null,
+      isSpot: false,
+      agentEpoch: 1,
+      fencingToken: 5,
+      evictionNoticeSeconds: null,
       tasks: [],
     };
-    for (const c of t.calls.splice(0)) c.cb({ ok: true, value: { machine: 'm', tally: 3, ...r } });
+    for (const c of t.calls.splice(0)) c.cb({ ok: true, value: { machine: 'm', sequence: 3, ...r } });
   }
   expect(t.removed).toEqual(['m']);
   expect(t.settled()).toBe(false);
@@ -172,39 +171,45 @@
   const t = scheduler(5, { idle_s: 1e6 });
   const all = names(1900);
   for (const m of all) {
-    t.hold({ ...t.held('run'), job: `wk-${m}`, machine: m });
-    t.report([{ ...listed('running'), job: `wk-${m}` }], 5, { machine: m, addr: m });
+    t.hold({ ...t.held('run'), jobId: `wk-${m}`, machine: m });
+    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
   t.later(1000);
   t.k.flush();
   const inside = t.k as unknown as {
-    placing: { preemption: { offer: (...a: unknown[]) => unknown } };
-    l: { touched: Set<unknown>; roomOf: (...a: unknown[]) => unknown };
+    placement: { preemption: { offer: (...a: unknown[]) => unknown } };
+    state: { changedMachines: Set<unknown>; capacityOf: (...a: unknown[]) => unknown };
   };
   let offers = 0;
-  const offer = inside.placing.preemption.offer.bind(inside.placing.preemption);
-  inside.placing.preemption.offer = (...a) => {
+  const offer = inside.placement.preemption.offer.bind(inside.placement.preemption);
+  inside.placement.preemption.offer = (...a) => {
     offers++;
     return offer(...a);
   };
   // Three hundred replicas that no machine here may run: each used to look at all 1,900 machines.
-  const replica = { service: true, rank: 0 as const, spot: false, cpus: 4, types: ['big'] };
+  const replica = {
+    isService: true,
+    priority: 0 as const,
+    spotAllowed: false,
+    cpus: 4,
+    machineTypes: ['big'],
+  };
   t.wants(Array.from({ length: 300 }, (_, i) => makeWant(`wk-s${i}`, replica)));
   t.later(1000);
   t.k.flush();
   expect(offers).toBeGreaterThan(0);
   expect(offers).toBeLessThanOrEqual(2 * all.length);
   // A second before the next pass: nothing but the machine that reported is looked at again.
-  inside.l.touched.clear();
-  let rooms = 0;
-  const roomOf = inside.l.roomOf.bind(inside.l);
-  inside.l.roomOf = (...a) => {
-    rooms++;
+  inside.state.changedMachines.clear();
+  let capacities = 0;
+  const roomOf = inside.state.capacityOf.bind(inside.state);
+  inside.state.capacityOf = (...a) => {
+    capacities++;
     return roomOf(...a);
   };
   const m = all[7] as string;
-  t.report([{ ...listed('exited'), job: `wk-${m}` }], 5, { machine: m, addr: m });
-  expect([inside.l.touched.size, rooms]).toEqual([1, 0]);
+  t.report([{ ...listed('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+  expect([inside.state.changedMachines.size, capacities]).toEqual([1, 0]);
   expect(t.calls.splice(0).length).toBe(0);
 });
 
@@ -212,25 +217,25 @@
   const t = scheduler(5, { idle_s: 1e6 });
   const all = names(100);
   for (const m of all) {
-    t.hold({ ...t.held('run'), job: `wk-${m}`, machine: m, cpus: 3, mem: 1 });
-    t.report([{ ...listed('running'), job: `wk-${m}` }], 5, { machine: m, addr: m });
+    t.hold({ ...t.held('run'), jobId: `wk-${m}`, machine: m, cpus: 3, memoryGb: 1 });
+    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
   t.later(1000);
   t.k.flush();
-  const inside = t.k as unknown as { placing: { preemption: { offer: (...a: unknown[]) => unknown } } };
+  const inside = t.k as unknown as { placement: { preemption: { offer: (...a: unknown[]) => unknown } } };
   let offers = 0;
-  const offer = inside.placing.preemption.offer.bind(inside.placing.preemption);
-  inside.placing.preemption.offer = (...a) => {
+  const offer = inside.placement.preemption.offer.bind(inside.placement.preemption);
+  inside.placement.preemption.offer = (...a) => {
     offers++;
     return offer(...a);
   };
   // Within blue's guarantee, each of a size of its own, and on no machine that is there.
   const want = (i: number) =>
-    makeWant(`wk-b${i}`, { team: 'blue', cpus: 3 + i / 100, types: ['big'], spot: false });
-  const wants = Array.from({ length: 20 }, (_, i) => want(i));
+    makeWant(`wk-b${i}`, { team: 'blue', cpus: 3 + i / 100, machineTypes: ['big'], spotAllowed: false });
+  const requests = Array.from({ length: 20 }, (_, i) => want(i));
   const pass = (ms: number) => {
     offers = 0;
-    t.wants(wants);
+    t.wants(requests);
     t.later(ms);
     t.k.flush();
     return offers;
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -17,24 +17,24 @@
   return { request: server.requests.at(-1), result };
 }
 const types = (status: number, text: string) =>
-  call<MachineType[]>(status, text, (then) => cloud.types(then));
+  call<MachineType[]>(status, text, (then) => cloud.listMachineTypes(then));
 const rent = (status: number, text: string) =>
-  call<string[]>(status, text, (then) => cloud.rent('r-17', 'g8', 'a', true, 12, then));
+  call<string[]>(status, text, (then) => cloud.rentMachines('r-17', 'g8', 'a', true, 12, then));
 const remove = (status: number) =>
-  call<null>(status, '{}', (then) => cloud.remove(['vm-000231', 'vm-000232'], then));
+  call<null>(status, '{}', (then) => cloud.deleteMachines(['vm-000231', 'vm-000232'], then));
 const list = (status: number, text: string, since = 'vm-000230') =>
-  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (then) => cloud.list(since, then));
+  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (then) => cloud.listMachines(since, then));
 
 const G8: MachineType = {
   name: 'g8',
   cpus: 96,
   gpus: 8,
-  mem: 768,
-  cacheGb: 200,
-  fetchGbPerS: 1.5,
-  price: 12,
-  spotPrice: 4.5,
-  bootS: 45,
+  memoryGb: 768,
+  imageCacheGb: 200,
+  imageFetchGbPerSecond: 1.5,
+  hourlyPrice: 12,
+  hourlySpotPrice: 4.5,
+  bootSeconds: 45,
   zones: ['a', 'b'],
 };
 
@@ -52,11 +52,11 @@
     const least = {
       ...G8,
       gpus: 0,
-      cacheGb: 0,
-      fetchGbPerS: 0.1,
-      price: 1,
-      spotPrice: 1,
-      bootS: 30,
+      imageCacheGb: 0,
+      imageFetchGbPerSecond: 0.1,
+      hourlyPrice: 1,
+      hourlySpotPrice: 1,
+      bootSeconds: 30,
       zones: [],
     };
     const text =
@@ -65,7 +65,7 @@
     const priced = '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768,"hourly":3}]}';
     expect((await types(200, priced)).result).toStrictEqual({
       ok: true,
-      value: [{ ...least, price: 3, spotPrice: 3 }],
+      value: [{ ...least, hourlyPrice: 3, hourlySpotPrice: 3 }],
     });
     expect((await types(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
   });
@@ -103,16 +103,16 @@
 describe('the list of machines', () => {
   const text =
     '{"trunks":[{"name_id":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"phase":"running","age_s":61.5},{"name_id":"vm-000232","phase":"booting"},{"name_id":"vm-000233","phase":"failed"},{"name_id":"vm-000234","phase":"else"},{"phase":"running"}],"has_next":true}';
-  const bare = { addr: '', type: '', zone: '', spot: false, ageS: 0 };
+  const bare = { address: '', machineType: '', zone: '', isSpot: false, ageSeconds: 0 };
   const machines: ListedMachine[] = [
     {
       name: 'vm-000231',
-      addr: '10.1.0.232:9000',
-      type: 'g8',
+      address: '10.1.0.232:9000',
+      machineType: 'g8',
       zone: 'a',
-      spot: true,
+      isSpot: true,
       phase: 'running',
-      ageS: 61.5,
+      ageSeconds: 61.5,
     },
     { name: 'vm-000232', phase: 'booting', ...bare },
     { name: 'vm-000233', phase: 'failed', ...bare },
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from 'vitest';
 import type { ApiAnswer } from '../../src/core/api.js';
-import { Controller, type MeshMsg } from '../../src/core/controller.js';
-import type { JobSpec, MachineType, WorkerReport } from '../../src/core/types.js';
+import { Controller, type PeerMessage } from '../../src/core/controller.js';
+import type { Heartbeat, JobSpec, MachineType } from '../../src/core/types.js';
 import { compilePolicy } from '../../src/settings/policy.js';
 import { Sim } from '../standin/sim.js';
 import { RecordedState } from './recorded-state.js';
@@ -23,12 +23,12 @@
   name: 'g8',
   cpus: 96,
   gpus: 8,
-  mem: 768,
-  cacheGb: 200,
-  fetchGbPerS: 1,
-  price: 12,
-  spotPrice: 4.5,
-  bootS: 45,
+  memoryGb: 768,
+  imageCacheGb: 200,
+  imageFetchGbPerSecond: 1,
+  hourlyPrice: 12,
+  hourlySpotPrice: 4.5,
+  bootSeconds: 45,
   zones: ['a', 'b'],
 };
 const TYPES_TEXT =
@@ -36,58 +36,58 @@
 const LEADER = { 'sys/leader': '{"inst":"stand-2.9f","host":"stand-2","token":4}' };
 const OWN_NODE = { 'sys/node/stand-1': '{"inst":"stand-1.0a","lease":7}' };
 
-const REPORT: WorkerReport = {
+const REPORT: Heartbeat = {
   machine: 'vm-000231',
-  addr: '10.1.0.232:9000',
-  type: 'g8',
+  address: '10.1.0.232:9000',
+  machineType: 'g8',
   zone: 'a',
-  spot: false,
-  season: 1,
-  tally: 1,
-  token: 0,
-  noticeS: null,
+  isSpot: false,
+  agentEpoch: 1,
+  sequence: 1,
+  fencingToken: 0,
+  evictionNoticeSeconds: null,
   tasks: [],
 };
 const SPEC: JobSpec = {
   id: 'wk-7',
-  cls: 'train',
+  jobClass: 'train',
   team: 'vision',
-  shape: 'array',
-  rank: 2,
-  tasks: 1,
+  kind: 'array',
+  priority: 2,
+  taskCount: 1,
   cpus: 1,
   gpus: 0,
-  mem: 1,
+  memoryGb: 1,
   image: 'img',
   imageGb: 1,
-  types: null,
+  machineTypes: null,
   zone: null,
-  together: false,
-  apart: false,
-  spot: false,
-  estimateS: 1,
-  checkpointS: 0,
-  saveS: 0,
-  deadlineS: null,
-  at: 0,
+  zoneAffinity: false,
+  zoneAntiAffinity: false,
+  spotAllowed: false,
+  estimatedRunSeconds: 1,
+  checkpointIntervalSeconds: 0,
+  checkpointSaveSeconds: 0,
+  deadlineSeconds: null,
+  acceptedAtMs: 0,
 };
 
 /** A controller that has run for so long over these stored records. */
 function controllerOver(records: Record<string, string>, cloudTypes: MachineType[], ms = 3000) {
   const sim = new Sim(1);
   const state = new RecordedState(new Map(Object.entries(records)));
-  const sent: MeshMsg[] = [];
+  const sent: PeerMessage[] = [];
   const controller = new Controller({
-    host: 'stand-1',
-    inst: 'stand-1.0a',
-    peers: ['stand-2'],
-    teams: [{ name: 'vision', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }],
-    workers: { reportS: 3, leaseS: 30, cancelS: 60 },
-    state: { valueKb: 8, txnOps: 32, writeRps: 50 },
-    listLagS: 5,
-    cloudRps: 3,
+    nodeName: 'stand-1',
+    instanceId: 'stand-1.0a',
+    peerNames: ['stand-2'],
+    teams: [{ name: 'vision', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }],
+    workerTiming: { heartbeatIntervalSeconds: 3, leaseSeconds: 30, cancellationSeconds: 60 },
+    storeLimits: { maxValueKb: 8, maxTransactionOperations: 32, writesPerSecond: 50 },
+    machineListLagSeconds: 5,
+    cloudCallsPerSecond: 3,
     objectives: [],
-    ttlMs: 3500,
+    leaseTtlMs: 3500,
     policy: POLICY,
     clock: {
       now: () => sim.now,
@@ -100,22 +100,22 @@
       random: () => 0.5,
     },
     log: { debug: () => {}, info: () => {}, error: () => {} },
-    statePort: state.port,
+    store: state.port,
     cloud: {
-      types: (then) =>
+      listMachineTypes: (then) =>
         then(cloudTypes.length > 0 ? { ok: true, value: cloudTypes } : { ok: false, kind: 'refused' }),
-      rent: (_claim, _type, _zone, _spot, _count, then) => then({ ok: false, kind: 'refused' }),
-      remove: (_names, then) => then({ ok: true, value: null }),
-      list: (_since, then) => then({ ok: true, value: { machines: [], more: false } }),
+      rentMachines: (_claim, _type, _zone, _spot, _count, then) => then({ ok: false, kind: 'refused' }),
+      deleteMachines: (_names, then) => then({ ok: true, value: null }),
+      listMachines: (_since, then) => then({ ok: true, value: { machines: [], more: false } }),
     },
-    worker: { commands: () => {} },
-    mesh: { send: (_host, message) => sent.push(message) },
+    workers: { sendCommands: () => {} },
+    peers: { send: (_host, message) => sent.push(message) },
   });
   controller.start();
   sim.run(ms);
   const submit = () => {
     let answer: ApiAnswer | undefined;
-    controller.api.submit(SPEC, (given) => {
+    controller.api.submitJob(SPEC, (given) => {
       answer = given;
     });
     sim.run(sim.now + 1000);
@@ -163,31 +163,33 @@
 
   test('the leader: workers are sent to it, and nobody else campaigns', () => {
     const { controller, state } = controllerOver(LEADER, []);
-    expect(controller.report(REPORT)).toStrictEqual({ s: 'other', leader: 'stand-2' });
+    expect(controller.handleHeartbeat(REPORT)).toStrictEqual({ type: 'redirected', leaderName: 'stand-2' });
     expect(state.transactions.length).toBe(1);
   });
 
   test('the machine types: submissions are decided by them', () => {
-    expect(controllerOver(LEADER, []).submit()?.s).toBe('later');
-    expect(controllerOver({ ...LEADER, 'sys/types': TYPES_TEXT }, []).submit()?.s).toBe('job');
+    expect(controllerOver(LEADER, []).submit()?.type).toBe('unavailable');
+    expect(controllerOver({ ...LEADER, 'sys/types': TYPES_TEXT }, []).submit()?.type).toBe('job');
     const small = TYPES_TEXT.replace('"cpus":96', '"cpus":0.5');
-    expect(controllerOver({ ...LEADER, 'sys/types': small }, []).submit()?.s).toBe('never');
+    expect(controllerOver({ ...LEADER, 'sys/types': small }, []).submit()?.type).toBe('rejected');
   });
 
   test('the team: its owner tells the leader of it', () => {
     const records = { ...LEADER, ...OWN_NODE, 'sys/team/vision': '{"inst":"stand-1.0a"}' };
     const { sent } = controllerOver(records, []);
-    const told = sent.flatMap(({ body }) => (body.type === 'owner' ? [body] : []));
-    expect(told.map(({ to, m }) => [to, m.type, m.token, m.type === 'sync' && m.gens])).toContainEqual([
-      'stand-2.9f',
-      'sync',
-      4,
-      { vision: 41 },
-    ]);
+    const told = sent.flatMap(({ body }) => (body.type === 'toLeader' ? [body] : []));
+    expect(
+      told.map(({ recipient: to, message }) => [
+        to,
+        message.type,
+        message.fencingToken,
+        message.type === 'fullSync' && message.shardEpochs,
+      ]),
+    ).toContainEqual(['stand-2.9f', 'fullSync', 4, { vision: 41 }]);
     const others = { ...records, 'sys/team/vision': '{"inst":"stand-3.0a"}' };
     const toldByOther = controllerOver(others, []).sent.flatMap(({ body }) =>
-      body.type === 'owner' && body.m.type === 'sync' ? [body.m.gens] : [],
+      body.type === 'toLeader' && body.message.type === 'fullSync' ? [body.message.shardEpochs] : [],
     );
-    expect(toldByOther.filter((gens) => Object.keys(gens).length > 0)).toEqual([]);
+    expect(toldByOther.filter((shardEpochs) => Object.keys(shardEpochs).length > 0)).toEqual([]);
   });
 });
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -25,8 +25,8 @@
   for (const { ctl } of world.procs.values()) {
     const push = ctl.push.bind(ctl);
     ctl.push = (command) => {
-      if (command.type === 'mesh') {
-        const { body, ...around } = new Unpackr().unpack(encode(command.m));
+      if (command.type === 'peerMessage') {
+        const { body, ...around } = new Unpackr().unpack(encode(command.message));
         const message = body.m ?? body;
         const kind = body.m ? `${body.k} ${message.k}` : body.k;
         const fields = sent.get(kind) ?? new Set();
@@ -36,11 +36,20 @@
       push(command);
     };
   }
-  const tasks = { tasks: 6, checkpointS: 1, saveS: 1 };
+  const tasks = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
   for (let i = 0; i < 4; i++) {
-    world.submit(job(world, { ...tasks, rank: 3, types: ['small'], estimateS: 300 }));
-    world.submit(job(world, { ...tasks, shape: 'gang', rank: 2, team: 'blue' }));
-    world.submit(job(world, { ...tasks, shape: 'service', rank: 0, apart: true, team: 'free', spot: false }));
+    world.submit(job(world, { ...tasks, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }));
+    world.submit(job(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
+    world.submit(
+      job(world, {
+        ...tasks,
+        kind: 'service',
+        priority: 0,
+        zoneAntiAffinity: true,
+        team: 'free',
+        spotAllowed: false,
+      }),
+    );
   }
   world.sim.run(20000);
   const [array, gang, service] = [...world.jobs.keys()];
@@ -49,7 +58,7 @@
   world.abort(service!);
   world.sim.run(25000);
   for (const machine of [...world.workers.keys()].slice(0, 2)) world.destroy(machine);
-  for (let i = 0; i < 4; i++) world.submit(job(world, { ...tasks, rank: 1, cpus: 4 }));
+  for (let i = 0; i < 4; i++) world.submit(job(world, { ...tasks, priority: 1, cpus: 4 }));
   world.sim.run(50000);
   return Object.fromEntries([...sent].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
 }
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -2,8 +2,16 @@
 import net, { type AddressInfo } from 'node:net';
 import { Packr, Unpackr } from 'msgpackr';
 import { describe, expect, test } from 'vitest';
-import type { MeshBody, MeshMsg } from '../../src/core/controller.js';
-import type { Grant, Held, OwnerMsg, SchedulerMsg, Seen, TaskPhase, Want } from '../../src/core/types.js';
+import type { PeerMessage, PeerMessageBody } from '../../src/core/controller.js';
+import type {
+  AllocationEvent,
+  Grant,
+  LeaderMessage,
+  PlacementSpec,
+  ResourceRequest,
+  ShardMessage,
+  TaskPhase,
+} from '../../src/core/types.js';
 import { Mesh } from '../../src/io/mesh.js';
 import { decode, encode } from './peer-codec.js';
 
@@ -13,235 +21,267 @@
   { json: string; bytes: string }
 >;
 
-const WANT: Want = {
-  job: 'wk-000412',
+const WANT: ResourceRequest = {
+  jobId: 'wk-000412',
   team: 'vision',
-  cls: 'train',
-  rank: 1,
-  order: 12.5,
-  stage: 0,
-  count: 16,
-  whole: true,
-  service: false,
+  jobClass: 'train',
+  priority: 1,
+  queuePosition: 12.5,
+  missedObjectives: 0,
+  taskCount: 16,
+  allOrNothing: true,
+  isService: false,
   cpus: 8,
   gpus: 1,
-  mem: 64,
+  memoryGb: 64,
   image: 'img-07',
   imageGb: 6.2,
-  estimateS: 240,
-  types: ['g8'],
-  spot: true,
+  estimatedRunSeconds: 240,
+  machineTypes: ['g8'],
+  spotAllowed: true,
   zone: 'a',
-  zoneRoom: { a: 3, b: 0 },
-  zoneCap: 8,
-  together: true,
-  avoid: ['vm-000007'],
-  near: 'vm-000008',
-  patienceS: 30,
-  aimS: 900,
-  slackS: 12.5,
-  seen: 41,
+  zoneAllowance: { a: 3, b: 0 },
+  maxTasksPerZone: 8,
+  zoneAffinity: true,
+  avoidedMachines: ['vm-000007'],
+  preferredMachine: 'vm-000008',
+  maxWaitSeconds: 30,
+  objectiveSeconds: 900,
+  slackSeconds: 12.5,
+  lastGrantTaken: 41,
 };
-const WANT_OF_NULLS: Want = {
+const WANT_OF_NULLS: ResourceRequest = {
   ...WANT,
-  types: null,
+  machineTypes: null,
   zone: null,
-  zoneRoom: null,
-  avoid: [],
-  near: '',
-  patienceS: null,
-  aimS: null,
-  slackS: null,
+  zoneAllowance: null,
+  avoidedMachines: [],
+  preferredMachine: '',
+  maxWaitSeconds: null,
+  objectiveSeconds: null,
+  slackSeconds: null,
 };
-const { near, patienceS, aimS, slackS, seen, ...WANT_UNTIL_NEAR } = WANT;
-const WANT_OF_FEW_TASKS: Want = {
+const {
+  preferredMachine: near,
+  maxWaitSeconds: patienceS,
+  objectiveSeconds: aimS,
+  slackSeconds: slackS,
+  lastGrantTaken: seen,
+  ...WANT_UNTIL_NEAR
+} = WANT;
+const WANT_OF_FEW_TASKS: ResourceRequest = {
   ...WANT_UNTIL_NEAR,
-  tasksLeft: [3, 4],
-  near,
-  patienceS,
-  aimS,
-  slackS,
-  seen,
+  remainingTasks: [3, 4],
+  preferredMachine: near,
+  maxWaitSeconds: patienceS,
+  objectiveSeconds: aimS,
+  slackSeconds: slackS,
+  lastGrantTaken: seen,
 };
-const HELD: Held = {
-  job: 'wk-000412',
-  idx: 3,
+const HELD: PlacementSpec = {
+  jobId: 'wk-000412',
+  taskIndex: 3,
   attempt: 2,
   machine: 'vm-000231',
-  season: 4,
-  want: 'run',
-  graceS: 0,
+  agentEpoch: 4,
+  desiredState: 'run',
+  gracePeriodSeconds: 0,
   team: 'vision',
-  rank: 1,
-  gang: true,
-  service: false,
+  priority: 1,
+  isGang: true,
+  isService: false,
   cpus: 8,
   gpus: 1,
-  mem: 64,
+  memoryGb: 64,
   image: 'img-07',
   imageGb: 6.2,
-  estimateS: 240,
-  types: ['g8'],
-  spread: false,
-  grant: 41,
+  estimatedRunSeconds: 240,
+  machineTypes: ['g8'],
+  spreadOverZones: false,
+  grantId: 41,
+};
+const HELD_OF_NULLS: PlacementSpec = {
+  ...HELD,
+  desiredState: 'stop',
+  gracePeriodSeconds: 4.5,
+  machineTypes: null,
+  spreadOverZones: true,
+  isService: true,
 };
-const HELD_OF_NULLS: Held = { ...HELD, want: 'stop', graceS: 4.5, types: null, spread: true, service: true };
 const GRANT: Grant = {
   id: 41,
-  job: 'wk-000412',
+  jobId: 'wk-000412',
   team: 'vision',
   machine: 'vm-000231',
   zone: 'a',
-  season: 4,
+  agentEpoch: 4,
 };
-const inPhase = (phase: TaskPhase): Seen => ({
+const inPhase = (phase: TaskPhase): AllocationEvent => ({
   type: 'phase',
-  job: 'wk-000412',
-  idx: 3,
+  jobId: 'wk-000412',
+  taskIndex: 3,
   attempt: 2,
   machine: 'vm-000231',
   phase,
-  why: null,
-  saved: false,
+  exitReason: null,
+  checkpointSaved: false,
 });
 
-const BODIES: Record<string, MeshBody> = {
+const BODIES: Record<string, PeerMessageBody> = {
   'ping with all that may be null': {
-    type: 'ping',
+    type: 'heartbeat',
     leader: 'stand-2.9f',
-    token: 7,
-    okAgeMs: 12.5,
-    strays: ['vm-000009'],
-    mark: 123456.5,
-    had: { inst: 'stand-2.9f', mark: 999 },
-    told: 3,
-    cover: { inst: 'stand-2.9f', mark: 998, pending: ['vm-000010'] },
+    fencingToken: 7,
+    storeContactAgeMs: 12.5,
+    redirectedMachines: ['vm-000009'],
+    timestamp: 123456.5,
+    latestTimestamp: { instanceId: 'stand-2.9f', timestamp: 999 },
+    cancellationsTold: 3,
+    coverage: { instanceId: 'stand-2.9f', timestamp: 998, pendingMachines: ['vm-000010'] },
   },
   'ping with nulls': {
-    type: 'ping',
+    type: 'heartbeat',
     leader: '',
-    token: 0,
-    okAgeMs: 0,
-    strays: [],
-    mark: 1,
-    had: null,
-    told: 0,
-    cover: null,
+    fencingToken: 0,
+    storeContactAgeMs: 0,
+    redirectedMachines: [],
+    timestamp: 1,
+    latestTimestamp: null,
+    cancellationsTold: 0,
+    coverage: null,
   },
   'ping with a cover of any machine': {
-    type: 'ping',
+    type: 'heartbeat',
     leader: '',
-    token: 0,
-    okAgeMs: 0,
-    strays: [],
-    mark: 1,
-    had: null,
-    told: 0,
-    cover: { inst: 'stand-2.9f', mark: 998, pending: null },
+    fencingToken: 0,
+    storeContactAgeMs: 0,
+    redirectedMachines: [],
+    timestamp: 1,
+    latestTimestamp: null,
+    cancellationsTold: 0,
+    coverage: { instanceId: 'stand-2.9f', timestamp: 998, pendingMachines: null },
   },
-  cancelled: { type: 'cancelled', job: 'wk-000412', n: 3 },
-  images: { type: 'images', add: [['vm-000231', 'img-07', 6.2]], gone: ['vm-000007'] },
+  cancelled: { type: 'cancelled', jobId: 'wk-000412', cancellationNumber: 3 },
+  images: { type: 'images', added: [['vm-000231', 'img-07', 6.2]], removedMachines: ['vm-000007'] },
 };
-const OWNER_MESSAGES: Record<string, OwnerMsg> = {
+const OWNER_MESSAGES: Record<string, ShardMessage> = {
   sync: {
-    type: 'sync',
-    token: 7,
-    inst: 'stand-1.0a',
-    sync: 5,
-    parts: 2,
-    part: 1,
-    gens: { vision: 40 },
-    held: [HELD, HELD_OF_NULLS],
-    wants: [WANT],
+    type: 'fullSync',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    syncNumber: 5,
+    chunkCount: 2,
+    chunkIndex: 1,
+    shardEpochs: { vision: 40 },
+    placements: [HELD, HELD_OF_NULLS],
+    requests: [WANT],
   },
   'sync without anything': {
-    type: 'sync',
-    token: 7,
-    inst: 'stand-1.0a',
-    sync: 5,
-    parts: 1,
-    part: 0,
-    gens: {},
-    held: [],
-    wants: [],
+    type: 'fullSync',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    syncNumber: 5,
+    chunkCount: 1,
+    chunkIndex: 0,
+    shardEpochs: {},
+    placements: [],
+    requests: [],
+  },
+  wants: {
+    type: 'resourceRequests',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    requests: [WANT, WANT_OF_NULLS],
   },
-  wants: { type: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT, WANT_OF_NULLS] },
-  'wants with the tasks left': { type: 'wants', token: 7, inst: 'stand-1.0a', wants: [WANT_OF_FEW_TASKS] },
-  held: { type: 'held', token: 7, inst: 'stand-1.0a', held: [HELD, HELD_OF_NULLS] },
+  'wants with the tasks left': {
+    type: 'resourceRequests',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    requests: [WANT_OF_FEW_TASKS],
+  },
+  held: { type: 'placements', fencingToken: 7, instanceId: 'stand-1.0a', placements: [HELD, HELD_OF_NULLS] },
   'held, each desired state': {
-    type: 'held',
-    token: 7,
-    inst: 'stand-1.0a',
-    held: [
-      { ...HELD, want: 'keep' },
-      { ...HELD, want: 'reap' },
-      { ...HELD, want: 'pending' },
+    type: 'placements',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    placements: [
+      { ...HELD, desiredState: 'keep' },
+      { ...HELD, desiredState: 'reap' },
+      { ...HELD, desiredState: 'pending' },
     ],
   },
   drop: {
-    type: 'drop',
-    token: 7,
-    inst: 'stand-1.0a',
-    tasks: [{ machine: 'vm-000231', key: 'wk-000412/3#2' }],
+    type: 'release',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    tasks: [{ machine: 'vm-000231', taskKey: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
   covered: {
-    type: 'covered',
-    token: 7,
-    inst: 'stand-1.0a',
-    sync: 5,
-    n: 2,
-    gens: { vision: 40 },
-    mark: 123.5,
+    type: 'cancellationCoverage',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    syncNumber: 5,
+    placementMessages: 2,
+    shardEpochs: { vision: 40 },
+    leaderTimestamp: 123.5,
   },
 };
-const SCHEDULER_MESSAGES: Record<string, SchedulerMsg> = {
-  synced: { type: 'synced', token: 7, sync: 5 },
-  'synced without a number': { type: 'synced', token: 7 },
-  resync: { type: 'resync', token: 7 },
-  grants: { type: 'grants', token: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
-  'grants with ended tasks': { type: 'grants', token: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
-  mark: { type: 'mark', token: 7, at: 123456.5 },
+const SCHEDULER_MESSAGES: Record<string, LeaderMessage> = {
+  synced: { type: 'syncAccepted', fencingToken: 7, syncNumber: 5 },
+  'synced without a number': { type: 'syncAccepted', fencingToken: 7 },
+  resync: { type: 'syncRequested', fencingToken: 7 },
+  grants: { type: 'grants', fencingToken: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
+  'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
+  mark: { type: 'timestamp', fencingToken: 7, leaderTimestamp: 123456.5 },
   'seen, each phase': {
-    type: 'seen',
-    token: 7,
-    seen: [inPhase('fetching'), inPhase('waiting'), inPhase('running'), inPhase('saving')],
+    type: 'allocationEvents',
+    fencingToken: 7,
+    events: [inPhase('fetching'), inPhase('waiting'), inPhase('running'), inPhase('saving')],
   },
   'seen, each end': {
-    type: 'seen',
-    token: 7,
-    seen: (['done', 'stopped', 'peers', 'alone', 'error', 'no_room', 'busy', 'unknown'] as const).map(
-      (why) => ({
+    type: 'allocationEvents',
+    fencingToken: 7,
+    events: (['done', 'stopped', 'peers', 'alone', 'error', 'no_room', 'busy', 'unknown'] as const).map(
+      (reason) => ({
         type: 'phase',
-        job: 'wk-000412',
-        idx: 3,
+        jobId: 'wk-000412',
+        taskIndex: 3,
         attempt: 2,
         machine: 'vm-000231',
         phase: 'exited',
-        why,
-        saved: why === 'stopped',
+        exitReason: reason,
+        checkpointSaved: reason === 'stopped',
       }),
     ),
   },
   'seen, settled': {
-    type: 'seen',
-    token: 7,
-    seen: [{ type: 'settled', job: 'wk-000412', idx: 3, attempt: 2, machine: 'vm-000231' }],
+    type: 'allocationEvents',
+    fencingToken: 7,
+    events: [{ type: 'finalized', jobId: 'wk-000412', taskIndex: 3, attempt: 2, machine: 'vm-000231' }],
+  },
+  evict: {
+    type: 'evict',
+    fencingToken: 7,
+    tasks: [{ jobId: 'wk-000412', taskIndex: 3, attempt: 2 }],
+    reason: 'spot notice',
   },
-  evict: { type: 'evict', token: 7, tasks: [{ job: 'wk-000412', idx: 3, attempt: 2 }], why: 'spot notice' },
 };
 
-const EXAMPLES: [string, MeshMsg][] = [
+const EXAMPLES: [string, PeerMessage][] = [
   ...Object.entries(BODIES),
-  ...Object.entries(OWNER_MESSAGES).map(([title, m]): [string, MeshBody] => [
+  ...Object.entries(OWNER_MESSAGES).map(([title, message]): [string, PeerMessageBody] => [
     `to the leader: ${title}`,
-    { type: 'owner', to: 'stand-2.9f', m },
+    { type: 'toLeader', recipient: 'stand-2.9f', message },
   ]),
-  ...Object.entries(SCHEDULER_MESSAGES).map(([title, m]): [string, MeshBody] => [
+  ...Object.entries(SCHEDULER_MESSAGES).map(([title, message]): [string, PeerMessageBody] => [
     `to an owner: ${title}`,
-    { type: 'scheduler', to: 'stand-2.9f', m },
+    { type: 'toShardOwner', recipient: 'stand-2.9f', message },
   ]),
-].map(([title, body], i) => [title, { host: 'stand-1', inst: 'stand-1.0a', seq: i + 1, body }]);
+].map(([title, body], i) => [
+  title,
+  { nodeName: 'stand-1', instanceId: 'stand-1.0a', sequence: i + 1, body },
+]);
 
 const bytesOf = (title: string): Buffer => Buffer.from(PINNED[title]?.bytes ?? '', 'base64');
 
@@ -334,7 +374,7 @@
     await new Promise<void>((done) => free.listen(0, '127.0.0.1', done));
     const { port } = free.address() as AddressInfo;
     await new Promise((done) => free.close(done));
-    const got: MeshMsg[] = [];
+    const got: PeerMessage[] = [];
     await new Promise<void>((done) => {
       new Mesh(
         `127.0.0.1:${port}`,
--- a/test/forms/recorded-state.ts
+++ b/test/forms/recorded-state.ts
@@ -1,4 +1,4 @@
-import type { StatePort } from '../../src/core/types.js';
+import type { KeyValueStore } from '../../src/core/types.js';
 import { readItem, readItems, writeTxn } from '../../src/wire/state.js';
 
 /** A state service that holds texts of records by key, and keeps the text of every transaction it is sent. */
@@ -8,7 +8,7 @@
 
   constructor(readonly records: Map<string, string>) {}
 
-  readonly port: StatePort = {
+  readonly port: KeyValueStore = {
     get: (key, _urgency, then) => {
       const text = this.records.get(key);
       then({ ok: true, value: text === undefined ? null : readItem(JSON.parse(this.itemText(key, text))) });
@@ -18,18 +18,18 @@
       const text = `{"items":[${items.map(([key, value]) => this.itemText(key, value)).join()}],"has_next":false,"ring":50}`;
       then({ ok: true, value: readItems(JSON.parse(text))! });
     },
-    txn: (txn, _urgency, then) => {
-      this.transactions.push(JSON.stringify(writeTxn(txn)));
+    compareAndSwap: (transaction, _urgency, then) => {
+      this.transactions.push(JSON.stringify(writeTxn(transaction)));
       then({ ok: true, value: 51 });
     },
-    grant: (_ttlMs, then) => then({ ok: true, value: 7 }),
-    touch: (_lease, then) => then({ ok: true, value: null }),
-    end: (lease, then) => {
+    grantLease: (_ttlMs, then) => then({ ok: true, value: 7 }),
+    keepLeaseAlive: (_lease, then) => then({ ok: true, value: null }),
+    revokeLease: (lease, then) => {
       this.endedLeases.push(lease);
       then({ ok: true, value: null });
     },
     watch: (_prefix, _since, waitMs, then) => {
-      if (waitMs === 0) then({ ok: true, value: { rev: 50, events: [] } });
+      if (waitMs === 0) then({ ok: true, value: { storeRevision: 50, events: [] } });
     },
   };
 
--- a/test/forms/store-messages.test.ts
+++ b/test/forms/store-messages.test.ts
@@ -1,5 +1,5 @@
 import { afterAll, beforeAll, describe, expect, test } from 'vitest';
-import { type Result, type StatePort, type Txn, URGENCY } from '../../src/core/types.js';
+import { type KeyValueStore, type Result, type Transaction, URGENCY } from '../../src/core/types.js';
 import { StateClient } from '../../src/io/state.js';
 import { RecordingServer } from './recording-server.js';
 
@@ -14,29 +14,29 @@
 async function call(
   status: number,
   text: string,
-  ask: (port: StatePort, then: (result: Result<unknown>) => void) => void,
+  ask: (port: KeyValueStore, then: (result: Result<unknown>) => void) => void,
 ) {
   server.reply = { status, text };
   const result = await new Promise<Result<unknown>>((done) => ask(store, done));
   return { request: server.requests.at(-1), result };
 }
 
-const TRANSACTION: Txn = {
-  when: [
-    { key: 'a/b', version: 0 },
-    { key: 'c/d', version: 12 },
+const TRANSACTION: Transaction = {
+  preconditions: [
+    { key: 'a/b', modRevision: 0 },
+    { key: 'c/d', modRevision: 12 },
   ],
-  then: [{ put: 'a/b', value: { one: 1 }, lease: 7 }, { put: 'a/c', value: null }, { del: 'c/d' }],
+  operations: [{ put: 'a/b', value: { one: 1 }, lease: 7 }, { put: 'a/c', value: null }, { del: 'c/d' }],
 };
 
-type Ask = (port: StatePort, then: (result: Result<unknown>) => void) => void;
+type Ask = (port: KeyValueStore, then: (result: Result<unknown>) => void) => void;
 const get: Ask = (port, then) => port.get('a/b', URGENCY.read, then);
 const list: Ask = (port, then) => port.list('c/', 'c/7', URGENCY.read, then);
-const transact: Ask = (port, then) => port.txn(TRANSACTION, URGENCY.lease, then);
+const transact: Ask = (port, then) => port.compareAndSwap(TRANSACTION, URGENCY.lease, then);
 const watch: Ask = (port, then) => port.watch('c/', 431, 10000, then);
-const grant: Ask = (port, then) => port.grant(3500.4, then);
-const touch: Ask = (port, then) => port.touch(7, then);
-const end: Ask = (port, then) => port.end(7, then);
+const grant: Ask = (port, then) => port.grantLease(3500.4, then);
+const touch: Ask = (port, then) => port.keepLeaseAlive(7, then);
+const end: Ask = (port, then) => port.revokeLease(7, then);
 
 describe('requests to the state service', () => {
   test.each<[string, Ask, string]>([
@@ -68,14 +68,14 @@
       get,
       200,
       '{"key":"a/b","value":{"one":1},"mark":412,"tenure":7}',
-      { ok: true, value: { key: 'a/b', value: { one: 1 }, version: 412, lease: 7 } },
+      { ok: true, value: { key: 'a/b', value: { one: 1 }, modRevision: 412, leaseId: 7 } },
     ],
     [
       'an item without a lease',
       get,
       200,
       '{"key":"a/b","value":[],"mark":412,"tenure":null}',
-      { ok: true, value: { key: 'a/b', value: [], version: 412 } },
+      { ok: true, value: { key: 'a/b', value: [], modRevision: 412 } },
     ],
     ['no item', get, 404, '{"ring":431}', { ok: true, value: null }],
     ['an item without a revision', get, 200, '{"key":"a/b","value":1}', { ok: false, kind: 'unknown' }],
@@ -88,11 +88,11 @@
         ok: true,
         value: {
           items: [
-            { key: 'c/8', value: 1, version: 5 },
-            { key: 'c/9', value: 2, version: 6 },
+            { key: 'c/8', value: 1, modRevision: 5 },
+            { key: 'c/9', value: 2, modRevision: 6 },
           ],
           more: true,
-          rev: 431,
+          storeRevision: 431,
         },
       },
     ],
@@ -101,7 +101,7 @@
       list,
       200,
       '{"items":[],"has_next":false,"ring":431}',
-      { ok: true, value: { items: [], more: false, rev: 431 } },
+      { ok: true, value: { items: [], more: false, storeRevision: 431 } },
     ],
     ['a page without a revision', list, 200, '{"items":[]}', { ok: false, kind: 'unknown' }],
     ['a transaction carried out', transact, 200, '{"ring":432}', { ok: true, value: 432 }],
@@ -110,7 +110,7 @@
       transact,
       409,
       '{"failed":["a/b"],"ring":431}',
-      { ok: false, kind: 'conflict', failed: ['a/b'] },
+      { ok: false, kind: 'conflict', failedKeys: ['a/b'] },
     ],
     ['an expired lease', transact, 400, '{"error":"no such lease"}', { ok: false, kind: 'bad' }],
     ['an outage', transact, 503, '{}', { ok: false, kind: 'refused' }],
@@ -123,15 +123,21 @@
       {
         ok: true,
         value: {
-          rev: 433,
+          storeRevision: 433,
           events: [
-            { key: 'c/9', version: 433, value: { one: 1 }, gone: false },
-            { key: 'c/d', version: 432, value: undefined, gone: true },
+            { key: 'c/9', modRevision: 433, value: { one: 1 }, deleted: false },
+            { key: 'c/d', modRevision: 432, value: undefined, deleted: true },
           ],
         },
       },
     ],
-    ['no changes', watch, 200, '{"ring":433,"log":[]}', { ok: true, value: { rev: 433, events: [] } }],
+    [
+      'no changes',
+      watch,
+      200,
+      '{"ring":433,"log":[]}',
+      { ok: true, value: { storeRevision: 433, events: [] } },
+    ],
     [
       'a change without a revision',
       watch,
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -1,80 +1,94 @@
 import { describe, expect, test } from 'vitest';
-import { Api, type ApiAnswer } from '../../src/core/api.js';
-import { Mirror } from '../../src/core/mirror.js';
-import { newJob, type OwnedJob, type Placement } from '../../src/core/owner/job.js';
+import { type ApiAnswer, JobApi } from '../../src/core/api.js';
+import { WatchCache } from '../../src/core/mirror.js';
+import { createOwnedJob, type OwnedJob, type Placement } from '../../src/core/owner/job.js';
 import {
   type JobWrite,
   type WriteEvents,
   writeChanges,
   writeFinal,
 } from '../../src/core/owner/job-writes.js';
-import { Owner } from '../../src/core/owner/owner.js';
+import { ShardOwner } from '../../src/core/owner/owner.js';
 import { WriteFence } from '../../src/core/owner/write-fence.js';
-import { readJob, type StoredJob } from '../../src/core/records.js';
-import type { Clock, JobSpec, MachineType, OwnerMsg, StateOp, Team } from '../../src/core/types.js';
+import { readStoredItem, type StoredJob } from '../../src/core/records.js';
+import type {
+  Clock,
+  JobSpec,
+  MachineType,
+  ShardMessage,
+  StoreOperation,
+  Team,
+} from '../../src/core/types.js';
 import { readItem, writeTxn } from '../../src/wire/state.js';
 import { ownerOptions } from '../standin/owner.js';
 import { RecordedState } from './recorded-state.js';
 
 const GANG: JobSpec = {
   id: 'wk-000412',
-  cls: 'train',
+  jobClass: 'train',
   team: 'vision',
-  shape: 'gang',
-  rank: 1,
-  tasks: 3,
+  kind: 'gang',
+  priority: 1,
+  taskCount: 3,
   cpus: 8,
   gpus: 1,
-  mem: 64,
+  memoryGb: 64,
   image: 'img-07',
   imageGb: 6.2,
-  types: ['g8'],
+  machineTypes: ['g8'],
   zone: 'a',
-  together: true,
-  apart: false,
-  spot: true,
-  estimateS: 240,
-  checkpointS: 30,
-  saveS: 4,
-  deadlineS: 900,
-  at: 1700000000000,
+  zoneAffinity: true,
+  zoneAntiAffinity: false,
+  spotAllowed: true,
+  estimatedRunSeconds: 240,
+  checkpointIntervalSeconds: 30,
+  checkpointSaveSeconds: 4,
+  deadlineSeconds: 900,
+  acceptedAtMs: 1700000000000,
 };
 const GANG_TEXT =
   '{"id":"wk-000412","cls":"train","team":"vision","shape":"gang","rank":1,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":["g8"],"zone":"a","together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900,"at":1700000000000}';
 const ARRAY: JobSpec = {
   ...GANG,
   id: 'wk-7',
-  shape: 'array',
-  rank: 3,
-  types: null,
+  kind: 'array',
+  priority: 3,
+  machineTypes: null,
   zone: null,
-  deadlineS: null,
+  deadlineSeconds: null,
 };
 const ARRAY_TEXT =
   '{"id":"wk-7","cls":"train","team":"vision","shape":"array","rank":3,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
-const SERVICE: JobSpec = { ...ARRAY, id: 'wk-8', shape: 'service', rank: 0, together: false, apart: true };
+const SERVICE: JobSpec = {
+  ...ARRAY,
+  id: 'wk-8',
+  kind: 'service',
+  priority: 0,
+  zoneAffinity: false,
+  zoneAntiAffinity: true,
+};
 const SERVICE_TEXT =
   '{"id":"wk-8","cls":"train","team":"vision","shape":"service","rank":0,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":false,"apart":true,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
 
-const TEAM: Team = { name: 'vision', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 };
+const TEAM: Team = { name: 'vision', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 };
 const TYPE: MachineType = {
   name: 'g8',
   cpus: 96,
   gpus: 8,
-  mem: 768,
-  cacheGb: 200,
-  fetchGbPerS: 1,
-  price: 12,
-  spotPrice: 4.5,
-  bootS: 45,
+  memoryGb: 768,
+  imageCacheGb: 200,
+  imageFetchGbPerSecond: 1,
+  hourlyPrice: 12,
+  hourlySpotPrice: 4.5,
+  bootSeconds: 45,
   zones: ['a', 'b'],
 };
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 const events: WriteEvents = {
-  placementStored: () => {},
-  outcomeStored: () => {},
-  counterFull: () => {},
-  filed: () => {},
+  onPlacementStored: () => {},
+  onOutcomeStored: () => {},
+  onCounterFull: () => {},
+  onFiled: () => {},
 };
 
 function steppingClock(): Clock {
@@ -94,13 +108,13 @@
 /** The API over stored texts, and its answer to one request. */
 function ask(
   records: Record<string, string>,
-  request: (api: Api, then: (answer: ApiAnswer) => void) => void,
+  request: (api: JobApi, then: (answer: ApiAnswer) => void) => void,
 ) {
   const state = new RecordedState(new Map(Object.entries(records)));
   const clock = steppingClock();
-  const open = new Mirror('open/', 10000, 100, state.port, clock, () => {}, false);
+  const open = new WatchCache('open/', 10000, 100, state.port, clock, () => {}, false);
   open.start();
-  const api = new Api(
+  const api = new JobApi(
     state.port,
     open,
     new Map([[TEAM.name, TEAM]]),
@@ -119,31 +133,31 @@
 function storedJob(records: Record<string, string>): StoredJob | undefined {
   const found = new Map<string, StoredJob>();
   for (const [key, text] of Object.entries(records))
-    readJob(found, readItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+    readStoredItem(found, readItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
   return [...found.values()][0];
 }
 
 /** What is written of a job's changes, as it goes to the state service. */
-function writtenText(operations: StateOp[] | undefined): string {
-  return JSON.stringify(writeTxn({ when: [], then: operations ?? [] }).then);
+function writtenText(operations: StoreOperation[] | undefined): string {
+  return JSON.stringify(writeTxn({ preconditions: [], operations: operations ?? [] }).then);
 }
 
 function ownedJob(spec: JobSpec): OwnedJob {
   const stored = storedJob({ [`open/${spec.id}/a`]: `{"j":${GANG_TEXT}}` })!;
-  return newJob(spec, stored, undefined, 64);
+  return createOwnedJob(spec, stored, undefined, 64);
 }
 
-function placement(idx: number, machine: string): Placement {
+function placement(taskIndex: number, machine: string): Placement {
   return {
-    idx,
+    taskIndex: taskIndex,
     attempt: 2,
     machine,
-    season: 4,
+    agentEpoch: 4,
     zone: 'a',
-    grant: 9,
-    stored: false,
-    want: 'run',
-    running: true,
+    grantId: 9,
+    isStored: false,
+    desiredState: 'run',
+    isRunning: true,
   };
 }
 
@@ -153,11 +167,11 @@
     ['array, no types, zone or deadline', ARRAY, ARRAY_TEXT],
     ['service', SERVICE, SERVICE_TEXT],
   ])('is written at acceptance: %s', (_title, spec, text) => {
-    const { answer, transactions } = ask({}, (api, then) => api.submit(spec, then));
+    const { answer, transactions } = ask({}, (api, then) => api.submitJob(spec, then));
     expect(transactions).toEqual([
       `{"when":[{"key":"open/${spec.id}/a","mark":0},{"key":"end/${spec.id}","mark":0}],"then":[{"write":"open/${spec.id}/a","value":{"j":${text}}}]}`,
     ]);
-    expect(answer?.s).toBe('job');
+    expect(answer?.type).toBe('job');
   });
 
   test.each([
@@ -165,12 +179,12 @@
     ['written again before', `{"j":${GANG_TEXT},"o":12}`, `{"j":${GANG_TEXT},"o":12,"x":1}`],
   ])('is written again at cancellation with the revision of acceptance: %s', (_title, before, after) => {
     const { answer, transactions } = ask({ 'open/wk-000412/a': before }, (api, then) =>
-      api.abort('wk-000412', then),
+      api.cancelJob('wk-000412', then),
     );
     expect(transactions).toEqual([
       `{"when":[{"key":"open/wk-000412/a","mark":41},{"key":"open/wk-000412/n","mark":0}],"then":[{"write":"open/wk-000412/a","value":${after}}]}`,
     ]);
-    expect(answer?.s === 'job' && answer.state).toBe('cancelled');
+    expect(answer?.type === 'job' && answer.state).toBe('cancelled');
   });
 
   test.each([
@@ -181,7 +195,11 @@
   ])('is read: %s', (_title, spec, text, order, cancelled) => {
     const stored = storedJob({ [`open/${spec.id}/a`]: text });
     expect(stored?.spec).toStrictEqual(spec);
-    expect([stored?.order, stored?.jobRevision, stored?.cancelled]).toEqual([order, 41, cancelled]);
+    expect([stored?.acceptedRevision, stored?.jobRevision, stored?.cancelled]).toEqual([
+      order,
+      41,
+      cancelled,
+    ]);
   });
 });
 
@@ -189,24 +207,36 @@
   test.each<[string, number, number[], number, string]>([
     ['nothing done', 3, [], 0, '{"n":0,"r":0,"b":""}'],
     ['runs', 200, [0, 1, 2, 50, 51], 7, '{"n":5,"r":7,"b":"0.3,1b.2"}'],
-    ['all done', 100, Array.from({ length: 100 }, (_, idx) => idx), 0, '{"n":100,"r":0,"b":"0.2s"}'],
+    [
+      'all done',
+      100,
+      Array.from({ length: 100 }, (_, taskIndex) => taskIndex),
+      0,
+      '{"n":100,"r":0,"b":"0.2s"}',
+    ],
     ['plain bits', 24, [0, 2, 4, 6, 8, 10, 12, 14, 16, 18], 1, '{"n":10,"r":1,"b":"=VVUF"}'],
   ])('is written and read: %s', (_title, tasks, done, running, text) => {
-    const job = ownedJob({ ...ARRAY, tasks });
-    for (const idx of done) job.count.add(idx);
-    job.shownRunning = running;
-    job.dirtyCount = true;
-    expect(writtenText(writeChanges(job, 16, 64, events)?.ops)).toBe(
+    const job = ownedJob({ ...ARRAY, taskCount: tasks });
+    for (const taskIndex of done) job.counter.add(taskIndex);
+    job.runningTasks = running;
+    job.counterDirty = true;
+    expect(writtenText(writeChanges(job, 16, 64, events)?.operations)).toBe(
       `[{"write":"open/wk-7/n","value":${text}}]`,
     );
     const stored = storedJob({
       'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${tasks}`)}}`,
       'open/wk-7/n': text,
     });
-    expect([stored?.running, stored?.counterRevision, stored?.count?.n]).toEqual([running, 41, done.length]);
-    expect(Array.from({ length: tasks }, (_, idx) => idx).filter((idx) => stored?.count?.has(idx))).toEqual(
-      done,
-    );
+    expect([stored?.runningTasks, stored?.counterRevision, stored?.counter?.count]).toEqual([
+      running,
+      41,
+      done.length,
+    ]);
+    expect(
+      Array.from({ length: tasks }, (_, taskIndex) => taskIndex).filter((taskIndex) =>
+        stored?.counter?.has(taskIndex),
+      ),
+    ).toEqual(done);
   });
 });
 
@@ -215,25 +245,25 @@
 
   test('are written with the counter, settled ones as their attempt alone', () => {
     const job = ownedJob(GANG);
-    job.placed.set(0, placement(0, 'vm-000231'));
+    job.placements.set(0, placement(0, 'vm-000231'));
     job.attempts.set(1, 1);
-    job.count.add(2);
-    job.dirtyCount = true;
-    job.shownRunning = 1;
+    job.counter.add(2);
+    job.counterDirty = true;
+    job.runningTasks = 1;
     job.dirtyChunks.add(0);
     const write = writeChanges(job, 16, 64, events);
-    expect(writtenText(write?.ops)).toBe(
+    expect(writtenText(write?.operations)).toBe(
       `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${TEXT}}]`,
     );
   });
 
   test('of a later chunk are written under its number, and dropped when none is left', () => {
     const job = ownedJob(GANG);
-    job.placed.set(2, placement(2, 'vm-000232'));
+    job.placements.set(2, placement(2, 'vm-000232'));
     job.dirtyChunks.add(2);
     job.dirtyChunks.add(1);
     job.chunkRevisions.set(1, 8);
-    expect(writtenText(writeChanges(job, 16, 1, events)?.ops)).toBe(
+    expect(writtenText(writeChanges(job, 16, 1, events)?.operations)).toBe(
       '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
     );
   });
@@ -245,27 +275,33 @@
         ['place/wk-000412/0', TEXT],
       ]),
     );
-    const said: OwnerMsg[] = [];
-    const owner = new Owner(
+    const said: ShardMessage[] = [];
+    const owner = new ShardOwner(
       ownerOptions({
         teams: new Map([[TEAM.name, TEAM]]),
-        state: state.port,
+        store: state.port,
         clock: steppingClock(),
         send: (message) => said.push(message),
       }),
     );
-    owner.setScheduler(3);
-    owner.setTeams(new Map([[TEAM.name, 40]]));
+    owner.setLeader(3);
+    owner.setShards(new Map([[TEAM.name, 40]]));
     owner.flush();
-    const held = said.flatMap((message) => (message.type === 'sync' ? message.held : []));
+    const placements = said.flatMap((message) => (message.type === 'fullSync' ? message.placements : []));
     expect(
-      held.map(({ job, idx, attempt, machine, season }) => [job, idx, attempt, machine, season]),
+      placements.map(({ jobId: job, taskIndex, attempt, machine, agentEpoch }) => [
+        job,
+        taskIndex,
+        attempt,
+        machine,
+        agentEpoch,
+      ]),
     ).toEqual([['wk-000412', 0, 2, 'vm-000231', 4]]);
-    owner.fromScheduler({ type: 'synced', token: 3 });
-    const place = { job: 'wk-000412', team: TEAM.name, zone: 'a', season: 1 };
-    owner.fromScheduler({
+    owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 3 });
+    const place = { jobId: 'wk-000412', team: TEAM.name, zone: 'a', agentEpoch: 1 };
+    owner.onLeaderMessage({
       type: 'grants',
-      token: 3,
+      fencingToken: 3,
       grants: [
         { ...place, id: 1, machine: 'vm-000240' },
         { ...place, id: 2, machine: 'vm-000241' },
@@ -283,10 +319,10 @@
 
   test('is written when it is done, and the working records are dropped', () => {
     const job = ownedJob(GANG);
-    for (let idx = 0; idx < 3; idx++) job.count.add(idx);
+    for (let taskIndex = 0; taskIndex < 3; taskIndex++) job.counter.add(taskIndex);
     job.counterRevision = 9;
     job.chunkRevisions.set(0, 8);
-    expect(writtenText(finalOf(job)?.ops)).toBe(
+    expect(writtenText(finalOf(job)?.operations)).toBe(
       '[{"drop":"place/wk-000412/0"},{"write":"end/wk-000412","value":{"d":1,"n":3}},{"drop":"open/wk-000412/a"},{"drop":"open/wk-000412/n"}]',
     );
   });
@@ -294,7 +330,7 @@
   test('is written when it was cancelled', () => {
     const job = ownedJob(GANG);
     job.cancelled = true;
-    expect(writtenText(finalOf(job)?.ops)).toBe(
+    expect(writtenText(finalOf(job)?.operations)).toBe(
       '[{"write":"end/wk-000412","value":{"d":0,"n":0}},{"drop":"open/wk-000412/a"}]',
     );
   });
@@ -304,35 +340,35 @@
   const open = { 'open/wk-7/a': `{"j":${ARRAY_TEXT}}` };
 
   test.each<[string, Record<string, string>, ApiAnswer]>([
-    ['no record', {}, { s: 'unknown' }],
-    ['accepted', open, { s: 'job', created: false, state: 'queued', done: 0, running: 0 }],
+    ['no record', {}, { type: 'notFound' }],
+    ['accepted', open, { type: 'job', created: false, state: 'queued', done: 0, running: 0 }],
     [
       'running',
       { ...open, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
-      { s: 'job', created: false, state: 'running', done: 1, running: 2 },
+      { type: 'job', created: false, state: 'running', done: 1, running: 2 },
     ],
     [
       'all tasks counted',
       { ...open, 'open/wk-7/n': '{"n":3,"r":0,"b":"0.3"}' },
-      { s: 'job', created: false, state: 'done', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'done', done: 3, running: 0 },
     ],
     [
       'cancelled',
       { 'open/wk-7/a': `{"j":${ARRAY_TEXT},"o":3,"x":1}`, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
-      { s: 'job', created: false, state: 'cancelled', done: 1, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', done: 1, running: 0 },
     ],
     [
       'final, done',
       { 'end/wk-7': '{"d":1,"n":3}' },
-      { s: 'job', created: false, state: 'done', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'done', done: 3, running: 0 },
     ],
     [
       'final, cancelled',
       { 'end/wk-7': '{"d":0,"n":2}' },
-      { s: 'job', created: false, state: 'cancelled', done: 2, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', done: 2, running: 0 },
     ],
   ])('%s', (_title, records, expected) => {
-    expect(ask(records, (api, then) => api.poll('wk-7', then)).answer).toStrictEqual(expected);
+    expect(ask(records, (api, then) => api.getJob('wk-7', then)).answer).toStrictEqual(expected);
   });
 });
 
@@ -344,11 +380,11 @@
     const state = new RecordedState(new Map(Object.entries(records)));
     const fence = new WriteFence({
       key: 'fence/stand-1',
-      inst: 'stand-1.0d1e2f',
-      state: state.port,
+      instanceId: 'stand-1.0d1e2f',
+      store: state.port,
       clock: steppingClock(),
       log,
-      ready: () => {},
+      onReady: () => {},
     });
     fence.move(() => {});
     expect(state.transactions).toEqual([
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -11,26 +11,26 @@
   '{"name_id":"wk-000412","grove":"train","crew":"vision","shape":"group","rank":"urgent","saplings":16,"vcpus":8.0,"cards":1.0,"ram_gb":64.0,"seed":"img-07","pull_gb":6.2,"barks":["g8"],"slope":"a","together":true,"apart":false,"windfall":true,"growth_s":240.0,"ring_s":30.0,"resin_s":4.0,"frost_s":900.0}';
 const SPEC: JobSpec = {
   id: 'wk-000412',
-  cls: 'train',
+  jobClass: 'train',
   team: 'vision',
-  shape: 'gang',
-  rank: 1,
-  tasks: 16,
+  kind: 'gang',
+  priority: 1,
+  taskCount: 16,
   cpus: 8,
   gpus: 1,
-  mem: 64,
+  memoryGb: 64,
   image: 'img-07',
   imageGb: 6.2,
-  types: ['g8'],
+  machineTypes: ['g8'],
   zone: 'a',
-  together: true,
-  apart: false,
-  spot: true,
-  estimateS: 240,
-  checkpointS: 30,
-  saveS: 4,
-  deadlineS: 900,
-  at: 1700000000000,
+  zoneAffinity: true,
+  zoneAntiAffinity: false,
+  spotAllowed: true,
+  estimatedRunSeconds: 240,
+  checkpointIntervalSeconds: 30,
+  checkpointSaveSeconds: 4,
+  deadlineSeconds: 900,
+  acceptedAtMs: 1700000000000,
 };
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 const clock = { now: () => 0, wall: () => 1700000000000 } as Clock;
@@ -46,21 +46,21 @@
   const asked: unknown[] = [];
   const controller = {
     api: {
-      submit: (spec: JobSpec, then: (answer: ApiAnswer) => void) => {
+      submitJob: (spec: JobSpec, then: (answer: ApiAnswer) => void) => {
         asked.push('submit', spec);
         then(given);
       },
-      poll: (id: string, then: (answer: ApiAnswer) => void) => {
+      getJob: (id: string, then: (answer: ApiAnswer) => void) => {
         asked.push('poll', id);
         then(given);
       },
-      abort: (id: string, then: (answer: ApiAnswer) => void) => {
+      cancelJob: (id: string, then: (answer: ApiAnswer) => void) => {
         asked.push('abort', id);
         then(given);
       },
     },
-    ready: () => of.ready ?? true,
-    elsewhere: () => of.elsewhere ?? false,
+    isReady: () => of.ready ?? true,
+    shouldRedirectUsers: () => of.elsewhere ?? false,
   } satisfies Partial<Record<keyof Controller, unknown>> as unknown as Controller;
   const userApi = createUserApi({ controller, clock, log });
   const handle = createRequestHandler({ userApi, controller, log });
@@ -76,7 +76,7 @@
   };
 }
 
-const QUEUED: ApiAnswer = { s: 'job', created: false, state: 'queued', done: 0, running: 0 };
+const QUEUED: ApiAnswer = { type: 'job', created: false, state: 'queued', done: 0, running: 0 };
 const PENDING_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
 
 describe('a submission', () => {
@@ -87,17 +87,17 @@
   });
 
   test.each<[string, string, string, Partial<JobSpec>]>([
-    ['array', '"shape":"group"', '"shape":"sweep"', { shape: 'array' }],
-    ['service', '"shape":"group"', '"shape":"standing"', { shape: 'service' }],
-    ['highest priority', '"rank":"urgent"', '"rank":"prod"', { rank: 0 }],
-    ['third priority', '"rank":"urgent"', '"rank":"standard"', { rank: 2 }],
-    ['lowest priority', '"rank":"urgent"', '"rank":"low"', { rank: 3 }],
-    ['any machine type', '"barks":["g8"]', '"barks":null', { types: null }],
-    ['machine types omitted', '"barks":["g8"],', '', { types: null }],
+    ['array', '"shape":"group"', '"shape":"sweep"', { kind: 'array' }],
+    ['service', '"shape":"group"', '"shape":"standing"', { kind: 'service' }],
+    ['highest priority', '"rank":"urgent"', '"rank":"prod"', { priority: 0 }],
+    ['third priority', '"rank":"urgent"', '"rank":"standard"', { priority: 2 }],
+    ['lowest priority', '"rank":"urgent"', '"rank":"low"', { priority: 3 }],
+    ['any machine type', '"barks":["g8"]', '"barks":null', { machineTypes: null }],
+    ['machine types omitted', '"barks":["g8"],', '', { machineTypes: null }],
     ['any zone', '"slope":"a"', '"slope":null', { zone: null }],
     ['zone omitted', '"slope":"a",', '', { zone: null }],
-    ['no deadline', '"frost_s":900.0', '"frost_s":null', { deadlineS: null }],
-    ['deadline omitted', ',"frost_s":900.0', '', { deadlineS: null }],
+    ['no deadline', '"frost_s":900.0', '"frost_s":null', { deadlineSeconds: null }],
+    ['deadline omitted', ',"frost_s":900.0', '', { deadlineSeconds: null }],
     ['a field that is not known', '{"name_id"', '{"moss":1,"name_id"', {}],
   ])('is read: %s', (_title, from, to, difference) => {
     expect(JOB_TEXT).toContain(from);
@@ -124,7 +124,7 @@
   ])('is refused without %s, which is named', async (name, field) => {
     const text = JOB_TEXT.replace(field, '"moss":0');
     expect(read(text)).toStrictEqual({ ok: false, id: 'wk-000412', reason: `${name} is missing or invalid` });
-    const { reply, asked } = await ask('POST', '/v2/runs', text, { s: 'unknown' });
+    const { reply, asked } = await ask('POST', '/v2/runs', text, { type: 'notFound' });
     expect(reply).toBe(`400 {"error":"${name} is missing or invalid"} {}`);
     expect(asked).toEqual(['poll', 'wk-000412']);
   });
@@ -170,7 +170,7 @@
     ['done', 'done'],
     ['cancelled', 'withdrawn'],
   ] as const)('%s is written as %s', (state, phase) => {
-    const answer = { s: 'job', created: false, state, done: 3, running: 13 } as const;
+    const answer = { type: 'job', created: false, state, done: 3, running: 13 } as const;
     expect(JSON.stringify(writeState('wk-000412', answer))).toBe(
       `{"name_id":"wk-000412","phase":"${phase}","done":3,"running":13}`,
     );
@@ -178,8 +178,8 @@
 });
 
 describe('answers to users', () => {
-  const never: ApiAnswer = { s: 'never', reason: 'unknown team x' };
-  const later: ApiAnswer = { s: 'later', reason: 'state service not reached' };
+  const never: ApiAnswer = { type: 'rejected', reason: 'unknown team x' };
+  const later: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
 
   test.each<[string, string, string, ApiAnswer, string, unknown[]]>([
     [
@@ -194,13 +194,20 @@
     ['never', 'POST', '/v2/runs', never, '422 {"error":"unknown team x"} {}', ['submit', SPEC]],
     ['later', 'POST', '/v2/runs', later, '503 {"error":"state service not reached"} {}', ['submit', SPEC]],
     ['polled', 'GET', '/v2/runs/wk-000412', QUEUED, `200 ${PENDING_TEXT} {}`, ['poll', 'wk-000412']],
-    ['unknown', 'GET', '/v2/runs/wk-1', { s: 'unknown' }, '404 {"error":"no such job"} {}', ['poll', 'wk-1']],
+    [
+      'unknown',
+      'GET',
+      '/v2/runs/wk-1',
+      { type: 'notFound' },
+      '404 {"error":"no such job"} {}',
+      ['poll', 'wk-1'],
+    ],
     ['not an id', 'GET', '/v2/runs/job-1', QUEUED, '404 {"error":"no such job"} {}', []],
     [
       'cancelled',
       'POST',
       '/v2/runs/wk-000412/abort',
-      { s: 'job', created: false, state: 'cancelled', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', done: 3, running: 0 },
       '200 {"name_id":"wk-000412","phase":"withdrawn","done":3,"running":0} {}',
       ['abort', 'wk-000412'],
     ],
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -1,6 +1,6 @@
 import { afterAll, beforeAll, describe, expect, test } from 'vitest';
-import type { Controller, ReportAnswer } from '../../src/core/controller.js';
-import type { ExitWhy, Result, TaskPhase, WorkerCommand, WorkerReport } from '../../src/core/types.js';
+import type { Controller, HeartbeatResult } from '../../src/core/controller.js';
+import type { ExitReason, Heartbeat, Result, TaskPhase, WorkerCommand } from '../../src/core/types.js';
 import { answerHeartbeat } from '../../src/io/http-api.js';
 import { WorkerClient } from '../../src/io/worker-client.js';
 import { readReport } from '../../src/wire/worker.js';
@@ -8,25 +8,39 @@
 
 const REPORT_TEXT =
   '{"trunk":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"season":1,"tally":88,"crook":41,"felling_s":null,"saplings":[{"sapling":"wk-000412/3","sprout":2,"phase":"running"},{"sapling":"wk-000398/0","sprout":1,"phase":"ended","blight":"done"}]}';
-const REPORT: WorkerReport = {
+const REPORT: Heartbeat = {
   machine: 'vm-000231',
-  addr: '10.1.0.232:9000',
-  type: 'g8',
+  address: '10.1.0.232:9000',
+  machineType: 'g8',
   zone: 'a',
-  spot: true,
-  season: 1,
-  tally: 88,
-  token: 41,
-  noticeS: null,
+  isSpot: true,
+  agentEpoch: 1,
+  sequence: 88,
+  fencingToken: 41,
+  evictionNoticeSeconds: null,
   tasks: [
-    { job: 'wk-000412', idx: 3, attempt: 2, phase: 'running', why: null, saved: false },
-    { job: 'wk-000398', idx: 0, attempt: 1, phase: 'exited', why: 'done', saved: false },
+    {
+      jobId: 'wk-000412',
+      taskIndex: 3,
+      attempt: 2,
+      phase: 'running',
+      exitReason: null,
+      checkpointSaved: false,
+    },
+    {
+      jobId: 'wk-000398',
+      taskIndex: 0,
+      attempt: 1,
+      phase: 'exited',
+      exitReason: 'done',
+      checkpointSaved: false,
+    },
   ],
 };
 const COMMANDS: WorkerCommand[] = [
-  { op: 'start', job: 'wk-000412', idx: 4, attempt: 2 },
-  { op: 'stop', job: 'wk-000377', idx: 1, attempt: 1, graceS: 10 },
-  { op: 'reap', job: 'wk-000398', idx: 0, attempt: 1 },
+  { type: 'start', jobId: 'wk-000412', taskIndex: 4, attempt: 2 },
+  { type: 'stop', jobId: 'wk-000377', taskIndex: 1, attempt: 1, gracePeriodSeconds: 10 },
+  { type: 'reap', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
 ];
 const CALLS_TEXT =
   '[{"call":"start","sapling":"wk-000412/4","sprout":2},{"call":"stop","sapling":"wk-000377/1","sprout":1,"pruning_s":10},{"call":"reap","sapling":"wk-000398/0","sprout":1}]';
@@ -40,12 +54,12 @@
     expect(readReport(JSON.parse(REPORT_TEXT))).toStrictEqual(REPORT);
   });
 
-  test.each<[string, string, Partial<WorkerReport>]>([
-    ['notice', REPORT_TEXT.replace('"felling_s":null', '"felling_s":31.5'), { noticeS: 31.5 }],
+  test.each<[string, string, Partial<Heartbeat>]>([
+    ['notice', REPORT_TEXT.replace('"felling_s":null', '"felling_s":31.5'), { evictionNoticeSeconds: 31.5 }],
     ['no notice field', REPORT_TEXT.replace('"felling_s":null,', ''), {}],
-    ['ordinary machine', REPORT_TEXT.replace('"windfall":true', '"windfall":false'), { spot: false }],
-    ['no token field', REPORT_TEXT.replace('"crook":41,', ''), { token: 0 }],
-    ['token null', REPORT_TEXT.replace('"crook":41', '"crook":null'), { token: 0 }],
+    ['ordinary machine', REPORT_TEXT.replace('"windfall":true', '"windfall":false'), { isSpot: false }],
+    ['no token field', REPORT_TEXT.replace('"crook":41,', ''), { fencingToken: 0 }],
+    ['token null', REPORT_TEXT.replace('"crook":41', '"crook":null'), { fencingToken: 0 }],
     ['a field that is not known', REPORT_TEXT.replace('{"trunk"', '{"moss":1,"trunk"'), {}],
   ])('is read: %s', (_title, text, difference) => {
     expect(readReport(JSON.parse(text))).toStrictEqual({ ...REPORT, ...difference });
@@ -61,7 +75,7 @@
     expect(taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"${text}"}`)?.phase).toBe(phase);
   });
 
-  test.each<[string, ExitWhy]>([
+  test.each<[string, ExitReason]>([
     ['done', 'done'],
     ['stopped', 'stopped'],
     ['mates_gone', 'peers'],
@@ -71,16 +85,16 @@
     ['busy', 'busy'],
     ['unknown', 'unknown'],
     ['anything else', 'error'],
-  ])('names the end %s', (text, why) => {
+  ])('names the end %s', (text, reason) => {
     expect(
       taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"ended","blight":"${text}","stored":true}`),
     ).toStrictEqual({
-      job: 'wk-1',
-      idx: 3,
+      jobId: 'wk-1',
+      taskIndex: 3,
       attempt: 2,
       phase: 'exited',
-      why,
-      saved: true,
+      exitReason: reason,
+      checkpointSaved: true,
     });
   });
 
@@ -100,10 +114,10 @@
 });
 
 describe('the answer to a report', () => {
-  const answered = (answer: ReportAnswer, text = REPORT_TEXT) => {
-    const reports: WorkerReport[] = [];
-    const controller: Pick<Controller, 'report'> = {
-      report: (given) => {
+  const answered = (answer: HeartbeatResult, text = REPORT_TEXT) => {
+    const reports: Heartbeat[] = [];
+    const controller: Pick<Controller, 'handleHeartbeat'> = {
+      handleHeartbeat: (given) => {
         reports.push(given);
         return answer;
       },
@@ -113,20 +127,27 @@
   };
 
   test('holds the token and the commands', () => {
-    const { reply, reports } = answered({ s: 'ok', token: 41, cmds: COMMANDS });
+    const { reply, reports } = answered({ type: 'accepted', fencingToken: 41, commands: COMMANDS });
     expect([reply.status, reply.body, reply.headers]).toEqual([
       200,
       `{"crook":41,"calls":${CALLS_TEXT}}`,
       undefined,
     ]);
     expect(reports).toStrictEqual([REPORT]);
-    expect(answered({ s: 'ok', token: 42, cmds: [] }).reply.body).toBe('{"crook":42,"calls":[]}');
+    expect(answered({ type: 'accepted', fencingToken: 42, commands: [] }).reply.body).toBe(
+      '{"crook":42,"calls":[]}',
+    );
   });
 
-  test.each<[string, ReportAnswer, number, string]>([
-    ['the leader is known', { s: 'other', leader: 'stand-2' }, 421, '{"keeper":"stand-2"}'],
-    ['the leader is not known', { s: 'other', leader: null }, 421, '{}'],
-    ['the state service is not reached', { s: 'later' }, 503, '{"error":"state service not reached"}'],
+  test.each<[string, HeartbeatResult, number, string]>([
+    ['the leader is known', { type: 'redirected', leaderName: 'stand-2' }, 421, '{"keeper":"stand-2"}'],
+    ['the leader is not known', { type: 'redirected', leaderName: null }, 421, '{}'],
+    [
+      'the state service is not reached',
+      { type: 'unavailable' },
+      503,
+      '{"error":"state service not reached"}',
+    ],
   ])('sends the worker elsewhere: %s', (_title, answer, status, body) => {
     const { reply } = answered(answer);
     expect([reply.status, reply.body]).toEqual([status, body]);
@@ -134,7 +155,7 @@
   });
 
   test.each(['{', '[]', '{"trunk":"vm-1"}'])('refuses a malformed report: %s', (text) => {
-    const { reply, reports } = answered({ s: 'later' }, text);
+    const { reply, reports } = answered({ type: 'unavailable' }, text);
     expect([reply.status, reply.body, reports]).toEqual([400, '{"error":"malformed report"}', []]);
   });
 });
@@ -149,8 +170,8 @@
 
   const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
     server.reply = { status, text };
-    return new Promise<Result<WorkerReport>>((done) =>
-      new WorkerClient(1).commands(address, 41, 3, commands, done),
+    return new Promise<Result<Heartbeat>>((done) =>
+      new WorkerClient(1).sendCommands(address, 41, 3, commands, done),
     );
   };
 
@@ -161,9 +182,9 @@
     );
   });
 
-  test.each<[number, string, Result<WorkerReport>]>([
+  test.each<[number, string, Result<Heartbeat>]>([
     [200, '{}', { ok: false, kind: 'unknown' }],
-    [409, REPORT_TEXT, { ok: false, kind: 'conflict', report: REPORT }],
+    [409, REPORT_TEXT, { ok: false, kind: 'conflict', heartbeat: REPORT }],
     [409, '{}', { ok: false, kind: 'refused' }],
     [400, '{}', { ok: false, kind: 'bad' }],
     [500, '{}', { ok: false, kind: 'unknown' }],
--- a/test/gang-attempts.test.ts
+++ b/test/gang-attempts.test.ts
@@ -34,24 +34,24 @@
   private readonly records: number;
 
   constructor(readonly seed: number) {
-    const types = [{ ...SHAPE.types[0]!, bootS: 8 }];
-    const teams = [{ name: 'red', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }];
+    const types = [{ ...SHAPE.types[0]!, bootSeconds: 8 }];
+    const teams = [{ name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }];
     this.world = new World(seed, { ...SHAPE, ops: 4, valueKb: 1, capacity: 40, teams, types });
     // No machine on which everything fails.
     this.world.faulty.add = () => this.world.faulty;
     const { sim } = this.world;
     const tasks = sim.pick([2, 5, 20, 40, 80, 80]);
     const spec = job(this.world, {
-      shape: 'gang',
-      rank: 2,
-      tasks,
+      kind: 'gang',
+      priority: 2,
+      taskCount: tasks,
       cpus: tasks <= 5 ? 4 : 1,
-      mem: 0.5,
-      spot: false,
-      together: sim.chance(0.3),
+      memoryGb: 0.5,
+      spotAllowed: false,
+      zoneAffinity: sim.chance(0.3),
       imageGb: sim.pick([0.1, 2, 8]),
-      checkpointS: 1,
-      saveS: 2,
+      checkpointIntervalSeconds: 1,
+      checkpointSaveSeconds: 2,
     });
     this.gang = spec.id;
     this.records = Math.ceil(tasks / 16);
@@ -124,7 +124,9 @@
   loseSaving(): void {
     this.world.runMs = (id) => (id === this.gang ? 30_000 : 4000);
     if (!this.until(() => this.machinesIn('running').length > 0)) return;
-    this.world.submit(job(this.world, { rank: 1, tasks: 200, cpus: 4, mem: 1, spot: false }));
+    this.world.submit(
+      job(this.world, { priority: 1, taskCount: 200, cpus: 4, memoryGb: 1, spotAllowed: false }),
+    );
     this.loseIn('saving');
     this.world.runMs = (id) => (id === this.gang ? RUN_MS : 4000);
   }
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -1,9 +1,11 @@
 import { expect, test } from 'vitest';
-import { Owner } from '../src/core/owner/owner.js';
+import type { ClusterState } from '../src/core/ledger.js';
+import { ShardOwner } from '../src/core/owner/owner.js';
 import type { QueuedJob } from '../src/core/owner/release-order.js';
 import { TeamBudget } from '../src/core/owner/team-budget.js';
 import { TeamUsage } from '../src/core/owner/team-usage.js';
-import type { Grant, JobSpec, OwnerMsg, StatePort, Team } from '../src/core/types.js';
+import type { Grant, JobSpec, KeyValueStore, ShardMessage, Team } from '../src/core/types.js';
+import { jobRecord } from '../src/wire/record-codec.js';
 import { job } from './standin/day.js';
 import { ownerOptions } from './standin/owner.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
@@ -15,20 +17,29 @@
 type SchedulerStandin = ReturnType<typeof scheduler>;
 
 const gangWant = (id: string, over: object = {}) =>
-  makeWant(id, { whole: true, together: true, spot: false, cpus: 4, mem: 1, count: 3, ...over });
+  makeWant(id, {
+    allOrNothing: true,
+    zoneAffinity: true,
+    spotAllowed: false,
+    cpus: 4,
+    memoryGb: 1,
+    taskCount: 3,
+    ...over,
+  });
 const lowWant = (id: string, over: object = {}) =>
-  makeWant(id, { rank: 3, cpus: 1, count: 20, order: 2, ...over });
+  makeWant(id, { priority: 3, cpus: 1, taskCount: 20, queuePosition: 2, ...over });
 
 /** All of these machines report, and one second passes. */
 function second(t: SchedulerStandin, machines: string[], over: (name: string) => object = () => ({})): void {
-  for (const machine of machines) t.report([], 5, { machine, addr: machine, ...over(machine) });
+  for (const machine of machines) t.report([], 5, { machine, address: machine, ...over(machine) });
   t.later(1000);
   t.k.flush();
   for (const call of t.calls.splice(0)) call.cb({ ok: false, kind: 'refused' });
 }
 
 const grantsOf = (t: SchedulerStandin, id: string) => t.grants().filter((granted) => granted === id).length;
-const evicted = (t: SchedulerStandin) => t.said.flatMap((m) => (m.type === 'evict' ? m.tasks : []));
+const evicted = (t: SchedulerStandin) =>
+  t.said.flatMap((message) => (message.type === 'evict' ? message.tasks : []));
 
 test('a gang that waits keeps the machines it has gathered from lower work, and begins with the last one', () => {
   const t = scheduler(5);
@@ -54,10 +65,10 @@
   const t = scheduler(5, { idle_s: 2 });
   t.rents.served = true;
   const runs = (machine: string) => ({
-    tasks: machine === 'c' ? [{ ...listed('running'), job: 'wk-low' }] : [],
+    tasks: machine === 'c' ? [{ ...listed('running'), jobId: 'wk-low' }] : [],
   });
-  for (const machine of ['a', 'b', 'c']) t.report([], 5, { machine, addr: machine });
-  t.hold({ ...t.held('run'), job: 'wk-low', machine: 'c', rank: 3, cpus: 3, mem: 1 });
+  for (const machine of ['a', 'b', 'c']) t.report([], 5, { machine, address: machine });
+  t.hold({ ...t.held('run'), jobId: 'wk-low', machine: 'c', priority: 3, cpus: 3, memoryGb: 1 });
   t.wants([gangWant('wk-gang')]);
   for (let i = 0; i < 4; i++) second(t, ['a', 'b', 'c'], runs);
   expect(evicted(t).length).toBe(1);
@@ -68,7 +79,10 @@
 
 test('of two gangs without room the first in the queue gathers: neither holds half of what both need', () => {
   const t = scheduler(5);
-  t.wants([gangWant('wk-first', { order: 1 }), gangWant('wk-second', { order: 2, count: 2 })]);
+  t.wants([
+    gangWant('wk-first', { queuePosition: 1 }),
+    gangWant('wk-second', { queuePosition: 2, taskCount: 2 }),
+  ]);
   for (let i = 0; i < 5; i++) second(t, ['a', 'b']);
   expect(t.grants()).toEqual([]);
   for (let i = 0; i < 2; i++) second(t, ['a', 'b', 'c']);
@@ -79,16 +93,16 @@
   const t = scheduler(5);
   const machines = ['a1', 'a2', 'b1'];
   const zone = (name: string) => ({ zone: name.slice(0, 1) });
-  for (const machine of machines) t.report([], 5, { machine, addr: machine, ...zone(machine) });
+  for (const machine of machines) t.report([], 5, { machine, address: machine, ...zone(machine) });
   const runs = (machine: string) => ({
     ...zone(machine),
-    tasks: [{ ...listed('running'), job: `wk-${machine}` }],
+    tasks: [{ ...listed('running'), jobId: `wk-${machine}` }],
   });
   for (const machine of machines)
-    t.hold({ ...t.held('run'), job: `wk-${machine}`, machine, rank: 3, cpus: 2, mem: 1 });
-  t.wants([gangWant('wk-gang', { count: 2 })]);
+    t.hold({ ...t.held('run'), jobId: `wk-${machine}`, machine, priority: 3, cpus: 2, memoryGb: 1 });
+  t.wants([gangWant('wk-gang', { taskCount: 2 })]);
   for (let i = 0; i < 4; i++) second(t, machines, runs);
-  expect([...new Set(evicted(t).map((task) => task.job))].sort()).toEqual(['wk-a1', 'wk-a2']);
+  expect([...new Set(evicted(t).map((task) => task.jobId))].sort()).toEqual(['wk-a1', 'wk-a2']);
 });
 
 test('no work is stopped for a guarantee while the fleet starts, and no gang before the claim has waited', () => {
@@ -96,23 +110,23 @@
   /** Blue (8 guaranteed) runs 12 CPUs on three machines; red is within its guarantee and waits. */
   const evictions = (gang: boolean, booting: number, seconds: number): number => {
     const t = scheduler(5);
-    for (const machine of machines) t.report([], 5, { machine, addr: machine });
-    const blue = { ...t.held('run'), job: 'wk-blue', team: 'blue', gang, cpus: 4, mem: 1 };
-    machines.forEach((machine, idx) => t.hold({ ...blue, idx, machine }));
+    for (const machine of machines) t.report([], 5, { machine, address: machine });
+    const blue = { ...t.held('run'), jobId: 'wk-blue', team: 'blue', isGang: gang, cpus: 4, memoryGb: 1 };
+    machines.forEach((machine, taskIndex) => t.hold({ ...blue, taskIndex, machine }));
     const runs = (machine: string) => ({
-      tasks: [{ ...listed('running'), job: 'wk-blue', idx: machines.indexOf(machine) }],
+      tasks: [{ ...listed('running'), jobId: 'wk-blue', taskIndex: machines.indexOf(machine) }],
     });
     for (let i = 0; i < booting; i++)
       t.list.push({
         name: `boots-${i}`,
-        addr: '',
-        type: 'big',
+        address: '',
+        machineType: 'big',
         zone: 'a',
-        spot: false,
+        isSpot: false,
         phase: 'booting',
-        ageS: 0,
+        ageSeconds: 0,
       });
-    t.wants([makeWant('wk-red', { rank: 2, cpus: 4, spot: false, types: ['small'] })]);
+    t.wants([makeWant('wk-red', { priority: 2, cpus: 4, spotAllowed: false, machineTypes: ['small'] })]);
     for (let i = 0; i < seconds; i++) second(t, machines, runs);
     return evicted(t).length;
   };
@@ -131,92 +145,113 @@
     const slow = (name: string) => name === 'vm-0' || name === 'vm-1';
     const id = (name: string) => (slow(name) ? `wk-gang-${round}` : `wk-${name}-${round}`);
     for (const machine of all)
-      t.hold({ ...t.held('run'), job: id(machine), idx: all.indexOf(machine), machine, gang: slow(machine) });
+      t.hold({
+        ...t.held('run'),
+        jobId: id(machine),
+        taskIndex: all.indexOf(machine),
+        machine,
+        isGang: slow(machine),
+      });
     const report = (machine: string, phase: 'running' | 'exited') =>
-      t.report([{ ...listed(phase), job: id(machine), idx: all.indexOf(machine) }], 5, {
+      t.report([{ ...listed(phase), jobId: id(machine), taskIndex: all.indexOf(machine) }], 5, {
         machine,
-        addr: machine,
+        address: machine,
       });
-    for (const machine of all) t.report([], 5, { machine, addr: machine });
+    for (const machine of all) t.report([], 5, { machine, address: machine });
     for (const machine of all) report(machine, 'running');
     t.later(5000);
     for (const machine of all) report(machine, slow(machine) ? 'running' : 'exited');
     t.later(15000);
     for (const machine of all) report(machine, 'exited');
   }
-  const { machines } = (
-    t.k as unknown as { l: { machines: Map<string, { name: string; retired: boolean }> } }
-  ).l;
-  expect([...machines.values()].filter((m) => m.retired).map((m) => m.name)).toEqual([]);
+  const { machines } = (t.k as unknown as { state: ClusterState }).state;
+  expect([...machines.values()].filter((m) => m.isQuarantined).map((m) => m.name)).toEqual([]);
 });
 
 // ---- owners -----------------------------------------------------------------------------------------
 
-const TEAM: Team = { name: 'red', cpus: 0, cpusMax: 40, gpus: 0, gpusMax: 0 };
+const TEAM: Team = { name: 'red', guaranteedCpus: 0, maxCpus: 40, guaranteedGpus: 0, maxGpus: 0 };
 
 function queued(over: Partial<JobSpec>, placed = 0): QueuedJob {
-  return { spec: job(new World(1), { at: 0, ...over }), order: 1, finished: 0, placed, failures: 0 };
+  return {
+    spec: job(new World(1), { acceptedAtMs: 0, ...over }),
+    acceptedRevision: 1,
+    finishedTasks: 0,
+    placedTasks: placed,
+    failures: 0,
+  };
 }
 
 test("a gang that has waited keeps its team's limit free, and lower work keeps its share", () => {
   const usage = new TeamUsage(new Map([['red', TEAM]]));
-  const gang = queued({ shape: 'gang', tasks: 8, cpus: 4 });
-  const small = queued({ shape: 'gang', tasks: 2, cpus: 4 });
-  const low = queued({ rank: 3, tasks: 50, cpus: 1 });
-  const running = queued({ rank: 2, tasks: 5, cpus: 4 }, 5);
+  const gang = queued({ kind: 'gang', taskCount: 8, cpus: 4 });
+  const small = queued({ kind: 'gang', taskCount: 2, cpus: 4 });
+  const low = queued({ priority: 3, taskCount: 50, cpus: 1 });
+  const running = queued({ priority: 2, taskCount: 5, cpus: 4 }, 5);
   usage.add(running.spec, 'granted', 5);
   const budget = (wallMs: number) => {
-    const of = TeamBudget.of('red', usage, [gang, small, low, running])!;
-    expect(of.fit(gang.spec)).toBe(5);
+    const of = TeamBudget.forTeam('red', usage, [gang, small, low, running])!;
+    expect(of.tasksThatFit(gang.spec)).toBe(5);
     of.reserve(gang, wallMs);
     return of;
   };
-  expect(budget(89_000).fit(small.spec)).toBe(5);
+  expect(budget(89_000).tasksThatFit(small.spec)).toBe(5);
   const later = budget(91_000);
-  expect(later.fit(small.spec)).toBeLessThanOrEqual(0);
-  expect(later.fit(low.spec)).toBe(10);
+  expect(later.tasksThatFit(small.spec)).toBeLessThanOrEqual(0);
+  expect(later.tasksThatFit(low.spec)).toBe(10);
   later.take(low.spec, 10);
-  expect(later.fit(low.spec)).toBe(0);
+  expect(later.tasksThatFit(low.spec)).toBe(0);
 });
 
 test('a gang that its team could never run reserves nothing', () => {
   const usage = new TeamUsage(new Map([['red', TEAM]]));
-  const gang = queued({ shape: 'gang', tasks: 11, cpus: 4 });
-  const budget = TeamBudget.of('red', usage, [gang])!;
+  const gang = queued({ kind: 'gang', taskCount: 11, cpus: 4 });
+  const budget = TeamBudget.forTeam('red', usage, [gang])!;
   budget.reserve(gang, 100_000);
-  expect(budget.fit(queued({ tasks: 2, cpus: 4 }).spec)).toBe(10);
+  expect(budget.tasksThatFit(queued({ taskCount: 2, cpus: 4 }).spec)).toBe(10);
 });
 
 /** An owner of team red that has loaded these jobs, with a state service that never answers a write. */
-function ownerOf(specs: JobSpec[]): { owner: Owner; said: OwnerMsg[] } {
-  const said: OwnerMsg[] = [];
-  const items = specs.map((j, i) => ({ key: `open/${j.id}/a`, value: { j }, version: i + 1 }));
+function ownerOf(specs: JobSpec[]): { owner: ShardOwner; said: ShardMessage[] } {
+  const said: ShardMessage[] = [];
+  const items = specs.map((j, i) => ({
+    key: `open/${j.id}/a`,
+    value: jobRecord.encode({ spec: j }),
+    modRevision: i + 1,
+  }));
   const state = {
-    get: (_key, _urgency, cb) => cb({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, cb) =>
-      cb({ ok: true, value: { items: prefix === 'open/' ? items : [], more: false, rev: 9 } }),
-    txn: () => {},
-  } as Partial<StatePort> as StatePort;
-  const options = { teams: new Map([['red', TEAM]]), state, send: (m: OwnerMsg) => said.push(m) };
-  const owner = new Owner(ownerOptions(options));
-  owner.setTeams(new Map([['red', 1]]));
-  owner.setScheduler(1);
+    get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
+    list: (prefix, _since, _urgency, callback) =>
+      callback({
+        ok: true,
+        value: { items: prefix === 'open/' ? items : [], more: false, storeRevision: 9 },
+      }),
+    compareAndSwap: () => {},
+  } as Partial<KeyValueStore> as KeyValueStore;
+  const options = {
+    teams: new Map([['red', TEAM]]),
+    store: state,
+    send: (message: ShardMessage) => said.push(message),
+  };
+  const owner = new ShardOwner(ownerOptions(options));
+  owner.setShards(new Map([['red', 1]]));
+  owner.setLeader(1);
   owner.flush();
-  owner.fromScheduler({ type: 'synced', token: 1 });
+  owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
   return { owner, said };
 }
 
 test('an owner takes the places for a gang all or none: at its limit, from two zones, or too few', () => {
-  const gang = job(new World(1), { id: 'wk-gang', shape: 'gang', tasks: 4, cpus: 4, together: true });
-  const other = job(new World(1), { id: 'wk-other', tasks: 7, cpus: 4 });
+  const gang = job(new World(1), { id: 'wk-gang', kind: 'gang', taskCount: 4, cpus: 4, zoneAffinity: true });
+  const other = job(new World(1), { id: 'wk-other', taskCount: 7, cpus: 4 });
   const grants = (id: string, n: number, zoneOf: (i: number) => string = () => 'a', from = 1): Grant[] =>
     Array.from({ length: n }, (_, i) => ({
       id: from + i,
-      job: id,
+      jobId: id,
       team: 'red',
       machine: `m${from + i}`,
       zone: zoneOf(i),
-      season: 1,
+      agentEpoch: 1,
     }));
   const cases: { name: string; taken: Grant[]; gang: Grant[]; placed: number }[] = [
     { name: 'room', taken: [], gang: grants('wk-gang', 4), placed: 4 },
@@ -226,11 +261,11 @@
   ];
   for (const { name, taken, gang: offered, placed } of cases) {
     const { owner, said } = ownerOf([gang, other]);
-    owner.fromScheduler({ type: 'grants', token: 1, grants: taken });
-    owner.fromScheduler({ type: 'grants', token: 1, grants: offered });
+    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: taken });
+    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: offered });
     expect([name, owner.stats().placed]).toEqual([name, placed]);
     owner.flush();
-    const dropped = said.flatMap((m) => (m.type === 'drop' ? m.grants : []));
+    const dropped = said.flatMap((message) => (message.type === 'release' ? message.grants : []));
     expect([name, dropped.length]).toEqual([name, name === 'room' ? 0 : offered.length]);
   }
 });
@@ -281,9 +316,9 @@
   'a gang stored in more than one transaction is completed or ended as %s between two of them (%i)',
   (name, seed) => {
     // Five records of 16 tasks each, where a transaction takes four changes.
-    const shape = { ops: 4, valueKb: 1, capacity: 40, teams: [{ ...TEAM, cpusMax: 0 }] };
+    const shape = { ops: 4, valueKb: 1, capacity: 40, teams: [{ ...TEAM, maxCpus: 0 }] };
     const w = world(seed, shape);
-    const gang = job(w, { shape: 'gang', tasks: 80, cpus: 1, mem: 0.5, spot: false });
+    const gang = job(w, { kind: 'gang', taskCount: 80, cpus: 1, memoryGb: 0.5, spotAllowed: false });
     w.submit(gang);
     const stored = () => [...w.state.keys.keys()].filter((key) => key.startsWith(`place/${gang.id}/`)).length;
     until(w, 90_000, () => stored() > 0);
@@ -296,10 +331,17 @@
 test.each([1, 2, 3, 4])(
   'a gang in one zone never begins in the other while its last attempt is unsettled (%i)',
   (seed) => {
-    const w = world(seed, { capacity: 16, types: [{ ...SHAPE.types[0]!, bootS: 3 }] });
+    const w = world(seed, { capacity: 16, types: [{ ...SHAPE.types[0]!, bootSeconds: 3 }] });
     w.runMs = () => 40_000;
     const gangs = [4, 3].map((tasks) => {
-      const gang = job(w, { shape: 'gang', tasks, cpus: 4, mem: 1, spot: false, together: true });
+      const gang = job(w, {
+        kind: 'gang',
+        taskCount: tasks,
+        cpus: 4,
+        memoryGb: 1,
+        spotAllowed: false,
+        zoneAffinity: true,
+      });
       w.submit(gang);
       return gang.id;
     });
@@ -321,7 +363,15 @@
   'a task of a running gang disappears or its machine hangs: the next attempt completes it (%i)',
   (seed) => {
     const w = world(seed, { capacity: 20 });
-    const gang = job(w, { shape: 'gang', tasks: 5, cpus: 4, mem: 1, spot: false, checkpointS: 2, saveS: 1 });
+    const gang = job(w, {
+      kind: 'gang',
+      taskCount: 5,
+      cpus: 4,
+      memoryGb: 1,
+      spotAllowed: false,
+      checkpointIntervalSeconds: 2,
+      checkpointSaveSeconds: 1,
+    });
     w.submit(gang);
     w.runMs = () => 20_000;
     until(w, 90_000, () => running(w, gang.id) === 5);
@@ -337,7 +387,7 @@
 
 test.each([1, 2, 3])('a gang that loses a task before it has begun is not held up for good (%i)', (seed) => {
   const w = world(seed, { capacity: 20 });
-  const gang = job(w, { shape: 'gang', tasks: 5, cpus: 4, mem: 1, spot: false, imageGb: 8 });
+  const gang = job(w, { kind: 'gang', taskCount: 5, cpus: 4, memoryGb: 1, spotAllowed: false, imageGb: 8 });
   w.submit(gang);
   const fetching = () => [...w.workers.values()].filter((m) => m.tasks.some((task) => task.job === gang.id));
   until(w, 90_000, () => fetching().length === 5);
@@ -346,21 +396,21 @@
 });
 
 test.each([1, 2, 3])('a gang stopped for higher work is told as a whole in time, and saves (%i)', (seed) => {
-  const w = world(seed, { capacity: 5, types: [{ ...SHAPE.types[0]!, bootS: 3 }] });
+  const w = world(seed, { capacity: 5, types: [{ ...SHAPE.types[0]!, bootSeconds: 3 }] });
   const gang = job(w, {
-    shape: 'gang',
-    rank: 3,
-    tasks: 4,
+    kind: 'gang',
+    priority: 3,
+    taskCount: 4,
     cpus: 4,
-    mem: 1,
-    spot: false,
-    checkpointS: 30,
-    saveS: 2,
+    memoryGb: 1,
+    spotAllowed: false,
+    checkpointIntervalSeconds: 30,
+    checkpointSaveSeconds: 2,
   });
   w.runMs = (id) => (id === gang.id ? 60_000 : 5000);
   w.submit(gang);
   until(w, 90_000, () => running(w, gang.id) === 4);
-  w.submit(job(w, { rank: 1, tasks: 8, cpus: 4, mem: 1, spot: false }));
+  w.submit(job(w, { priority: 1, taskCount: 8, cpus: 4, memoryGb: 1, spotAllowed: false }));
   until(w, 60_000, () => w.gangStops.told > 0);
   expect(onMachines(w, gang.id).some((task) => task.phase === 'saving')).toBe(true);
   w.sim.run(w.sim.now + 10_000);
@@ -372,7 +422,14 @@
   'a cancelled gang is gone in time although a machine of it can not be reached (%i)',
   (seed) => {
     const w = world(seed, { capacity: 20 });
-    const gang = job(w, { shape: 'gang', tasks: 5, cpus: 4, mem: 1, spot: false, together: true });
+    const gang = job(w, {
+      kind: 'gang',
+      taskCount: 5,
+      cpus: 4,
+      memoryGb: 1,
+      spotAllowed: false,
+      zoneAffinity: true,
+    });
     w.submit(gang);
     w.runMs = () => 100_000;
     until(w, 90_000, () => running(w, gang.id) === 5);
@@ -387,9 +444,17 @@
 );
 
 test.each([1, 2, 3])('a gang gets round a machine on which every task fails (%i)', (seed) => {
-  const w = world(seed, { capacity: 12, types: [{ ...SHAPE.types[0]!, bootS: 3 }] });
+  const w = world(seed, { capacity: 12, types: [{ ...SHAPE.types[0]!, bootSeconds: 3 }] });
   const gangs = [4, 3].map((tasks) =>
-    job(w, { id: `wk-gang-${tasks}`, shape: 'gang', tasks, cpus: 4, mem: 1, spot: false, estimateS: 10 }),
+    job(w, {
+      id: `wk-gang-${tasks}`,
+      kind: 'gang',
+      taskCount: tasks,
+      cpus: 4,
+      memoryGb: 1,
+      spotAllowed: false,
+      estimatedRunSeconds: 10,
+    }),
   );
   w.runMs = () => 10_000;
   w.submit(gangs[0]!);
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import { ProgressLimit } from '../src/core/limits.js';
+import { ConcurrencyLimit } from '../src/core/limits.js';
 import { readList, readRented, readTypes } from '../src/wire/cloud.js';
 import { readJob } from '../src/wire/jobs.js';
 import { parse } from '../src/wire/json.js';
@@ -63,7 +63,7 @@
 
   for (let length = 0; length < REPORT.length; length++)
     expect(readReport(parse(REPORT.slice(0, length)))).toBe(null);
-  expect(readReport(parse(REPORT))?.tasks[0]?.why).toBe('done');
+  expect(readReport(parse(REPORT))?.tasks[0]?.exitReason).toBe('done');
 });
 
 test('a report with one task that cannot be read proves nothing', () => {
@@ -72,14 +72,14 @@
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
-  const limit = new ProgressLimit(50, 4, 100, 100);
+  const limit = new ConcurrencyLimit(50, 4, 100, 100);
   let now = 0;
   /** Fills the limit with requests that all take so long. */
   const fill = (tookMs: number) => {
     let entered = 0;
-    while (limit.enter()) entered++;
+    while (limit.tryAcquire()) entered++;
     now += tookMs;
-    for (let i = 0; i < entered; i++) limit.leave(now, tookMs);
+    for (let i = 0; i < entered; i++) limit.release(now, tookMs);
   };
 
   fill(20);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -2,8 +2,9 @@
 import { runInNewContext } from 'node:vm';
 import { expect, test } from 'vitest';
 import { Controller } from '../src/core/controller.js';
-import { Owner } from '../src/core/owner/owner.js';
-import type { JobSpec, OwnerMsg, StatePort, TaskReport, WorkerCommand } from '../src/core/types.js';
+import { ShardOwner } from '../src/core/owner/owner.js';
+import type { JobSpec, KeyValueStore, ShardMessage, TaskStatus, WorkerCommand } from '../src/core/types.js';
+import { jobRecord } from '../src/wire/record-codec.js';
 import { job } from './standin/day.js';
 import { ownerOptions } from './standin/owner.js';
 import { scheduler } from './standin/scheduler.js';
@@ -17,10 +18,10 @@
 
 type SchedulerStandin = ReturnType<typeof scheduler>;
 interface Inside {
-  l: {
-    touched: Set<unknown>;
-    machines: Map<string, { up: boolean }>;
-    roomOf: (...args: unknown[]) => unknown;
+  state: {
+    changedMachines: Set<unknown>;
+    machines: Map<string, { isUp: boolean }>;
+    capacityOf: (...args: unknown[]) => unknown;
   };
 }
 const insideOf = (t: SchedulerStandin) => t.k as unknown as Inside;
@@ -33,18 +34,25 @@
 }
 
 /** A state service that carries out every write at once and holds these jobs. */
-function stateWith(specs: JobSpec[]): StatePort {
+function stateWith(specs: JobSpec[]): KeyValueStore {
   let revision = 10;
-  const items = specs.map((j, i) => ({ key: `open/${j.id}/a`, value: { j }, version: i + 1 }));
+  const items = specs.map((j, i) => ({
+    key: `open/${j.id}/a`,
+    value: jobRecord.encode({ spec: j }),
+    modRevision: i + 1,
+  }));
   return {
-    get: (_key, _urgency, cb) => cb({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, cb) =>
-      cb({ ok: true, value: { items: prefix === 'open/' ? items : [], more: false, rev: revision } }),
-    txn: (_txn, _urgency, cb) => cb({ ok: true, value: ++revision }),
-  } as Partial<StatePort> as StatePort;
+    get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
+    list: (prefix, _since, _urgency, callback) =>
+      callback({
+        ok: true,
+        value: { items: prefix === 'open/' ? items : [], more: false, storeRevision: revision },
+      }),
+    compareAndSwap: (_txn, _urgency, callback) => callback({ ok: true, value: ++revision }),
+  } as Partial<KeyValueStore> as KeyValueStore;
 }
 
-function ownerWith(specs: JobSpec[], send: (m: OwnerMsg) => void): Owner {
+function ownerWith(specs: JobSpec[], send: (message: ShardMessage) => void): ShardOwner {
   let now = 0;
   const clock = {
     now: () => (now += 400),
@@ -53,37 +61,37 @@
     soon: () => {},
     random: () => 0,
   };
-  const owner = new Owner(
+  const owner = new ShardOwner(
     ownerOptions({
       teams: new Map(SHAPE.teams.map((team) => [team.name, team])),
-      valueKb: 16,
-      txnOps: 32,
-      batch: MACHINES,
-      state: stateWith(specs),
+      maxValueKb: 16,
+      maxTransactionOperations: 32,
+      maxTasksPerRequest: MACHINES,
+      store: stateWith(specs),
       clock,
       send,
     }),
   );
-  owner.setTeams(new Map(SHAPE.teams.map((team) => [team.name, 1])));
+  owner.setShards(new Map(SHAPE.teams.map((team) => [team.name, 1])));
   return owner;
 }
 
 /** A leader, the owner of all teams, and workers that run what they are told for ever. */
 class Fleet {
   readonly names = Array.from({ length: MACHINES }, (_, i) => `vm-${String(i).padStart(6, '0')}`);
-  readonly tasks = new Map<string, Map<string, TaskReport>>(this.names.map((name) => [name, new Map()]));
-  readonly owner: Owner;
+  readonly tasks = new Map<string, Map<string, TaskStatus>>(this.names.map((name) => [name, new Map()]));
+  readonly owner: ShardOwner;
   leader = scheduler(5, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
   messages = 0;
   private toldUpTo = 0;
 
   constructor(specs: JobSpec[]) {
-    this.owner = ownerWith(specs, (m) => {
+    this.owner = ownerWith(specs, (message) => {
       this.messages++;
-      this.leader.owner.told += m.type === 'held' ? 1 : 0;
-      this.leader.k.fromOwner(JSON.parse(JSON.stringify(m)));
+      this.leader.owner.told += message.type === 'placements' ? 1 : 0;
+      this.leader.k.onShardMessage(JSON.parse(JSON.stringify(message)));
     });
-    this.owner.setScheduler(5);
+    this.owner.setLeader(5);
   }
 
   zoneOf(name: string): string {
@@ -92,16 +100,23 @@
 
   report(name: string, token: number): void {
     const tasks = this.tasks.get(name)!;
-    const over = { machine: name, addr: name, zone: this.zoneOf(name) };
+    const over = { machine: name, address: name, zone: this.zoneOf(name) };
     const commands = this.leader.report([...tasks.values()], token, over) ?? [];
     for (const command of commands) this.execute(name, command);
   }
 
-  private execute(name: string, { op, job: id, idx, attempt }: WorkerCommand): void {
+  private execute(name: string, { type: op, jobId: id, taskIndex, attempt }: WorkerCommand): void {
     const tasks = this.tasks.get(name)!;
     if (op === 'start')
-      tasks.set(id + idx, { job: id, idx, attempt, phase: 'running', why: null, saved: false });
-    else tasks.delete(id + idx);
+      tasks.set(id + taskIndex, {
+        jobId: id,
+        taskIndex,
+        attempt,
+        phase: 'running',
+        exitReason: null,
+        checkpointSaved: false,
+      });
+    else tasks.delete(id + taskIndex);
   }
 
   /** All machines, or those of some zones, report once, and messages go back and forth. */
@@ -111,14 +126,14 @@
     this.leader.k.flush();
     for (const call of this.leader.calls.splice(0)) call.cb({ ok: false, kind: 'refused' });
     const { said } = this.leader;
-    for (; this.toldUpTo < said.length; this.toldUpTo++) this.owner.fromScheduler(said[this.toldUpTo]!);
+    for (; this.toldUpTo < said.length; this.toldUpTo++) this.owner.onLeaderMessage(said[this.toldUpTo]!);
     this.owner.flush();
   }
 
   elect(token: number): void {
     this.leader = scheduler(token, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
     this.toldUpTo = 0;
-    this.owner.setScheduler(token);
+    this.owner.setLeader(token);
     this.owner.flush();
   }
 
@@ -132,33 +147,33 @@
 test('4,000 machines register, get work, see an election and the loss of a zone', () => {
   const array = job(new World(1), {
     team: 'free',
-    tasks: MACHINES,
+    taskCount: MACHINES,
     cpus: 4,
-    mem: 1,
-    estimateS: 1000,
-    spot: false,
+    memoryGb: 1,
+    estimatedRunSeconds: 1000,
+    spotAllowed: false,
   });
   const before = heapUsed();
   const fleet = new Fleet([array]);
   for (let i = 0; i < 8; i++) fleet.round(5);
-  expect(insideOf(fleet.leader).l.machines.size).toBe(MACHINES);
+  expect(insideOf(fleet.leader).state.machines.size).toBe(MACHINES);
   expect(fleet.running()).toBe(MACHINES);
   expect(heapUsed() - before).toBeLessThan(HEAP_BOUND);
 
   // A report costs by its own machine only, a pass by the machines with room: there are none.
-  const { l } = insideOf(fleet.leader);
-  l.touched.clear();
+  const { state } = insideOf(fleet.leader);
+  state.changedMachines.clear();
   fleet.report(fleet.names[7]!, 5);
-  expect(l.touched.size).toBeLessThanOrEqual(1);
-  let rooms = 0;
-  const roomOf = l.roomOf.bind(l);
-  l.roomOf = (...args) => {
-    rooms++;
+  expect(state.changedMachines.size).toBeLessThanOrEqual(1);
+  let capacities = 0;
+  const roomOf = state.capacityOf.bind(state);
+  state.capacityOf = (...args) => {
+    capacities++;
     return roomOf(...args);
   };
   fleet.leader.later(1000);
   fleet.leader.k.flush();
-  expect(rooms).toBeLessThanOrEqual(MACHINES);
+  expect(capacities).toBeLessThanOrEqual(MACHINES);
 
   // An election: the owner tells all it holds in parts of a bounded size, and nothing is stopped or started again.
   fleet.messages = 0;
@@ -181,36 +196,42 @@
   const never = () => {};
   const port = new Proxy({}, { get: () => never });
   const controller = new Controller({
-    host: 'c0',
-    inst: 'c0.1',
-    peers: ['c1'],
+    nodeName: 'c0',
+    instanceId: 'c0.1',
+    peerNames: ['c1'],
     teams: SHAPE.teams,
-    workers: { reportS: 3, leaseS: 21, cancelS: 46 },
-    state: { valueKb: 16, txnOps: 16, writeRps: 20 },
-    listLagS: 3,
-    cloudRps: 8,
+    workerTiming: { heartbeatIntervalSeconds: 3, leaseSeconds: 21, cancellationSeconds: 46 },
+    storeLimits: { maxValueKb: 16, maxTransactionOperations: 16, writesPerSecond: 20 },
+    machineListLagSeconds: 3,
+    cloudCallsPerSecond: 8,
     objectives: [],
-    ttlMs: 3500,
+    leaseTtlMs: 3500,
     policy: () => ({}) as ReturnType<ConstructorParameters<typeof Controller>[0]['policy']>,
     clock: { now: () => 1e7, wall: () => 1e7, after: () => never, soon: (fn) => fn(), random: () => 0 },
     log: { debug: never, info: never, error: never },
-    statePort: port as StatePort,
+    store: port as KeyValueStore,
     cloud: port as ConstructorParameters<typeof Controller>[0]['cloud'],
-    worker: port as ConstructorParameters<typeof Controller>[0]['worker'],
-    mesh: { send: (_host, { body }) => body.type === 'ping' && sent.push(body.strays.length) },
+    workers: port as ConstructorParameters<typeof Controller>[0]['workers'],
+    peers: {
+      send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
+    },
   });
-  (controller as unknown as { leader: object }).leader = { inst: 'c1.1', host: 'c1', token: 1 };
+  (controller as unknown as { leader: object }).leader = {
+    instanceId: 'c1.1',
+    nodeName: 'c1',
+    fencingToken: 1,
+  };
   for (let i = 0; i < MACHINES; i++)
-    controller.report({
+    controller.handleHeartbeat({
       machine: `vm-${i}`,
-      addr: '',
-      type: 'small',
+      address: '',
+      machineType: 'small',
       zone: 'a',
-      spot: false,
-      season: 1,
-      tally: 1,
-      token: 1,
-      noticeS: null,
+      isSpot: false,
+      agentEpoch: 1,
+      sequence: 1,
+      fencingToken: 1,
+      evictionNoticeSeconds: null,
       tasks: [],
     });
   controller.push({ type: 'tick' });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -23,16 +23,16 @@
 /** A world with jobs that run for as long as a test says. */
 function world(
   seed: number,
-  runS: (idx: number) => number,
+  runS: (taskIndex: number) => number,
   specs: Partial<JobSpec>[],
 ): { w: World; ids: string[] } {
   const w = new World(seed);
   // No machine on which everything fails: starts are counted.
   w.faulty.add = () => w.faulty;
-  w.runMs = (id, idx) =>
-    w.jobs.get(id)?.spec.shape === 'service' ? Number.POSITIVE_INFINITY : runS(idx) * 1000;
+  w.runMs = (id, taskIndex) =>
+    w.jobs.get(id)?.spec.kind === 'service' ? Number.POSITIVE_INFINITY : runS(taskIndex) * 1000;
   const ids = specs.map((s) => {
-    const j = job(w, { spot: false, ...s });
+    const j = job(w, { spotAllowed: false, ...s });
     w.submit(j);
     return j.id;
   });
@@ -52,7 +52,10 @@
 test.each(seeds)(
   'jobs of three tasks end far apart across changes of the leader: none runs again (%i)',
   (seed) => {
-    const { w, ids } = world(seed, (idx) => 4 + idx * 20, [{ tasks: 3 }, { team: 'blue', tasks: 2 }]);
+    const { w, ids } = world(seed, (taskIndex) => 4 + taskIndex * 20, [
+      { taskCount: 3 },
+      { team: 'blue', taskCount: 2 },
+    ]);
     for (let i = 0; i < 3; i++) {
       w.sim.run(w.sim.now + 11000);
       w.kill(leaderOf(w), i === 1 ? 300 : 4000);
@@ -66,14 +69,14 @@
 test.each(seeds)('cancellations, questions and repeats meet the end of the last task (%i)', (seed) => {
   const w = new World(seed);
   w.runMs = () => 3000;
-  const specs = Array.from({ length: 24 }, (_, i) => job(w, { id: `wk-e${i}`, tasks: 1 + (i % 2) }));
+  const specs = Array.from({ length: 24 }, (_, i) => job(w, { id: `wk-e${i}`, taskCount: 1 + (i % 2) }));
   // So that a read and the write that rests on it lie apart.
   w.net.slow.set('state', 60);
   for (const s of specs) w.submit(s);
   const ended = new Map<string, number>();
   const watch = () => {
     for (const [i, s] of specs.entries()) {
-      if (ended.has(s.id) || !w.done.has(`${s.id}/${s.tasks - 1}`)) continue;
+      if (ended.has(s.id) || !w.done.has(`${s.id}/${s.taskCount - 1}`)) continue;
       ended.set(s.id, w.sim.now);
       // From the end of the task until its report, its count and its final record have been written.
       for (let k = 0; k < 6; k++) w.sim.after(w.sim.between(0, 2500), () => w.ask2(s.id, i % 3 !== 0));
@@ -91,7 +94,7 @@
 test.each(seeds)(
   'a leader ends while machines with long tasks are out of reach, or do not hear the next one (%i)',
   (seed) => {
-    const { w, ids } = world(seed, () => 60, [{ tasks: 4 }, { team: 'blue', tasks: 4 }]);
+    const { w, ids } = world(seed, () => 60, [{ taskCount: 4 }, { team: 'blue', taskCount: 4 }]);
     const m = on(w, ids[0]!)[0]!;
     const n = on(w, ids[1]!).find((x) => x !== m);
     for (const h of w.hosts) w.net.cut(m.name, h, 'hold');
@@ -109,10 +112,10 @@
 );
 
 test.each(seeds)('ten leaders in two minutes, some of them within an outage (%i)', (seed) => {
-  const { w } = world(seed, (idx) => 20 + idx * 15, [
-    { tasks: 4 },
-    { team: 'blue', tasks: 3 },
-    { shape: 'service', tasks: 2 },
+  const { w } = world(seed, (taskIndex) => 20 + taskIndex * 15, [
+    { taskCount: 4 },
+    { team: 'blue', taskCount: 3 },
+    { kind: 'service', taskCount: 2 },
   ]);
   for (let i = 0; i < 10; i++) {
     w.sim.run(w.sim.now + 12000);
@@ -126,7 +129,7 @@
 });
 
 test.each(seeds)('all controllers are away for longer than a lease (%i)', (seed) => {
-  const { w, ids } = world(seed, () => 30, [{ tasks: 4 }, { team: 'blue', tasks: 2 }]);
+  const { w, ids } = world(seed, () => 30, [{ taskCount: 4 }, { team: 'blue', taskCount: 2 }]);
   w.abort(ids[1]!);
   w.sim.run(w.sim.now + 100);
   for (const h of w.hosts) w.kill(h, w.shape.leaseS * 1300);
@@ -138,7 +141,7 @@
 test.each(seeds)(
   'reports held back until a new leader has acted, and copies from earlier sessions (%i)',
   (seed) => {
-    const { w, ids } = world(seed, () => 25, [{ tasks: 6 }, { team: 'blue', tasks: 4 }]);
+    const { w, ids } = world(seed, () => 25, [{ taskCount: 6 }, { team: 'blue', taskCount: 4 }]);
     w.copies = true;
     const l = leaderOf(w);
     for (const m of on(w, ids[0]!)) w.net.cut(m.name, l, 'hold');
@@ -153,7 +156,7 @@
 );
 
 test.each(seeds)('commands and answers are held up, and the machine goes on (%i)', (seed) => {
-  const { w, ids } = world(seed, () => 15, [{ tasks: 6 }, { team: 'blue', tasks: 6 }]);
+  const { w, ids } = world(seed, () => 15, [{ taskCount: 6 }, { team: 'blue', taskCount: 6 }]);
   for (let i = 0; i < 6; i++) {
     for (const m of w.workers.values()) {
       if (!w.sim.chance(0.5)) continue;
@@ -162,7 +165,7 @@
         m.hung = false;
       });
     }
-    w.submit(job(w, { tasks: 3, rank: 1 }));
+    w.submit(job(w, { taskCount: 3, priority: 1 }));
     if (i === 3) w.abort(ids[1]!);
     w.sim.run(w.sim.now + 8000);
   }
@@ -170,7 +173,7 @@
 });
 
 test.each(seeds)('controllers hand over and back, all end, and one returns within a second (%i)', (seed) => {
-  const { w } = world(seed, () => 25, [{ tasks: 5 }, { team: 'blue', tasks: 3 }]);
+  const { w } = world(seed, () => 25, [{ taskCount: 5 }, { team: 'blue', taskCount: 3 }]);
   for (const h of w.hosts) {
     w.kill(h, 150);
     w.sim.run(w.sim.now + 700);
@@ -184,14 +187,14 @@
 });
 
 test.each(seeds)('transactions are carried out late, after newer ones, while leaders change (%i)', (seed) => {
-  const { w, ids } = world(seed, (idx) => 8 + idx * 3, [
-    { tasks: 6 },
-    { team: 'blue', tasks: 5 },
-    { shape: 'service', tasks: 2 },
+  const { w, ids } = world(seed, (taskIndex) => 8 + taskIndex * 3, [
+    { taskCount: 6 },
+    { team: 'blue', taskCount: 5 },
+    { kind: 'service', taskCount: 2 },
   ]);
   w.lateWrites = 0.35;
   for (let i = 0; i < 5; i++) {
-    w.submit(job(w, { tasks: 3 }));
+    w.submit(job(w, { taskCount: 3 }));
     if (i === 2) w.abort(ids[2]!);
     w.sim.run(w.sim.now + 9000);
     w.kill(leaderOf(w) || w.hosts[0]!, 300);
@@ -207,13 +210,13 @@
   const key = `sys/node/${host}`;
   const late: (() => void)[] = [];
   const txn = w.state.txn.bind(w.state);
-  w.state.txn = (h, t, limits) => {
-    const copy = JSON.parse(JSON.stringify(t));
-    if (h === host && late.length === 0 && t.then.some((o) => 'put' in o && o.put === key)) {
+  w.state.txn = (h, transaction, limits) => {
+    const copy = JSON.parse(JSON.stringify(transaction));
+    if (h === host && late.length === 0 && transaction.operations.some((o) => 'put' in o && o.put === key)) {
       late.push(() => txn(h, copy, limits));
       return { status: 500 };
     }
-    return txn(h, t, limits);
+    return txn(h, transaction, limits);
   };
   w.kill(host, 50);
   w.sim.run(w.sim.now + 3000);
@@ -226,20 +229,20 @@
 test.each(seeds)(
   'a leader without the state service and its siblings keeps workers and users; jobs are cancelled through the next (%i)',
   (seed) => {
-    const { w, ids } = world(seed, () => 1e6, [{ tasks: 4 }, { team: 'blue', tasks: 3 }]);
+    const { w, ids } = world(seed, () => 1e6, [{ taskCount: 4 }, { team: 'blue', taskCount: 3 }]);
     const l = leaderOf(w);
     w.cloud.down = true;
     for (const x of [...others(w, l), 'state']) w.net.cut(l, x, 'hold');
     // What the next leader says reaches no worker: they stay with the old one.
     for (const m of w.workers.keys()) for (const h of others(w, l)) w.net.cut(m, h, 'hold');
     until(w, 10000, () => w.hosts.some((h) => h !== l && leads(w, h)));
-    const j = w.jobs.get(ids[0]!)!;
-    j.askedCancel = true;
-    w.procs.get(w.hosts.find((h) => h !== l && leads(w, h))!)!.ctl.api.abort(ids[0]!, (a) => {
-      if (a.s === 'job' && a.state === 'cancelled') j.cancelledAt = w.sim.now;
+    const job = w.jobs.get(ids[0]!)!;
+    job.askedCancel = true;
+    w.procs.get(w.hosts.find((h) => h !== l && leads(w, h))!)!.ctl.api.cancelJob(ids[0]!, (answer) => {
+      if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt = w.sim.now;
     });
     w.sim.run(w.sim.now + 500);
-    expect(j.cancelledAt).not.toBeNull();
+    expect(job.cancelledAt).not.toBeNull();
     w.sim.run(w.sim.now + w.shape.cancelS * 1500);
     expect(on(w, ids[0]!)).toEqual([]);
     expect(w.broken).toEqual([]);
@@ -251,7 +254,9 @@
   w.cloud.capacity = 3;
   for (const h of [...w.hosts, 'state']) w.net.slow.set(h, 60);
   for (let i = 0; i < 10; i++)
-    w.submit(job(w, { team: ['red', 'blue', 'free'][i % 3]!, rank: i % 3 === 0 ? 1 : 3, tasks: 3, cpus: 2 }));
+    w.submit(
+      job(w, { team: ['red', 'blue', 'free'][i % 3]!, priority: i % 3 === 0 ? 1 : 3, taskCount: 3, cpus: 2 }),
+    );
   w.sim.run(60000);
   for (const h of [...w.hosts, 'state']) w.net.slow.delete(h);
   finish(w);
@@ -271,14 +276,14 @@
         ok: true,
         value: {
           machine: 'm',
-          addr: 'm',
-          type: 'small',
+          address: 'm',
+          machineType: 'small',
           zone: 'a',
-          spot: false,
-          season: 1,
-          tally: ++n,
-          token: 5,
-          noticeS: null,
+          isSpot: false,
+          agentEpoch: 1,
+          sequence: ++n,
+          fencingToken: 5,
+          evictionNoticeSeconds: null,
           tasks: [listed('running')],
         },
       });
@@ -301,12 +306,12 @@
 test.each(seeds)(
   'a team at its limit, a change of leader, machines that cannot be asked, and a cancellation in that spell (%i)',
   (seed) => {
-    const { w, ids } = world(seed, () => 40, [{ tasks: 10, cpus: 4 }]);
+    const { w, ids } = world(seed, () => 40, [{ taskCount: 10, cpus: 4 }]);
     until(w, 60000, () => on(w, ids[0]!).length === 10 || w.sim.now > 60000);
     const cut = on(w, ids[0]!).slice(0, 2);
     for (const m of cut) for (const h of w.hosts) w.net.cut(m.name, h, 'hold');
     w.kill(leaderOf(w), 2000);
-    w.submit(job(w, { id: 'wk-next', tasks: 10, cpus: 4, spot: false }));
+    w.submit(job(w, { id: 'wk-next', taskCount: 10, cpus: 4, spotAllowed: false }));
     w.sim.run(w.sim.now + 3000);
     w.abort(ids[0]!);
     w.sim.run(w.sim.now + 12000);
@@ -319,8 +324,8 @@
 
 test.each(seeds)('jobs bound to one zone, arrays too, lose their machines (%i)', (seed) => {
   const { w, ids } = world(seed, () => 20, [
-    { tasks: 5, zone: 'b' },
-    { team: 'blue', tasks: 3, zone: 'b' },
+    { taskCount: 5, zone: 'b' },
+    { team: 'blue', taskCount: 3, zone: 'b' },
   ]);
   for (const m of [...w.workers.values()]) if (m.zone === 'b') w.destroy(m.name);
   w.shape.empty.push('b');
@@ -332,9 +337,9 @@
 
 test.each(seeds)('cancelled at once on machines that hang, at a hand-over (%i)', (seed) => {
   const { w } = world(seed, () => 1e6, [
-    { tasks: 4 },
-    { team: 'blue', tasks: 3 },
-    { team: 'free', tasks: 3 },
+    { taskCount: 4 },
+    { team: 'blue', taskCount: 3 },
+    { team: 'free', taskCount: 3 },
   ]);
   w.cancelSome(3, w.shape.leaseS * 1400);
   w.sim.run(w.sim.now + 250);
@@ -345,10 +350,13 @@
 });
 
 test.each(seeds)('a controller stands still while its clocks run on, as leader and as owner (%i)', (seed) => {
-  const { w, ids } = world(seed, (idx) => 15 + idx * 5, [{ tasks: 5 }, { team: 'blue', tasks: 4 }]);
+  const { w, ids } = world(seed, (taskIndex) => 15 + taskIndex * 5, [
+    { taskCount: 5 },
+    { team: 'blue', taskCount: 4 },
+  ]);
   for (const ms of [1500, 6000, 15000]) {
     w.pause(leaderOf(w), ms);
-    w.submit(job(w, { tasks: 3 }));
+    w.submit(job(w, { taskCount: 3 }));
     w.sim.run(w.sim.now + ms + 4000);
     w.pause(others(w, leaderOf(w))[0]!, ms);
     w.sim.run(w.sim.now + ms);
--- a/test/placing.test.ts
+++ b/test/placing.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
-import { Capacity, planRentals } from '../src/core/autoscale.js';
-import { ImageFacts } from '../src/core/images.js';
+import { planRentals, RentalBackoff } from '../src/core/autoscale.js';
+import { ImageLocations } from '../src/core/images.js';
 import { job } from './standin/day.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
 import { SHAPE } from './standin/shape.js';
@@ -9,60 +9,75 @@
 test('a guarantee claims no more than what another team has beyond its own', () => {
   const t = scheduler(5);
   // Blue (8 guaranteed) runs 9 CPUs: only one of them may be stopped, and one is not enough.
-  t.report([], 5, { machine: 'n', addr: 'n', type: 'big', spot: true });
+  t.report([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
   t.report([]);
-  const blue = { ...t.held('run'), team: 'blue', rank: 3 as const, cpus: 1, mem: 0.5 };
-  for (let i = 0; i < 4; i++) t.hold({ ...blue, job: `wk-b${i}` });
-  t.hold({ ...blue, job: 'wk-b9', machine: 'n', cpus: 5, rank: 0, service: true });
-  t.hold({ ...blue, job: 'wk-f', team: 'red', machine: 'n', cpus: 11, rank: 0, service: true });
-  t.wants([makeWant('wk-2', { team: 'free', rank: 1, cpus: 4, mem: 1 })]);
+  const blue = { ...t.held('run'), team: 'blue', priority: 3 as const, cpus: 1, memoryGb: 0.5 };
+  for (let i = 0; i < 4; i++) t.hold({ ...blue, jobId: `wk-b${i}` });
+  t.hold({ ...blue, jobId: 'wk-b9', machine: 'n', cpus: 5, priority: 0, isService: true });
+  t.hold({ ...blue, jobId: 'wk-f', team: 'red', machine: 'n', cpus: 11, priority: 0, isService: true });
+  t.wants([makeWant('wk-2', { team: 'free', priority: 1, cpus: 4, memoryGb: 1 })]);
   for (let i = 0; i < 10; i++) {
     t.report([]);
-    t.report([], 5, { machine: 'n', addr: 'n', type: 'big', spot: true });
+    t.report([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
     t.later(1000);
     t.k.flush();
   }
-  expect(t.said.filter((m) => m.type === 'evict')).toEqual([]);
+  expect(t.said.filter((message) => message.type === 'evict')).toEqual([]);
 });
 
 test('machines for spread replicas are not rented again and again where they may not go', () => {
-  const capacity = new Capacity(5000, 15000);
+  const capacity = new RentalBackoff(5000, 15000);
   for (const zone of ['a', 'b'])
-    for (const type of ['small', 'big']) if (zone === 'b') capacity.refused({ type, zone, spot: false }, 0);
-  const want = makeWant('wk-1', { service: true, rank: 0, spot: false, cpus: 4, zoneRoom: {}, zoneCap: 4 });
+    for (const type of ['small', 'big'])
+      if (zone === 'b') capacity.onRefused({ machineType: type, zone, isSpot: false }, 0);
+  const request = makeWant('wk-1', {
+    isService: true,
+    priority: 0,
+    spotAllowed: false,
+    cpus: 4,
+    zoneAllowance: {},
+    maxTasksPerZone: 4,
+  });
   const input = {
-    types: SHAPE.types,
-    capacity,
+    machineTypes: SHAPE.types,
+    rentalBackoff: capacity,
     now: 0,
-    amortizeS: 60,
-    amortizeServiceS: 60,
+    amortizationSeconds: 60,
+    serviceAmortizationSeconds: 60,
     scarceZone: 'b',
     maxCalls: 4,
   };
-  const first = planRentals({ ...input, left: [{ want, count: 8 }], coming: [] });
-  const slots = first.reduce((n, r) => n + r.n * (SHAPE.types.find((t) => t.name === r.type)!.cpus / 4), 0);
+  const first = planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: [] });
+  const slots = first.reduce(
+    (n, rental) =>
+      n +
+      rental.count * (SHAPE.types.find((machineType) => machineType.name === rental.machineType)!.cpus / 4),
+    0,
+  );
   expect(slots).toBe(4);
-  const coming = first.flatMap((r) =>
-    Array.from({ length: r.n }, () => {
-      const t = SHAPE.types.find((x) => x.name === r.type)!;
+  const coming = first.flatMap((rental) =>
+    Array.from({ length: rental.count }, () => {
+      const machineType = SHAPE.types.find((x) => x.name === rental.machineType)!;
       return {
-        name: '',
-        type: t.name,
-        zone: r.zone,
-        spot: false,
-        cpus: t.cpus,
+        machineName: '',
+        machineType: machineType.name,
+        zone: rental.zone,
+        isSpot: false,
+        cpus: machineType.cpus,
         gpus: 0,
-        mem: t.mem,
-        totalCpus: t.cpus,
+        memoryGb: machineType.memoryGb,
+        totalCpus: machineType.cpus,
         images: null,
-        fetchGbPerS: 1,
-        penalty: 0,
-        reserved: null,
-        surplus: false,
+        imageFetchGbPerSecond: 1,
+        penaltySeconds: 0,
+        reservation: null,
+        isSurplus: false,
       };
     }),
   );
-  expect(planRentals({ ...input, left: [{ want, count: 8 }], coming })).toEqual([]);
+  expect(
+    planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: coming }),
+  ).toEqual([]);
 });
 
 test('a large array begins within its bound while small ones keep coming', () => {
@@ -70,12 +85,12 @@
   w.cloud.capacity = 2;
   let n = 0;
   const small = () => {
-    w.submit(job(w, { id: `wk-s${++n}`, tasks: 2, cpus: 4, estimateS: 6 }));
+    w.submit(job(w, { id: `wk-s${++n}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }));
     w.sim.after(1500, small);
   };
   small();
   w.sim.run(20000);
-  const large = job(w, { id: 'wk-large', tasks: 60, cpus: 4, estimateS: 30 });
+  const large = job(w, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
   w.submit(large);
   const at = w.sim.now;
   const begun = () =>
@@ -88,7 +103,7 @@
 test('work does not wait for machines that are overdue', () => {
   const t = scheduler(5);
   t.rents.served = true;
-  t.wants([makeWant('wk-1', { service: true, rank: 0, spot: false, cpus: 4, count: 1 })]);
+  t.wants([makeWant('wk-1', { isService: true, priority: 0, spotAllowed: false, cpus: 4, taskCount: 1 })]);
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
       t.later(1000);
@@ -102,27 +117,31 @@
 });
 
 test('what one scheduler learnt of images the next one knows', () => {
-  const a = new ImageFacts();
+  const a = new ImageLocations();
   a.learn('m', 'i', 1);
   a.learn('m', 'i', 1);
   a.learn('n', 'k', 2);
   a.forget('n');
-  const n = a.news();
-  const b = new ImageFacts();
-  b.take([['n', 'old', 1]], []);
-  b.take(n.add, n.gone);
-  expect([b.all(), a.all(), a.news()]).toEqual([[['m', 'i', 1]], [['m', 'i', 1]], { add: [], gone: [] }]);
+  const n = a.takeChanges();
+  const b = new ImageLocations();
+  b.apply([['n', 'old', 1]], []);
+  b.apply(n.added, n.removedMachines);
+  expect([b.all(), a.all(), a.takeChanges()]).toEqual([
+    [['m', 'i', 1]],
+    [['m', 'i', 1]],
+    { added: [], removedMachines: [] },
+  ]);
 });
 
 test('a machine kept for the image of a service is the reserve as well', () => {
   const t = scheduler(5, { reserve_replicas: 1, idle_s: 10 });
-  const n = { machine: 'n', addr: 'n' };
-  const replica = { ...t.held('run'), rank: 0 as const, service: true, machine: 'n' };
+  const n = { machine: 'n', address: 'n' };
+  const replica = { ...t.held('run'), priority: 0 as const, isService: true, machine: 'n' };
   t.report([], 5, n);
   t.hold(replica);
   t.report([listed('running')], 5, n);
-  t.report([{ ...listed('exited'), why: 'stopped' }], 5, n);
-  t.hold({ ...replica, want: 'reap' });
+  t.report([{ ...listed('exited'), exitReason: 'stopped' }], 5, n);
+  t.hold({ ...replica, desiredState: 'reap' });
   for (let i = 0; i < 30; i++) {
     t.report([], 5, n);
     t.report([]);
@@ -134,13 +153,15 @@
 });
 
 test('room kept for urgent work is given to lower work that found none for long', () => {
-  const t = scheduler(5, { reserve_batch: 4, idle_s: 1e6 }, [{ kind: 'wait', cls: 'u', withinS: 1 }]);
+  const t = scheduler(5, { reserve_batch: 4, idle_s: 1e6 }, [
+    { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
+  ]);
   t.report([]);
-  t.wants([makeWant('wk-u', { cls: 'u', rank: 1, cpus: 4 })]);
+  t.wants([makeWant('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
   t.grants();
-  const low = makeWant('wk-low', { rank: 3, cpus: 4 });
+  const low = makeWant('wk-low', { priority: 3, cpus: 4 });
   t.wants([low]);
-  t.k.fromOwner({ type: 'drop', token: 5, inst: 'o', tasks: [], grants: [1] });
+  t.k.onShardMessage({ type: 'release', fencingToken: 5, instanceId: 'o', tasks: [], grants: [1] });
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
       t.report([]);
@@ -157,7 +178,7 @@
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
   const t = scheduler(5, { idle_s: 1e6 });
   t.report([]);
-  const ended = { ...listed('exited'), why: 'busy' as const };
+  const ended = { ...listed('exited'), exitReason: 'busy' as const };
   t.report([ended]);
   t.wants([makeWant('wk-1'), makeWant('wk-2')]);
   expect(t.grants()).toEqual(['wk-2']);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -16,14 +16,14 @@
   const t = scheduler(5);
   const over = { zone };
   t.report([], 5, over);
-  t.hold({ ...t.held('run'), job: 'wk-low', rank: 3, cpus: 4, mem: 1 });
-  t.report([{ ...listed('running'), job: 'wk-low' }], 5, over);
+  t.hold({ ...t.held('run'), jobId: 'wk-low', priority: 3, cpus: 4, memoryGb: 1 });
+  t.report([{ ...listed('running'), jobId: 'wk-low' }], 5, over);
   return t;
 }
 
 const service = (id: string, over: object) =>
-  makeWant(id, { rank: 0, service: true, spot: false, cpus: 4, ...over });
-const spread = service('wk-spread', { zoneRoom: {}, types: ['big'] });
+  makeWant(id, { priority: 0, isService: true, spotAllowed: false, cpus: 4, ...over });
+const spread = service('wk-spread', { zoneAllowance: {}, machineTypes: ['big'] });
 
 test.each([
   ['a', 1],
@@ -34,7 +34,7 @@
     const t = fullMachineIn(zone);
     t.wants([spread, service('wk-alone', {})]);
     for (let i = 0; i < 3; i++) {
-      t.report([{ ...listed('running'), job: 'wk-low' }], 5, { zone });
+      t.report([{ ...listed('running'), jobId: 'wk-low' }], 5, { zone });
       t.later(1000);
       t.k.flush();
     }
