--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -1,26 +1,26 @@
 import fc from 'fast-check';
 import { expect, test, vi } from 'vitest';
 import { EndedAttempts } from '../src/core/ended-attempts.js';
-import { newMachine } from '../src/core/machine.js';
-import { takeGrants } from '../src/core/owner/grant-intake.js';
-import { newJob, type OwnedJob } from '../src/core/owner/job.js';
+import { createMachine } from '../src/core/machine.js';
+import { assignGrants } from '../src/core/owner/grant-intake.js';
+import { createOwnedJob, type OwnedJob } from '../src/core/owner/job.js';
 import { TeamUsage } from '../src/core/owner/team-usage.js';
-import { Refusals } from '../src/core/refusals.js';
+import { AttemptConflicts } from '../src/core/refusals.js';
 import { assignTasks } from '../src/core/task-assignment.js';
-import type { Grant, JobSpec, TaskReport, WorkerReport } from '../src/core/types.js';
+import type { Grant, Heartbeat, JobSpec, TaskStatus } from '../src/core/types.js';
 import { job } from './standin/day.js';
 import { makeWant, scheduler } from './standin/scheduler.js';
 import { World } from './standin/world.js';
 
 // Which machines would refuse which tasks, and what is placed where; the story is told in gang-attempts.test.ts.
 
-const ended = (id: string, idx: number, over: Partial<TaskReport> = {}): TaskReport => ({
-  job: id,
-  idx,
+const ended = (id: string, taskIndex: number, over: Partial<TaskStatus> = {}): TaskStatus => ({
+  jobId: id,
+  taskIndex,
   attempt: 1,
   phase: 'exited',
-  why: 'stopped',
-  saved: false,
+  exitReason: 'stopped',
+  checkpointSaved: false,
   ...over,
 });
 const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
@@ -68,12 +68,12 @@
 
 test('the index follows each list of a machine, and leaves out what runs or is done', () => {
   const index = new EndedAttempts();
-  const machine = newMachine('m', 0);
+  const machine = createMachine('m', 0);
   index.update(machine, [
     ended('wk-1', 0),
-    ended('wk-1', 3, { why: 'busy' }),
-    ended('wk-2', 0, { phase: 'running', why: null }),
-    ended('wk-3', 0, { why: 'done' }),
+    ended('wk-1', 3, { exitReason: 'busy' }),
+    ended('wk-2', 0, { phase: 'running', exitReason: null }),
+    ended('wk-3', 0, { exitReason: 'done' }),
   ]);
   expect(machineNames(index, 'wk-1')).toEqual(['m']);
   expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), refused: true });
@@ -87,12 +87,19 @@
 // ---- the leader --------------------------------------------------------------------------------------
 
 const gang = (over: object = {}) =>
-  makeWant('wk-gang', { whole: true, spot: false, cpus: 4, mem: 1, count: 2, ...over });
+  makeWant('wk-gang', {
+    allOrNothing: true,
+    spotAllowed: false,
+    cpus: 4,
+    memoryGb: 1,
+    taskCount: 2,
+    ...over,
+  });
 
-function fleet(lists: Record<string, TaskReport[]>): { t: ReturnType<typeof scheduler>; second: () => void } {
+function fleet(lists: Record<string, TaskStatus[]>): { t: ReturnType<typeof scheduler>; second: () => void } {
   const t = scheduler(5, { idle_s: 1e6 });
   const second = () => {
-    for (const [machine, tasks] of Object.entries(lists)) t.report(tasks, 5, { machine, addr: machine });
+    for (const [machine, tasks] of Object.entries(lists)) t.report(tasks, 5, { machine, address: machine });
     t.later(1000);
     t.k.flush();
   };
@@ -114,7 +121,9 @@
   t.wants([gang()]);
   second();
   expect(isGranted(t, 'wk-gang')).toBe(2);
-  const machines = t.said.flatMap((m) => (m.type === 'grants' ? m.grants.map((grant) => grant.machine) : []));
+  const machines = t.said.flatMap((message) =>
+    message.type === 'grants' ? message.grants.map((grant) => grant.machine) : [],
+  );
   expect(machines).toContain('c');
 });
 
@@ -128,22 +137,22 @@
   expect(alone.t.raised[0]).toContain('ended attempts of wk-gang');
   // A third task has no machine at all: no token would help.
   const short = fleet(blocked);
-  short.t.wants([gang({ count: 3 })]);
+  short.t.wants([gang({ taskCount: 3 })]);
   for (let i = 0; i < 20; i++) short.second();
   expect(short.t.raised).toEqual([]);
 });
 
 test('an array or service passes a machine over that lists all tasks it has left, and no other', () => {
   for (const service of [false, true]) {
-    const over = { cpus: 4, spot: false, service };
+    const over = { cpus: 4, spotAllowed: false, isService: service };
     const { t, second } = fleet({ a: [ended('wk-1', 0), ended('wk-1', 2)] });
-    t.wants([makeWant('wk-1', { ...over, count: 1, tasksLeft: [0] })]);
+    t.wants([makeWant('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
     second();
     expect(isGranted(t, 'wk-1')).toBe(0);
-    t.wants([makeWant('wk-1', { ...over, count: 2, tasksLeft: [0, 1] })]);
+    t.wants([makeWant('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
     second();
     expect(isGranted(t, 'wk-1')).toBe(1);
-    const [grant] = t.said.flatMap((m) => (m.type === 'grants' ? m.grants : []));
+    const [grant] = t.said.flatMap((message) => (message.type === 'grants' ? message.grants : []));
     expect(grant?.endedTasks).toEqual([0, 2]);
   }
 });
@@ -152,13 +161,13 @@
   const lists = { a: [ended('wk-1', 0)] };
   const { t, second } = fleet(lists);
   const reaps = () => {
-    const answer = t.report(lists.a, 5, { machine: 'a', addr: 'a' }) ?? [];
-    return answer.filter((command) => command.op === 'reap').length;
+    const answer = t.report(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
+    return answer.filter((command) => command.type === 'reap').length;
   };
-  t.hold({ ...t.held('reap'), job: 'wk-1', machine: 'a' });
+  t.hold({ ...t.held('reap'), jobId: 'wk-1', machine: 'a' });
   second();
   expect(reaps()).toBe(0);
-  t.wants([makeWant('wk-1', { cpus: 4, spot: false, tasksLeft: [0] })]);
+  t.wants([makeWant('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
   second();
   expect(reaps()).toBe(1);
 });
@@ -167,14 +176,18 @@
   const MACHINES = 4000;
   const JOBS = 200;
   const t = scheduler(5, { idle_s: 1e6 });
-  const report = (i: number, over: Partial<WorkerReport> = {}) =>
-    t.report([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, { machine: `m${i}`, addr: `m${i}`, ...over });
+  const report = (i: number, over: Partial<Heartbeat> = {}) =>
+    t.report([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, {
+      machine: `m${i}`,
+      address: `m${i}`,
+      ...over,
+    });
   for (let i = 0; i < MACHINES; i++) report(i);
   const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
-  const machinesFor = vi.spyOn(Refusals.prototype, 'machinesFor');
+  const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
   t.wants(
     Array.from({ length: JOBS }, (_, i) =>
-      makeWant(`wk-${i + 10}`, { tasksLeft: [0], cpus: 64, spot: false }),
+      makeWant(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
     ),
   );
   t.later(1000);
@@ -194,43 +207,57 @@
 
 function owned(over: Partial<JobSpec>): OwnedJob {
   const spec = job(new World(1), { cpus: 1, ...over });
-  const stored = { spec, order: 1, jobRevision: 1, counterRevision: 0, cancelled: false, running: 0 };
-  return newJob(spec, { ...stored, count: null, countRaw: null, places: new Map() }, undefined, 1000);
+  const stored = {
+    spec,
+    acceptedRevision: 1,
+    jobRevision: 1,
+    counterRevision: 0,
+    cancelled: false,
+    runningTasks: 0,
+  };
+  return createOwnedJob(
+    spec,
+    { ...stored, counter: null, counterRecord: null, placementChunks: new Map() },
+    undefined,
+    1000,
+  );
 }
 
 const grantOn = (id: number, endedTasks?: number[]): Grant => ({
   id,
-  job: 'wk-1',
+  jobId: 'wk-1',
   team: 'red',
   machine: `m${id}`,
   zone: 'a',
-  season: 1,
+  agentEpoch: 1,
   ...(endedTasks && { endedTasks }),
 });
 
 function placed(of: OwnedJob, grants: Grant[]): [number, number][] {
-  const usage = new TeamUsage(new Map([['red', { name: 'red', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }]]));
+  const usage = new TeamUsage(
+    new Map([['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }]]),
+  );
   const tasks: [number, number][] = [];
-  takeGrants(of, grants, usage, 0, (grant, idx) => tasks.push([grant.id, idx]));
+  assignGrants(of, grants, usage, 0, (grant, taskIndex) => tasks.push([grant.id, taskIndex]));
   return tasks;
 }
 
 test('an owner gives no task to a machine that lists an ended attempt of it', () => {
-  const gangOfThree = owned({ shape: 'gang', tasks: 3 });
+  const gangOfThree = owned({ kind: 'gang', taskCount: 3 });
   const tasks = placed(gangOfThree, [grantOn(1, [0, 1]), grantOn(2, [0]), grantOn(3)]);
   expect(tasks.sort()).toEqual([
     [1, 2],
     [2, 1],
     [3, 0],
   ]);
-  expect(placed(owned({ shape: 'gang', tasks: 2 }), [grantOn(1, [0]), grantOn(2, [0])])).toEqual([]);
-  const array = owned({ tasks: 3 });
+  expect(placed(owned({ kind: 'gang', taskCount: 2 }), [grantOn(1, [0]), grantOn(2, [0])])).toEqual([]);
+  const array = owned({ taskCount: 3 });
   expect(placed(array, [grantOn(1, [0, 1])])).toEqual([[1, 2]]);
   // What was passed over is still there.
-  expect(placed(array, [grantOn(2), grantOn(3)]).map(([, idx]) => idx)).toEqual([0, 1]);
-  const last = owned({ tasks: 1 });
+  expect(placed(array, [grantOn(2), grantOn(3)]).map(([, taskIndex]) => taskIndex)).toEqual([0, 1]);
+  const last = owned({ taskCount: 1 });
   expect(placed(last, [grantOn(1, [0])])).toEqual([]);
-  expect([...last.avoid.keys()]).toEqual(['m1']);
+  expect([...last.avoidedMachines.keys()]).toEqual(['m1']);
   expect(placed(last, [grantOn(2)])).toEqual([[2, 0]]);
 });
 
@@ -239,11 +266,18 @@
 test('lists of unknown, ended and future attempts, in two phases at once, late or twice hold no gang up for good', () => {
   const w = new World(3, { ...new World(1).shape, capacity: 20 });
   w.faulty.add = () => w.faulty;
-  const spec = job(w, { id: 'wk-gang', shape: 'gang', tasks: 4, cpus: 4, mem: 1, spot: false });
-  const odd = (machine: string): TaskReport[] => [
-    ...[0, 1, 2, 3].map((idx) => ended('wk-gang', idx, { attempt: 90 + idx })),
-    ended('wk-gang', 0, { attempt: 90, phase: 'saving', why: null }),
-    ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', why: 'error' }),
+  const spec = job(w, {
+    id: 'wk-gang',
+    kind: 'gang',
+    taskCount: 4,
+    cpus: 4,
+    memoryGb: 1,
+    spotAllowed: false,
+  });
+  const odd = (machine: string): TaskStatus[] => [
+    ...[0, 1, 2, 3].map((taskIndex) => ended('wk-gang', taskIndex, { attempt: 90 + taskIndex })),
+    ended('wk-gang', 0, { attempt: 90, phase: 'saving', exitReason: null }),
+    ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
   ];
   w.copies = true;
   w.submit(spec);
@@ -252,15 +286,20 @@
     for (const m of w.workers.values()) {
       const r = {
         machine: m.name,
-        addr: m.name,
-        type: m.type,
+        address: m.name,
+        machineType: m.type,
         zone: m.zone,
-        spot: m.spot,
-        season: 1,
-        token: m.token,
+        isSpot: m.spot,
+        agentEpoch: 1,
+        fencingToken: m.token,
       };
       const ctl = w.procs.get(w.sim.pick(w.hosts))!.ctl;
-      ctl.report({ ...r, tally: m.tally + w.sim.pick([-3, 0, 1]), noticeS: null, tasks: odd(m.name) });
+      ctl.handleHeartbeat({
+        ...r,
+        sequence: m.tally + w.sim.pick([-3, 0, 1]),
+        evictionNoticeSeconds: null,
+        tasks: odd(m.name),
+      });
     }
   }
   w.quietFrom = w.sim.now;
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import type { Want, WorkerReport } from '../src/core/types.js';
+import type { Heartbeat, ResourceRequest } from '../src/core/types.js';
 import { job } from './standin/day.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
 import { World } from './standin/world.js';
@@ -21,20 +21,20 @@
     });
   const a = w.machine('small', 'a', true);
   const b = w.machine('big', 'a', false);
-  const run = (m: typeof a, id: string, idx: number) =>
-    m.direct(99, 1, [{ op: 'start', job: id, idx, attempt: idx + 1 }], () => {});
-  const twice = job(w, { shape: 'service' });
+  const run = (m: typeof a, id: string, taskIndex: number) =>
+    m.direct(99, 1, [{ type: 'start', jobId: id, taskIndex, attempt: taskIndex + 1 }], () => {});
+  const twice = job(w, { kind: 'service' });
   put(twice);
   run(a, twice.id, 0);
   run(b, twice.id, 0);
-  const placed = job(w, { shape: 'service', spot: false, types: ['big'], zone: 'b' });
+  const placed = job(w, { kind: 'service', spotAllowed: false, machineTypes: ['big'], zone: 'b' });
   put(placed);
   run(a, placed.id, 0);
-  const large = job(w, { team: 'blue', cpus: 2, tasks: 20, mem: 0.5 });
-  put({ ...large, shape: 'service', cpus: 25, mem: 0.1 });
+  const large = job(w, { team: 'blue', cpus: 2, taskCount: 20, memoryGb: 0.5 });
+  put({ ...large, kind: 'service', cpus: 25, memoryGb: 0.1 });
   b.size.cpus = 1000;
   run(b, large.id, 0);
-  const gone = job(w, { shape: 'service' });
+  const gone = job(w, { kind: 'service' });
   put(gone);
   w.jobs.get(gone.id)!.cancelledAt = -100000;
   run(b, gone.id, 0);
@@ -64,7 +64,7 @@
     });
   w.machine('small', 'a', true);
   put(job(w, { team: 'red' }));
-  put(job(w, { team: 'blue', shape: 'gang', tasks: 30 }));
+  put(job(w, { team: 'blue', kind: 'gang', taskCount: 30 }));
   put(job(w, { team: 'free', zone: 'b' }));
   w.quietFrom = w.sim.now;
   w.sim.run(w.sim.now + 89000);
@@ -77,7 +77,7 @@
   const t = scheduler(5);
   t.report([]);
   t.tell('run');
-  expect(t.calls[0]?.cmds[0]?.op).toBe('start');
+  expect(t.calls[0]?.cmds[0]?.type).toBe('start');
   t.calls[0]!.cb({ ok: false, kind: 'unknown' });
   t.tell('stop');
   t.report([]);
@@ -107,8 +107,8 @@
   t.tell('run');
   t.calls[0]!.cb({ ok: false, kind: 'refused' });
   for (const c of t.calls.slice(1)) c.cb({ ok: false, kind: 'refused' });
-  const cmds = t.report([]);
-  expect(cmds?.map((c) => c.op)).toEqual(['start']);
+  const commands = t.report([]);
+  expect(commands?.map((command) => command.type)).toEqual(['start']);
   t.tell('stop');
   expect(t.settled()).toBe(false);
   t.report([]);
@@ -117,7 +117,7 @@
 
 test('a new scheduler gives up what does not boot, but not what ran before it led and is not heard yet', () => {
   const t = scheduler(5);
-  const old = { addr: '', type: 'small', zone: 'a', spot: false, ageS: 500 };
+  const old = { address: '', machineType: 'small', zone: 'a', isSpot: false, ageSeconds: 500 };
   t.list.push({ name: 'vm-1', phase: 'booting', ...old }, { name: 'vm-2', phase: 'running', ...old });
   for (let i = 0; i < 15; i++) {
     t.later(1000);
@@ -128,28 +128,33 @@
 
 test('a single replica does not hide that others must be spread: their zone stays theirs', () => {
   const t = scheduler(5);
-  const want = (id: string, spread: boolean): Want =>
+  const want = (id: string, spread: boolean): ResourceRequest =>
     makeWant(id, {
       team: 'free',
-      rank: 0,
-      service: true,
-      estimateS: 0,
-      spot: false,
-      zoneRoom: spread ? {} : null,
+      priority: 0,
+      isService: true,
+      estimatedRunSeconds: 0,
+      spotAllowed: false,
+      zoneAllowance: spread ? {} : null,
     });
-  const r: WorkerReport = {
+  const heartbeat: Heartbeat = {
     machine: 'b1',
-    addr: 'b1',
-    type: 'small',
+    address: 'b1',
+    machineType: 'small',
     zone: 'b',
-    spot: false,
-    season: 1,
-    tally: 1,
-    token: 5,
-    noticeS: null,
+    isSpot: false,
+    agentEpoch: 1,
+    sequence: 1,
+    fencingToken: 5,
+    evictionNoticeSeconds: null,
     tasks: [],
   };
-  t.k.report(r);
-  t.k.fromOwner({ type: 'wants', token: 5, inst: 'o', wants: [want('wk-2', true), want('wk-1', false)] });
+  t.k.handleHeartbeat(heartbeat);
+  t.k.onShardMessage({
+    type: 'resourceRequests',
+    fencingToken: 5,
+    instanceId: 'o',
+    requests: [want('wk-2', true), want('wk-1', false)],
+  });
   expect(t.grants()).toEqual(['wk-2']);
 });
--- a/test/standin/admission.ts
+++ b/test/standin/admission.ts
@@ -1,4 +1,4 @@
-import type { Txn } from '../../src/core/types.js';
+import type { Transaction } from '../../src/core/types.js';
 import type { World } from './world.js';
 
 /** `place/<id>/<chunk>` as stored: an attempt of a task by its index, with its machine, epoch and zone until it is settled. */
@@ -23,8 +23,8 @@
   ) {}
 
   /** Carries out a transaction, and looks at what it has placed. */
-  watch<T extends { status: number }>(txn: Txn, carryOut: () => T): T {
-    const records = txn.then.filter((op) => 'put' in op && op.put.startsWith('place/'));
+  watch<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
+    const records = transaction.operations.filter((op) => 'put' in op && op.put.startsWith('place/'));
     const before = new Map(
       records.map((op) => ['put' in op ? op.put : '', this.tasksOf('put' in op ? op.put : '')]),
     );
@@ -41,7 +41,7 @@
   private check(key: string, old: Record<string, StoredPlacement>): void {
     const id = key.split('/')[1] ?? '';
     const spec = this.world.jobs.get(id)?.spec;
-    const limit = this.world.shape.teams.find((team) => team.name === spec?.team)?.cpusMax ?? 0;
+    const limit = this.world.shape.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
     if (!spec || limit === 0) return;
     const added = Object.entries(this.tasksOf(key)).filter(
       ([index, placed]) => placed.length === 4 && placed[0] !== old[index]?.[0],
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -1,4 +1,4 @@
-import type { CloudPort, ListedMachine, Result, Then } from '../../src/core/types.js';
+import type { CloudProvider, ListedMachine, Result, ResultCallback } from '../../src/core/types.js';
 import type { Shape } from './shape.js';
 import type { Net, Sim } from './sim.js';
 
@@ -47,9 +47,9 @@
   }
 
   /** The cloud as a controller reaches it. */
-  port(host: string, enter: (handle: () => void) => void): CloudPort {
-    const { net, shape } = this.world;
-    const ask = <T>(serve: () => Result<T>, then: Then<T>) =>
+  port(host: string, enter: (handle: () => void) => void): CloudProvider {
+    const { net, shape: kind } = this.world;
+    const ask = <T>(serve: () => Result<T>, then: ResultCallback<T>) =>
       net.call<Result<T>>(
         host,
         'cloud',
@@ -61,15 +61,15 @@
           ),
       );
     return {
-      types: (then) => ask(() => ({ ok: true, value: shape.types }), then),
-      rent: (claim, type, zone, spot, count, then) =>
+      listMachineTypes: (then) => ask(() => ({ ok: true, value: kind.types }), then),
+      rentMachines: (claim, type, zone, spot, count, then) =>
         ask(() => this.claim(claim, type, zone, spot, count), then),
-      remove: (names, then) =>
+      deleteMachines: (names, then) =>
         ask(() => {
           for (const name of names) this.world.stopped(name);
           return { ok: true, value: null };
         }, then),
-      list: (since, then) => ask(() => ({ ok: true, value: this.list(since) }), then),
+      listMachines: (since, then) => ask(() => ({ ok: true, value: this.list(since) }), then),
     };
   }
 
@@ -87,12 +87,20 @@
   }
 
   private rent(type: string, zone: string, spot: boolean): string {
-    const { sim, shape } = this.world;
+    const { sim, shape: kind } = this.world;
     const name = this.nextName();
-    const machine: ListedMachine = { name, addr: name, type, zone, spot, phase: 'booting', ageS: 0 };
+    const machine: ListedMachine = {
+      name,
+      address: name,
+      machineType: type,
+      zone,
+      isSpot: spot,
+      phase: 'booting',
+      ageSeconds: 0,
+    };
     this.rented.set(name, { machine, at: sim.now });
     if (sim.chance(NEVER_UP)) return name;
-    const { bootS } = shape.types.find((known) => known.name === type)!;
+    const { bootSeconds: bootS } = kind.types.find((known) => known.name === type)!;
     if (sim.chance(FAULTY)) this.world.isFaulty(name);
     sim.after(sim.between(0.3, 1.5) * bootS * 1000, () => {
       if (!this.rented.has(name)) return;
@@ -112,7 +120,7 @@
     const { sim } = this.world;
     const machines = [...this.rented.values()].map(({ machine, at }) => ({
       ...machine,
-      ageS: (sim.now - at) / 1000,
+      ageSeconds: (sim.now - at) / 1000,
     }));
     this.snapshots.push({ at: sim.now, machines });
     if (this.snapshots.length > SNAPSHOTS_KEPT) this.snapshots.shift();
--- a/test/standin/day.ts
+++ b/test/standin/day.ts
@@ -6,26 +6,26 @@
 export function job(w: World, over: Partial<JobSpec>): JobSpec {
   return {
     id: `wk-${String(w.jobs.size + 1).padStart(6, '0')}`,
-    cls: 'c',
+    jobClass: 'c',
     team: 'red',
-    shape: 'array',
-    rank: 2,
-    tasks: 3,
+    kind: 'array',
+    priority: 2,
+    taskCount: 3,
     cpus: 1,
     gpus: 0,
-    mem: 1,
+    memoryGb: 1,
     image: 'img-1',
     imageGb: 1,
-    types: null,
+    machineTypes: null,
     zone: null,
-    together: false,
-    apart: false,
-    spot: true,
-    estimateS: 5,
-    checkpointS: 0,
-    saveS: 0,
-    deadlineS: null,
-    at: 0,
+    zoneAffinity: false,
+    zoneAntiAffinity: false,
+    spotAllowed: true,
+    estimatedRunSeconds: 5,
+    checkpointIntervalSeconds: 0,
+    checkpointSaveSeconds: 0,
+    deadlineSeconds: null,
+    acceptedAtMs: 0,
     ...over,
   };
 }
@@ -36,19 +36,23 @@
   const checkpointS = s.chance(0.3) ? 1 : 0;
   return job(w, {
     team: s.pick(w.shape.teams).name,
-    shape,
-    rank: shape === 'service' ? 0 : s.pick([1, 2, 3] as const),
-    tasks: shape === 'array' ? 1 + Math.floor(s.random() * 14) : 1 + Math.floor(s.random() * 3),
+    kind: shape,
+    priority: shape === 'service' ? 0 : s.pick([1, 2, 3] as const),
+    taskCount: shape === 'array' ? 1 + Math.floor(s.random() * 14) : 1 + Math.floor(s.random() * 3),
     cpus: s.pick([1, 1, 2, 4]),
-    mem: s.pick([1, 2, 4]),
+    memoryGb: s.pick([1, 2, 4]),
     image: s.pick(['i1', 'i2', 'i3']),
-    types: s.chance(0.15) ? (w.shape.types.some((t) => t.name === 'big') ? ['big'] : ['small']) : null,
+    machineTypes: s.chance(0.15)
+      ? w.shape.types.some((machineType) => machineType.name === 'big')
+        ? ['big']
+        : ['small']
+      : null,
     zone: s.chance(0.15) ? 'a' : null,
-    together: s.chance(0.15),
-    apart: shape === 'service' && s.chance(0.5),
-    spot: shape !== 'service' && s.chance(0.7),
-    checkpointS,
-    saveS: checkpointS,
+    zoneAffinity: s.chance(0.15),
+    zoneAntiAffinity: shape === 'service' && s.chance(0.5),
+    spotAllowed: shape !== 'service' && s.chance(0.7),
+    checkpointIntervalSeconds: checkpointS,
+    checkpointSaveSeconds: checkpointS,
   });
 }
 
@@ -64,8 +68,9 @@
       for (const [a, b] of pairs) w.net.heal(a, b);
       for (const h of w.hosts)
         for (const o of w.hosts) {
-          const p = w.procs.get(h);
-          if (h !== o && mode === 'reset' && p?.alive) p.ctl.push({ type: 'link', host: o, up: true });
+          const process = w.procs.get(h);
+          if (h !== o && mode === 'reset' && process?.alive)
+            process.ctl.push({ type: 'peerConnection', nodeName: o, isUp: true });
         }
     });
   };
@@ -206,7 +211,8 @@
 /** One team gets more short work than its limit admits for a while. */
 function flood(w: World): void {
   const team = w.sim.pick(w.shape.teams).name;
-  for (let i = 0; i < 8; i++) w.submit(job(w, { team, tasks: 6, cpus: w.sim.pick([1, 2, 4]), rank: 2 }));
+  for (let i = 0; i < 8; i++)
+    w.submit(job(w, { team, taskCount: 6, cpus: w.sim.pick([1, 2, 4]), priority: 2 }));
 }
 
 /**
@@ -216,14 +222,18 @@
 export function playDoubtfulDay(seed: number): World {
   const w = new World(seed, {
     ...SHAPE,
-    teams: SHAPE.teams.map((team) => ({ ...team, cpusMax: team.cpusMax / 2 })),
+    teams: SHAPE.teams.map((team) => ({ ...team, maxCpus: team.maxCpus / 2 })),
   });
   const s = w.sim;
   const busy = 100000;
   for (const { name } of w.shape.teams)
     for (let i = 0; i < 24; i++)
       s.at(s.between(0, 60000), () => {
-        const next = job(w, { team: name, tasks: 1 + Math.floor(s.random() * 6), cpus: s.pick([1, 2, 4]) });
+        const next = job(w, {
+          team: name,
+          taskCount: 1 + Math.floor(s.random() * 6),
+          cpus: s.pick([1, 2, 4]),
+        });
         w.submit(next);
         if (s.chance(0.2)) s.after(s.between(200, 40000), () => cancelWhenAccepted(w, next.id));
       });
@@ -245,17 +255,17 @@
 }
 
 /** One seeded day: jobs, cancellations and troubles, then a quiet end in which all accepted work must finish. */
-export function playDay(seed: number, troubles: number, shape: Shape = SHAPE): World {
-  const w = new World(seed, shape);
+export function playDay(seed: number, troubles: number, kind: Shape = SHAPE): World {
+  const w = new World(seed, kind);
   const s = w.sim;
   const busy = 120000;
   for (let i = 0; i < 14; i++) {
     const at = s.chance(0.4) ? s.between(0, 3000) : s.between(0, busy);
     s.at(at, () => {
       const j = randomJob(w);
-      if (s.chance(0.06) && j.shape === 'array') w.doomed.add(j.id);
+      if (s.chance(0.06) && j.kind === 'array') w.doomed.add(j.id);
       w.submit(j);
-      if (s.chance(0.25) || j.shape === 'service' || w.doomed.has(j.id))
+      if (s.chance(0.25) || j.kind === 'service' || w.doomed.has(j.id))
         s.after(s.between(200, 60000), () => cancelWhenAccepted(w, j.id));
     });
   }
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -4,8 +4,8 @@
  */
 import { createHash } from 'node:crypto';
 import type { ApiAnswer } from '../../src/core/api.js';
-import type { MeshMsg, ReportAnswer } from '../../src/core/controller.js';
-import type { CloudPort, StatePort, WorkerPort } from '../../src/core/types.js';
+import type { HeartbeatResult, PeerMessage } from '../../src/core/controller.js';
+import type { CloudProvider, KeyValueStore, WorkerCommandPort } from '../../src/core/types.js';
 import { writeRemoval, writeRental } from '../../src/wire/cloud.js';
 import { writeState } from '../../src/wire/jobs.js';
 import { encodePeerMessage } from '../../src/wire/peer-codec.js';
@@ -42,18 +42,18 @@
     this.hash.update(`${this.now().toFixed(6)} ${host} ${channel} ${JSON.stringify(encoded())}\n`);
   }
 
-  peerMessage(host: string, to: string, message: MeshMsg): void {
+  peerMessage(host: string, to: string, message: PeerMessage): void {
     this.add(host, `peer ${to}`, () => encodePeerMessage(message));
   }
 
-  heartbeatAnswer(host: string, answer: ReportAnswer): void {
+  heartbeatAnswer(host: string, answer: HeartbeatResult): void {
     this.add(host, 'heartbeat answer', () => {
-      switch (answer.s) {
-        case 'ok':
-          return [200, writeAnswer(answer.token, answer.cmds)];
-        case 'other':
-          return [421, writeRedirect(answer.leader)];
-        case 'later':
+      switch (answer.type) {
+        case 'accepted':
+          return [200, writeAnswer(answer.fencingToken, answer.commands)];
+        case 'redirected':
+          return [421, writeRedirect(answer.leaderName)];
+        case 'unavailable':
           return [503];
       }
     });
@@ -61,20 +61,20 @@
 
   userAnswer(host: string, answer: ApiAnswer): void {
     this.add(host, 'user answer', () => {
-      switch (answer.s) {
+      switch (answer.type) {
         case 'job':
           return [answer.created ? 201 : 200, writeState('', answer)];
-        case 'unknown':
+        case 'notFound':
           return [404];
-        case 'never':
+        case 'rejected':
           return [422, answer.reason];
-        case 'later':
+        case 'unavailable':
           return [503, answer.reason];
       }
     });
   }
 
-  store(host: string, port: StatePort): StatePort {
+  store(host: string, port: KeyValueStore): KeyValueStore {
     const add = (call: string, encoded: unknown) => this.add(host, `store ${call}`, () => encoded);
     return {
       get: (key, urgency, then) => {
@@ -85,21 +85,21 @@
         add('list', [prefix, since, urgency]);
         port.list(prefix, since, urgency, then);
       },
-      txn: (txn, urgency, then) => {
-        add('txn', [writeTxn(txn), urgency]);
-        port.txn(txn, urgency, then);
+      compareAndSwap: (transaction, urgency, then) => {
+        add('txn', [writeTxn(transaction), urgency]);
+        port.compareAndSwap(transaction, urgency, then);
       },
-      grant: (ttlMs, then) => {
+      grantLease: (ttlMs, then) => {
         add('grant', ttlMs);
-        port.grant(ttlMs, then);
+        port.grantLease(ttlMs, then);
       },
-      touch: (lease, then) => {
+      keepLeaseAlive: (lease, then) => {
         add('touch', lease);
-        port.touch(lease, then);
+        port.keepLeaseAlive(lease, then);
       },
-      end: (lease, then) => {
+      revokeLease: (lease, then) => {
         add('end', lease);
-        port.end(lease, then);
+        port.revokeLease(lease, then);
       },
       watch: (prefix, since, waitMs, then) => {
         add('watch', [prefix, since, waitMs]);
@@ -108,33 +108,33 @@
     };
   }
 
-  cloud(host: string, port: CloudPort): CloudPort {
+  cloud(host: string, port: CloudProvider): CloudProvider {
     const add = (call: string, encoded: unknown) => this.add(host, `cloud ${call}`, () => encoded);
     return {
-      types: (then) => {
+      listMachineTypes: (then) => {
         add('types', null);
-        port.types(then);
+        port.listMachineTypes(then);
       },
-      rent: (claim, type, zone, spot, count, then) => {
+      rentMachines: (claim, type, zone, spot, count, then) => {
         add('rent', writeRental(claim, type, zone, spot, count));
-        port.rent(claim, type, zone, spot, count, then);
+        port.rentMachines(claim, type, zone, spot, count, then);
       },
-      remove: (names, then) => {
+      deleteMachines: (names, then) => {
         add('remove', writeRemoval(names));
-        port.remove(names, then);
+        port.deleteMachines(names, then);
       },
-      list: (since, then) => {
+      listMachines: (since, then) => {
         add('list', since);
-        port.list(since, then);
+        port.listMachines(since, then);
       },
     };
   }
 
-  workers(host: string, port: WorkerPort): WorkerPort {
+  workers(host: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
-      commands: (address, token, season, commands, then) => {
-        this.add(host, `worker ${address}`, () => writeDirect(token, season, commands));
-        port.commands(address, token, season, commands, then);
+      sendCommands: (address, token, agentEpoch, commands, then) => {
+        this.add(host, `worker ${address}`, () => writeDirect(token, agentEpoch, commands));
+        port.sendCommands(address, token, agentEpoch, commands, then);
       },
     };
   }
--- a/test/standin/owner.ts
+++ b/test/standin/owner.ts
@@ -1,15 +1,16 @@
-import { Owner, type OwnerOptions } from '../../src/core/owner/owner.js';
+import { ShardOwner, type ShardOwnerOptions } from '../../src/core/owner/owner.js';
 import type {
-  Fields,
   Grant,
   JobSpec,
+  KeyValueStore,
+  LogFields,
   Logger,
-  OwnerMsg,
   Result,
-  StatePort,
+  ShardMessage,
   Team,
-  Txn,
+  Transaction,
 } from '../../src/core/types.js';
+import { jobRecord } from '../../src/wire/record-codec.js';
 import { Sim } from './sim.js';
 import { StateStandin } from './state.js';
 
@@ -18,23 +19,23 @@
 const DEADLINE_MS = 1500;
 
 /** Options of an owner that talks to nobody; each can be replaced. */
-export function ownerOptions(over: Partial<OwnerOptions>): OwnerOptions {
+export function ownerOptions(over: Partial<ShardOwnerOptions>): ShardOwnerOptions {
   return {
-    host: HOST,
-    inst: HOST,
+    nodeName: HOST,
+    instanceId: HOST,
     teams: new Map(),
-    valueKb: LIMITS.valueKb,
-    txnOps: LIMITS.ops,
-    writeRps: 100,
-    batch: 64,
-    noticeGraceS: 1,
+    maxValueKb: LIMITS.valueKb,
+    maxTransactionOperations: LIMITS.ops,
+    writesPerSecond: 100,
+    maxTasksPerRequest: 64,
+    noticeGraceSeconds: 1,
     objectives: [],
-    state: {} as StatePort,
+    store: {} as KeyValueStore,
     clock: { now: () => 1000, wall: () => 1000, after: () => () => {}, soon: () => {}, random: () => 0 },
     log: { debug: () => {}, info: () => {}, error: () => {} },
-    openItems: () => [],
-    openReadAsOf: () => 0,
-    readOpen: () => {},
+    openJobItems: () => [],
+    openJobsFreshAsOf: () => 0,
+    refreshOpenJobs: () => {},
     send: () => {},
     wake: () => {},
     ...over,
@@ -48,13 +49,13 @@
 export class OwnerStandin {
   readonly sim = new Sim(1);
   readonly state = new StateStandin(this.sim);
-  readonly said: OwnerMsg[] = [];
-  readonly logged: { fields: Fields; message: string }[] = [];
-  readonly owner: Owner;
+  readonly said: ShardMessage[] = [];
+  readonly logged: { fields: LogFields; message: string }[] = [];
+  readonly owner: ShardOwner;
   /** How the next transactions are lost, in order; null: answered. */
   readonly losses: (Loss | null)[] = [];
   /** Transactions without an answer that are not carried out yet. */
-  readonly late: Txn[] = [];
+  readonly late: Transaction[] = [];
   /** Reads of keys that begin so wait until `release`. */
   heldReads = '';
   private readonly waiting: (() => void)[] = [];
@@ -64,12 +65,12 @@
     private readonly team: Team,
     specs: JobSpec[],
   ) {
-    for (const spec of specs) this.put(`open/${spec.id}/a`, { j: spec });
+    for (const spec of specs) this.put(`open/${spec.id}/a`, jobRecord.encode({ spec }));
     this.put(`sys/team/${team.name}`, { inst: HOST });
-    this.owner = new Owner(
+    this.owner = new ShardOwner(
       ownerOptions({
         teams: new Map([[team.name, team]]),
-        state: this.statePort(),
+        store: this.statePort(),
         clock: {
           now: () => this.sim.now,
           wall: () => this.sim.now,
@@ -85,10 +86,10 @@
         wake: () => this.sim.after(0, () => this.owner.flush()),
       }),
     );
-    this.owner.setScheduler(1);
-    this.owner.setTeams(new Map([[team.name, this.state.keys.get(`sys/team/${team.name}`)!.version]]));
+    this.owner.setLeader(1);
+    this.owner.setShards(new Map([[team.name, this.state.keys.get(`sys/team/${team.name}`)!.version]]));
     this.run(100);
-    this.owner.fromScheduler({ type: 'synced', token: 1 });
+    this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
     this.run(100);
   }
 
@@ -101,10 +102,10 @@
   grant(job: string, tasks: number, zone = 'a'): void {
     const grants: Grant[] = Array.from({ length: tasks }, () => {
       const id = this.nextGrant++;
-      return { id, job, team: this.team.name, machine: `m${id}`, zone, season: 1 };
+      return { id, jobId: job, team: this.team.name, machine: `m${id}`, zone, agentEpoch: 1 };
     });
-    this.owner.fromScheduler({ type: 'synced', token: 1 });
-    this.owner.fromScheduler({ type: 'grants', token: 1, grants });
+    this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
+    this.owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants });
   }
 
   /** The reads held back are answered. */
@@ -115,7 +116,9 @@
 
   /** Carries out the transactions that are late; returns how many of them were. */
   carryOutLate(): number {
-    const done = this.late.splice(0).filter((txn) => this.state.txn(HOST, txn, LIMITS).status === 200);
+    const done = this.late
+      .splice(0)
+      .filter((transaction) => this.state.txn(HOST, transaction, LIMITS).status === 200);
     return done.length;
   }
 
@@ -139,29 +142,29 @@
   }
 
   /** What was logged with this message. */
-  linesOf(message: string): { fields: Fields; message: string }[] {
+  linesOf(message: string): { fields: LogFields; message: string }[] {
     return this.logged.filter((line) => line.message === message);
   }
 
   /** Another's write, carried out at once. */
   put(key: string, value: unknown): void {
-    this.state.txn(HOST, { when: [], then: [{ put: key, value }] }, LIMITS);
+    this.state.txn(HOST, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
   }
 
   private logger(): Logger {
-    const take = (fields: Fields, message: string) => this.logged.push({ fields, message });
+    const take = (fields: LogFields, message: string) => this.logged.push({ fields, message });
     return { debug: take, info: take, error: take };
   }
 
-  private statePort(): StatePort {
+  private statePort(): KeyValueStore {
     const answer = <T>(serve: () => { status: number; value?: T; failed?: string[] }): Result<T> => {
       const { status, value, failed } = serve();
       if (status === 200) return { ok: true, value: value as T };
       return status === 409
-        ? { ok: false, kind: 'conflict', failed: failed ?? [] }
+        ? { ok: false, kind: 'conflict', failedKeys: failed ?? [] }
         : { ok: false, kind: 'refused' };
     };
-    const port: Partial<StatePort> = {
+    const port: Partial<KeyValueStore> = {
       get: (key, _urgency, then) => this.sim.after(1, () => then(answer(() => this.state.get(HOST, key)))),
       list: (prefix, since, _urgency, then) => {
         const serve = () =>
@@ -169,9 +172,9 @@
         if (this.heldReads !== '' && prefix.startsWith(this.heldReads)) this.waiting.push(serve);
         else serve();
       },
-      txn: (txn, _urgency, then) => {
+      compareAndSwap: (transaction, _urgency, then) => {
         const loss = this.losses.shift() ?? null;
-        const copy = structuredClone(txn);
+        const copy = structuredClone(transaction);
         if (loss === null)
           return this.sim.after(1, () => then(answer(() => this.state.txn(HOST, copy, LIMITS))));
         if (loss === 'carried out at once') this.state.txn(HOST, copy, LIMITS);
@@ -179,6 +182,6 @@
         this.sim.after(DEADLINE_MS, () => then({ ok: false, kind: 'unknown' }));
       },
     };
-    return port as StatePort;
+    return port as KeyValueStore;
   }
 }
--- a/test/standin/ports.ts
+++ b/test/standin/ports.ts
@@ -1,11 +1,11 @@
 import type {
   Failure,
+  Heartbeat,
+  KeyValueStore,
   Result,
-  StatePort,
-  Then,
-  Txn,
-  WorkerPort,
-  WorkerReport,
+  ResultCallback,
+  Transaction,
+  WorkerCommandPort,
 } from '../../src/core/types.js';
 import type { Answer } from './sim.js';
 import type { World } from './world.js';
@@ -26,11 +26,11 @@
 }
 
 /** The state service as a controller of this world reaches it, with the troubles of the day. */
-export function statePort(world: World, host: string, enter: Enter): StatePort {
-  const { state, sim, net, shape } = world;
+export function statePort(world: World, host: string, enter: Enter): KeyValueStore {
+  const { state, sim, net, shape: kind } = world;
   const ask = <T>(
     serve: (reply: (r: StateReply<T>) => void) => void,
-    then: Then<T>,
+    then: ResultCallback<T>,
     deadlineMs = DEADLINE_MS,
   ) =>
     net.call<StateReply<T>>(host, 'state', deadlineMs, serve, (answer) => enter(() => then(result(answer))));
@@ -42,9 +42,9 @@
         if (world.slowReadsMs > 0) sim.after(sim.between(0, world.slowReadsMs), serve);
         else serve();
       }, then),
-    txn: (txn, _urgency, then) => {
-      const copy = JSON.parse(JSON.stringify(txn)) as Txn;
-      const carryOut = () => world.admission.watch(copy, () => state.txn(host, copy, shape));
+    compareAndSwap: (transaction, _urgency, then) => {
+      const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
+      const carryOut = () => world.admission.watch(copy, () => state.txn(host, copy, kind));
       const noAnswer = () => sim.after(DEADLINE_MS, () => enter(() => then({ ok: false, kind: 'unknown' })));
       if (sim.chance(world.lateWrites)) {
         // After newer ones.
@@ -57,35 +57,35 @@
       }
       ask((reply) => reply(carryOut()), then);
     },
-    grant: (ttlMs, then) => ask((reply) => reply(state.grant(host, ttlMs)), then),
-    touch: (lease, then) => ask((reply) => reply(state.touch(host, lease)), then),
-    end: (lease, then) => ask((reply) => reply(state.end(host, lease)), then),
+    grantLease: (ttlMs, then) => ask((reply) => reply(state.grant(host, ttlMs)), then),
+    keepLeaseAlive: (lease, then) => ask((reply) => reply(state.touch(host, lease)), then),
+    revokeLease: (lease, then) => ask((reply) => reply(state.end(host, lease)), then),
     watch: (prefix, since, waitMs, then) =>
       ask((reply) => state.watch(host, prefix, since, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
   };
 }
 
 /** The workers as a controller of this world reaches them directly. */
-export function workerPort(world: World, host: string, enter: Enter): WorkerPort {
-  const { sim, net, shape, workers } = world;
+export function workerPort(world: World, host: string, enter: Enter): WorkerCommandPort {
+  const { sim, net, shape: kind, workers } = world;
   return {
-    commands: (addr, token, season, commands, then) => {
+    sendCommands: (addr, token, agentEpoch, commands, then) => {
       const copy = JSON.parse(JSON.stringify(commands)) as typeof commands;
       // What was executed may be executed once more, long after.
       if (world.copies && sim.chance(0.3))
-        sim.after(sim.between(500, shape.leaseS * 2500), () =>
-          workers.get(addr)?.direct(token, season, copy, () => {}),
+        sim.after(sim.between(500, kind.leaseS * 2500), () =>
+          workers.get(addr)?.direct(token, agentEpoch, copy, () => {}),
         );
-      net.call<{ ok: boolean; report: WorkerReport }>(
+      net.call<{ ok: boolean; report: Heartbeat }>(
         host,
         addr,
         DEADLINE_MS,
-        (reply) => workers.get(addr)?.direct(token, season, copy, reply),
+        (reply) => workers.get(addr)?.direct(token, agentEpoch, copy, reply),
         (answer) =>
           enter(() => {
             if (!answer.got) return then({ ok: false, kind: answer.sent ? 'unknown' : 'refused' });
             const { ok, report } = answer.value;
-            then(ok ? { ok: true, value: report } : { ok: false, kind: 'conflict', report });
+            then(ok ? { ok: true, value: report } : { ok: false, kind: 'conflict', heartbeat: report });
           }),
       );
     },
@@ -96,7 +96,7 @@
   if (!answer.got) return { ok: false, kind: answer.sent ? 'unknown' : 'refused' } satisfies Failure;
   const { status, value, failed } = answer.value;
   if (status === 200) return { ok: true, value: JSON.parse(JSON.stringify(value ?? null)) as T };
-  if (status === 409) return { ok: false, kind: 'conflict', failed: failed ?? [] };
+  if (status === 409) return { ok: false, kind: 'conflict', failedKeys: failed ?? [] };
   if (status === 404 || status === 410) return { ok: false, kind: 'gone' };
   if (status === 503) return { ok: false, kind: 'refused' };
   return { ok: false, kind: 'bad' };
--- a/test/standin/rules.ts
+++ b/test/standin/rules.ts
@@ -51,10 +51,11 @@
   }
 
   private checkPlace(worker: WorkerStandin, key: string, spec: JobSpec): void {
-    if (worker.spot && !spec.spot) this.fault(`wrong_place: ${key} on a spot machine`);
-    if (spec.types && !spec.types.includes(worker.type)) this.fault(`wrong_place: ${key} on ${worker.type}`);
+    if (worker.spot && !spec.spotAllowed) this.fault(`wrong_place: ${key} on a spot machine`);
+    if (spec.machineTypes && !spec.machineTypes.includes(worker.type))
+      this.fault(`wrong_place: ${key} on ${worker.type}`);
     if (spec.zone !== null && spec.zone !== worker.zone) this.fault(`wrong_place: ${key} in ${worker.zone}`);
-    if (spec.together || spec.apart) this.checkZones(worker.zone, spec);
+    if (spec.zoneAffinity || spec.zoneAntiAffinity) this.checkZones(worker.zone, spec);
   }
 
   private checkZones(zone: string, spec: JobSpec): void {
@@ -63,12 +64,13 @@
     for (const worker of this.world.workers.values())
       for (const task of worker.tasks)
         if (task.job === spec.id && worker.onMachine(task)) worker.zone === zone ? here++ : other++;
-    if (spec.together && other > 0) this.fault(`wrong_place: ${spec.id} in two zones`);
-    if (spec.apart && here > Math.ceil(spec.tasks / 2)) this.fault(`wrong_place: ${spec.id} not spread`);
+    if (spec.zoneAffinity && other > 0) this.fault(`wrong_place: ${spec.id} in two zones`);
+    if (spec.zoneAntiAffinity && here > Math.ceil(spec.taskCount / 2))
+      this.fault(`wrong_place: ${spec.id} not spread`);
   }
 
   private checkQuota(used: ReadonlyMap<string, number>): void {
-    for (const { name, cpusMax } of this.world.shape.teams)
+    for (const { name, maxCpus: cpusMax } of this.world.shape.teams)
       if (cpusMax > 0 && (used.get(name) ?? 0) > cpusMax + EPSILON)
         this.fault(`quota: ${name} uses ${used.get(name)}`);
   }
--- a/test/standin/scheduler.ts
+++ b/test/standin/scheduler.ts
@@ -1,24 +1,28 @@
-import { ImageFacts } from '../../src/core/images.js';
+import { ImageLocations } from '../../src/core/images.js';
 import type { Policy } from '../../src/core/policy.js';
 import { Scheduler } from '../../src/core/scheduler.js';
 import type {
-  Held,
+  Heartbeat,
+  LeaderMessage,
   ListedMachine,
-  Objective,
+  PlacementSpec,
+  ResourceRequest,
   Result,
-  SchedulerMsg,
-  TaskReport,
-  Want,
+  ServiceLevelObjective,
+  TaskStatus,
   WorkerCommand,
-  WorkerReport,
 } from '../../src/core/types.js';
 import { SHAPE } from './shape.js';
 
 /** A scheduler alone, with hand-made reports and a worker whose answers the test decides on. */
-export function scheduler(token: number, policy: Partial<Policy> = {}, objectives: Objective[] = []) {
+export function scheduler(
+  token: number,
+  policy: Partial<Policy> = {},
+  objectives: ServiceLevelObjective[] = [],
+) {
   let now = 0;
-  const said: SchedulerMsg[] = [];
-  const calls: { cmds: WorkerCommand[]; cb: (r: Result<WorkerReport>) => void }[] = [];
+  const said: LeaderMessage[] = [];
+  const calls: { cmds: WorkerCommand[]; cb: (result: Result<Heartbeat>) => void }[] = [];
   const raised: string[] = [];
   const removed: string[] = [];
   const resigned: string[] = [];
@@ -29,32 +33,34 @@
   const rents = { served: false, n: 0 };
   const list: ListedMachine[] = [];
   const k = new Scheduler({
-    inst: 'a',
-    token,
-    teams: new Map(SHAPE.teams.map((t) => [t.name, t])),
-    workers: { reportS: 2, leaseS: 20, cancelS: 40 },
-    listLagS: 3,
-    cloudRps: 5,
-    images: new ImageFacts(),
+    instanceId: 'a',
+    fencingToken: token,
+    teams: new Map(SHAPE.teams.map((team) => [team.name, team])),
+    workerTiming: { heartbeatIntervalSeconds: 2, leaseSeconds: 20, cancellationSeconds: 40 },
+    machineListLagSeconds: 3,
+    cloudCallsPerSecond: 5,
+    images: new ImageLocations(),
     objectives,
-    first: true,
+    isFirstEver: true,
     clock: { now: () => now, wall: () => now, after: () => () => {}, soon: () => {}, random: () => 0 },
     log: { debug: () => {}, info: () => {}, error: () => {} },
     cloud: {
-      types: () => {},
-      rent: (claim, _type, _zone, _spot, n, cb) => {
+      listMachineTypes: () => {},
+      rentMachines: (claim, _type, _zone, _spot, n, callback) => {
         if (!rents.served) return;
         rents.n += n;
-        cb({ ok: true, value: Array.from({ length: n }, (_, i) => `${claim}-${i}`) });
+        callback({ ok: true, value: Array.from({ length: n }, (_, i) => `${claim}-${i}`) });
       },
-      remove: (names, cb) => {
+      deleteMachines: (names, callback) => {
         removed.push(...names);
-        if (rents.served) cb({ ok: true, value: null });
+        if (rents.served) callback({ ok: true, value: null });
       },
-      list: (_s, cb) => cb({ ok: true, value: { machines: list, more: false } }),
+      listMachines: (_s, callback) => callback({ ok: true, value: { machines: list, more: false } }),
     },
-    worker: { commands: (_a, _t, _s, cmds, cb) => calls.push({ cmds, cb }) },
-    types: () => SHAPE.types,
+    workers: {
+      sendCommands: (_a, _t, _s, commands, callback) => calls.push({ cmds: commands, cb: callback }),
+    },
+    machineTypes: () => SHAPE.types,
     policy: () => ({
       reserve_replicas: 0,
       reserve_batch: 0,
@@ -69,87 +75,99 @@
       patience_s: 10,
       ...policy,
     }),
-    entitled: () => true,
-    send: (_i, m) => said.push(m),
+    holdsLeadership: () => true,
+    send: (_i, message) => said.push(message),
     wake: () => {},
-    deposed: () => {},
-    inherited: () => null,
+    onHigherToken: () => {},
+    inheritedCoverage: () => null,
     isCancelled: (id) => cancelled.has(id),
-    told: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
-    siblings: () => siblings.n,
-    resign: (why) => resigned.push(why),
-    raise: (why) => raised.push(why),
+    cancellationsKnown: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
+    reachablePeers: () => siblings.n,
+    resign: (reason) => resigned.push(reason),
+    raiseFencingToken: (reason) => raised.push(reason),
   });
-  k.setOwners(new Map(SHAPE.teams.map((t) => [t.name, { inst: 'o', gen: 1 }])));
-  k.fromOwner({
-    type: 'sync',
-    token,
-    inst: 'o',
-    sync: 1,
-    parts: 1,
-    part: 0,
-    gens: { red: 1, blue: 1, free: 1 },
-    held: [],
-    wants: [],
+  k.setOwners(new Map(SHAPE.teams.map((team) => [team.name, { instanceId: 'o', shardEpoch: 1 }])));
+  k.onShardMessage({
+    type: 'fullSync',
+    fencingToken: token,
+    instanceId: 'o',
+    syncNumber: 1,
+    chunkCount: 1,
+    chunkIndex: 0,
+    shardEpochs: { red: 1, blue: 1, free: 1 },
+    placements: [],
+    requests: [],
   });
-  let tally = 0;
+  let sequence = 0;
   /** The owner follows the leader's marks, unless a test says that it does not. */
   const owner = { follows: true, told: 0 };
   const cover = () => {
     if (!owner.follows) return;
-    const gens = { red: 1, blue: 1, free: 1 };
-    k.fromOwner({ type: 'covered', token, inst: 'o', sync: 1, n: owner.told, gens, mark: now });
+    const shardEpochs = { red: 1, blue: 1, free: 1 };
+    k.onShardMessage({
+      type: 'cancellationCoverage',
+      fencingToken: token,
+      instanceId: 'o',
+      syncNumber: 1,
+      placementMessages: owner.told,
+      shardEpochs,
+      leaderTimestamp: now,
+    });
   };
   cover();
-  const report = (tasks: TaskReport[], seen = token, over: Partial<WorkerReport> = {}) => {
+  const report = (tasks: TaskStatus[], seen = token, over: Partial<Heartbeat> = {}) => {
     cover();
-    const a = k.report({
+    const a = k.handleHeartbeat({
       machine: 'm',
-      addr: 'm',
-      type: 'small',
+      address: 'm',
+      machineType: 'small',
       zone: 'a',
-      spot: false,
-      season: 1,
-      tally: ++tally,
-      token: seen,
-      noticeS: null,
+      isSpot: false,
+      agentEpoch: 1,
+      sequence: ++sequence,
+      fencingToken: seen,
+      evictionNoticeSeconds: null,
       tasks,
       ...over,
     });
     return a === 'later' ? null : a;
   };
-  const held = (want: Held['want']): Held => ({
-    job: 'wk-1',
-    idx: 0,
+  const placements = (want: PlacementSpec['desiredState']): PlacementSpec => ({
+    jobId: 'wk-1',
+    taskIndex: 0,
     attempt: 1,
     machine: 'm',
-    season: 1,
-    want,
-    graceS: 0,
+    agentEpoch: 1,
+    desiredState: want,
+    gracePeriodSeconds: 0,
     team: 'red',
-    rank: 2,
-    gang: false,
-    service: false,
+    priority: 2,
+    isGang: false,
+    isService: false,
     cpus: 1,
     gpus: 0,
-    mem: 1,
+    memoryGb: 1,
     image: 'i',
     imageGb: 1,
-    estimateS: 5,
-    types: null,
-    spread: false,
-    grant: 0,
+    estimatedRunSeconds: 5,
+    machineTypes: null,
+    spreadOverZones: false,
+    grantId: 0,
   });
-  const hold = (h: Held) => {
-    k.fromOwner({ type: 'held', token, inst: 'o', held: [h] });
+  const hold = (placement: PlacementSpec) => {
+    k.onShardMessage({ type: 'placements', fencingToken: token, instanceId: 'o', placements: [placement] });
     owner.told++;
     k.flush();
   };
-  const tell = (want: Held['want']) => hold(held(want));
-  const wants = (list: Want[]) => k.fromOwner({ type: 'wants', token, inst: 'o', wants: list });
+  const tell = (want: PlacementSpec['desiredState']) => hold(placements(want));
+  const requests = (list: ResourceRequest[]) =>
+    k.onShardMessage({ type: 'resourceRequests', fencingToken: token, instanceId: 'o', requests: list });
   const settled = () => {
     k.flush();
-    return said.some((m) => m.type === 'seen' && m.seen.some((s) => s.type === 'settled'));
+    return said.some(
+      (message) =>
+        message.type === 'allocationEvents' && message.events.some((event) => event.type === 'finalized'),
+    );
   };
   const later = (ms: number) => {
     now += ms;
@@ -158,19 +176,21 @@
   };
   const grants = () => {
     k.flush();
-    return said.flatMap((m) => (m.type === 'grants' ? m.grants.map((g) => g.job) : []));
+    return said.flatMap((message) =>
+      message.type === 'grants' ? message.grants.map((grant) => grant.jobId) : [],
+    );
   };
   return {
     k,
     said,
     calls,
     report,
-    held,
+    held: placements,
     hold,
     owner,
     cancelled,
     tell,
-    wants,
+    wants: requests,
     settled,
     later,
     raised,
@@ -182,42 +202,42 @@
     grants,
   };
 }
-export const listed = (phase: 'running' | 'exited'): TaskReport => ({
-  job: 'wk-1',
-  idx: 0,
+export const listed = (phase: 'running' | 'exited'): TaskStatus => ({
+  jobId: 'wk-1',
+  taskIndex: 0,
   attempt: 1,
   phase,
-  why: phase === 'exited' ? 'done' : null,
-  saved: false,
+  exitReason: phase === 'exited' ? 'done' : null,
+  checkpointSaved: false,
 });
 
-export const makeWant = (id: string, over: Partial<Want> = {}): Want => ({
-  job: id,
+export const makeWant = (id: string, over: Partial<ResourceRequest> = {}): ResourceRequest => ({
+  jobId: id,
   team: 'red',
-  cls: 'c',
-  rank: 2,
-  order: 1,
-  stage: 0,
-  count: 1,
-  whole: false,
-  service: false,
+  jobClass: 'c',
+  priority: 2,
+  queuePosition: 1,
+  missedObjectives: 0,
+  taskCount: 1,
+  allOrNothing: false,
+  isService: false,
   cpus: 1,
   gpus: 0,
-  mem: 1,
+  memoryGb: 1,
   image: 'i',
   imageGb: 1,
-  estimateS: 5,
-  types: null,
-  spot: true,
+  estimatedRunSeconds: 5,
+  machineTypes: null,
+  spotAllowed: true,
   zone: null,
-  together: false,
-  zoneRoom: null,
-  zoneCap: 1,
-  avoid: [],
-  near: '',
-  patienceS: null,
-  aimS: null,
-  slackS: null,
-  seen: 0,
+  zoneAffinity: false,
+  zoneAllowance: null,
+  maxTasksPerZone: 1,
+  avoidedMachines: [],
+  preferredMachine: '',
+  maxWaitSeconds: null,
+  objectiveSeconds: null,
+  slackSeconds: null,
+  lastGrantTaken: 0,
   ...over,
 });
--- a/test/standin/service-level.ts
+++ b/test/standin/service-level.ts
@@ -55,7 +55,7 @@
     const begun = (job: TrackedJob) => Number.isFinite(job.servedAt);
     const inTime = (job: TrackedJob) => job.servedAt - job.submittedAt <= LARGE_BEGIN_MS;
     for (const [team, group] of groupBy(all, ({ spec }) => spec.team)) judge(`team ${team}`, group, begun);
-    for (const [name, group] of groupBy(all, ({ spec }) => spec.cls)) {
+    for (const [name, group] of groupBy(all, ({ spec }) => spec.jobClass)) {
       judge(`class ${name}`, group, begun);
       judge(`largest of ${name}`, largest(group), inTime);
     }
@@ -63,9 +63,9 @@
   }
 
   private tasksToServe(spec: JobSpec): number {
-    const limit = this.teams.find((team) => team.name === spec.team)?.cpusMax ?? 0;
-    if (limit <= 0 || spec.cpus <= 0) return spec.tasks;
-    return Math.min(spec.tasks, Math.floor(limit / spec.cpus + 1e-9));
+    const limit = this.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
+    if (limit <= 0 || spec.cpus <= 0) return spec.taskCount;
+    return Math.min(spec.taskCount, Math.floor(limit / spec.cpus + 1e-9));
   }
 }
 
@@ -77,7 +77,7 @@
 
 /** The upper quarter of a class by tasks; of a class of one size all jobs are as large as any other. */
 function largest(group: TrackedJob[]): TrackedJob[] {
-  const sizes = group.map(({ spec }) => spec.tasks).sort((a, b) => a - b);
+  const sizes = group.map(({ spec }) => spec.taskCount).sort((a, b) => a - b);
   const threshold = sizes[Math.floor(sizes.length * LARGEST_QUANTILE)] ?? 0;
-  return group.filter(({ spec }) => spec.tasks >= threshold);
+  return group.filter(({ spec }) => spec.taskCount >= threshold);
 }
--- a/test/standin/shape.ts
+++ b/test/standin/shape.ts
@@ -1,4 +1,4 @@
-import type { MachineType, Objective, Team } from '../../src/core/types.js';
+import type { MachineType, ServiceLevelObjective, Team } from '../../src/core/types.js';
 import type { Sim } from './sim.js';
 
 /** What a deployment is: the settings that its controllers get, and the machines that its cloud has. */
@@ -13,7 +13,7 @@
   ttlMs: number;
   types: MachineType[];
   teams: Team[];
-  objectives: Objective[];
+  objectives: ServiceLevelObjective[];
   /** Machines that the cloud has. */
   capacity: number;
   /** Zones that have none of them. */
@@ -24,21 +24,21 @@
   name: 'small',
   cpus: 4,
   gpus: 0,
-  mem: 8,
-  cacheGb: 20,
-  fetchGbPerS: 1,
-  price: 0.2,
-  spotPrice: 0.08,
-  bootS: 8,
+  memoryGb: 8,
+  imageCacheGb: 20,
+  imageFetchGbPerSecond: 1,
+  hourlyPrice: 0.2,
+  hourlySpotPrice: 0.08,
+  bootSeconds: 8,
   zones: ['a', 'b'],
   ...over,
 });
 const team = (name: string, cpus: number, cpusMax: number): Team => ({
   name,
-  cpus,
-  cpusMax,
-  gpus: 0,
-  gpusMax: 0,
+  guaranteedCpus: cpus,
+  maxCpus: cpusMax,
+  guaranteedGpus: 0,
+  maxGpus: 0,
 });
 
 export const SHAPE: Shape = {
@@ -52,12 +52,20 @@
   ttlMs: 2500,
   types: [
     type({}),
-    type({ name: 'big', cpus: 16, mem: 64, price: 0.9, spotPrice: 0.36, bootS: 5, zones: ['a'] }),
+    type({
+      name: 'big',
+      cpus: 16,
+      memoryGb: 64,
+      hourlyPrice: 0.9,
+      hourlySpotPrice: 0.36,
+      bootSeconds: 5,
+      zones: ['a'],
+    }),
   ],
   teams: [team('red', 12, 40), team('blue', 8, 24), team('free', 0, 0)],
   objectives: [
-    { kind: 'wait', cls: 'c', withinS: 1 },
-    { kind: 'finished', cls: 'c', withinS: 20 },
+    { kind: 'wait', jobClass: 'c', withinSeconds: 1 },
+    { kind: 'finished', jobClass: 'c', withinSeconds: 20 },
   ],
   capacity: 12,
   empty: [],
@@ -78,10 +86,10 @@
       type({
         name: `big${i}`,
         cpus: sim.pick([8, 16, 32]),
-        mem: sim.pick([16, 64]),
-        price: sim.between(0.4, 1.8),
-        spotPrice: sim.between(0.1, 0.7),
-        bootS: sim.between(3, 15),
+        memoryGb: sim.pick([16, 64]),
+        hourlyPrice: sim.between(0.4, 1.8),
+        hourlySpotPrice: sim.between(0.1, 0.7),
+        bootSeconds: sim.between(3, 15),
         zones: [sim.pick(all)],
       }),
     );
@@ -112,21 +120,21 @@
   ttlMs: 3500,
   teams: [team('red', 0, 0)],
   types: [
-    type({ bootS: 20, fetchGbPerS: 0.12, zones: ['a'] }),
+    type({ bootSeconds: 20, imageFetchGbPerSecond: 0.12, zones: ['a'] }),
     type({
       name: 'big',
       cpus: 32,
-      mem: 256,
-      cacheGb: 70,
-      fetchGbPerS: 0.12,
-      price: 1.97,
-      spotPrice: 0.77,
+      memoryGb: 256,
+      imageCacheGb: 70,
+      imageFetchGbPerSecond: 0.12,
+      hourlyPrice: 1.97,
+      hourlySpotPrice: 0.77,
       zones: ['a'],
     }),
   ],
   objectives: [
-    { kind: 'finished', cls: 'c', withinS: 150 },
-    { kind: 'wait', cls: 's', withinS: 1 },
+    { kind: 'finished', jobClass: 'c', withinSeconds: 150 },
+    { kind: 'wait', jobClass: 's', withinSeconds: 1 },
   ],
   capacity: 2000,
 };
--- a/test/standin/sim.ts
+++ b/test/standin/sim.ts
@@ -123,13 +123,13 @@
     to: string,
     deadlineMs: number,
     serve: (reply: (v: T) => void) => void,
-    cb: (a: Answer<T>) => void,
+    callback: (a: Answer<T>) => void,
   ): void {
     let over = false;
     const end = (a: Answer<T>) => {
       if (over) return;
       over = true;
-      cb(a);
+      callback(a);
     };
     if (this.mute.has(from)) return this.sim.after(deadlineMs, () => end({ got: false, sent: false }));
     const fresh = this.isCut(from, to);
--- a/test/standin/state.ts
+++ b/test/standin/state.ts
@@ -1,4 +1,4 @@
-import type { Item, StateEvent, Txn } from '../../src/core/types.js';
+import type { StoredItem, Transaction, WatchEvent } from '../../src/core/types.js';
 import type { Sim } from './sim.js';
 
 type Reply<T> = { status: number; value?: T; failed?: string[] };
@@ -18,12 +18,12 @@
   readonly refused = new Set<string>();
   private readonly leases = new Map<number, { ttl: number; end: number; keys: Set<string> }>();
   private nextLease = 1;
-  private log: (StateEvent & { value: unknown })[] = [];
+  private log: (WatchEvent & { value: unknown })[] = [];
   private waiting: {
     prefix: string;
     since: number;
     host: string;
-    reply: (r: Reply<{ rev: number; events: StateEvent[] }>) => void;
+    reply: (reply: Reply<{ storeRevision: number; events: WatchEvent[] }>) => void;
   }[] = [];
   historyFrom = 0;
   writes = 0;
@@ -54,12 +54,12 @@
     this.log = [];
   }
 
-  get(host: string, key: string): Reply<Item | null> {
+  get(host: string, key: string): Reply<StoredItem | null> {
     if (this.closed(host)) return { status: 503 };
     const k = this.keys.get(key);
     return {
       status: 200,
-      value: k ? { key, value: JSON.parse(k.value), version: k.version, lease: k.lease } : null,
+      value: k ? { key, value: JSON.parse(k.value), modRevision: k.version, leaseId: k.lease } : null,
     };
   }
 
@@ -68,38 +68,40 @@
     prefix: string,
     since: string,
     page: number,
-  ): Reply<{ items: Item[]; more: boolean; rev: number }> {
+  ): Reply<{ items: StoredItem[]; more: boolean; storeRevision: number }> {
     if (this.closed(host)) return { status: 503 };
     const names = [...this.keys.keys()].filter((k) => k.startsWith(prefix) && k > since).sort();
     const items = names.slice(0, page).map((key) => {
       const k = this.keys.get(key)!;
-      return { key, value: JSON.parse(k.value), version: k.version };
+      return { key, value: JSON.parse(k.value), modRevision: k.version };
     });
-    return { status: 200, value: { items, more: names.length > page, rev: this.rev } };
+    return { status: 200, value: { items, more: names.length > page, storeRevision: this.rev } };
   }
 
-  txn(host: string, t: Txn, limits: { ops: number; valueKb: number }): Reply<number> {
+  txn(host: string, transaction: Transaction, limits: { ops: number; valueKb: number }): Reply<number> {
     if (this.closed(host)) return { status: 503 };
-    if (t.then.length > limits.ops || t.when.length > limits.ops * 4)
+    if (transaction.operations.length > limits.ops || transaction.preconditions.length > limits.ops * 4)
       throw new Error('transaction over its limits');
-    const failed = t.when.filter((w) => (this.keys.get(w.key)?.version ?? 0) !== w.version).map((w) => w.key);
+    const failed = transaction.preconditions
+      .filter((w) => (this.keys.get(w.key)?.version ?? 0) !== w.modRevision)
+      .map((w) => w.key);
     if (failed.length > 0) return { status: 409, failed };
-    for (const op of t.then) {
+    for (const op of transaction.operations) {
       if ('put' in op && op.lease !== undefined && !this.leases.has(op.lease)) return { status: 400 };
       if ('put' in op && JSON.stringify(op.value).length > limits.valueKb * 1024)
         throw new Error(`value too large: ${op.put}`);
     }
-    if (t.then.length === 0) return { status: 200, value: this.rev };
+    if (transaction.operations.length === 0) return { status: 200, value: this.rev };
     this.rev++;
-    this.writes += t.then.length;
-    for (const op of t.then) {
+    this.writes += transaction.operations.length;
+    for (const op of transaction.operations) {
       if ('del' in op) this.drop(op.del);
       else {
         const old = this.keys.get(op.put);
         if (old?.lease) this.leases.get(old.lease)?.keys.delete(op.put);
         this.keys.set(op.put, { value: JSON.stringify(op.value), version: this.rev, lease: op.lease ?? 0 });
         if (op.lease !== undefined) this.leases.get(op.lease)!.keys.add(op.put);
-        this.log.push({ key: op.put, version: this.rev, value: op.value, gone: false });
+        this.log.push({ key: op.put, modRevision: this.rev, value: op.value, deleted: false });
       }
     }
     this.wakeWatches();
@@ -111,7 +113,7 @@
     if (!k) return;
     if (k.lease) this.leases.get(k.lease)?.keys.delete(key);
     this.keys.delete(key);
-    this.log.push({ key, version: this.rev, value: undefined, gone: true });
+    this.log.push({ key, modRevision: this.rev, value: undefined, deleted: true });
   }
 
   grant(host: string, ttl: number): Reply<number> {
@@ -147,7 +149,7 @@
     prefix: string,
     since: number,
     waitMs: number,
-    reply: (r: Reply<{ rev: number; events: StateEvent[] }>) => void,
+    reply: (reply: Reply<{ storeRevision: number; events: WatchEvent[] }>) => void,
   ): void {
     if (this.closed(host)) return reply({ status: 503 });
     if (since < this.historyFrom) return reply({ status: 410 });
@@ -159,7 +161,7 @@
       if (i < 0) return;
       if (this.closed(host)) return this.sim.after(500, end);
       this.waiting.splice(i, 1);
-      reply({ status: 200, value: { rev: this.rev, events: [] } });
+      reply({ status: 200, value: { storeRevision: this.rev, events: [] } });
     };
     this.sim.after(waitMs, end);
   }
@@ -173,18 +175,18 @@
         w.reply({ status: 410 });
         continue;
       }
-      const events = this.log.filter((e) => e.version > w.since && e.key.startsWith(w.prefix));
+      const events = this.log.filter((e) => e.modRevision > w.since && e.key.startsWith(w.prefix));
       if (events.length === 0) continue;
       this.waiting.splice(this.waiting.indexOf(w), 1);
       const copy = events.map((e) => ({
         ...e,
         value: e.value === undefined ? undefined : JSON.parse(JSON.stringify(e.value)),
       }));
-      w.reply({ status: 200, value: { rev: this.rev, events: copy } });
+      w.reply({ status: 200, value: { storeRevision: this.rev, events: copy } });
     }
     if (this.log.length > 20000) {
       this.log = this.log.slice(-10000);
-      this.historyFrom = this.log[0]!.version;
+      this.historyFrom = this.log[0]!.modRevision;
     }
   }
 }
--- a/test/standin/waiting.ts
+++ b/test/standin/waiting.ts
@@ -37,16 +37,17 @@
         z.set(m.zone, (z.get(m.zone) ?? 0) + 1);
         zones.set(t.job, z);
       }
-    for (const j of w.jobs.values()) {
-      const s = j.spec;
-      const over = j.told === 'done' || j.told === 'cancelled';
+    for (const job of w.jobs.values()) {
+      const s = job.spec;
+      const over = job.told === 'done' || job.told === 'cancelled';
       let open = 0;
-      for (let i = 0; i < s.tasks; i++)
+      for (let i = 0; i < s.taskCount; i++)
         if (!w.done.has(`${s.id}/${i}`) && !listed.has(`${s.id}/${i}`)) open++;
-      const needed = s.shape === 'gang' ? s.tasks : 1;
-      const limit = w.shape.teams.find((t) => t.name === s.team)?.cpusMax ?? 0;
+      const needed = s.kind === 'gang' ? s.taskCount : 1;
+      const limit = w.shape.teams.find((team) => team.name === s.team)?.maxCpus ?? 0;
       const allowed = limit === 0 || (used.get(s.team) ?? 0) + s.cpus * needed <= limit + 1e-9;
-      const waits = j.accepted && !over && !j.askedCancel && !w.doomed.has(s.id) && open >= needed && allowed;
+      const waits =
+        job.accepted && !over && !job.askedCancel && !w.doomed.has(s.id) && open >= needed && allowed;
       if (!waits || this.room(s.id, zones.get(s.id)) < needed) {
         this.since.delete(s.id);
         continue;
@@ -54,7 +55,7 @@
       const from = this.since.get(s.id) ?? now;
       this.since.set(s.id, from);
       if (now - Math.max(from, w.quietFrom) <= MOST_WAIT_MS) continue;
-      this.fault(`left waiting: ${s.id} of ${s.team}, ${open} of ${s.tasks} tasks`);
+      this.fault(`left waiting: ${s.id} of ${s.team}, ${open} of ${s.taskCount} tasks`);
       this.since.delete(s.id);
     }
   }
@@ -64,18 +65,24 @@
     const s = this.w.jobs.get(id)!.spec;
     let n = 0;
     for (const m of this.w.workers.values()) {
-      if (!this.inReach(m) || (m.spot && !s.spot) || (s.types && !s.types.includes(m.type))) continue;
+      if (
+        !this.inReach(m) ||
+        (m.spot && !s.spotAllowed) ||
+        (s.machineTypes && !s.machineTypes.includes(m.type))
+      )
+        continue;
       if (s.zone !== null && s.zone !== m.zone) continue;
-      if (s.apart && s.tasks > 1 && (zones?.get(m.zone) ?? 0) >= Math.ceil(s.tasks / 2)) continue;
-      if (s.together && zones && zones.size > 0 && !zones.has(m.zone)) continue;
+      if (s.zoneAntiAffinity && s.taskCount > 1 && (zones?.get(m.zone) ?? 0) >= Math.ceil(s.taskCount / 2))
+        continue;
+      if (s.zoneAffinity && zones && zones.size > 0 && !zones.has(m.zone)) continue;
       let cpus = m.size.cpus;
-      let mem = m.size.mem;
+      let memoryGb = m.size.memoryGb;
       for (const t of m.tasks) {
         if (t.phase === 'exited') continue;
         cpus -= this.w.jobs.get(t.job)?.spec.cpus ?? 0;
-        mem -= this.w.jobs.get(t.job)?.spec.mem ?? 0;
+        memoryGb -= this.w.jobs.get(t.job)?.spec.memoryGb ?? 0;
       }
-      n += Math.max(0, Math.floor(Math.min(cpus / s.cpus, mem / s.mem) + 1e-9));
+      n += Math.max(0, Math.floor(Math.min(cpus / s.cpus, memoryGb / s.memoryGb) + 1e-9));
     }
     return n;
   }
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -1,5 +1,5 @@
-import type { ReportAnswer } from '../../src/core/controller.js';
-import type { ExitWhy, JobSpec, TaskPhase, WorkerCommand, WorkerReport } from '../../src/core/types.js';
+import type { HeartbeatResult } from '../../src/core/controller.js';
+import type { ExitReason, Heartbeat, JobSpec, TaskPhase, WorkerCommand } from '../../src/core/types.js';
 import type { Net, Sim } from './sim.js';
 
 export interface Task {
@@ -7,7 +7,7 @@
   idx: number;
   attempt: number;
   phase: TaskPhase;
-  why: ExitWhy | null;
+  why: ExitReason | null;
   saved: boolean;
   gen: number;
 }
@@ -16,27 +16,27 @@
   sim: Sim;
   net: Net;
   spec(job: string): JobSpec | undefined;
-  runMs(job: string, idx: number): number;
+  runMs(job: string, taskIndex: number): number;
   fails(job: string, machine: string): boolean;
   controllers(): string[];
-  report(host: string, r: WorkerReport, reply: (a: ReportAnswer) => void): void;
+  report(host: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void): void;
   /** Sends a copy of a report later, if copies come late today. */
-  copy(r: WorkerReport): void;
+  copy(heartbeat: Heartbeat): void;
   gangMates(job: string, attempt: number): Task[];
   /** A running task of a gang was told to stop. */
   gangTold(task: Task): void;
   /** An attempt was started. */
-  started(job: string, idx: number, attempt: number): void;
+  started(job: string, taskIndex: number, attempt: number): void;
   /** A start was refused. */
-  refused(job: string, machine: string, why: 'busy' | 'no_room'): void;
-  isDone(job: string, idx: number): boolean;
-  setDone(job: string, idx: number): void;
+  refused(job: string, machine: string, reason: 'busy' | 'no_room'): void;
+  isDone(job: string, taskIndex: number): boolean;
+  setDone(job: string, taskIndex: number): void;
 }
 
 export interface Size {
   cpus: number;
-  mem: number;
-  fetchGbPerS: number;
+  memoryGb: number;
+  imageFetchGbPerSecond: number;
 }
 
 /** Stand-in for a worker, from its protocol. */
@@ -76,24 +76,25 @@
     return this.alive && t.phase !== 'fetching' && t.phase !== 'exited';
   }
 
-  private body(): WorkerReport {
+  private body(): Heartbeat {
     return {
       machine: this.name,
-      addr: this.name,
-      type: this.type,
+      address: this.name,
+      machineType: this.type,
       zone: this.zone,
-      spot: this.spot,
-      season: this.season,
-      tally: ++this.tally,
-      token: this.token,
-      noticeS: this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.w.sim.now) / 1000),
+      isSpot: this.spot,
+      agentEpoch: this.season,
+      sequence: ++this.tally,
+      fencingToken: this.token,
+      evictionNoticeSeconds:
+        this.noticeAt === null ? null : Math.max(0, (this.noticeAt - this.w.sim.now) / 1000),
       tasks: this.tasks.map((t) => ({
-        job: t.job,
-        idx: t.idx,
+        jobId: t.job,
+        taskIndex: t.idx,
         attempt: t.attempt,
         phase: t.phase,
-        why: t.why,
-        saved: t.saved,
+        exitReason: t.why,
+        checkpointSaved: t.saved,
       })),
     };
   }
@@ -121,14 +122,14 @@
   private report(): void {
     const sim = this.w.sim;
     const sent = sim.now;
-    const season = this.season;
+    const agentEpoch = this.season;
     const body = this.body();
     this.w.copy(body);
     this.busy = true;
     this.changed = false;
     this.nextAt = sim.now + this.t.reportMs * sim.between(0.75, 1.25);
     const host = this.target;
-    this.w.net.call<ReportAnswer>(
+    this.w.net.call<HeartbeatResult>(
       this.name,
       host,
       4000,
@@ -139,18 +140,22 @@
           this.busy = false;
           if (!this.alive) return;
           // Answers are dropped after 4 s, also by a machine that hung meanwhile.
-          if (!a.got || a.value.s === 'later' || sim.now - sent > 4000) return this.next(1000);
-          if (a.value.s === 'other') {
-            if (a.value.leader && a.value.leader !== host && this.w.controllers().includes(a.value.leader)) {
-              this.target = a.value.leader;
+          if (!a.got || a.value.type === 'unavailable' || sim.now - sent > 4000) return this.next(1000);
+          if (a.value.type === 'redirected') {
+            if (
+              a.value.leaderName &&
+              a.value.leaderName !== host &&
+              this.w.controllers().includes(a.value.leaderName)
+            ) {
+              this.target = a.value.leaderName;
               this.nextAt = sim.now + sim.between(0, 500);
             } else this.next(1000);
             return;
           }
-          if (season !== this.season || a.value.token < this.token) return;
-          this.see(a.value.token);
+          if (agentEpoch !== this.season || a.value.fencingToken < this.token) return;
+          this.see(a.value.fencingToken);
           this.lastAnswered = sent;
-          this.execute(a.value.cmds);
+          this.execute(a.value.commands);
         };
         handle();
       },
@@ -170,46 +175,56 @@
 
   direct(
     token: number,
-    season: number,
-    cmds: WorkerCommand[],
-    reply: (r: { ok: boolean; report: WorkerReport }) => void,
+    agentEpoch: number,
+    commands: WorkerCommand[],
+    reply: (r: { ok: boolean; report: Heartbeat }) => void,
   ): void {
     if (!this.alive) return;
-    if (this.hung) return this.w.sim.after(200, () => this.direct(token, season, cmds, reply));
-    if (token < this.token || season !== this.season) return reply({ ok: false, report: this.body() });
+    if (this.hung) return this.w.sim.after(200, () => this.direct(token, agentEpoch, commands, reply));
+    if (token < this.token || agentEpoch !== this.season) return reply({ ok: false, report: this.body() });
     this.see(token);
-    this.execute(cmds);
+    this.execute(commands);
     reply({ ok: true, report: this.body() });
   }
 
-  private execute(cmds: WorkerCommand[]): void {
-    for (const c of cmds) {
-      const t = this.tasks.find((x) => x.job === c.job && x.idx === c.idx && x.attempt === c.attempt);
-      if (c.op === 'start') {
-        if (!t) this.start(c.job, c.idx, c.attempt);
-      } else if (c.op === 'stop') {
-        if (t && t.phase !== 'exited') this.stop(t, c.graceS);
+  private execute(commands: WorkerCommand[]): void {
+    for (const command of commands) {
+      const t = this.tasks.find(
+        (x) => x.job === command.jobId && x.idx === command.taskIndex && x.attempt === command.attempt,
+      );
+      if (command.type === 'start') {
+        if (!t) this.start(command.jobId, command.taskIndex, command.attempt);
+      } else if (command.type === 'stop') {
+        if (t && t.phase !== 'exited') this.stop(t, command.gracePeriodSeconds);
       } else if (t?.phase === 'exited') this.tasks = this.tasks.filter((x) => x !== t);
     }
-    this.changed ||= cmds.length > 0;
+    this.changed ||= commands.length > 0;
   }
 
-  private start(job: string, idx: number, attempt: number): void {
+  private start(job: string, taskIndex: number, attempt: number): void {
     const s = this.w.spec(job);
-    const t: Task = { job, idx, attempt, phase: 'fetching', why: null, saved: false, gen: this.gen };
+    const t: Task = {
+      job,
+      idx: taskIndex,
+      attempt,
+      phase: 'fetching',
+      why: null,
+      saved: false,
+      gen: this.gen,
+    };
     const live = this.tasks.filter((x) => x.phase !== 'exited');
     if (!s) Object.assign(t, { phase: 'exited', why: 'unknown' });
-    else if (this.tasks.some((x) => x.job === job && x.idx === idx)) {
+    else if (this.tasks.some((x) => x.job === job && x.idx === taskIndex)) {
       this.w.refused(job, this.name, 'busy');
       Object.assign(t, { phase: 'exited', why: 'busy' });
     } else {
       let cpus = s.cpus;
-      let mem = s.mem;
+      let mem = s.memoryGb;
       for (const x of live) {
         cpus += this.w.spec(x.job)?.cpus ?? 0;
-        mem += this.w.spec(x.job)?.mem ?? 0;
+        mem += this.w.spec(x.job)?.memoryGb ?? 0;
       }
-      if (cpus > this.size.cpus + 1e-9 || mem > this.size.mem + 1e-9) {
+      if (cpus > this.size.cpus + 1e-9 || mem > this.size.memoryGb + 1e-9) {
         this.w.refused(job, this.name, 'no_room');
         Object.assign(t, { phase: 'exited', why: 'no_room' });
       }
@@ -217,13 +232,13 @@
     this.tasks.push(t);
     this.changed = true;
     if (t.phase === 'exited' || !s) return;
-    this.w.started(job, idx, attempt);
-    const fetch = this.images.has(s.image) ? 1 : (s.imageGb / this.size.fetchGbPerS) * 1000;
+    this.w.started(job, taskIndex, attempt);
+    const fetch = this.images.has(s.image) ? 1 : (s.imageGb / this.size.imageFetchGbPerSecond) * 1000;
     this.later(t, fetch, () => {
       this.images.add(s.image);
       // "If the task is started again, it exits with `done` as soon as it has its image."
-      if (this.w.isDone(job, idx)) this.exit(t, 'done');
-      else if (s.shape === 'gang') {
+      if (this.w.isDone(job, taskIndex)) this.exit(t, 'done');
+      else if (s.kind === 'gang') {
         t.phase = 'waiting';
         this.gang(t, s);
       } else this.begin(t);
@@ -255,11 +270,11 @@
   /** A gang completes together: when one task is done, all are. */
   private finish(t: Task): void {
     const s = this.w.spec(t.job);
-    if (s?.shape !== 'gang') {
+    if (s?.kind !== 'gang') {
       this.w.setDone(t.job, t.idx);
       return this.exit(t, 'done');
     }
-    for (let i = 0; i < s.tasks; i++) this.w.setDone(t.job, i);
+    for (let i = 0; i < s.taskCount; i++) this.w.setDone(t.job, i);
     for (const m of this.w.gangMates(t.job, t.attempt))
       if (m.phase === 'running') Object.assign(m, { phase: 'exited', why: 'done' });
     this.changed = true;
@@ -269,7 +284,7 @@
     const check = () => {
       if (t.phase !== 'waiting') return;
       const mates = this.w.gangMates(t.job, t.attempt);
-      if (mates.length === s.tasks && mates.every((m) => m.phase === 'waiting' || m.phase === 'running'))
+      if (mates.length === s.taskCount && mates.every((m) => m.phase === 'waiting' || m.phase === 'running'))
         return this.begin(t);
       this.later(t, 200, check);
     };
@@ -282,7 +297,7 @@
       }
       const all = this.w.gangMates(t.job, t.attempt);
       const ended = all.filter((m) => m.why === 'done').length;
-      if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < s.tasks)
+      if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < s.taskCount)
         return this.exit(t, 'peers');
       this.later(t, 500, mates);
     };
@@ -291,10 +306,16 @@
 
   private stop(t: Task, graceS: number): void {
     const s = this.w.spec(t.job);
-    if (t.phase === 'running' && s?.shape === 'gang') this.w.gangTold(t);
-    if (t.phase === 'running' && s && s.checkpointS > 0 && graceS >= s.saveS && graceS > 0) {
+    if (t.phase === 'running' && s?.kind === 'gang') this.w.gangTold(t);
+    if (
+      t.phase === 'running' &&
+      s &&
+      s.checkpointIntervalSeconds > 0 &&
+      graceS >= s.checkpointSaveSeconds &&
+      graceS > 0
+    ) {
       t.phase = 'saving';
-      this.later(t, s.saveS * 1000, () => {
+      this.later(t, s.checkpointSaveSeconds * 1000, () => {
         t.saved = true;
         this.exit(t, 'stopped');
       });
@@ -307,9 +328,9 @@
     if (this.alive && this.tasks.includes(t) && t.phase === 'running') this.exit(t, 'peers');
   }
 
-  private exit(t: Task, why: ExitWhy): void {
+  private exit(t: Task, reason: ExitReason): void {
     t.phase = 'exited';
-    t.why = why;
+    t.why = reason;
     this.changed = true;
   }
 
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import type { ApiAnswer, JobState } from '../../src/core/api.js';
-import { Controller, type MeshMsg, type ReportAnswer } from '../../src/core/controller.js';
-import type { Clock, Fields, JobSpec, Logger, WorkerReport } from '../../src/core/types.js';
+import { Controller, type HeartbeatResult, type PeerMessage } from '../../src/core/controller.js';
+import type { Clock, Heartbeat, JobSpec, LogFields, Logger } from '../../src/core/types.js';
 import { taskKey } from '../../src/core/types.js';
 import { compilePolicy } from '../../src/settings/policy.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/wire/peer-codec.js';
@@ -92,7 +92,7 @@
       sim: this.sim,
       net: this.net,
       shape,
-      started: ({ name, type, zone, spot }) => this.worker(name, type, zone, spot),
+      started: ({ name, machineType: type, zone, isSpot: spot }) => this.worker(name, type, zone, spot),
       stopped: (name) => this.destroy(name),
       isFaulty: (name) => this.faulty.add(name),
     });
@@ -107,97 +107,110 @@
   // ---- controllers ------------------------------------------------------------------------------------
 
   boot(host: string): void {
-    const p: Proc = { ctl: undefined as unknown as Controller, alive: true, paused: false, backlog: [] };
-    const inst = `${host}.${++this.instances}`;
+    const process: Proc = {
+      ctl: undefined as unknown as Controller,
+      alive: true,
+      paused: false,
+      backlog: [],
+    };
+    const instanceId = `${host}.${++this.instances}`;
     const clock: Clock = {
       now: () => this.sim.now,
       wall: () => this.sim.now,
       after: (ms, fn) => {
-        this.sim.after(ms, () => this.enter(p, fn));
+        this.sim.after(ms, () => this.enter(process, fn));
         return noop;
       },
-      soon: (fn) => this.sim.after(0.2, () => this.enter(p, fn)),
+      soon: (fn) => this.sim.after(0.2, () => this.enter(process, fn)),
       random: () => this.sim.random(),
     };
-    p.ctl = new Controller({
-      host,
-      inst,
-      peers: this.hosts.filter((h) => h !== host),
+    process.ctl = new Controller({
+      nodeName: host,
+      instanceId,
+      peerNames: this.hosts.filter((h) => h !== host),
       teams: this.shape.teams,
-      workers: { reportS: this.shape.reportS, leaseS: this.shape.leaseS, cancelS: this.shape.cancelS },
-      state: { valueKb: this.shape.valueKb, txnOps: this.shape.ops, writeRps: this.shape.writeRps },
-      listLagS: 3,
-      cloudRps: 5,
+      workerTiming: {
+        heartbeatIntervalSeconds: this.shape.reportS,
+        leaseSeconds: this.shape.leaseS,
+        cancellationSeconds: this.shape.cancelS,
+      },
+      storeLimits: {
+        maxValueKb: this.shape.valueKb,
+        maxTransactionOperations: this.shape.ops,
+        writesPerSecond: this.shape.writeRps,
+      },
+      machineListLagSeconds: 3,
+      cloudCallsPerSecond: 5,
       objectives: this.shape.objectives,
-      ttlMs: this.shape.ttlMs,
+      leaseTtlMs: this.shape.ttlMs,
       policy: POLICY,
       clock,
       log: this.logger(host),
-      statePort: this.digest.store(
+      store: this.digest.store(
         host,
-        statePort(this, host, (handle) => this.enter(p, handle)),
+        statePort(this, host, (handle) => this.enter(process, handle)),
       ),
       cloud: this.digest.cloud(
         host,
-        this.cloud.port(host, (handle) => this.enter(p, handle)),
+        this.cloud.port(host, (handle) => this.enter(process, handle)),
       ),
-      worker: this.digest.workers(
+      workers: this.digest.workers(
         host,
-        workerPort(this, host, (handle) => this.enter(p, handle)),
+        workerPort(this, host, (handle) => this.enter(process, handle)),
       ),
-      mesh: {
-        send: (to, m: MeshMsg) => {
-          this.digest.peerMessage(host, to, m);
-          const text = JSON.stringify(encodePeerMessage(m));
+      peers: {
+        send: (to, message: PeerMessage) => {
+          this.digest.peerMessage(host, to, message);
+          const text = JSON.stringify(encodePeerMessage(message));
           this.net.send(host, to, () => {
             const q = this.procs.get(to);
             const received = decodePeerMessage(JSON.parse(text));
             if (!received) throw new Error(`not a peer message: ${text}`);
-            if (q) this.enter(q, () => q.ctl.push({ type: 'mesh', m: received }));
+            if (q) this.enter(q, () => q.ctl.push({ type: 'peerMessage', message: received }));
           });
         },
       },
     });
-    this.procs.set(host, p);
-    p.ctl.start();
+    this.procs.set(host, process);
+    process.ctl.start();
     for (const other of this.hosts) {
       const q = this.procs.get(other);
       if (other === host || !q?.alive) continue;
-      q.ctl.push({ type: 'link', host, up: true });
-      p.ctl.push({ type: 'link', host: other, up: true });
+      q.ctl.push({ type: 'peerConnection', nodeName: host, isUp: true });
+      process.ctl.push({ type: 'peerConnection', nodeName: other, isUp: true });
     }
   }
 
   /** Whatever comes to a process: handled at once, after its pause, or never. */
-  private enter(p: Proc, fn: () => void): void {
-    if (!p.alive) return;
-    if (p.paused) p.backlog.push(fn);
+  private enter(process: Proc, fn: () => void): void {
+    if (!process.alive) return;
+    if (process.paused) process.backlog.push(fn);
     else fn();
   }
 
   /** A controller stands still while its clocks run on. */
   pause(host: string, forMs: number): void {
-    const p = this.procs.get(host);
-    if (!p?.alive || p.paused) return;
-    p.paused = true;
+    const process = this.procs.get(host);
+    if (!process?.alive || process.paused) return;
+    process.paused = true;
     this.sim.after(forMs, () => {
-      p.paused = false;
-      for (const fn of p.backlog.splice(0)) this.enter(p, fn);
+      process.paused = false;
+      for (const fn of process.backlog.splice(0)) this.enter(process, fn);
     });
   }
 
   /** SIMLOG=1 prints what the controllers decide, with simulated time. */
   private logger(host: string): Logger {
     if (!process.env.SIMLOG) return { debug: noop, info: noop, error: noop };
-    const out = (f: Fields, msg: string) =>
-      console.log(`${(this.sim.now / 1000).toFixed(3)} ${host} ${msg} ${JSON.stringify(f)}`);
+    const out = (fields: LogFields, message: string) =>
+      console.log(`${(this.sim.now / 1000).toFixed(3)} ${host} ${message} ${JSON.stringify(fields)}`);
     return { debug: out, info: out, error: out };
   }
 
   kill(host: string, backMs: number): void {
-    const p = this.procs.get(host);
-    if (!p?.alive) return;
-    p.alive = false;
+    const process = this.procs.get(host);
+    if (!process?.alive) return;
+    process.alive = false;
     this.sim.after(backMs, () => this.boot(host));
   }
 
@@ -232,25 +245,25 @@
       sim: this.sim,
       net: this.net,
       spec: (job: string) => this.jobs.get(job)?.spec,
-      runMs: (job: string, idx: number) => this.runMs(job, idx),
+      runMs: (job: string, taskIndex: number) => this.runMs(job, taskIndex),
       fails: (job: string, machine: string) => this.doomed.has(job) || this.faulty.has(machine),
       controllers: () => this.hosts,
-      report: (host: string, r: WorkerReport, reply: (a: ReportAnswer) => void) => {
-        const p = this.procs.get(host);
-        const text = JSON.stringify(r);
-        if (!p) return;
-        this.enter(p, () => {
-          const answer = p.ctl.report(JSON.parse(text));
+      report: (host: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void) => {
+        const process = this.procs.get(host);
+        const text = JSON.stringify(heartbeat);
+        if (!process) return;
+        this.enter(process, () => {
+          const answer = process.ctl.handleHeartbeat(JSON.parse(text));
           this.digest.heartbeatAnswer(host, answer);
           reply(JSON.parse(JSON.stringify(answer)));
         });
       },
-      copy: (r: WorkerReport) => {
+      copy: (heartbeat: Heartbeat) => {
         if (!this.copies || !this.sim.chance(0.3)) return;
-        const text = JSON.stringify(r);
+        const text = JSON.stringify(heartbeat);
         this.sim.after(this.sim.between(500, this.shape.leaseS * 2500), () => {
-          const p = this.procs.get(this.anyHost());
-          if (p) this.enter(p, () => p.ctl.report(JSON.parse(text)));
+          const process = this.procs.get(this.anyHost());
+          if (process) this.enter(process, () => process.ctl.handleHeartbeat(JSON.parse(text)));
         });
       },
       gangMates: (job: string, attempt: number) =>
@@ -258,17 +271,17 @@
           .filter((x) => x.alive && !x.hung)
           .flatMap((x) => x.tasks.filter((t) => t.job === job && t.attempt === attempt)),
       gangTold: (task: Task) => this.gangTold(task),
-      started: (job: string, idx: number, attempt: number) => {
-        const key = taskKey(job, idx, attempt);
+      started: (job: string, taskIndex: number, attempt: number) => {
+        const key = taskKey(job, taskIndex, attempt);
         // What is done may be removed before a late repeat of its start comes: it ends at once (Scheduler.mayReap).
-        if (this.attemptsStarted.has(key) && !this.done.has(`${job}/${idx}`))
+        if (this.attemptsStarted.has(key) && !this.done.has(`${job}/${taskIndex}`))
           this.startedAgain.push(`${(this.sim.now / 1000).toFixed(3)} ${key}`);
         this.attemptsStarted.add(key);
       },
-      refused: (_job: string, _machine: string, why: 'busy' | 'no_room') => void this.refusals[why]++,
-      isDone: (job: string, idx: number) => this.done.has(`${job}/${idx}`),
-      setDone: (job: string, idx: number) => {
-        this.done.add(`${job}/${idx}`);
+      refused: (_job: string, _machine: string, reason: 'busy' | 'no_room') => void this.refusals[reason]++,
+      isDone: (job: string, taskIndex: number) => this.done.has(`${job}/${taskIndex}`),
+      setDone: (job: string, taskIndex: number) => {
+        this.done.add(`${job}/${taskIndex}`);
         if (this.cancelAtEnd && this.sim.chance(0.3))
           this.sim.after(this.sim.between(0, 30), () => this.abort(job));
       },
@@ -295,10 +308,10 @@
   }
 
   /** How long a task runs; tests may say otherwise. */
-  runMs = (job: string, idx: number): number => {
+  runMs = (job: string, taskIndex: number): number => {
     const s = this.jobs.get(job)?.spec;
-    if (!s || s.shape === 'service') return Number.POSITIVE_INFINITY;
-    return s.shape === 'gang' ? 6000 : 2000 + ((idx * 7919 + job.length * 104729) % 9000);
+    if (!s || s.kind === 'service') return Number.POSITIVE_INFINITY;
+    return s.kind === 'gang' ? 6000 : 2000 + ((taskIndex * 7919 + job.length * 104729) % 9000);
   };
 
   // ---- users ------------------------------------------------------------------------------------------
@@ -308,30 +321,30 @@
   }
 
   private ask(
-    run: (ctl: Controller, reply: (a: ApiAnswer) => void) => void,
-    cb: (a: ApiAnswer | null) => void,
+    run: (ctl: Controller, reply: (answer: ApiAnswer) => void) => void,
+    callback: (answer: ApiAnswer | null) => void,
   ): void {
     const host = this.anyHost();
-    const p = this.procs.get(host);
-    if (!p?.alive) return this.sim.after(5, () => cb(null));
+    const process = this.procs.get(host);
+    if (!process?.alive) return this.sim.after(5, () => callback(null));
     this.net.call<ApiAnswer>(
       'users',
       host,
       5000,
       (reply) =>
-        this.enter(p, () =>
-          run(p.ctl, (a) => {
-            if (!p.alive) return;
-            this.digest.userAnswer(host, a);
-            reply(a);
+        this.enter(process, () =>
+          run(process.ctl, (answer) => {
+            if (!process.alive) return;
+            this.digest.userAnswer(host, answer);
+            reply(answer);
           }),
         ),
-      (a) => cb(a.got ? a.value : null),
+      (a) => callback(a.got ? a.value : null),
     );
   }
 
   submit(spec: JobSpec): void {
-    const j: UserJob = {
+    const job: UserJob = {
       spec,
       accepted: false,
       askedCancel: false,
@@ -340,60 +353,60 @@
       answeredAt: this.sim.now,
       finalAt: Number.POSITIVE_INFINITY,
     };
-    this.jobs.set(spec.id, j);
+    this.jobs.set(spec.id, job);
     this.service.submitted(spec, this.sim.now);
     const go = (left: number) => {
       const asked = this.sim.now;
       this.ask(
-        (c, r) => c.api.submit(spec, r),
-        (a) => {
-          if (a?.s === 'job') this.tell(j, a.state, a.done, asked);
-          else if (a && (a.s === 'never' || a.s === 'unknown') && j.accepted)
-            this.fault(`forgotten: ${spec.id} answered ${a.s}`);
+        (c, r) => c.api.submitJob(spec, r),
+        (answer) => {
+          if (answer?.type === 'job') this.tell(job, answer.state, answer.done, asked);
+          else if (answer && (answer.type === 'rejected' || answer.type === 'notFound') && job.accepted)
+            this.fault(`forgotten: ${spec.id} answered ${answer.type}`);
           else if (left > 0) this.sim.after(1000, () => go(left - 1));
           // A late repeat, also long after.
-          if (a?.s === 'job' && this.sim.chance(0.2))
+          if (answer?.type === 'job' && this.sim.chance(0.2))
             this.sim.after(this.sim.between(1000, 60000), () => go(0));
         },
       );
     };
     go(60);
     const poll = () => {
-      this.poll(j);
+      this.poll(job);
       this.sim.after(this.sim.between(3000, 7000), poll);
     };
     this.sim.after(2000, poll);
   }
 
-  private poll(j: UserJob): void {
-    const accepted = j.accepted;
+  private poll(job: UserJob): void {
+    const accepted = job.accepted;
     const asked = this.sim.now;
     this.ask(
-      (c, r) => c.api.poll(j.spec.id, r),
-      (a) => {
-        if (a?.s === 'job') this.tell(j, a.state, a.done, asked);
-        else if (a?.s === 'unknown' && accepted) this.fault(`forgotten: ${j.spec.id}`);
+      (c, r) => c.api.getJob(job.spec.id, r),
+      (answer) => {
+        if (answer?.type === 'job') this.tell(job, answer.state, answer.done, asked);
+        else if (answer?.type === 'notFound' && accepted) this.fault(`forgotten: ${job.spec.id}`);
       },
     );
   }
 
   pollUnknown(): void {
     this.ask(
-      (c, r) => c.api.poll('wk-nobody', r),
-      (a) => a?.s === 'job' && this.fault('invented'),
+      (c, r) => c.api.getJob('wk-nobody', r),
+      (answer) => answer?.type === 'job' && this.fault('invented'),
     );
   }
 
   abort(id: string): void {
-    const j = this.jobs.get(id);
-    if (!j?.accepted || j.askedCancel) return;
-    j.askedCancel = true;
+    const job = this.jobs.get(id);
+    if (!job?.accepted || job.askedCancel) return;
+    job.askedCancel = true;
     const go = (left: number) => {
       const asked = this.sim.now;
       this.ask(
-        (c, r) => c.api.abort(id, r),
-        (a) => {
-          if (a?.s === 'job') this.tell(j, a.state, a.done, asked);
+        (c, r) => c.api.cancelJob(id, r),
+        (answer) => {
+          if (answer?.type === 'job') this.tell(job, answer.state, answer.done, asked);
           else if (left > 0) this.sim.after(1000, () => go(left - 1));
         },
       );
@@ -403,15 +416,16 @@
 
   /** A question and a repeat at once, through any controllers; with `cancel` a cancellation between them. */
   ask2(id: string, cancel: boolean): void {
-    const j = this.jobs.get(id)!;
-    this.poll(j);
+    const job = this.jobs.get(id)!;
+    this.poll(job);
     if (cancel) this.abort(id);
     const asked = this.sim.now;
     this.ask(
-      (c, r) => c.api.submit(j.spec, r),
-      (a) => {
-        if (a?.s === 'job') this.tell(j, a.state, a.done, asked);
-        else if (a && a.s !== 'later') this.fault(`forgotten: a repeat of ${id} was answered ${a.s}`);
+      (c, r) => c.api.submitJob(job.spec, r),
+      (answer) => {
+        if (answer?.type === 'job') this.tell(job, answer.state, answer.done, asked);
+        else if (answer && answer.type !== 'unavailable')
+          this.fault(`forgotten: a repeat of ${id} was answered ${answer.type}`);
       },
     );
   }
@@ -437,50 +451,51 @@
 
   /** Repeats with another body, cancellations of what is done, jobs that fit no machine: what was told stays true. */
   oddRequest(): void {
-    const known = [...this.jobs.values()].filter((j) => j.accepted);
+    const known = [...this.jobs.values()].filter((job) => job.accepted);
     const j = known.length > 0 ? this.sim.pick(known) : undefined;
     if (!j || this.sim.chance(0.3)) {
       const spec = { ...(j?.spec ?? ODD_JOB), id: `wk-odd${++this.odd}`, cpus: 1e6 };
       return this.ask(
-        (c, r) => c.api.submit(spec, r),
-        (a) => a?.s === 'job' && this.fault(`accepted: ${spec.id} fits no machine`),
+        (c, r) => c.api.submitJob(spec, r),
+        (answer) => answer?.type === 'job' && this.fault(`accepted: ${spec.id} fits no machine`),
       );
     }
     const asked = this.sim.now;
     if (j.told === 'done') {
       return this.ask(
-        (c, r) => c.api.abort(j.spec.id, r),
-        (a) => a?.s === 'job' && this.tell(j, a.state, a.done, asked),
+        (c, r) => c.api.cancelJob(j.spec.id, r),
+        (answer) => answer?.type === 'job' && this.tell(j, answer.state, answer.done, asked),
       );
     }
     this.ask(
-      (c, r) => c.api.submit({ ...j.spec, cpus: 1e6, team: 'nobody' }, r),
-      (a) => {
-        if (a?.s === 'job') this.tell(j, a.state, a.done, asked);
-        else if (a && a.s !== 'later') this.fault(`forgotten: a repeat of ${j.spec.id} was answered ${a.s}`);
+      (c, r) => c.api.submitJob({ ...j.spec, cpus: 1e6, team: 'nobody' }, r),
+      (answer) => {
+        if (answer?.type === 'job') this.tell(j, answer.state, answer.done, asked);
+        else if (answer && answer.type !== 'unavailable')
+          this.fault(`forgotten: a repeat of ${j.spec.id} was answered ${answer.type}`);
       },
     );
   }
   private odd = 0;
 
   /** No answer is older than its question: one asked before the user was told the end may still tell less. */
-  private tell(j: UserJob, state: JobState, done: number, asked: number): void {
-    const id = j.spec.id;
-    j.accepted = true;
-    j.answeredAt = this.sim.now;
+  private tell(job: UserJob, state: JobState, done: number, asked: number): void {
+    const id = job.spec.id;
+    job.accepted = true;
+    job.answeredAt = this.sim.now;
     if (state === 'cancelled') {
-      if (!j.askedCancel) this.fault(`went_back: ${id} cancelled by nobody`);
-      j.cancelledAt ??= this.sim.now;
+      if (!job.askedCancel) this.fault(`went_back: ${id} cancelled by nobody`);
+      job.cancelledAt ??= this.sim.now;
     }
     if (state === 'done')
-      for (let i = 0; i < j.spec.tasks; i++)
+      for (let i = 0; i < job.spec.taskCount; i++)
         if (!this.done.has(`${id}/${i}`)) this.fault(`not_done: ${id}/${i}`);
-    if ((j.told === 'done' || j.told === 'cancelled') && state !== j.told && asked >= j.finalAt)
-      this.fault(`went_back: ${id} ${j.told} to ${state}`);
-    if (done > j.spec.tasks) this.fault(`too many done: ${id}`);
-    if (j.told !== 'done' && j.told !== 'cancelled') {
-      j.told = state;
-      if (state === 'done' || state === 'cancelled') j.finalAt = this.sim.now;
+    if ((job.told === 'done' || job.told === 'cancelled') && state !== job.told && asked >= job.finalAt)
+      this.fault(`went_back: ${id} ${job.told} to ${state}`);
+    if (done > job.spec.taskCount) this.fault(`too many done: ${id}`);
+    if (job.told !== 'done' && job.told !== 'cancelled') {
+      job.told = state;
+      if (state === 'done' || state === 'cancelled') job.finalAt = this.sim.now;
     }
   }
 
@@ -499,12 +514,12 @@
   unfinished(): string[] {
     return [...this.jobs.values()]
       .filter(
-        (j) =>
-          j.spec.shape !== 'service' &&
-          !this.doomed.has(j.spec.id) &&
-          j.told !== 'done' &&
-          j.told !== 'cancelled',
+        (job) =>
+          job.spec.kind !== 'service' &&
+          !this.doomed.has(job.spec.id) &&
+          job.told !== 'done' &&
+          job.told !== 'cancelled',
       )
-      .map((j) => j.spec.id);
+      .map((job) => job.spec.id);
   }
 }
--- a/test/worker-client.test.ts
+++ b/test/worker-client.test.ts
@@ -17,7 +17,7 @@
     saplings: [],
   });
 
-const START: WorkerCommand = { op: 'start', job: 'wk-1', idx: 1, attempt: 1 };
+const START: WorkerCommand = { type: 'start', jobId: 'wk-1', taskIndex: 1, attempt: 1 };
 
 /** Workers that answer after 15 ms; what they were sent, as `KIND NUMBER`, and how many connections were open at once. */
 async function startWorkers(count: number) {
@@ -52,8 +52,8 @@
     addresses.map(
       (address, index) =>
         new Promise<boolean>((resolve) => {
-          const commands = index < 8 ? [] : [{ ...START, idx: index }];
-          client.commands(address, 1, 1, commands, (result) => resolve(result.ok));
+          const commands = index < 8 ? [] : [{ ...START, taskIndex: index }];
+          client.sendCommands(address, 1, 1, commands, (result) => resolve(result.ok));
         }),
     ),
   );
@@ -74,7 +74,7 @@
   const client = new WorkerClient(1);
   const call = (address: string) =>
     new Promise((resolve) =>
-      client.commands(address, 1, 1, [], (result) => resolve(result.ok ? 'ok' : result.kind)),
+      client.sendCommands(address, 1, 1, [], (result) => resolve(result.ok ? 'ok' : result.kind)),
     );
 
   const first = call(silent.address);
--- a/test/write-doubt.test.ts
+++ b/test/write-doubt.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import { LimitedLog } from '../src/core/limited-log.js';
-import type { Clock, Fields, Team } from '../src/core/types.js';
+import type { Clock, LogFields, Team } from '../src/core/types.js';
 import { job, playDoubtfulDay } from './standin/day.js';
 import { OwnerStandin } from './standin/owner.js';
 import { World } from './standin/world.js';
@@ -12,10 +12,16 @@
 
 const CPUS = 4;
 const LIMIT_TASKS = 10;
-const TEAM: Team = { name: 'red', cpus: 0, cpusMax: CPUS * LIMIT_TASKS, gpus: 0, gpusMax: 0 };
+const TEAM: Team = {
+  name: 'red',
+  guaranteedCpus: 0,
+  maxCpus: CPUS * LIMIT_TASKS,
+  guaranteedGpus: 0,
+  maxGpus: 0,
+};
 const world = new World(1);
 const specs = ['wk-000001', 'wk-000002', 'wk-000003'].map((id) =>
-  job(world, { id, tasks: LIMIT_TASKS, cpus: CPUS }),
+  job(world, { id, taskCount: LIMIT_TASKS, cpus: CPUS }),
 );
 const cpus = () => CPUS;
 
@@ -27,7 +33,7 @@
   standin.heldReads = 'open/wk-000002';
   // The first job has been read again, which makes the owner tell all it holds; the second has not.
   standin.run(3000);
-  expect(standin.said.filter((message) => message.type === 'sync').length).toBeGreaterThan(1);
+  expect(standin.said.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
   standin.grant('wk-000003', 5);
   standin.run(1000);
   standin.release();
@@ -45,7 +51,7 @@
   standin.run(3000);
   expect(standin.storedPlacements()).toEqual({ 'wk-000003': LIMIT_TASKS });
   standin.carryOutLate();
-  expect(standin.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.cpusMax);
+  expect(standin.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
 
 // What happens: two tasks are given the same place of a machine, both are stored, and the worker refuses the second start.
@@ -66,12 +72,12 @@
   const standin = new OwnerStandin(TEAM, specs);
   standin.grant('wk-000001', 1);
   standin.run(100);
-  const ended = { job: 'wk-000001', idx: 0, attempt: 1, machine: 'm1' };
+  const ended = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
   standin.losses.push('carried out late');
-  standin.owner.fromScheduler({
-    type: 'seen',
-    token: 1,
-    seen: [{ type: 'phase', ...ended, phase: 'exited', why: 'done', saved: false }],
+  standin.owner.onLeaderMessage({
+    type: 'allocationEvents',
+    fencingToken: 1,
+    events: [{ type: 'phase', ...ended, phase: 'exited', exitReason: 'done', checkpointSaved: false }],
   });
   const told: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
@@ -79,8 +85,10 @@
     standin.said.length = 0;
     standin.owner.resync();
     standin.run(1);
-    const held = standin.said.flatMap((message) => (message.type === 'sync' ? message.held : []));
-    told.push(held.find(({ idx, machine }) => idx === 0 && machine === 'm1')?.want);
+    const placements = standin.said.flatMap((message) =>
+      message.type === 'fullSync' ? message.placements : [],
+    );
+    told.push(placements.find(({ taskIndex, machine }) => taskIndex === 0 && machine === 'm1')?.desiredState);
   }
   expect(standin.late.length).toBe(1);
   expect(told.slice(0, 3)).toEqual(['keep', 'keep', 'keep']);
@@ -149,15 +157,15 @@
   });
   expect(standin.linesOf('write in doubt resolved')[0]?.fields).toMatchObject({ job: 'wk-000001', found: 5 });
   expect(standin.linesOf('team usage changed').map((line) => line.fields)).toContainEqual(
-    expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, cpus_max: TEAM.cpusMax }),
+    expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, cpus_max: TEAM.maxCpus }),
   );
   expect(standin.linesOf('team counted over its limit')).toEqual([]);
 });
 
 test('a line that a trouble repeats is bounded, and says how many were left out', () => {
   let now = 0;
-  const lines: Fields[] = [];
-  const take = (fields: Fields) => lines.push(fields);
+  const lines: LogFields[] = [];
+  const take = (fields: LogFields) => lines.push(fields);
   const clock = { now: () => now } as Clock;
   const limited = new LimitedLog({ debug: take, info: take, error: take }, clock);
   for (let i = 0; i < 500; i++) limited.info({ i }, 'write in doubt');
