--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -51,9 +51,11 @@
   }
 
   /**
-   * Sends commands to the worker at an address; without commands it only asks for its heartbeat. Fails as `refused` if
-   * no connection was found in time or none could be made, as `conflict` with the worker's heartbeat if it did not
-   * accept the token or the epoch, and as `unknown` if the commands may have been executed.
+   * Sends commands to the worker at an address; without commands it only asks for the worker's heartbeat. Fails as
+   * - `refused` if nothing was executed: no connection was found in time or could be made, or the worker said so;
+   * - `conflict`, with the worker's heartbeat, if the worker did not accept the token or the epoch;
+   * - `bad` if the worker could not read the request;
+   * - `unknown` if the commands may have been executed, or may yet be.
    */
   commands(
     address: string,
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -14,7 +14,7 @@
 
 const Peer = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
 
-/** Limits are in CPUs and GPUs; a maximum of 0 is none. */
+/** Guarantee and limit of a team in CPUs and GPUs; 0: none. */
 const Team = v.object({
   name: NonEmptyString,
   cpus: Amount,
