--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -34,7 +34,20 @@
 
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
-export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
+/**
+ * Why an attempt has ended. `gangMemberLost`: another task of its gang is gone. `gangIncomplete`: its gang was not complete in
+ * time. `noCapacity`, `attemptListed`, `unknown`: the machine refused it, for want of free resources, because it lists another
+ * attempt of the task, or because it knows no such job.
+ */
+export type ExitReason =
+  | 'done'
+  | 'stopped'
+  | 'gangMemberLost'
+  | 'gangIncomplete'
+  | 'error'
+  | 'noCapacity'
+  | 'attemptListed'
+  | 'unknown';
 
 /** One attempt of a task. */
 export interface TaskAttempt {
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -63,7 +63,7 @@
    * `keep`: ended, its outcome is being stored. `pending`: its write is in flight or in doubt; it keeps its room, and nothing
    * is started for it.
    */
-  desiredState: 'run' | 'stop' | 'keep' | 'reap' | 'pending';
+  desiredState: 'run' | 'stop' | 'keep' | 'forget' | 'pending';
   gracePeriodSeconds: number;
   team: string;
   priority: Priority;
--- a/src/model/worker-messages.ts
+++ b/src/model/worker-messages.ts
@@ -27,4 +27,4 @@
 export type WorkerCommand =
   | { type: 'start'; jobId: string; taskIndex: number; attempt: number }
   | { type: 'stop'; jobId: string; taskIndex: number; attempt: number; gracePeriodSeconds: number }
-  | { type: 'reap'; jobId: string; taskIndex: number; attempt: number };
+  | { type: 'forget'; jobId: string; taskIndex: number; attempt: number };
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -287,7 +287,7 @@
       return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
     for (const allocation of machine.allocations.values())
-      if (allocation.desiredState !== 'reap' && !isWithoutStoredPlacement(allocation))
+      if (allocation.desiredState !== 'forget' && !isWithoutStoredPlacement(allocation))
         teams.add(allocation.team);
     for (const t of teams) if (!this.isCovered(t, now)) return false;
     if (teams.size > 0) return true;
--- a/src/scheduler/ended-attempts.ts
+++ b/src/scheduler/ended-attempts.ts
@@ -4,7 +4,7 @@
 /** The tasks of one job of which a machine lists an ended attempt. */
 export interface EndedTasks {
   readonly tasks: ReadonlySet<number>;
-  /** One of them is an attempt that the machine refused as busy. */
+  /** One of them is an attempt that the machine refused as `attemptListed`. */
   readonly refused: boolean;
 }
 
@@ -13,7 +13,7 @@
 /**
  * Ended attempts that machines list, by job.
  *
- * A machine refuses a task of which it lists another attempt, ended or not, as `busy`. An ended attempt stays listed until it
+ * A machine refuses a task of which it lists another attempt, ended or not, as `attemptListed`. An ended attempt stays listed until it
  * is removed, and one that was started directly may only be removed under a higher token (`Scheduler.mayReap`). Tasks
  * that are done are left out: they are never placed again.
  */
@@ -58,7 +58,7 @@
     byJob ??= new Map();
     const ended = byJob.get(job) ?? { tasks: new Set(), refused: false };
     ended.tasks.add(taskIndex);
-    if (reason === 'busy') ended.refused = true;
+    if (reason === 'attemptListed') ended.refused = true;
     byJob.set(job, ended);
   }
   return byJob ?? NO_ENDED_TASKS;
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -132,7 +132,7 @@
     totals.free = { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb };
   }
   for (const allocation of machine.allocations.values()) {
-    if (allocation.desiredState !== 'reap') totals.unfinishedTasks++;
+    if (allocation.desiredState !== 'forget') totals.unfinishedTasks++;
     if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !allocation.reported))
       totals.hasPendingCommands = true;
     if (!usesCapacity(allocation)) continue;
@@ -241,7 +241,7 @@
   return (
     !allocation.isFinalized &&
     allocation.reported?.phase !== 'exited' &&
-    allocation.desiredState !== 'reap' &&
+    allocation.desiredState !== 'forget' &&
     allocation.desiredState !== 'keep'
   );
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -275,7 +275,7 @@
       allocation.hasExited = allocation.reported?.phase === 'exited';
     } else {
       // A stop is not taken back.
-      if (placement.desiredState === 'reap' && allocation.desiredState !== 'reap')
+      if (placement.desiredState === 'forget' && allocation.desiredState !== 'forget')
         allocation.phaseSince = this.options.clock.now();
       if (!(allocation.desiredState === 'stop' && placement.desiredState === 'run'))
         allocation.desiredState = placement.desiredState;
@@ -288,7 +288,7 @@
     )
       this.state.noteStop(machine, allocation);
     if (
-      allocation.desiredState === 'reap' &&
+      allocation.desiredState === 'forget' &&
       machine.isUp &&
       !machine.tasks.has(key) &&
       !allocation.directStartInFlight &&
@@ -297,7 +297,7 @@
       this.state.removeAllocation(machine, allocation);
       return null;
     }
-    if (machine.isUp && machine.agentEpoch > allocation.agentEpoch && allocation.desiredState !== 'reap')
+    if (machine.isUp && machine.agentEpoch > allocation.agentEpoch && allocation.desiredState !== 'forget')
       allocation.isFinalized = true;
     this.reconcileMissing(machine, allocation);
     this.emitStatus(machine, allocation);
@@ -490,7 +490,7 @@
         allocation.isFinalized = false;
       } else {
         if (machine.agentEpoch > allocation.agentEpoch) {
-          if (allocation.desiredState === 'reap') {
+          if (allocation.desiredState === 'forget') {
             this.state.removeAllocation(machine, allocation);
             continue;
           }
@@ -504,7 +504,7 @@
           )
             allocation.sentWithHeartbeat = -1;
           if (
-            allocation.desiredState === 'reap' &&
+            allocation.desiredState === 'forget' &&
             !allocation.directStartInFlight &&
             allocation.sentWithHeartbeat < 0
           ) {
@@ -624,7 +624,7 @@
     if (
       !allocation.hasExited ||
       allocation.isFinalized ||
-      allocation.desiredState === 'reap' ||
+      allocation.desiredState === 'forget' ||
       allocation.desiredState === 'hold'
     )
       return;
@@ -685,7 +685,7 @@
         } else allocation.sentWithHeartbeat = sequence;
         allocation.startObserved = true;
         out.push({ type: 'start', ...id });
-      } else if (allocation.desiredState === 'reap') {
+      } else if (allocation.desiredState === 'forget') {
         // A start that may still arrive would run the task again once it is forgotten.
         if (
           status?.phase !== 'exited' ||
@@ -694,7 +694,7 @@
           !this.canForget(machine, status, allocation.key)
         )
           continue;
-        reaps.push({ type: 'reap', ...id });
+        reaps.push({ type: 'forget', ...id });
         since = Math.min(since, allocation.phaseSince);
       }
     }
@@ -718,7 +718,7 @@
         // Nobody's, as far as all owners have told: also without entitlement, since later tokens bar it.
         if (status.phase !== 'exited') out.push({ type: 'stop', ...id, gracePeriodSeconds: 0 });
         else if (!entitled) continue;
-        else if (this.canForget(machine, status, key)) out.push({ type: 'reap', ...id });
+        else if (this.canForget(machine, status, key)) out.push({ type: 'forget', ...id });
       }
     }
     return out;
@@ -748,7 +748,7 @@
     // A stop is right whoever leads now: what was started under a later token drops it.
     if (!entitled) commands = commands.filter((command) => command.type === 'stop');
     // Ended tasks take no room: their removal rides with the next answer or command.
-    if (!probe && commands.every((command) => command.type === 'reap')) commands = [];
+    if (!probe && commands.every((command) => command.type === 'forget')) commands = [];
     if (commands.length === 0 && !probe) return;
     machine.directCallInFlight = true;
     machine.directCallAt = this.options.clock.now();
@@ -910,7 +910,7 @@
     const machine = this.state.machines.get(name);
     if (!machine) return;
     for (const allocation of [...machine.allocations.values()]) {
-      if (!isWithoutStoredPlacement(allocation) && allocation.desiredState !== 'reap')
+      if (!isWithoutStoredPlacement(allocation) && allocation.desiredState !== 'forget')
         this.emit(allocation.team, {
           type: 'finalized',
           jobId: allocation.jobId,
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -493,7 +493,7 @@
         'task failed',
       );
       this.options.clock.after(pause, () => this.changed());
-    } else if (event.exitReason === 'no_room' || event.exitReason === 'busy') {
+    } else if (event.exitReason === 'noCapacity' || event.exitReason === 'attemptListed') {
       job.avoidedMachines.set(placement.machine, now + AVOID_AFTER_REFUSAL_MS);
       const { taskIndex, attempt, machine, exitReason: reason } = event;
       this.limitedLog.info(
@@ -524,7 +524,7 @@
     )
       return;
     if (job.outcomesToStore.some((reap) => reap.placement.taskIndex === event.taskIndex)) return;
-    this.placementsToSend.push(placementSpecOf(job, { ...event, agentEpoch: 0 }, 'reap'));
+    this.placementsToSend.push(placementSpecOf(job, { ...event, agentEpoch: 0 }, 'forget'));
   }
 
   private finalize(job: OwnedJob, placement: Placement, reason: string): void {
@@ -726,7 +726,7 @@
   }
 
   onOutcomeStored(job: OwnedJob, { placement, isListed: listed }: FinalizedPlacement): void {
-    if (listed) return void this.placementsToSend.push(placementSpecOf(job, placement, 'reap'));
+    if (listed) return void this.placementsToSend.push(placementSpecOf(job, placement, 'forget'));
     const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
     this.releasesToSend.tasks.push({ machine: placement.machine, taskKey: key });
   }
--- a/src/wire/field-codec.ts
+++ b/src/wire/field-codec.ts
@@ -66,6 +66,18 @@
   return target;
 }
 
+/** Words of which some are written differently; others, unknown ones included, are written and read as they are. */
+export function renamedValues<T extends string>(encodedNames: { readonly [Value in T]?: string }): Codec<T> {
+  const encoded = new Map<unknown, unknown>(Object.entries(encodedNames));
+  const decoded = new Map<unknown, unknown>(
+    Object.entries(encodedNames).map(([value, name]) => [name, value]),
+  );
+  return {
+    encode: (value) => encoded.get(value) ?? value,
+    decode: (name) => (decoded.get(name) ?? name) as T,
+  };
+}
+
 /** A list of values of one kind. */
 export function list<T>(codec: Codec<T>): Codec<T[]> {
   return {
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -1,10 +1,19 @@
 /** Messages between controllers: the encoded names are those of every version that may serve at the same time. */
 
-import type { TaskAttempt } from '../model/job.js';
+import type { ExitReason, TaskAttempt } from '../model/job.js';
 import type { PeerMessage, PeerMessageBody } from '../model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
-import { DecodeError, field, list, object, taggedUnion } from './field-codec.js';
+import { DecodeError, field, list, object, renamedValues, taggedUnion } from './field-codec.js';
+
+const exitReason = renamedValues<ExitReason>({
+  gangMemberLost: 'peers',
+  gangIncomplete: 'alone',
+  noCapacity: 'no_room',
+  attemptListed: 'busy',
+});
+
+const desiredState = renamedValues<PlacementSpec['desiredState']>({ forget: 'reap' });
 
 const resourceRequest = object<ResourceRequest>({
   jobId: 'job',
@@ -46,7 +55,7 @@
   attempt: 'attempt',
   machine: 'machine',
   agentEpoch: 'season',
-  desiredState: 'want',
+  desiredState: field('want', desiredState),
   gracePeriodSeconds: 'graceS',
   team: 'team',
   priority: 'rank',
@@ -83,7 +92,7 @@
       attempt: 'attempt',
       machine: 'machine',
       phase: 'phase',
-      exitReason: 'why',
+      exitReason: field('why', exitReason),
       checkpointSaved: 'saved',
     },
   },
--- a/src/wire/worker-messages.ts
+++ b/src/wire/worker-messages.ts
@@ -12,14 +12,20 @@
 const WHYS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
-  mates_gone: 'peers',
-  incomplete: 'alone',
+  mates_gone: 'gangMemberLost',
+  incomplete: 'gangIncomplete',
   error: 'error',
-  full: 'no_room',
-  busy: 'busy',
+  full: 'noCapacity',
+  busy: 'attemptListed',
   unknown: 'unknown',
 };
 
+const CALLS: Readonly<Record<WorkerCommand['type'], string>> = {
+  start: 'start',
+  stop: 'stop',
+  forget: 'reap',
+};
+
 function readTask(v: unknown): TaskStatus | null {
   if (!isObj(v)) return null;
   const name = str(v.sapling);
@@ -76,7 +82,7 @@
 
 function writeCommand(command: WorkerCommand): Record<string, unknown> {
   const base = {
-    call: command.type,
+    call: CALLS[command.type],
     sapling: `${command.jobId}/${command.taskIndex}`,
     sprout: command.attempt,
   };
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -110,7 +110,7 @@
     t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
     const ended = [{ ...listed('exited'), exitReason: reason }];
     t.report(ended);
-    t.tell('reap');
+    t.tell('forget');
     const ops = [];
     for (let i = 0; i < 40; i++) {
       ops.push(...(t.report(ended) ?? []).map((command) => command.type));
@@ -121,7 +121,7 @@
     return ops;
   };
   expect(run('stopped')).toEqual([]);
-  expect(run('done')).toContain('reap');
+  expect(run('done')).toContain('forget');
 });
 
 test('a machine that lists nothing but what has ended is empty', () => {
@@ -132,7 +132,7 @@
   t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
   const ended = [{ ...listed('exited'), exitReason: 'stopped' as const }];
   t.report(ended);
-  t.tell('reap');
+  t.tell('forget');
   for (let i = 0; i < 30; i++) {
     t.report(ended);
     t.later(1000);
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -200,7 +200,7 @@
     instanceId: 'stand-1.0a',
     placements: [
       { ...HELD, desiredState: 'keep' },
-      { ...HELD, desiredState: 'reap' },
+      { ...HELD, desiredState: 'forget' },
       { ...HELD, desiredState: 'pending' },
     ],
   },
@@ -236,18 +236,27 @@
   'seen, each end': {
     type: 'allocationEvents',
     fencingToken: 7,
-    events: (['done', 'stopped', 'peers', 'alone', 'error', 'no_room', 'busy', 'unknown'] as const).map(
-      (reason) => ({
-        type: 'phase',
-        jobId: 'wk-000412',
-        taskIndex: 3,
-        attempt: 2,
-        machine: 'vm-000231',
-        phase: 'exited',
-        exitReason: reason,
-        checkpointSaved: reason === 'stopped',
-      }),
-    ),
+    events: (
+      [
+        'done',
+        'stopped',
+        'gangMemberLost',
+        'gangIncomplete',
+        'error',
+        'noCapacity',
+        'attemptListed',
+        'unknown',
+      ] as const
+    ).map((reason) => ({
+      type: 'phase',
+      jobId: 'wk-000412',
+      taskIndex: 3,
+      attempt: 2,
+      machine: 'vm-000231',
+      phase: 'exited',
+      exitReason: reason,
+      checkpointSaved: reason === 'stopped',
+    })),
   },
   'seen, settled': {
     type: 'allocationEvents',
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -43,7 +43,7 @@
 const COMMANDS: WorkerCommand[] = [
   { type: 'start', jobId: 'wk-000412', taskIndex: 4, attempt: 2 },
   { type: 'stop', jobId: 'wk-000377', taskIndex: 1, attempt: 1, gracePeriodSeconds: 10 },
-  { type: 'reap', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
+  { type: 'forget', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
 ];
 const CALLS_TEXT =
   '[{"call":"start","sapling":"wk-000412/4","sprout":2},{"call":"stop","sapling":"wk-000377/1","sprout":1,"pruning_s":10},{"call":"reap","sapling":"wk-000398/0","sprout":1}]';
@@ -81,11 +81,11 @@
   test.each<[string, ExitReason]>([
     ['done', 'done'],
     ['stopped', 'stopped'],
-    ['mates_gone', 'peers'],
-    ['incomplete', 'alone'],
+    ['mates_gone', 'gangMemberLost'],
+    ['incomplete', 'gangIncomplete'],
     ['error', 'error'],
-    ['full', 'no_room'],
-    ['busy', 'busy'],
+    ['full', 'noCapacity'],
+    ['busy', 'attemptListed'],
     ['unknown', 'unknown'],
     ['anything else', 'error'],
   ])('names the end %s', (text, reason) => {
--- a/test/placing.test.ts
+++ b/test/placing.test.ts
@@ -141,7 +141,7 @@
   t.hold(replica);
   t.report([listed('running')], 5, n);
   t.report([{ ...listed('exited'), exitReason: 'stopped' }], 5, n);
-  t.hold({ ...replica, desiredState: 'reap' });
+  t.hold({ ...replica, desiredState: 'forget' });
   for (let i = 0; i < 30; i++) {
     t.report([], 5, n);
     t.report([]);
@@ -178,7 +178,7 @@
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
   const t = scheduler(5, { idle_s: 1e6 });
   t.report([]);
-  const ended = { ...listed('exited'), exitReason: 'busy' as const };
+  const ended = { ...listed('exited'), exitReason: 'attemptListed' as const };
   t.report([ended]);
   t.wants([makeWant('wk-1'), makeWant('wk-2')]);
   expect(t.grants()).toEqual(['wk-2']);
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -73,7 +73,7 @@
   const machine = createMachine('m', 0);
   index.update(machine, [
     ended('wk-1', 0),
-    ended('wk-1', 3, { exitReason: 'busy' }),
+    ended('wk-1', 3, { exitReason: 'attemptListed' }),
     ended('wk-2', 0, { phase: 'running', exitReason: null }),
     ended('wk-3', 0, { exitReason: 'done' }),
   ]);
@@ -164,9 +164,9 @@
   const { t, second } = fleet(lists);
   const reaps = () => {
     const answer = t.report(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
-    return answer.filter((command) => command.type === 'reap').length;
+    return answer.filter((command) => command.type === 'forget').length;
   };
-  t.hold({ ...t.held('reap'), jobId: 'wk-1', machine: 'a' });
+  t.hold({ ...t.held('forget'), jobId: 'wk-1', machine: 'a' });
   second();
   expect(reaps()).toBe(0);
   t.wants([makeWant('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -87,7 +87,7 @@
   t.later(11000);
   expect(t.raised.length).toBe(1);
   t.report([listed('exited')]);
-  t.tell('reap');
+  t.tell('forget');
   expect(t.report([listed('exited')])).toEqual([]);
 });
 
--- a/test/standin/worker.ts
+++ b/test/standin/worker.ts
@@ -217,7 +217,7 @@
     if (!s) Object.assign(t, { phase: 'exited', why: 'unknown' });
     else if (this.tasks.some((x) => x.job === job && x.idx === taskIndex)) {
       this.w.refused(job, this.name, 'busy');
-      Object.assign(t, { phase: 'exited', why: 'busy' });
+      Object.assign(t, { phase: 'exited', why: 'attemptListed' });
     } else {
       let cpus = s.cpus;
       let mem = s.memoryGb;
@@ -227,7 +227,7 @@
       }
       if (cpus > this.size.cpus + 1e-9 || mem > this.size.memoryGb + 1e-9) {
         this.w.refused(job, this.name, 'no_room');
-        Object.assign(t, { phase: 'exited', why: 'no_room' });
+        Object.assign(t, { phase: 'exited', why: 'noCapacity' });
       }
     }
     this.tasks.push(t);
@@ -290,7 +290,7 @@
       this.later(t, 200, check);
     };
     this.later(t, 1, check);
-    this.later(t, 15000, () => t.phase === 'waiting' && this.exit(t, 'alone'));
+    this.later(t, 15000, () => t.phase === 'waiting' && this.exit(t, 'gangIncomplete'));
     const mates = () => {
       if (t.phase !== 'running') {
         this.later(t, 500, mates);
@@ -299,7 +299,7 @@
       const all = this.w.gangMates(t.job, t.attempt);
       const ended = all.filter((m) => m.why === 'done').length;
       if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < s.taskCount)
-        return this.exit(t, 'peers');
+        return this.exit(t, 'gangMemberLost');
       this.later(t, 500, mates);
     };
     this.later(t, 500, mates);
@@ -326,7 +326,7 @@
 
   /** Its gang is being stopped and it was not told in time. */
   loseGang(t: Task): void {
-    if (this.alive && this.tasks.includes(t) && t.phase === 'running') this.exit(t, 'peers');
+    if (this.alive && this.tasks.includes(t) && t.phase === 'running') this.exit(t, 'gangMemberLost');
   }
 
   private exit(t: Task, reason: ExitReason): void {
