--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -77,7 +77,7 @@
             { key: `open/${spec.id}/a`, modRevision: 0 },
             { key: `end/${spec.id}`, modRevision: 0 },
           ],
-          operations: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
+          operations: [{ type: 'put', key: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
         },
         URGENCY.user,
         (result) => {
@@ -85,7 +85,7 @@
             this.log.debug({ job: spec.id, team: spec.team, tasks: spec.taskCount }, 'accepted');
             return callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
           }
-          if (result.kind === 'unknown' && left > 0) return attempt(left - 1);
+          if (result.kind === 'indeterminate' && left > 0) return attempt(left - 1);
           if (result.kind !== 'conflict')
             return callback({ type: 'unavailable', reason: 'state service not reached' });
           this.find(spec.id, URGENCY.read, (found) => {
@@ -132,7 +132,7 @@
               { key: `open/${id}/a`, modRevision: found.job.modRevision },
               { key: `open/${id}/n`, modRevision: found.counter?.modRevision ?? 0 },
             ],
-            operations: [{ put: `open/${id}/a`, value: jobRecord.encode(record) }],
+            operations: [{ type: 'put', key: `open/${id}/a`, value: jobRecord.encode(record) }],
           },
           URGENCY.lease,
           (result) => {
@@ -147,7 +147,7 @@
                 running: 0,
               });
             }
-            if ((result.kind === 'conflict' || result.kind === 'unknown') && left > 0)
+            if ((result.kind === 'conflict' || result.kind === 'indeterminate') && left > 0)
               return attempt(left - 1);
             callback({ type: 'unavailable', reason: 'state service not reached' });
           },
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -236,20 +236,20 @@
     const callback = <T>(then: ResultCallback<T>): ResultCallback<T> => {
       const sent = this.options.clock.now();
       return this.reply((result) => {
-        if (result.ok || result.kind === 'conflict' || result.kind === 'gone')
+        if (result.ok || result.kind === 'conflict' || result.kind === 'notFound')
           this.storeContactAt = Math.max(this.storeContactAt, sent);
         then(result);
       });
     };
     return {
       get: (k, urgency, t) => s.get(k, urgency, callback(t)),
-      list: (p, a, urgency, t) => s.list(p, a, urgency, callback(t)),
+      list: (request, t) => s.list(request, callback(t)),
       compareAndSwap: (x, urgency, t) => s.compareAndSwap(x, urgency, callback(t)),
       grantLease: (ms, t) => s.grantLease(ms, callback(t)),
       keepLeaseAlive: (l, t) => s.keepLeaseAlive(l, callback(t)),
       revokeLease: (l, t) => s.revokeLease(l, callback(t)),
       // A watch that waits may be answered long after; one that doesn't tells as much as any read.
-      watch: (p, a, w, t) => s.watch(p, a, w, w === 0 ? callback(t) : this.reply(t)),
+      watch: (request, t) => s.watch(request, request.waitMs === 0 ? callback(t) : this.reply(t)),
     };
   }
 
@@ -393,7 +393,7 @@
         this.store.compareAndSwap(
           {
             preconditions: [{ key: 'sys/leader', modRevision: this.leaderRevision }],
-            operations: [{ put: 'sys/types', value: machineTypesRecord.encode(result.value) }],
+            operations: [{ type: 'put', key: 'sys/types', value: machineTypesRecord.encode(result.value) }],
           },
           URGENCY.placement,
           () => {},
@@ -411,7 +411,7 @@
     this.store.keepLeaseAlive(this.leaseId, (result) => {
       this.leaseRequestInFlight = false;
       if (result.ok) this.leaseRenewedAt = now;
-      else if (result.kind === 'gone') {
+      else if (result.kind === 'notFound') {
         this.options.log.info({}, 'lease lost');
         this.leaseId = 0;
         this.stepDown('lease lost');
@@ -449,9 +449,10 @@
           preconditions: [{ key, modRevision: version }],
           operations: [
             {
-              put: key,
+              type: 'put',
+              key,
               value: nodeRecord.encode({ instanceId: this.options.instanceId, leaseId: lease }),
-              lease,
+              leaseId: lease,
             },
           ],
         },
@@ -499,8 +500,13 @@
           { key: 'sys/token', modRevision: tok?.modRevision ?? 0 },
         ],
         operations: [
-          { put: 'sys/token', value: tokenRecord.encode({ fencingToken: token }) },
-          { put: 'sys/leader', value: leaderRecord.encode(record), lease: this.leaseId },
+          { type: 'put', key: 'sys/token', value: tokenRecord.encode({ fencingToken: token }) },
+          {
+            type: 'put',
+            key: 'sys/leader',
+            value: leaderRecord.encode(record),
+            leaseId: this.leaseId,
+          },
         ],
       },
       URGENCY.lease,
@@ -574,7 +580,10 @@
     this.noElectionUntil = this.options.clock.now() + 20000;
     this.stepDown(reason);
     this.store.compareAndSwap(
-      { preconditions: [{ key: 'sys/leader', modRevision: mark }], operations: [{ del: 'sys/leader' }] },
+      {
+        preconditions: [{ key: 'sys/leader', modRevision: mark }],
+        operations: [{ type: 'delete', key: 'sys/leader' }],
+      },
       URGENCY.lease,
       () => {},
     );
@@ -595,7 +604,7 @@
     this.store.compareAndSwap(
       {
         preconditions: [{ key: 'sys/leader', modRevision: it.modRevision }],
-        operations: [{ del: 'sys/leader' }],
+        operations: [{ type: 'delete', key: 'sys/leader' }],
       },
       URGENCY.lease,
       () => {
@@ -728,7 +737,8 @@
           })),
         ],
         operations: batch.map(([team, instanceId]) => ({
-          put: `sys/team/${team}`,
+          type: 'put',
+          key: `sys/team/${team}`,
           value: teamRecord.encode({ instanceId: instanceId }),
         })),
       },
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -71,11 +71,11 @@
             if (res.value.length < rental.count) this.state.rentalBackoff.onRefused(rental, now);
             else this.state.rentalBackoff.onFilled(rental);
             this.options.log.debug({ claim, got: res.value.length }, 'machines rented');
-          } else if (res.kind === 'gone') {
+          } else if (res.kind === 'notFound') {
             this.rentalsInFlight.delete(claim);
             this.state.rentalBackoff.onRefused(rental, now);
             this.options.log.debug({ claim, ...rental }, 'no capacity');
-          } else if (res.kind === 'bad' || ++tries >= 6) this.rentalsInFlight.delete(claim);
+          } else if (res.kind === 'invalid' || ++tries >= 6) this.rentalsInFlight.delete(claim);
           // The same claim again: what was rented under it is answered, and nothing more is rented.
           else
             this.options.clock.after(1000 * tries, () =>
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -764,7 +764,7 @@
       commands,
       (res) => {
         machine.directCallInFlight = false;
-        const maybe = !res.ok && res.kind === 'unknown';
+        const maybe = !res.ok && res.kind === 'indeterminate';
         for (const key of starts) {
           const allocation = machine.allocations.get(key);
           if (allocation) allocation.directStartInFlight = false;
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -1,12 +1,16 @@
 import type { Clock } from '../model/clock.js';
-import { type KeyValueStore, type Transaction, URGENCY } from '../model/key-value-store.js';
+import {
+  type KeyValueStore,
+  type StoreOperation,
+  type Transaction,
+  URGENCY,
+} from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { Result } from '../model/result.js';
 import {
   counterRecordKey,
   type JobWrite,
   jobRecordKey,
-  keyOfOperation,
   revisionOf,
   type WriteEvents,
   writeChanges,
@@ -21,6 +25,9 @@
 const CONDITIONS_PER_JOB = 3;
 /** Values in one transaction, of the 64 KiB that it may have in all. */
 const MAX_BATCH_BYTES = 40_000;
+/** Characters of a put and of a delete beside the encoded key and value. */
+const PUT_OVERHEAD = 17;
+const DELETE_OVERHEAD = 8;
 /** Pause after a transaction that was surely not carried out. */
 const REFUSED_PAUSE_MS = 100;
 /** Pause after one that failed since a team has another owner: the watch tells which. */
@@ -152,12 +159,12 @@
     if (room < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
     const write = kind === 'tidy' ? writeFinal(job, room, events) : writeChanges(job, room, chunk, events);
     if (!write) return true;
-    const written = new Set(write.operations.map(keyOfOperation));
+    const written = new Set(write.operations.map(({ key }) => key));
     for (const op of write.operations) {
-      batch.bytes += JSON.stringify(op).length;
+      batch.bytes += encodedLength(op);
       transaction.preconditions.push({
-        key: keyOfOperation(op),
-        modRevision: revisionOf(job, keyOfOperation(op)),
+        key: op.key,
+        modRevision: revisionOf(job, op.key),
       });
       transaction.operations.push(op);
     }
@@ -219,7 +226,7 @@
     // Ownership moved; the watch will tell. Nothing of ours was stored.
     if (kind === 'conflict' && failed.every((key) => key.startsWith('sys/team/')))
       this.pause(OWNERSHIP_MOVED_PAUSE_MS);
-    const inDoubt = kind !== 'conflict' && kind !== 'bad';
+    const inDoubt = kind !== 'conflict' && kind !== 'invalid';
     this.options.onUnconfirmed(
       jobs.filter((job) => this.options.isOwned(job)),
       inDoubt,
@@ -232,3 +239,11 @@
     this.options.wakeAt(this.pausedUntil);
   }
 }
+
+/** How long an operation is in the text of a transaction, nearly. */
+function encodedLength(operation: StoreOperation): number {
+  const keyLength = JSON.stringify(operation.key).length;
+  return operation.type === 'delete'
+    ? keyLength + DELETE_OVERHEAD
+    : keyLength + JSON.stringify(operation.value).length + PUT_OVERHEAD;
+}
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -29,10 +29,6 @@
   return `open/${id}/n`;
 }
 
-export function keyOfOperation(operation: StoreOperation): string {
-  return 'put' in operation ? operation.put : operation.del;
-}
-
 /** The revision under which an owner knows a record of a job; 0: it does not exist. */
 export function revisionOf(job: OwnedJob, key: string): number {
   if (key === jobRecordKey(job.spec.id)) return job.jobRevision;
@@ -59,7 +55,8 @@
   const added: Placement[] = [];
   if (withCounter)
     ops.push({
-      put: counterRecordKey(id),
+      type: 'put',
+      key: counterRecordKey(id),
       value: counterRecord.encode(makeCounterRecord(job.counter, job.runningTasks)),
     });
   for (const chunk of chunks) {
@@ -103,8 +100,8 @@
 
 function keepRevisions(job: OwnedJob, operations: StoreOperation[], revision: number): void {
   for (const op of operations) {
-    if ('del' in op) job.chunkRevisions.delete(chunkOf(op.del));
-    else if (op.put.startsWith('place/')) job.chunkRevisions.set(chunkOf(op.put), revision);
+    if (op.type === 'delete') job.chunkRevisions.delete(chunkOf(op.key));
+    else if (op.key.startsWith('place/')) job.chunkRevisions.set(chunkOf(op.key), revision);
   }
 }
 
@@ -127,8 +124,8 @@
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
   const key = placementKey(job.spec.id, chunk);
-  if (tasks.size > 0) return { put: key, value: placementRecord.encode({ tasks: tasks }) };
-  return job.chunkRevisions.get(chunk) ? { del: key } : null;
+  if (tasks.size > 0) return { type: 'put', key, value: placementRecord.encode({ tasks: tasks }) };
+  return job.chunkRevisions.get(chunk) ? { type: 'delete', key } : null;
 }
 
 /** A job that is over leaves one final record; its working records are dropped, placements first. */
@@ -139,14 +136,15 @@
   if (maxOperations < finalOps + Math.min(1, job.chunkRevisions.size)) return null;
   const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOps));
   const isLast = chunks.length === job.chunkRevisions.size;
-  const ops: StoreOperation[] = chunks.map((chunk) => ({ del: placementKey(id, chunk) }));
+  const ops: StoreOperation[] = chunks.map((chunk) => ({ type: 'delete', key: placementKey(id, chunk) }));
   if (isLast) {
     ops.push({
-      put: `end/${id}`,
+      type: 'put',
+      key: `end/${id}`,
       value: finalRecord.encode({ isDone: !job.cancelled, finishedTasks: job.counter.count }),
     });
-    ops.push({ del: jobRecordKey(id) });
-    if (hasCounter) ops.push({ del: counterRecordKey(id) });
+    ops.push({ type: 'delete', key: jobRecordKey(id) });
+    if (hasCounter) ops.push({ type: 'delete', key: counterRecordKey(id) });
   }
   const settled = job.outcomesToStore;
   return {
--- a/src/shard/stored-jobs.ts
+++ b/src/shard/stored-jobs.ts
@@ -23,12 +23,12 @@
   found: Map<string, StoredJob>,
   then: (ok: boolean) => void,
 ): void {
-  const page = (since: string) =>
-    state.list(prefix, since, URGENCY.user, (result) => {
+  const page = (startAfter: string) =>
+    state.list({ prefix, startAfter, urgency: URGENCY.user }, (result) => {
       if (!result.ok) return then(false);
       for (const item of result.value.items) readStoredItem(found, item);
       const last = result.value.items.at(-1);
-      if (result.value.more && last) page(last.key);
+      if (result.value.hasMore && last) page(last.key);
       else then(true);
     });
   page(prefix);
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -88,7 +88,7 @@
     const { key, instanceId, store: state } = this.options;
     const transaction: Transaction = {
       preconditions: [{ key, modRevision: version }],
-      operations: [{ put: key, value: teamRecord.encode({ instanceId }) }],
+      operations: [{ type: 'put', key, value: teamRecord.encode({ instanceId }) }],
     };
     state.compareAndSwap(transaction, URGENCY.placement, (result) => {
       if (result.ok) {
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../model/clock.js';
-import { type KeyValueStore, URGENCY, type WatchEvent } from '../model/key-value-store.js';
+import { type KeyValueStore, URGENCY, type WatchEvent, type WatchReply } from '../model/key-value-store.js';
 
 /** Least time between two reads on behalf of questions: all that come meanwhile share the next one. */
 const READ_INTERVAL_MS = 150;
@@ -98,14 +98,14 @@
     this.reading = true;
     const mine = this.waitingReads.splice(0);
     const epoch = this.listEpoch;
-    this.store.watch(this.prefix, this.storeRevision, 0, (result) => {
+    this.store.watch({ prefix: this.prefix, sinceRevision: this.storeRevision, waitMs: 0 }, (result) => {
       this.reading = false;
       const ok = result.ok && epoch === this.listEpoch;
       this.failed = !result.ok;
       if (ok) {
         this.apply(result.value);
         this.freshAsOf = now;
-      } else if (!result.ok && result.kind === 'gone') this.list();
+      } else if (!result.ok && result.kind === 'notFound') this.list();
       for (const callback of mine) callback(ok);
       this.read();
     });
@@ -117,8 +117,8 @@
     this.listEpoch++;
     const seen = new Set<string>();
     let first = 0;
-    const page = (since: string) => {
-      this.store.list(this.prefix, since, URGENCY.user, (result) => {
+    const page = (startAfter: string) => {
+      this.store.list({ prefix: this.prefix, startAfter, urgency: URGENCY.user }, (result) => {
         if (!result.ok) {
           this.clock.after(300, () => {
             this.listing = false;
@@ -132,7 +132,7 @@
           this.set(item.key, item.value, item.modRevision, item.leaseId);
         }
         const last = result.value.items.at(-1);
-        if (result.value.more && last) return page(last.key);
+        if (result.value.hasMore && last) return page(last.key);
         for (const key of [...this.items.keys()]) if (!seen.has(key)) this.drop(key, first);
         this.storeRevision = first;
         this.listing = false;
@@ -153,7 +153,8 @@
         this.watching = false;
         this.watch();
       });
-    this.store.watch(this.prefix, this.storeRevision, this.waitMs, (result) => {
+    const request = { prefix: this.prefix, sinceRevision: this.storeRevision, waitMs: this.waitMs };
+    this.store.watch(request, (result) => {
       if (result.ok) {
         if (epoch === this.listEpoch) this.apply(result.value);
         return void again(Math.max(0, began + this.watchIntervalMs - this.clock.now()));
@@ -161,7 +162,7 @@
       if (result.kind === 'refused') return void again(250);
       // History lost, or the answer was: read the keys again.
       this.watching = false;
-      if (result.kind === 'gone') this.list();
+      if (result.kind === 'notFound') this.list();
       else this.clock.after(250, () => this.list());
     });
   }
@@ -170,13 +171,13 @@
    * Takes the changes of an answer. Two reads may be under way at once: what an earlier answer already told is passed
    * over, or a key dropped since would come back; of several changes of a key only the last counts.
    */
-  private apply(v: { storeRevision: number; events: WatchEvent[] }): void {
+  private apply(v: WatchReply): void {
     if (v.storeRevision <= this.storeRevision) return;
     const last = new Map<string, WatchEvent>();
     for (const event of v.events) if (event.modRevision > this.storeRevision) last.set(event.key, event);
     this.storeRevision = v.storeRevision;
     for (const event of last.values()) {
-      if (event.deleted) this.drop(event.key, event.modRevision);
+      if (event.type === 'delete') this.drop(event.key, event.modRevision);
       else this.set(event.key, event.value, event.modRevision, undefined);
     }
   }
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -71,9 +71,10 @@
     callback: ResultCallback<string[]>,
   ): void {
     this.call(1, 'POST', '/machines', writeRental(claim, type, zone, spot, n), (r) => {
-      if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
-      if (r.status === 400) return callback({ ok: false, kind: 'bad' });
-      if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
+      if (r.status === 0) return callback({ ok: false, kind: 'indeterminate' });
+      if (r.status === 400) return callback({ ok: false, kind: 'invalid' });
+      if (r.status === 503 && r.text.includes('no capacity'))
+        return callback({ ok: false, kind: 'notFound' });
       const names = r.status === 200 ? readRented(parse(r.text)) : null;
       callback(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
     });
@@ -81,7 +82,7 @@
 
   deleteMachines(names: string[], callback: ResultCallback<null>): void {
     this.call(0, 'POST', '/machines/delete', writeRemoval(names), (r) =>
-      callback(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
+      callback(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'indeterminate' }),
     );
   }
 
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,10 +1,13 @@
 import {
   type KeyValueStore,
+  type ListPage,
+  type ListRequest,
   type StoredItem,
   type Transaction,
   URGENCY,
   type Urgency,
-  type WatchEvent,
+  type WatchReply,
+  type WatchRequest,
 } from '../model/key-value-store.js';
 import type { Failure, ResultCallback } from '../model/result.js';
 import { parse } from '../wire/json.js';
@@ -23,12 +26,12 @@
 const DEADLINE_MS = 1500;
 
 function failure(r: HttpReply): Failure {
-  if (r.status === 0) return { ok: false, kind: r.sent ? 'unknown' : 'refused' };
-  if (r.status === 404 || r.status === 410) return { ok: false, kind: 'gone' };
+  if (r.status === 0) return { ok: false, kind: r.sent ? 'indeterminate' : 'refused' };
+  if (r.status === 404 || r.status === 410) return { ok: false, kind: 'notFound' };
   if (r.status === 409) return { ok: false, kind: 'conflict', failedKeys: readFailed(parse(r.text)) };
   if (r.status === 429 || r.status === 503) return { ok: false, kind: 'refused' };
-  if (r.status === 400) return { ok: false, kind: 'bad' };
-  return { ok: false, kind: 'unknown' };
+  if (r.status === 400) return { ok: false, kind: 'invalid' };
+  return { ok: false, kind: 'indeterminate' };
 }
 
 /** The state service over HTTP, paced under its limits; leases pass the queue. */
@@ -70,7 +73,7 @@
           if (r.status === 404 && on404) return callback({ ok: true, value: on404() });
           if (r.status !== 200) return callback(failure(r));
           const v = read(parse(r.text));
-          callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
+          callback(v === null ? { ok: false, kind: 'indeterminate' } : { ok: true, value: v });
         });
       });
     go();
@@ -89,13 +92,8 @@
     );
   }
 
-  list(
-    prefix: string,
-    since: string,
-    urgency: Urgency,
-    callback: ResultCallback<{ items: StoredItem[]; more: boolean; storeRevision: number }>,
-  ): void {
-    const q = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=500`;
+  list({ prefix, startAfter, urgency }: ListRequest, callback: ResultCallback<ListPage>): void {
+    const q = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=500`;
     this.run(urgency, 0, 'GET', `/store?${q}`, undefined, readItems, callback);
   }
 
@@ -139,13 +137,8 @@
     );
   }
 
-  watch(
-    prefix: string,
-    since: number,
-    waitMs: number,
-    callback: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>,
-  ): void {
-    const q = `prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
+  watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
+    const q = `prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     this.limiter.acquire(URGENCY.user, 0, (ok) => {
       if (!ok) return callback({ ok: false, kind: 'refused' });
       const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + 3000;
@@ -153,7 +146,7 @@
         if (r.status === 429) this.limiter.onThrottled();
         if (r.status !== 200) return callback(failure(r));
         const v = readEvents(parse(r.text));
-        callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
+        callback(v === null ? { ok: false, kind: 'indeterminate' } : { ok: true, value: v });
       });
     });
   }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -150,18 +150,18 @@
 }
 
 function reportResult(reply: HttpReply, onResult: ResultCallback<Heartbeat>): void {
-  if (reply.status === 0) return onResult({ ok: false, kind: reply.sent ? 'unknown' : 'refused' });
+  if (reply.status === 0) return onResult({ ok: false, kind: reply.sent ? 'indeterminate' : 'refused' });
   const heartbeat = readReport(parse(reply.text));
   switch (reply.status) {
     case 200:
-      return onResult(heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' });
+      return onResult(heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'indeterminate' });
     case 409:
       return onResult(
         heartbeat ? { ok: false, kind: 'conflict', heartbeat: heartbeat } : { ok: false, kind: 'refused' },
       );
     case 400:
-      return onResult({ ok: false, kind: 'bad' });
+      return onResult({ ok: false, kind: 'invalid' });
     default:
-      return onResult({ ok: false, kind: 'unknown' });
+      return onResult({ ok: false, kind: 'indeterminate' });
   }
 }
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,4 +1,4 @@
-import type { StoredItem, Transaction, WatchEvent } from '../model/key-value-store.js';
+import type { ListPage, StoredItem, Transaction, WatchEvent, WatchReply } from '../model/key-value-store.js';
 import { count, isObj, str } from './json.js';
 
 export function readItem(v: unknown): StoredItem | null {
@@ -12,7 +12,7 @@
     : { key, value: v.value, modRevision: version, leaseId: lease };
 }
 
-export function readItems(v: unknown): { items: StoredItem[]; more: boolean; storeRevision: number } | null {
+export function readItems(v: unknown): ListPage | null {
   if (!isObj(v) || !Array.isArray(v.items)) return null;
   const rev = count(v.ring);
   if (rev === null) return null;
@@ -22,7 +22,7 @@
     if (!item) return null;
     items.push(item);
   }
-  return { items, more: v.has_next === true, storeRevision: rev };
+  return { items, hasMore: v.has_next === true, storeRevision: rev };
 }
 
 export function readRev(v: unknown): number | null {
@@ -39,7 +39,7 @@
   return isObj(v) ? count(v.tenure) : null;
 }
 
-export function readEvents(v: unknown): { storeRevision: number; events: WatchEvent[] } | null {
+export function readEvents(v: unknown): WatchReply | null {
   if (!isObj(v)) return null;
   const rev = count(v.ring);
   if (rev === null || !Array.isArray(v.log)) return null;
@@ -50,7 +50,8 @@
     const put = str(e.write);
     const del = str(e.drop);
     if (version === null || (put === null && del === null)) return null;
-    events.push({ key: put ?? (del as string), modRevision: version, value: e.value, deleted: put === null });
+    if (put !== null) events.push({ type: 'put', key: put, modRevision: version, value: e.value });
+    else if (del !== null) events.push({ type: 'delete', key: del, modRevision: version });
   }
   return { storeRevision: rev, events };
 }
@@ -59,11 +60,11 @@
   return {
     when: transaction.preconditions.map((w) => ({ key: w.key, mark: w.modRevision })),
     then: transaction.operations.map((op) =>
-      'del' in op
-        ? { drop: op.del }
-        : op.lease !== undefined
-          ? { write: op.put, value: op.value, tenure: op.lease }
-          : { write: op.put, value: op.value },
+      op.type === 'delete'
+        ? { drop: op.key }
+        : op.leaseId !== undefined
+          ? { write: op.key, value: op.value, tenure: op.leaseId }
+          : { write: op.key, value: op.value },
     ),
   };
 }
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -231,11 +231,11 @@
 
 test('a cancellation of a job that is being read again is heeded at once and not taken back by that read', () => {
   const sent: ShardMessage[] = [];
-  const lists: { prefix: string; cb: Parameters<KeyValueStore['list']>[3] }[] = [];
+  const lists: { prefix: string; cb: Parameters<KeyValueStore['list']>[1] }[] = [];
   let now = 0;
   const state: Partial<KeyValueStore> = {
     get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, callback) => lists.push({ prefix, cb: callback }),
+    list: ({ prefix }, callback) => lists.push({ prefix, cb: callback }),
     compareAndSwap: () => {},
   };
   const owner = new ShardOwner(
@@ -253,7 +253,7 @@
   const read = (prefix: string, items: { key: string; value: unknown; modRevision: number }[]) => {
     const l = lists.shift()!;
     expect(l.prefix.startsWith(prefix)).toBe(true);
-    l.cb({ ok: true, value: { items, more: false, storeRevision: 9 } });
+    l.cb({ ok: true, value: { items, hasMore: false, storeRevision: 9 } });
   };
   const stored = { key: 'open/wk-1/a', value: jobRecord.encode({ spec }), modRevision: 3 };
   const placed = { key: 'place/wk-1/0', value: { t: { 0: [1, 'm', 1, 'a'] } }, modRevision: 4 };
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
-import type { KeyValueStore, WatchEvent } from '../src/model/key-value-store.js';
+import type { KeyValueStore, WatchReply, WatchRequest } from '../src/model/key-value-store.js';
 import type { ResultCallback } from '../src/model/result.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
@@ -74,18 +74,14 @@
   const reads: {
     since: number;
     wait: number;
-    cb: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>;
+    cb: ResultCallback<WatchReply>;
   }[] = [];
   const clock = { now: () => now, after: (ms: number, fn: () => void) => timers.push({ at: now + ms, fn }) };
   const state = {
-    list: (_p: string, _s: string, _u: number, callback: ResultCallback<unknown>) =>
-      callback({ ok: true, value: { items: [], more: false, storeRevision: 5 } }),
-    watch: (
-      _p: string,
-      since: number,
-      wait: number,
-      callback: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>,
-    ) => reads.push({ since, wait, cb: callback }),
+    list: (_request: unknown, callback: ResultCallback<unknown>) =>
+      callback({ ok: true, value: { items: [], hasMore: false, storeRevision: 5 } }),
+    watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>) =>
+      reads.push({ since: sinceRevision, wait: waitMs, cb: callback }),
   };
   const gone: string[] = [];
   const m = new WatchCache(
@@ -108,7 +104,7 @@
   ask('b');
   expect(reads.map((r) => r.wait)).toEqual([0]);
   ask('c');
-  const put = (key: string, modRevision: number) => ({ key, modRevision, value: {}, deleted: false });
+  const put = (key: string, modRevision: number) => ({ type: 'put' as const, key, modRevision, value: {} });
   reads
     .shift()!
     .cb({ ok: true, value: { storeRevision: 7, events: [put('open/x/a', 6), put('open/y/a', 7)] } });
@@ -120,7 +116,7 @@
     ok: true,
     value: {
       storeRevision: 8,
-      events: [{ key: 'open/x/a', modRevision: 8, value: undefined, deleted: true }],
+      events: [{ type: 'delete', key: 'open/x/a', modRevision: 8 }],
     },
   });
   // The long watch, sent before all this, tells of what has been dropped since: it must not come back.
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -83,9 +83,9 @@
 
   test.each<[number, string, Result<string[]>]>([
     [200, '{}', { ok: false, kind: 'refused' }],
-    [503, '{"error":"no capacity"}', { ok: false, kind: 'gone' }],
+    [503, '{"error":"no capacity"}', { ok: false, kind: 'notFound' }],
     [503, '{"error":"trouble"}', { ok: false, kind: 'refused' }],
-    [400, '{}', { ok: false, kind: 'bad' }],
+    [400, '{}', { ok: false, kind: 'invalid' }],
   ])('is answered by %i %s', async (status, text, result) => {
     expect((await rent(status, text)).result).toStrictEqual(result);
   });
@@ -97,7 +97,7 @@
       request: 'POST /machines/delete application/json {"trunks":["vm-000231","vm-000232"]}',
       result: { ok: true, value: null },
     });
-    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'unknown' });
+    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'indeterminate' });
   });
 });
 
--- a/test/forms/recorded-state.ts
+++ b/test/forms/recorded-state.ts
@@ -13,7 +13,7 @@
       const text = this.records.get(key);
       then({ ok: true, value: text === undefined ? null : readItem(JSON.parse(this.itemText(key, text))) });
     },
-    list: (prefix, _since, _urgency, then) => {
+    list: ({ prefix }, then) => {
       const items = [...this.records].filter(([key]) => key.startsWith(prefix)).sort();
       const text = `{"items":[${items.map(([key, value]) => this.itemText(key, value)).join()}],"has_next":false,"ring":50}`;
       then({ ok: true, value: readItems(JSON.parse(text))! });
@@ -28,7 +28,7 @@
       this.endedLeases.push(lease);
       then({ ok: true, value: null });
     },
-    watch: (_prefix, _since, waitMs, then) => {
+    watch: ({ waitMs }, then) => {
       if (waitMs === 0) then({ ok: true, value: { storeRevision: 50, events: [] } });
     },
   };
--- a/test/forms/store-messages.test.ts
+++ b/test/forms/store-messages.test.ts
@@ -27,14 +27,18 @@
     { key: 'a/b', modRevision: 0 },
     { key: 'c/d', modRevision: 12 },
   ],
-  operations: [{ put: 'a/b', value: { one: 1 }, lease: 7 }, { put: 'a/c', value: null }, { del: 'c/d' }],
+  operations: [
+    { type: 'put', key: 'a/b', value: { one: 1 }, leaseId: 7 },
+    { type: 'put', key: 'a/c', value: null },
+    { type: 'delete', key: 'c/d' },
+  ],
 };
 
 type Ask = (port: KeyValueStore, then: (result: Result<unknown>) => void) => void;
 const get: Ask = (port, then) => port.get('a/b', URGENCY.read, then);
-const list: Ask = (port, then) => port.list('c/', 'c/7', URGENCY.read, then);
+const list: Ask = (port, then) => port.list({ prefix: 'c/', startAfter: 'c/7', urgency: URGENCY.read }, then);
 const transact: Ask = (port, then) => port.compareAndSwap(TRANSACTION, URGENCY.lease, then);
-const watch: Ask = (port, then) => port.watch('c/', 431, 10000, then);
+const watch: Ask = (port, then) => port.watch({ prefix: 'c/', sinceRevision: 431, waitMs: 10000 }, then);
 const grant: Ask = (port, then) => port.grantLease(3500.4, then);
 const touch: Ask = (port, then) => port.keepLeaseAlive(7, then);
 const end: Ask = (port, then) => port.revokeLease(7, then);
@@ -79,7 +83,7 @@
       { ok: true, value: { key: 'a/b', value: [], modRevision: 412 } },
     ],
     ['no item', get, 404, '{"ring":431}', { ok: true, value: null }],
-    ['an item without a revision', get, 200, '{"key":"a/b","value":1}', { ok: false, kind: 'unknown' }],
+    ['an item without a revision', get, 200, '{"key":"a/b","value":1}', { ok: false, kind: 'indeterminate' }],
     [
       'a page',
       list,
@@ -92,7 +96,7 @@
             { key: 'c/8', value: 1, modRevision: 5 },
             { key: 'c/9', value: 2, modRevision: 6 },
           ],
-          more: true,
+          hasMore: true,
           storeRevision: 431,
         },
       },
@@ -102,9 +106,9 @@
       list,
       200,
       '{"items":[],"has_next":false,"ring":431}',
-      { ok: true, value: { items: [], more: false, storeRevision: 431 } },
+      { ok: true, value: { items: [], hasMore: false, storeRevision: 431 } },
     ],
-    ['a page without a revision', list, 200, '{"items":[]}', { ok: false, kind: 'unknown' }],
+    ['a page without a revision', list, 200, '{"items":[]}', { ok: false, kind: 'indeterminate' }],
     ['a transaction carried out', transact, 200, '{"ring":432}', { ok: true, value: 432 }],
     [
       'a transaction that failed',
@@ -113,9 +117,9 @@
       '{"failed":["a/b"],"ring":431}',
       { ok: false, kind: 'conflict', failedKeys: ['a/b'] },
     ],
-    ['an expired lease', transact, 400, '{"error":"no such lease"}', { ok: false, kind: 'bad' }],
+    ['an expired lease', transact, 400, '{"error":"no such lease"}', { ok: false, kind: 'invalid' }],
     ['an outage', transact, 503, '{}', { ok: false, kind: 'refused' }],
-    ['a defect', transact, 500, '{}', { ok: false, kind: 'unknown' }],
+    ['a defect', transact, 500, '{}', { ok: false, kind: 'indeterminate' }],
     [
       'changes',
       watch,
@@ -126,8 +130,8 @@
         value: {
           storeRevision: 433,
           events: [
-            { key: 'c/9', modRevision: 433, value: { one: 1 }, deleted: false },
-            { key: 'c/d', modRevision: 432, value: undefined, deleted: true },
+            { type: 'put', key: 'c/9', modRevision: 433, value: { one: 1 } },
+            { type: 'delete', key: 'c/d', modRevision: 432 },
           ],
         },
       },
@@ -144,14 +148,14 @@
       watch,
       200,
       '{"ring":433,"log":[{"drop":"c"}]}',
-      { ok: false, kind: 'unknown' },
+      { ok: false, kind: 'indeterminate' },
     ],
-    ['changes forgotten', watch, 410, '{}', { ok: false, kind: 'gone' }],
+    ['changes forgotten', watch, 410, '{}', { ok: false, kind: 'notFound' }],
     ['a lease', grant, 200, '{"tenure":7}', { ok: true, value: 7 }],
     ['a renewal', touch, 200, '{}', { ok: true, value: null }],
-    ['a renewal too late', touch, 404, '{}', { ok: false, kind: 'gone' }],
+    ['a renewal too late', touch, 404, '{}', { ok: false, kind: 'notFound' }],
     ['a lease ended', end, 200, '{}', { ok: true, value: null }],
-    ['a lease that had ended', end, 404, '{}', { ok: false, kind: 'gone' }],
+    ['a lease that had ended', end, 404, '{}', { ok: false, kind: 'notFound' }],
   ])('%s', async (_title, ask, status, text, result) => {
     expect((await call(status, text, ask)).result).toStrictEqual(result);
   });
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -186,11 +186,11 @@
   });
 
   test.each<[number, string, Result<Heartbeat>]>([
-    [200, '{}', { ok: false, kind: 'unknown' }],
+    [200, '{}', { ok: false, kind: 'indeterminate' }],
     [409, REPORT_TEXT, { ok: false, kind: 'conflict', heartbeat: REPORT }],
     [409, '{}', { ok: false, kind: 'refused' }],
-    [400, '{}', { ok: false, kind: 'bad' }],
-    [500, '{}', { ok: false, kind: 'unknown' }],
+    [400, '{}', { ok: false, kind: 'invalid' }],
+    [500, '{}', { ok: false, kind: 'indeterminate' }],
   ])('are answered by %i %s', async (status, text, result) => {
     expect(await send(status, text)).toStrictEqual(result);
     expect(server.requests.at(-1)).toBe('POST /commands application/json {"crook":41,"season":3,"calls":[]}');
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -225,10 +225,10 @@
   }));
   const state = {
     get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, callback) =>
+    list: ({ prefix }, callback) =>
       callback({
         ok: true,
-        value: { items: prefix === 'open/' ? items : [], more: false, storeRevision: 9 },
+        value: { items: prefix === 'open/' ? items : [], hasMore: false, storeRevision: 9 },
       }),
     compareAndSwap: () => {},
   } as Partial<KeyValueStore> as KeyValueStore;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -46,10 +46,10 @@
   }));
   return {
     get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
-    list: (prefix, _since, _urgency, callback) =>
+    list: ({ prefix }, callback) =>
       callback({
         ok: true,
-        value: { items: prefix === 'open/' ? items : [], more: false, storeRevision: revision },
+        value: { items: prefix === 'open/' ? items : [], hasMore: false, storeRevision: revision },
       }),
     compareAndSwap: (_txn, _urgency, callback) => callback({ ok: true, value: ++revision }),
   } as Partial<KeyValueStore> as KeyValueStore;
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -212,7 +212,11 @@
   const txn = w.state.txn.bind(w.state);
   w.state.txn = (h, transaction, limits) => {
     const copy = JSON.parse(JSON.stringify(transaction));
-    if (h === host && late.length === 0 && transaction.operations.some((o) => 'put' in o && o.put === key)) {
+    if (
+      h === host &&
+      late.length === 0 &&
+      transaction.operations.some((o) => o.type === 'put' && o.key === key)
+    ) {
       late.push(() => txn(h, copy, limits));
       return { status: 500 };
     }
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -79,7 +79,7 @@
   t.report([]);
   t.tell('run');
   expect(t.calls[0]?.cmds[0]?.type).toBe('start');
-  t.calls[0]!.cb({ ok: false, kind: 'unknown' });
+  t.calls[0]!.cb({ ok: false, kind: 'indeterminate' });
   t.tell('stop');
   t.report([]);
   t.report([]);
--- a/test/standin/admission.ts
+++ b/test/standin/admission.ts
@@ -24,10 +24,8 @@
 
   /** Carries out a transaction, and looks at what it has placed. */
   watch<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
-    const records = transaction.operations.filter((op) => 'put' in op && op.put.startsWith('place/'));
-    const before = new Map(
-      records.map((op) => ['put' in op ? op.put : '', this.tasksOf('put' in op ? op.put : '')]),
-    );
+    const records = transaction.operations.filter((op) => op.type === 'put' && op.key.startsWith('place/'));
+    const before = new Map(records.map((op) => [op.key, this.tasksOf(op.key)]));
     const reply = carryOut();
     if (reply.status === 200) for (const [key, old] of before) this.check(key, old);
     return reply;
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -59,7 +59,7 @@
         (reply) => reply(this.down ? { ok: false, kind: 'refused' } : serve()),
         (answer) =>
           enter(() =>
-            then(answer.got ? answer.value : { ok: false, kind: answer.sent ? 'unknown' : 'refused' }),
+            then(answer.got ? answer.value : { ok: false, kind: answer.sent ? 'indeterminate' : 'refused' }),
           ),
       );
     return {
@@ -83,7 +83,7 @@
     const { empty } = this.world.shape;
     while (names.length < count && this.rented.size < this.capacity && !empty.includes(zone))
       names.push(this.rent(type, zone, spot));
-    if (names.length === 0) return { ok: false, kind: 'gone' };
+    if (names.length === 0) return { ok: false, kind: 'notFound' };
     this.claims.set(claim, names);
     return { ok: true, value: names };
   }
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -84,9 +84,9 @@
         add('get', [key, urgency]);
         port.get(key, urgency, then);
       },
-      list: (prefix, since, urgency, then) => {
-        add('list', [prefix, since, urgency]);
-        port.list(prefix, since, urgency, then);
+      list: (request, then) => {
+        add('list', [request.prefix, request.startAfter, request.urgency]);
+        port.list(request, then);
       },
       compareAndSwap: (transaction, urgency, then) => {
         add('txn', [writeTxn(transaction), urgency]);
@@ -104,9 +104,9 @@
         add('end', lease);
         port.revokeLease(lease, then);
       },
-      watch: (prefix, since, waitMs, then) => {
-        add('watch', [prefix, since, waitMs]);
-        port.watch(prefix, since, waitMs, then);
+      watch: (request, then) => {
+        add('watch', [request.prefix, request.sinceRevision, request.waitMs]);
+        port.watch(request, then);
       },
     };
   }
--- a/test/standin/owner.ts
+++ b/test/standin/owner.ts
@@ -144,7 +144,7 @@
 
   /** Another's write, carried out at once. */
   put(key: string, value: unknown): void {
-    this.state.txn(HOST, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
+    this.state.txn(HOST, { preconditions: [], operations: [{ type: 'put', key, value }] }, LIMITS);
   }
 
   private logger(): Logger {
@@ -162,9 +162,9 @@
     };
     const port: Partial<KeyValueStore> = {
       get: (key, _urgency, then) => this.sim.after(1, () => then(answer(() => this.state.get(HOST, key)))),
-      list: (prefix, since, _urgency, then) => {
+      list: ({ prefix, startAfter }, then) => {
         const serve = () =>
-          this.sim.after(1, () => then(answer(() => this.state.list(HOST, prefix, since, 50))));
+          this.sim.after(1, () => then(answer(() => this.state.list(HOST, prefix, startAfter, 50))));
         if (this.heldReads !== '' && prefix.startsWith(this.heldReads)) this.waiting.push(serve);
         else serve();
       },
@@ -175,7 +175,7 @@
           return this.sim.after(1, () => then(answer(() => this.state.txn(HOST, copy, LIMITS))));
         if (loss === 'carried out at once') this.state.txn(HOST, copy, LIMITS);
         else this.late.push(copy);
-        this.sim.after(DEADLINE_MS, () => then({ ok: false, kind: 'unknown' }));
+        this.sim.after(DEADLINE_MS, () => then({ ok: false, kind: 'indeterminate' }));
       },
     };
     return port as KeyValueStore;
--- a/test/standin/ports.ts
+++ b/test/standin/ports.ts
@@ -31,16 +31,17 @@
     net.call<StateReply<T>>(host, 'state', deadlineMs, serve, (answer) => enter(() => then(result(answer))));
   return {
     get: (key, _urgency, then) => ask((reply) => reply(state.get(host, key)), then),
-    list: (prefix, since, _urgency, then) =>
+    list: ({ prefix, startAfter }, then) =>
       ask((reply) => {
-        const serve = () => reply(state.list(host, prefix, since, ITEMS_A_PAGE));
+        const serve = () => reply(state.list(host, prefix, startAfter, ITEMS_A_PAGE));
         if (world.slowReadsMs > 0) sim.after(sim.between(0, world.slowReadsMs), serve);
         else serve();
       }, then),
     compareAndSwap: (transaction, _urgency, then) => {
       const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
       const carryOut = () => world.admission.watch(copy, () => state.txn(host, copy, kind));
-      const noAnswer = () => sim.after(DEADLINE_MS, () => enter(() => then({ ok: false, kind: 'unknown' })));
+      const noAnswer = () =>
+        sim.after(DEADLINE_MS, () => enter(() => then({ ok: false, kind: 'indeterminate' })));
       if (sim.chance(world.lateWrites)) {
         // After newer ones.
         sim.after(sim.between(2000, 12000), carryOut);
@@ -55,8 +56,8 @@
     grantLease: (ttlMs, then) => ask((reply) => reply(state.grant(host, ttlMs)), then),
     keepLeaseAlive: (lease, then) => ask((reply) => reply(state.touch(host, lease)), then),
     revokeLease: (lease, then) => ask((reply) => reply(state.end(host, lease)), then),
-    watch: (prefix, since, waitMs, then) =>
-      ask((reply) => state.watch(host, prefix, since, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
+    watch: ({ prefix, sinceRevision, waitMs }, then) =>
+      ask((reply) => state.watch(host, prefix, sinceRevision, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
   };
 }
 
@@ -78,7 +79,7 @@
         (reply) => workers.get(addr)?.direct(token, agentEpoch, copy, reply),
         (answer) =>
           enter(() => {
-            if (!answer.got) return then({ ok: false, kind: answer.sent ? 'unknown' : 'refused' });
+            if (!answer.got) return then({ ok: false, kind: answer.sent ? 'indeterminate' : 'refused' });
             const { ok, report } = answer.value;
             then(ok ? { ok: true, value: report } : { ok: false, kind: 'conflict', heartbeat: report });
           }),
@@ -88,11 +89,11 @@
 }
 
 function result<T>(answer: Answer<StateReply<T>>): Result<T> {
-  if (!answer.got) return { ok: false, kind: answer.sent ? 'unknown' : 'refused' } satisfies Failure;
+  if (!answer.got) return { ok: false, kind: answer.sent ? 'indeterminate' : 'refused' } satisfies Failure;
   const { status, value, failed } = answer.value;
   if (status === 200) return { ok: true, value: JSON.parse(JSON.stringify(value ?? null)) as T };
   if (status === 409) return { ok: false, kind: 'conflict', failedKeys: failed ?? [] };
-  if (status === 404 || status === 410) return { ok: false, kind: 'gone' };
+  if (status === 404 || status === 410) return { ok: false, kind: 'notFound' };
   if (status === 503) return { ok: false, kind: 'refused' };
-  return { ok: false, kind: 'bad' };
+  return { ok: false, kind: 'invalid' };
 }
--- a/test/standin/state.ts
+++ b/test/standin/state.ts
@@ -1,4 +1,10 @@
-import type { StoredItem, Transaction, WatchEvent } from '../../src/model/key-value-store.js';
+import type {
+  ListPage,
+  StoredItem,
+  Transaction,
+  WatchEvent,
+  WatchReply,
+} from '../../src/model/key-value-store.js';
 import type { Sim } from './sim.js';
 
 type Reply<T> = { status: number; value?: T; failed?: string[] };
@@ -18,12 +24,12 @@
   readonly refused = new Set<string>();
   private readonly leases = new Map<number, { ttl: number; end: number; keys: Set<string> }>();
   private nextLease = 1;
-  private log: (WatchEvent & { value: unknown })[] = [];
+  private log: WatchEvent[] = [];
   private waiting: {
     prefix: string;
     since: number;
     host: string;
-    reply: (reply: Reply<{ storeRevision: number; events: WatchEvent[] }>) => void;
+    reply: (reply: Reply<WatchReply>) => void;
   }[] = [];
   historyFrom = 0;
   writes = 0;
@@ -63,19 +69,14 @@
     };
   }
 
-  list(
-    host: string,
-    prefix: string,
-    since: string,
-    page: number,
-  ): Reply<{ items: StoredItem[]; more: boolean; storeRevision: number }> {
+  list(host: string, prefix: string, since: string, page: number): Reply<ListPage> {
     if (this.closed(host)) return { status: 503 };
     const names = [...this.keys.keys()].filter((k) => k.startsWith(prefix) && k > since).sort();
     const items = names.slice(0, page).map((key) => {
       const k = this.keys.get(key)!;
       return { key, value: JSON.parse(k.value), modRevision: k.version };
     });
-    return { status: 200, value: { items, more: names.length > page, storeRevision: this.rev } };
+    return { status: 200, value: { items, hasMore: names.length > page, storeRevision: this.rev } };
   }
 
   txn(host: string, transaction: Transaction, limits: { ops: number; valueKb: number }): Reply<number> {
@@ -87,21 +88,22 @@
       .map((w) => w.key);
     if (failed.length > 0) return { status: 409, failed };
     for (const op of transaction.operations) {
-      if ('put' in op && op.lease !== undefined && !this.leases.has(op.lease)) return { status: 400 };
-      if ('put' in op && JSON.stringify(op.value).length > limits.valueKb * 1024)
-        throw new Error(`value too large: ${op.put}`);
+      if (op.type === 'put' && op.leaseId !== undefined && !this.leases.has(op.leaseId))
+        return { status: 400 };
+      if (op.type === 'put' && JSON.stringify(op.value).length > limits.valueKb * 1024)
+        throw new Error(`value too large: ${op.key}`);
     }
     if (transaction.operations.length === 0) return { status: 200, value: this.rev };
     this.rev++;
     this.writes += transaction.operations.length;
     for (const op of transaction.operations) {
-      if ('del' in op) this.drop(op.del);
+      if (op.type === 'delete') this.drop(op.key);
       else {
-        const old = this.keys.get(op.put);
-        if (old?.lease) this.leases.get(old.lease)?.keys.delete(op.put);
-        this.keys.set(op.put, { value: JSON.stringify(op.value), version: this.rev, lease: op.lease ?? 0 });
-        if (op.lease !== undefined) this.leases.get(op.lease)!.keys.add(op.put);
-        this.log.push({ key: op.put, modRevision: this.rev, value: op.value, deleted: false });
+        const old = this.keys.get(op.key);
+        if (old?.lease) this.leases.get(old.lease)?.keys.delete(op.key);
+        this.keys.set(op.key, { value: JSON.stringify(op.value), version: this.rev, lease: op.leaseId ?? 0 });
+        if (op.leaseId !== undefined) this.leases.get(op.leaseId)!.keys.add(op.key);
+        this.log.push({ type: 'put', key: op.key, modRevision: this.rev, value: op.value });
       }
     }
     this.wakeWatches();
@@ -113,7 +115,7 @@
     if (!k) return;
     if (k.lease) this.leases.get(k.lease)?.keys.delete(key);
     this.keys.delete(key);
-    this.log.push({ key, modRevision: this.rev, value: undefined, deleted: true });
+    this.log.push({ type: 'delete', key, modRevision: this.rev });
   }
 
   grant(host: string, ttl: number): Reply<number> {
@@ -149,7 +151,7 @@
     prefix: string,
     since: number,
     waitMs: number,
-    reply: (reply: Reply<{ storeRevision: number; events: WatchEvent[] }>) => void,
+    reply: (reply: Reply<WatchReply>) => void,
   ): void {
     if (this.closed(host)) return reply({ status: 503 });
     if (since < this.historyFrom) return reply({ status: 410 });
@@ -178,10 +180,9 @@
       const events = this.log.filter((e) => e.modRevision > w.since && e.key.startsWith(w.prefix));
       if (events.length === 0) continue;
       this.waiting.splice(this.waiting.indexOf(w), 1);
-      const copy = events.map((e) => ({
-        ...e,
-        value: e.value === undefined ? undefined : JSON.parse(JSON.stringify(e.value)),
-      }));
+      const copy = events.map((e) =>
+        e.type === 'put' ? { ...e, value: JSON.parse(JSON.stringify(e.value)) } : e,
+      );
       w.reply({ status: 200, value: { storeRevision: this.rev, events: copy } });
     }
     if (this.log.length > 20000) {
--- a/test/worker-client.test.ts
+++ b/test/worker-client.test.ts
@@ -85,5 +85,5 @@
 
   expect(await waiting).toBe('refused');
   expect(received).toBe(0);
-  expect([await first, await second]).toEqual(['unknown', 'unknown']);
+  expect([await first, await second]).toEqual(['indeterminate', 'indeterminate']);
 }, 10000);
