--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -256,7 +256,7 @@
   private queuedCloud(c: CloudProvider): CloudProvider {
     return {
       listMachineTypes: (t) => c.listMachineTypes(this.reply(t)),
-      rentMachines: (a, b, d, e, f, t) => c.rentMachines(a, b, d, e, f, this.reply(t)),
+      rentMachines: (request, t) => c.rentMachines(request, this.reply(t)),
       deleteMachines: (n, t) => c.deleteMachines(n, this.reply(t)),
       listMachines: (a, t) => c.listMachines(a, this.reply(t)),
     };
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -48,43 +48,36 @@
     this.options.log.info({ claim, ...rental }, 'machines asked for');
     let tries = 0;
     const ask = () => {
-      this.options.cloud.rentMachines(
-        claim,
-        rental.machineType,
-        rental.zone,
-        rental.isSpot,
-        rental.count,
-        (res) => {
-          const now = this.options.clock.now();
-          if (res.ok) {
-            this.rentalsInFlight.delete(claim);
-            for (const name of res.value) {
-              if (this.state.deletedMachines.has(name)) continue;
-              const machine = this.state.machine(name);
-              if (machine.machineType === '') {
-                machine.machineType = rental.machineType;
-                machine.zone = rental.zone;
-                machine.isSpot = rental.isSpot;
-                machine.rentedAt = now;
-              }
+      this.options.cloud.rentMachines({ claim, ...rental }, (res) => {
+        const now = this.options.clock.now();
+        if (res.ok) {
+          this.rentalsInFlight.delete(claim);
+          for (const name of res.value) {
+            if (this.state.deletedMachines.has(name)) continue;
+            const machine = this.state.machine(name);
+            if (machine.machineType === '') {
+              machine.machineType = rental.machineType;
+              machine.zone = rental.zone;
+              machine.isSpot = rental.isSpot;
+              machine.rentedAt = now;
             }
-            if (res.value.length < rental.count) this.state.rentalBackoff.onRefused(rental, now);
-            else this.state.rentalBackoff.onFilled(rental);
-            this.options.log.debug({ claim, got: res.value.length }, 'machines rented');
-          } else if (res.kind === 'gone') {
-            this.rentalsInFlight.delete(claim);
-            this.state.rentalBackoff.onRefused(rental, now);
-            this.options.log.debug({ claim, ...rental }, 'no capacity');
-          } else if (res.kind === 'bad' || ++tries >= 6) this.rentalsInFlight.delete(claim);
-          // The same claim again: what was rented under it is answered, and nothing more is rented.
-          else
-            this.options.clock.after(1000 * tries, () =>
-              this.options.holdsLeadership() ? ask() : this.rentalsInFlight.delete(claim),
-            );
-          this.state.isDirty = true;
-          this.options.wake();
-        },
-      );
+          }
+          if (res.value.length < rental.count) this.state.rentalBackoff.onRefused(rental, now);
+          else this.state.rentalBackoff.onFilled(rental);
+          this.options.log.debug({ claim, got: res.value.length }, 'machines rented');
+        } else if (res.kind === 'gone') {
+          this.rentalsInFlight.delete(claim);
+          this.state.rentalBackoff.onRefused(rental, now);
+          this.options.log.debug({ claim, ...rental }, 'no capacity');
+        } else if (res.kind === 'bad' || ++tries >= 6) this.rentalsInFlight.delete(claim);
+        // The same claim again: what was rented under it is answered, and nothing more is rented.
+        else
+          this.options.clock.after(1000 * tries, () =>
+            this.options.holdsLeadership() ? ask() : this.rentalsInFlight.delete(claim),
+          );
+        this.state.isDirty = true;
+        this.options.wake();
+      });
     };
     ask();
   }
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,4 +1,4 @@
-import type { CloudProvider } from '../model/cloud-provider.js';
+import type { CloudProvider, RentalRequest } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import type { ResultCallback } from '../model/result.js';
 import { readList, readRented, readTypes, writeRemoval, writeRental } from '../wire/cloud-messages.js';
@@ -62,15 +62,8 @@
     });
   }
 
-  rentMachines(
-    claim: string,
-    type: string,
-    zone: string,
-    spot: boolean,
-    n: number,
-    callback: ResultCallback<string[]>,
-  ): void {
-    this.call(1, 'POST', '/machines', writeRental(claim, type, zone, spot, n), (r) => {
+  rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void {
+    this.call(1, 'POST', '/machines', writeRental(request), (r) => {
       if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
       if (r.status === 400) return callback({ ok: false, kind: 'bad' });
       if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -1,3 +1,4 @@
+import type { RentalRequest } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import { isObj, num, str } from './json.js';
 
@@ -53,14 +54,14 @@
   return v.trunks.filter((n): n is string => typeof n === 'string');
 }
 
-export function writeRental(
-  claim: string,
-  type: string,
-  zone: string,
-  spot: boolean,
-  n: number,
-): Record<string, unknown> {
-  return { claim, bark: type, slope: zone, windfall: spot, number: n };
+export function writeRental({
+  claim,
+  machineType,
+  zone,
+  isSpot,
+  count,
+}: RentalRequest): Record<string, unknown> {
+  return { claim, bark: machineType, slope: zone, windfall: isSpot, number: count };
 }
 
 export function writeRemoval(names: string[]): Record<string, unknown> {
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -20,7 +20,9 @@
 const types = (status: number, text: string) =>
   call<MachineType[]>(status, text, (then) => cloud.listMachineTypes(then));
 const rent = (status: number, text: string) =>
-  call<string[]>(status, text, (then) => cloud.rentMachines('r-17', 'g8', 'a', true, 12, then));
+  call<string[]>(status, text, (then) =>
+    cloud.rentMachines({ claim: 'r-17', machineType: 'g8', zone: 'a', isSpot: true, count: 12 }, then),
+  );
 const remove = (status: number) =>
   call<null>(status, '{}', (then) => cloud.deleteMachines(['vm-000231', 'vm-000232'], then));
 const list = (status: number, text: string, since = 'vm-000230') =>
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -107,7 +107,7 @@
     cloud: {
       listMachineTypes: (then) =>
         then(cloudTypes.length > 0 ? { ok: true, value: cloudTypes } : { ok: false, kind: 'refused' }),
-      rentMachines: (_claim, _type, _zone, _spot, _count, then) => then({ ok: false, kind: 'refused' }),
+      rentMachines: (_request, then) => then({ ok: false, kind: 'refused' }),
       deleteMachines: (_names, then) => then({ ok: true, value: null }),
       listMachines: (_since, then) => then({ ok: true, value: { machines: [], more: false } }),
     },
--- a/test/standin/cloud.ts
+++ b/test/standin/cloud.ts
@@ -64,8 +64,8 @@
       );
     return {
       listMachineTypes: (then) => ask(() => ({ ok: true, value: kind.types }), then),
-      rentMachines: (claim, type, zone, spot, count, then) =>
-        ask(() => this.claim(claim, type, zone, spot, count), then),
+      rentMachines: ({ claim, machineType, zone, isSpot, count }, then) =>
+        ask(() => this.claim(claim, machineType, zone, isSpot, count), then),
       deleteMachines: (names, then) =>
         ask(() => {
           for (const name of names) this.world.stopped(name);
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -118,9 +118,9 @@
         add('types', null);
         port.listMachineTypes(then);
       },
-      rentMachines: (claim, type, zone, spot, count, then) => {
-        add('rent', writeRental(claim, type, zone, spot, count));
-        port.rentMachines(claim, type, zone, spot, count, then);
+      rentMachines: (request, then) => {
+        add('rent', writeRental(request));
+        port.rentMachines(request, then);
       },
       deleteMachines: (names, then) => {
         add('remove', writeRemoval(names));
--- a/test/standin/scheduler.ts
+++ b/test/standin/scheduler.ts
@@ -41,10 +41,10 @@
     log: { debug: () => {}, info: () => {}, error: () => {} },
     cloud: {
       listMachineTypes: () => {},
-      rentMachines: (claim, _type, _zone, _spot, n, callback) => {
+      rentMachines: ({ claim, count }, callback) => {
         if (!rents.served) return;
-        rents.n += n;
-        callback({ ok: true, value: Array.from({ length: n }, (_, i) => `${claim}-${i}`) });
+        rents.n += count;
+        callback({ ok: true, value: Array.from({ length: count }, (_, i) => `${claim}-${i}`) });
       },
       deleteMachines: (names, callback) => {
         removed.push(...names);
