--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -1,4 +1,6 @@
-/** What operators may set by expressions; see src/settings/policy.ts for the names they may use. */
+/** What operators may set by expressions; `src/config/policy.ts` reads them. */
+
+/** The names that expressions may use, with the cluster's present values. Keys are operators' names, hence their spelling. */
 export interface PolicyInput {
   services: number;
   service_cpus: number;
@@ -11,10 +13,11 @@
   boot_s: number;
 }
 
+/** The results of the expressions. Keys are operators' names, hence their spelling. */
 export interface Policy {
-  /** Service replicas that find room at once, beyond those running. */
+  /** Service replicas that find capacity at once, beyond those running. */
   reserve_replicas: number;
-  /** Free room kept for classes with an aim on waiting, as a multiple of their mean job. */
+  /** Free capacity kept for classes with an objective on waiting, as a multiple of their mean job. */
   reserve_batch: number;
   /** Seconds a machine may stand empty before it is returned. */
   idle_s: number;
@@ -35,4 +38,6 @@
   /** Seconds that work which waits behind running tasks is left waiting before machines are rented for it. */
   patience_s: number;
 }
+
+/** Evaluates all expressions. */
 export type PolicyFn = (input: PolicyInput) => Policy;
--- a/src/model/task-assignment.ts
+++ b/src/model/task-assignment.ts
@@ -1,3 +1,5 @@
+/** Which task of a gang goes to which place, where machines refuse some of them. */
+
 /**
  * Assigns tasks to places so that no place gets a task that it refuses: a maximum bipartite matching by augmenting paths.
  * `refused` has the tasks that each place refuses. Places with the most refusals choose first, so paths are rarely longer
@@ -14,6 +16,7 @@
   return { tasks: matching.taskOf, without };
 }
 
+/** What `assignTasks` found. */
 export interface TaskAssignment {
   /** The task of each place; undefined: none was left that it takes. */
   tasks: readonly (number | undefined)[];
@@ -36,19 +39,18 @@
 
   assign(place: number): boolean {
     const free = this.freeTask(place);
-    if (free !== undefined) {
-      this.match(place, free);
-      return true;
-    }
-    return this.augment(place);
+    if (free === undefined) return this.augment(place);
+    this.match(place, free);
+    return true;
   }
 
   private freeTask(place: number): number | undefined {
-    while (this.firstFree < this.tasks.length && this.placeOf.has(this.tasks[this.firstFree]!))
-      this.firstFree++;
-    for (let k = this.firstFree; k < this.tasks.length; k++) {
-      const task = this.tasks[k]!;
-      if (!this.placeOf.has(task) && this.takes(place, task)) return task;
+    for (let index = this.firstFree; index < this.tasks.length; index++) {
+      const task = this.tasks[index];
+      if (task === undefined) break;
+      if (this.placeOf.has(task)) {
+        if (index === this.firstFree) this.firstFree++;
+      } else if (this.takes(place, task)) return task;
     }
     return undefined;
   }
