--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -15,7 +15,7 @@
 import type { ServiceLevelObjective, Team } from '../model/team.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
 import { EndedAttempts } from './ended-attempts.js';
-import { RentalBackoff } from './fleet/rental-planner.js';
+import { RentalBackoff } from './fleet/rental-backoff.js';
 import type { ImageLocations } from './image-locations.js';
 import {
   type Allocation,
@@ -378,7 +378,7 @@
   capacityOf(machine: Machine, now: number): FreeCapacity | null {
     const machineType = this.machineTypes.get(machine.machineType);
     if (!machineType || !machine.totals.isTypeKnown) return null;
-    const capacity = emptyCapacity(machineType, machine.zone, machine.isSpot, machine.name);
+    const capacity = emptyCapacity(machineType, machine);
     capacity.images = machine.images;
     if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
     capacity.penaltySeconds =
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -1,17 +1,27 @@
+/** Plans rentals for work without capacity. */
+
 import type { MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
-import { slotsIn } from '../../model/resources.js';
-import {
-  emptyCapacity,
-  type FreeCapacity,
-  fill,
-  fits,
-  isAllowed,
-  isAvoided,
-  type MachineOffer,
-  take,
-} from '../placement/free-capacity.js';
-
+import { EPSILON, slotsIn } from '../../model/resources.js';
+import { fits, isAllowed, isAvoided, subtract } from '../placement/capacity-filter.js';
+import { fill } from '../placement/fill.js';
+import { type CapacityDemand, emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+import { OBJECTIVE_MARGIN_SHARE } from '../placement/wait-objectives.js';
+import { offerKey } from './rental-backoff.js';
+import { cheapestOffer, type PricingInput, type RentalOffer, startupSeconds } from './rental-pricing.js';
+
+/** Machines that one call to the cloud may ask for. */
+const MAX_MACHINES_PER_CALL = 50;
+/** Choices of an offer for one request in one plan. */
+const MAX_OFFERS_PER_REQUEST = 64;
+/** Runs of a task that one place is counted on for, one after another. */
+const MAX_RUNS_PER_SLOT = 8;
+/** Multiple of the estimated run that each of them is counted as: estimates may be too low. */
+const CONSECUTIVE_RUN_MARGIN = 1.3;
+/** Bounds how many similar tasks one that needs next to nothing counts for. */
+const MIN_CPUS_PER_TASK = 0.1;
+
+/** Machines of one kind to rent. */
 export interface Rental {
   machineType: string;
   zone: string;
@@ -19,166 +29,150 @@
   count: number;
 }
 
-/** Refused rentals are remembered per type, zone and kind, with growing pauses. */
-export class RentalBackoff {
-  private readonly blocked = new Map<string, { until: number; pause: number }>();
+/** What a plan is made from. */
+export interface RentalPlanInput extends PricingInput {
+  /** Requests that found no capacity, highest priority first, with the number of tasks left. */
+  unplaced: CapacityDemand[];
+  /** Capacities of machines that are rented and not yet up. */
+  expectedCapacities: FreeCapacity[];
+  /** Calls to the cloud that may be made now, each for up to `MAX_MACHINES_PER_CALL` machines of one kind. */
+  maxCalls: number;
+}
 
-  constructor(
-    private readonly firstPauseMs: number,
-    private readonly maxPauseMs: number,
-  ) {}
+/** Chooses rentals for work without capacity: the cheapest place per task, boot and image fetch included. */
+export function planRentals(input: RentalPlanInput): Rental[] {
+  return new RentalPlan(input).make();
+}
 
-  static keyOf(rental: MachineOffer): string {
-    return `${rental.machineType}|${rental.zone}|${rental.isSpot ? 's' : 'o'}`;
-  }
+class RentalPlan {
+  private readonly capacities: FreeCapacity[];
+  private readonly machineTypes: ReadonlyMap<string, MachineType>;
+  private readonly rentals = new Map<string, Rental>();
 
-  isOpen(rental: MachineOffer, now: number): boolean {
-    const b = this.blocked.get(RentalBackoff.keyOf(rental));
-    return !b || b.until <= now;
+  constructor(private readonly input: RentalPlanInput) {
+    this.capacities = [...input.expectedCapacities];
+    this.machineTypes = new Map(input.machineTypes.map((machineType) => [machineType.name, machineType]));
   }
 
-  onRefused(rental: MachineOffer, now: number): void {
-    const k = RentalBackoff.keyOf(rental);
-    const pause = Math.min(this.maxPauseMs, (this.blocked.get(k)?.pause ?? this.firstPauseMs / 2) * 2);
-    this.blocked.set(k, { until: now + pause, pause });
+  make(): Rental[] {
+    // A request of its own each: what is planned in a zone counts against what may still go there, or machines would be
+    // rented again and again for replicas that may not use them.
+    const demands = this.input.unplaced.map(({ request, count }) => {
+      const planned: ResourceRequest = {
+        ...request,
+        zoneAllowance: request.zoneAllowance ? { ...request.zoneAllowance } : null,
+      };
+      return { request: planned, count: this.assign(this.capacities, { request: planned, count }) };
+    });
+    for (const [index, demand] of demands.entries()) {
+      if (this.callCount() >= this.input.maxCalls) break;
+      this.rentFor(demand, demands, index);
+    }
+    return [...this.rentals.values()].flatMap(splitIntoCalls);
   }
 
-  onFilled(rental: MachineOffer): void {
-    this.blocked.delete(RentalBackoff.keyOf(rental));
+  private callCount(): number {
+    let calls = 0;
+    for (const { count } of this.rentals.values()) calls += Math.ceil(count / MAX_MACHINES_PER_CALL);
+    return calls;
   }
 
-  /** A machine came free again. */
-  onFreed(rental: MachineOffer): void {
-    const b = this.blocked.get(RentalBackoff.keyOf(rental));
-    if (b) b.until = 0;
+  private rentFor(
+    { request, count }: CapacityDemand,
+    demands: readonly CapacityDemand[],
+    index: number,
+  ): void {
+    // What is rented for an earlier request may have room for this one.
+    let open = this.assign(this.capacities, { request, count });
+    for (let offers = 0; offers < MAX_OFFERS_PER_REQUEST; offers++) {
+      if (open <= 0 || this.callCount() >= this.input.maxCalls) return;
+      const similarTasks = similarTaskCount(request, demands, index);
+      const offer = cheapestOffer(this.input, request, Math.max(open, similarTasks));
+      if (!offer) return;
+      const rented = this.rent(offer, { request, count: open });
+      const before = open;
+      open = this.assign(rented, { request, count: open });
+      for (const capacity of rented) if (capacity.cpus > EPSILON) this.capacities.push(capacity);
+      if (open === before && !request.allOrNothing) return;
+      if (request.allOrNothing) open = this.assign(this.capacities, { request, count: open });
+    }
   }
-}
-
-export interface PricingInput {
-  machineTypes: MachineType[];
-  rentalBackoff: RentalBackoff;
-  now: number;
-  /** Span over which boot and image fetch are paid off. */
-  amortizationSeconds: number;
-  serviceAmortizationSeconds: number;
-  scarceZone: string | null;
-}
 
-export interface RentalPlanInput extends PricingInput {
-  /** Wants that found no room, in order of rank, with the number of tasks left. */
-  unplaced: { request: ResourceRequest; count: number }[];
-  /** Rooms of machines that are rented and not yet up. */
-  expectedCapacities: FreeCapacity[];
-  /** Calls to the cloud that may be made now, each for up to `MOST_A_CALL` machines of one kind. */
-  maxCalls: number;
-}
+  /** Adds to the rental of this offer as many machines as the demand fills; returns their capacities. */
+  private rent({ type, zone, isSpot }: RentalOffer, demand: CapacityDemand): FreeCapacity[] {
+    const key = offerKey({ machineType: type.name, zone, isSpot });
+    const rental = this.rentals.get(key) ?? { machineType: type.name, zone, isSpot, count: 0 };
+    const unusedOfLastCall =
+      (MAX_MACHINES_PER_CALL - (rental.count % MAX_MACHINES_PER_CALL)) % MAX_MACHINES_PER_CALL;
+    const machineCount = Math.min(
+      machinesFor(type, demand),
+      MAX_MACHINES_PER_CALL * (this.input.maxCalls - this.callCount()) + unusedOfLastCall,
+    );
+    rental.count += machineCount;
+    this.rentals.set(key, rental);
+    return Array.from({ length: machineCount }, () => emptyCapacity(type, { name: '', zone, isSpot }));
+  }
 
-const MAX_MACHINES_PER_CALL = 50;
-/** Part of an aim kept in hand. */
-export const OBJECTIVE_MARGIN = 0.2;
+  /** Subtracts tasks from the capacities; returns how many are left without. */
+  private assign(capacities: FreeCapacity[], demand: CapacityDemand): number {
+    const { request, count } = demand;
+    const { zoneAllowance } = request;
+    if (request.slackSeconds !== null && mayRunConsecutively(request))
+      return this.assignConsecutiveRuns(capacities, demand);
+    const usedZones: string[] = [];
+    const left = fill(
+      capacities,
+      { request, count },
+      {
+        scarceZone: this.input.scarceZone,
+        onPlaced: (capacity) => usedZones.push(capacity.zone),
+      },
+    );
+    if (zoneAllowance)
+      for (const zone of usedZones)
+        zoneAllowance[zone] = (zoneAllowance[zone] ?? request.maxTasksPerZone) - 1;
+    return left;
+  }
 
-/** Chooses rentals for work without room: the cheapest place per task, boot and image fetch included. */
-export function planRentals(input: RentalPlanInput): Rental[] {
-  const capacities = [...input.expectedCapacities];
-  const out = new Map<string, Rental>();
-  // A want of its own each: what is planned in a zone counts against what may still go there, or machines would be
-  // rented again and again for replicas that may not use them.
-  const rest = input.unplaced.map((l) => {
-    const request: ResourceRequest = {
-      ...l.request,
-      zoneAllowance: l.request.zoneAllowance ? { ...l.request.zoneAllowance } : null,
-    };
-    return { want: request, count: assignCapacity(input, capacities, request, l.count) };
-  });
-  const calls = () =>
-    [...out.values()].reduce((n, rental) => n + Math.ceil(rental.count / MAX_MACHINES_PER_CALL), 0);
-  for (let k = 0; k < rest.length && calls() < input.maxCalls; k++) {
-    const { want } = rest[k]!;
-    // Room rented for an earlier want may have space for this one.
-    let count = assignCapacity(input, capacities, want, rest[k]!.count);
-    let guard = 64;
-    while (count > 0 && calls() < input.maxCalls && guard-- > 0) {
-      const c = cheapestOffer(input, want, Math.max(count, similarTaskCount(rest, k)));
-      if (!c) break;
-      const key = RentalBackoff.keyOf({ machineType: c.type.name, zone: c.zone, isSpot: c.spot });
-      const r = out.get(key) ?? { machineType: c.type.name, zone: c.zone, isSpot: c.spot, count: 0 };
-      // As many as this want fills, in one go; spread and joined jobs choose their zones machine by machine.
-      const alone = want.allOrNothing || want.zoneAllowance !== null || want.zoneAffinity;
-      const each = Math.max(1, slotsIn(c.type, want)) * runsPerSlot(c.type, want);
-      const n = alone ? 1 : Math.max(1, Math.floor(count / each));
-      const more = Math.min(
-        n,
-        MAX_MACHINES_PER_CALL * (input.maxCalls - calls()) +
-          ((MAX_MACHINES_PER_CALL - (r.count % MAX_MACHINES_PER_CALL)) % MAX_MACHINES_PER_CALL),
-      );
-      r.count += more;
-      out.set(key, r);
-      const fresh: FreeCapacity[] = [];
-      for (let x = 0; x < more; x++) fresh.push(emptyCapacity(c.type, c.zone, c.spot, ''));
-      const before = count;
-      count = assignCapacity(input, fresh, want, count);
-      for (const x of fresh) if (x.cpus > 1e-9) capacities.push(x);
-      if (count === before && !want.allOrNothing) break;
-      if (want.allOrNothing) count = assignCapacity(input, capacities, want, count);
+  /** For work with time before its objective: a place takes as many of its tasks as it can run one after another. */
+  private assignConsecutiveRuns(capacities: FreeCapacity[], { request, count }: CapacityDemand): number {
+    let left = count;
+    for (const capacity of capacities) {
+      if (left <= 0) break;
+      const machineType = this.machineTypes.get(capacity.machineType);
+      if (
+        !machineType ||
+        !fits(capacity, request) ||
+        !isAllowed(capacity, request) ||
+        isAvoided(request, capacity.machineName)
+      )
+        continue;
+      if (request.spotOnly && !capacity.isSpot) continue;
+      const runs = runsPerSlot(machineType, request);
+      const slots = Math.min(slotsIn(capacity, request), Math.ceil(left / runs));
+      for (let slot = 0; slot < slots; slot++) subtract(capacity, request);
+      left -= slots * runs;
     }
+    return Math.max(0, left);
   }
-  return [...out.values()].flatMap((rental) => {
-    const parts: Rental[] = [];
-    for (let left = rental.count; left > 0; left -= MAX_MACHINES_PER_CALL)
-      parts.push({ ...rental, count: Math.min(MAX_MACHINES_PER_CALL, left) });
-    return parts;
-  });
 }
 
-/** Takes room for tasks of a want; returns how many are left without. */
-function assignCapacity(
-  input: RentalPlanInput,
-  capacities: FreeCapacity[],
-  request: ResourceRequest,
-  count: number,
-): number {
-  if (
-    request.slackSeconds !== null &&
-    !request.isService &&
-    !request.allOrNothing &&
-    !request.zoneAllowance &&
-    !request.zoneAffinity
-  )
-    return assignConsecutiveRuns(input, capacities, request, count);
-  const used: string[] = [];
-  const left = fill(capacities, request, count, input.scarceZone, (capacity) => used.push(capacity.zone));
-  if (request.zoneAllowance)
-    for (const z of used)
-      request.zoneAllowance[z] = (request.zoneAllowance[z] ?? request.maxTasksPerZone) - 1;
-  return left;
+function splitIntoCalls(rental: Rental): Rental[] {
+  const calls: Rental[] = [];
+  for (let left = rental.count; left > 0; left -= MAX_MACHINES_PER_CALL)
+    calls.push({ ...rental, count: Math.min(MAX_MACHINES_PER_CALL, left) });
+  return calls;
 }
 
-/** The same for work with time before its aim: a place takes as many of its tasks as it can run one after another. */
-function assignConsecutiveRuns(
-  input: RentalPlanInput,
-  capacities: FreeCapacity[],
-  request: ResourceRequest,
-  count: number,
-): number {
-  const types = new Map(input.machineTypes.map((machineType) => [machineType.name, machineType]));
-  let left = count;
-  for (const capacity of capacities) {
-    if (left <= 0) break;
-    const t = types.get(capacity.machineType);
-    if (
-      !t ||
-      !fits(capacity, request) ||
-      !isAllowed(capacity, request) ||
-      isAvoided(request, capacity.machineName)
-    )
-      continue;
-    if (request.spotOnly && !capacity.isSpot) continue;
-    const each = runsPerSlot(t, request);
-    const n = Math.min(slotsIn(capacity, request), Math.ceil(left / each));
-    for (let k = 0; k < n; k++) take(capacity, request);
-    left -= n * each;
-  }
-  return Math.max(0, left);
+function mayRunConsecutively(request: ResourceRequest): boolean {
+  return !request.isService && !request.allOrNothing && !request.zoneAllowance && !request.zoneAffinity;
+}
+
+/** As many as the demand fills, in one go; spread and joined jobs choose their zones machine by machine. */
+function machinesFor(machineType: MachineType, { request, count }: CapacityDemand): number {
+  if (request.allOrNothing || request.zoneAllowance !== null || request.zoneAffinity) return 1;
+  const tasksPerMachine = Math.max(1, slotsIn(machineType, request)) * runsPerSlot(machineType, request);
+  return Math.max(1, Math.floor(count / tasksPerMachine));
 }
 
 function runsPerSlot(machineType: MachineType, request: ResourceRequest): number {
@@ -189,48 +183,25 @@
     request.estimatedRunSeconds <= 0
   )
     return 1;
-  const wait = machineType.bootSeconds + request.imageGb / Math.max(0.01, machineType.imageFetchGbPerSecond);
-  const left = request.slackSeconds - (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN - wait;
-  return Math.max(1, Math.min(8, Math.floor(left / (request.estimatedRunSeconds * 1.3))));
+  const secondsLeft =
+    request.slackSeconds -
+    (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN_SHARE -
+    startupSeconds(machineType, request);
+  const runs = Math.floor(secondsLeft / (request.estimatedRunSeconds * CONSECUTIVE_RUN_MARGIN));
+  return Math.max(1, Math.min(MAX_RUNS_PER_SLOT, runs));
 }
 
-/** Tasks of this and later wants that could share a machine rented for this one. */
-function similarTaskCount(rest: { want: ResourceRequest; count: number }[], from: number): number {
-  const request = rest[from]!.want;
-  let n = 0;
-  for (let k = from; k < rest.length; k++) {
-    const o = rest[k]!;
-    if (o.want.spotAllowed === request.spotAllowed && o.want.machineTypes === null)
-      n += (o.count * o.want.cpus) / Math.max(0.1, request.cpus);
-  }
-  return Math.ceil(n);
-}
-
-export function cheapestOffer(
-  input: PricingInput,
+/** Tasks of the demands from this index on that could share a machine rented for the request. */
+function similarTaskCount(
   request: ResourceRequest,
-  count: number,
-): { type: MachineType; zone: string; spot: boolean } | null {
-  let found: { type: MachineType; zone: string; spot: boolean } | null = null;
-  let cost = Number.POSITIVE_INFINITY;
-  for (const type of input.machineTypes) {
-    const per = slotsIn(type, request);
-    if (per < 1) continue;
-    for (const zone of type.zones) {
-      for (const spot of request.spotOnly ? [true] : request.spotAllowed ? [true, false] : [false]) {
-        const at = { machineType: type.name, zone, isSpot: spot };
-        if (!isAllowed(at, request) || !input.rentalBackoff.isOpen(at, input.now)) continue;
-        const wait = type.bootSeconds + request.imageGb / Math.max(0.01, type.imageFetchGbPerSecond);
-        const span = request.isService ? input.serviceAmortizationSeconds : input.amortizationSeconds;
-        const c =
-          ((spot ? type.hourlySpotPrice : type.hourlyPrice) / Math.min(per, count)) * (1 + wait / span);
-        if (zone === input.scarceZone && !spot && !request.zoneAllowance && request.zone !== zone) continue;
-        if (c < cost) {
-          cost = c;
-          found = { type, zone, spot };
-        }
-      }
-    }
+  demands: readonly CapacityDemand[],
+  from: number,
+): number {
+  let tasks = 0;
+  for (let index = from; index < demands.length; index++) {
+    const other = demands[index];
+    if (other && other.request.spotAllowed === request.spotAllowed && other.request.machineTypes === null)
+      tasks += (other.count * other.request.cpus) / Math.max(MIN_CPUS_PER_TASK, request.cpus);
   }
-  return found;
+  return Math.ceil(tasks);
 }
--- /dev/null
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -0,0 +1,85 @@
+/** Capacity kept free for the next replicas of services. */
+
+import type { ResourceRequest } from '../../model/placement.js';
+import { slotsIn } from '../../model/resources.js';
+import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import { usesCapacity } from '../machine.js';
+import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
+
+/** A service of which nothing was heard for so long needs no machine with its image. */
+const MAX_PROFILE_AGE_MS = 600_000;
+
+/** The reserve, expressed as requests that nobody has made. */
+export class ServiceReserve {
+  constructor(
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
+  ) {}
+
+  /** What the next replicas should find at once; over all zones if some service must be spread. */
+  demand(): CapacityDemand[] {
+    const profiles = [...this.state.serviceProfiles.values()].sort((one, other) => other.at - one.at);
+    const [newest] = profiles;
+    if (!newest || this.state.policy.reserve_replicas <= 0) return [];
+    const replicas = Math.ceil(this.state.policy.reserve_replicas);
+    const request: ResourceRequest = {
+      ...newest.request,
+      jobId: '',
+      zone: null,
+      machineTypes: null,
+      avoidedMachines: [],
+      preferredMachine: '',
+      image: '',
+      imageGb: 0,
+    };
+    if (!profiles.some((profile) => profile.request.zoneAllowance))
+      return [{ request: { ...request, zoneAllowance: null }, count: replicas }];
+    const zones = new Set(this.options.machineTypes().flatMap((machineType) => machineType.zones));
+    const perZone = Math.max(1, Math.ceil(replicas / Math.max(1, zones.size)));
+    return [...zones].map((zone) => ({
+      request: { ...request, zone, zoneAllowance: {}, maxTasksPerZone: perZone },
+      count: perZone,
+    }));
+  }
+
+  /** Places with their image that the replicas of each service will need next: its part of the reserve. */
+  warmDemand(now: number): CapacityDemand[] {
+    const running = this.runningReplicasByImage();
+    const demands: CapacityDemand[] = [];
+    for (const { request, at } of this.state.serviceProfiles.values()) {
+      if (now - at > MAX_PROFILE_AGE_MS) continue;
+      const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.services);
+      const count = Math.max(1, Math.ceil(this.state.policy.reserve_replicas * share));
+      demands.push({ request, count });
+    }
+    return demands;
+  }
+
+  private runningReplicasByImage(): Map<string, number> {
+    const running = new Map<string, number>();
+    for (const machine of this.state.machines.values()) {
+      if (machine.totals.replicas === 0) continue;
+      for (const allocation of machine.allocations.values())
+        if (allocation.isService && usesCapacity(allocation))
+          running.set(allocation.image, (running.get(allocation.image) ?? 0) + 1);
+    }
+    return running;
+  }
+}
+
+/** How many replicas of a warm demand find no place with their image: they would wait for a fetch. */
+export function coldReplicaCount(
+  capacities: readonly FreeCapacity[],
+  warmDemand: readonly CapacityDemand[],
+): number {
+  let cold = 0;
+  for (const { request, count } of warmDemand) {
+    let warm = 0;
+    for (const capacity of capacities) {
+      if (!capacity.isSpot && capacity.images?.has(request.image)) warm += slotsIn(capacity, request);
+      if (warm >= count) break;
+    }
+    cold += Math.max(0, count - warm);
+  }
+  return cold;
+}
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -1,12 +1,16 @@
+/** Keeps requests from machines that would refuse their tasks. */
+
 import type { ResourceRequest } from '../../model/placement.js';
 import { assignTasks } from '../../model/task-assignment.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { EndedTasks } from '../ended-attempts.js';
-import { chooseForGang, type FreeCapacity, isOpenTo } from './free-capacity.js';
+import { isOpenTo } from './capacity-filter.js';
+import { chooseForGang } from './fill.js';
+import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /** Work that ended attempts alone have kept waiting for so long asks for a higher token, under which they are removed. */
 const RAISE_TOKEN_AFTER_MS = 15_000;
-/** Choices of machines tried for a gang before all machines are passed over that list any ended attempt of it. */
+/** Choices of machines made for a gang before all machines are passed over that list any ended attempt of it. */
 const MAX_CHOICES = 8;
 
 /**
@@ -28,12 +32,13 @@
     this.blockingMachines = new Set();
   }
 
-  endPass(waiting: ReadonlySet<string>): void {
-    for (const job of this.blockedSince.keys()) if (!waiting.has(job)) this.blockedSince.delete(job);
+  /** Forgets jobs that no longer wait. */
+  endPass(waitingJobs: ReadonlySet<string>): void {
+    for (const job of this.blockedSince.keys()) if (!waitingJobs.has(job)) this.blockedSince.delete(job);
     this.state.blockingMachines = this.blockingMachines;
   }
 
-  /** Machines that would refuse each task that a want still has; null: none. */
+  /** Machines that would refuse each task that a request still has; null: none. */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
@@ -41,39 +46,44 @@
     return names.size > 0 ? names : null;
   }
 
-  /** Rooms for all tasks of a gang, none of which meets its own ended attempt; null: there are none. */
-  chooseForGang(
-    capacities: FreeCapacity[],
-    request: ResourceRequest,
-    count: number,
-    scarceZone: string | null,
-  ): FreeCapacity[] | null {
+  /** Capacities for all tasks of a gang, none of which meets its own ended attempt; null: there are none. */
+  chooseForGang(capacities: FreeCapacity[], { request, count }: CapacityDemand): FreeCapacity[] | null {
+    const { scarceZone } = this.state;
     const passedOver = new Set(request.refusingMachines);
-    const choose = () =>
-      chooseForGang(capacities, { ...request, refusingMachines: passedOver }, count, scarceZone);
+    const choose = () => {
+      const passingOver: ResourceRequest = { ...request, refusingMachines: passedOver };
+      return chooseForGang(capacities, { request: passingOver, count }, scarceZone);
+    };
     if (!this.state.endedAttempts.has(request.jobId)) return choose();
     for (let choices = 0; choices < MAX_CHOICES; choices++) {
       const chosen = choose();
       if (!chosen) return null;
       const { without } = assignTasks(indices(count), this.refusedTasks(chosen, request.jobId));
       if (without.length === 0) return chosen;
-      for (const place of without) passedOver.add(chosen[place]!.machineName);
+      const unusable = new Set(without);
+      chosen.forEach(({ machineName }, place) => {
+        if (unusable.has(place)) passedOver.add(machineName);
+      });
     }
     for (const machine of this.state.endedAttempts.machinesOf(request.jobId)) passedOver.add(machine.name);
     return choose();
   }
 
-  /** The tasks of a job that each of these rooms refuses. */
+  /** The tasks of a job that each of these machines refuses. */
   private refusedTasks(capacities: FreeCapacity[], job: string): (ReadonlySet<number> | undefined)[] {
     return capacities.map(
       (capacity) => this.state.machines.get(capacity.machineName)?.endedTasks.get(job)?.tasks,
     );
   }
 
-  /** Nothing of a want was placed in this pass: notes whether it would have been but for ended attempts. */
-  onUnplaced(request: ResourceRequest, count: number, capacities: FreeCapacity[], now: number): void {
-    const blockers = this.blockersOf(request, count, capacities);
-    if (blockers.length === 0) return this.onPlaced(request.jobId);
+  /** Nothing of a request was placed in this pass: notes whether it would have been but for ended attempts. */
+  onUnplaced(demand: CapacityDemand, capacities: FreeCapacity[], now: number): void {
+    const { request } = demand;
+    const blockers = this.blockersOf(demand, capacities);
+    if (blockers.length === 0) {
+      this.onPlaced(request.jobId);
+      return;
+    }
     for (const name of blockers) this.blockingMachines.add(name);
     const since = this.blockedSince.get(request.jobId) ?? now;
     this.blockedSince.set(request.jobId, since);
@@ -88,20 +98,20 @@
     this.blockedSince.delete(job);
   }
 
-  private blockersOf(request: ResourceRequest, count: number, capacities: FreeCapacity[]): string[] {
+  private blockersOf({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
     if (!this.state.endedAttempts.has(request.jobId)) return [];
-    const freely: ResourceRequest = { ...request, refusingMachines: undefined };
+    const unhindered: ResourceRequest = { ...request, refusingMachines: undefined };
     if (!request.allOrNothing) {
       const { refusingMachines: refusedBy } = request;
       if (!refusedBy) return [];
       return capacities
         .filter(
           (capacity) =>
-            refusedBy.has(capacity.machineName) && isOpenTo(capacity, freely, this.state.scarceZone),
+            refusedBy.has(capacity.machineName) && isOpenTo(capacity, unhindered, this.state.scarceZone),
         )
         .map((capacity) => capacity.machineName);
     }
-    const chosen = chooseForGang(capacities, freely, count, this.state.scarceZone) ?? [];
+    const chosen = chooseForGang(capacities, { request: unhindered, count }, this.state.scarceZone) ?? [];
     const refused = this.refusedTasks(chosen, request.jobId);
     return [...new Set(chosen.filter((_, place) => refused[place]).map((capacity) => capacity.machineName))];
   }
--- /dev/null
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -0,0 +1,121 @@
+/** Fills free capacity with tasks of one request that may be placed one by one. */
+
+import type { ResourceRequest } from '../../model/placement.js';
+import { fits, isAllowed, isOpenTo, subtract } from './capacity-filter.js';
+import { score } from './capacity-score.js';
+import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
+
+/** Machines that the replicas of one job are spread over where there is a choice. */
+const MAX_MACHINES_PER_SERVICE = 4;
+
+/** How to fill. */
+export interface FillOptions {
+  /** Zone whose ordinary machines are left to jobs that must be spread; null: none. */
+  scarceZone: string | null;
+  /** Called for each task, after its demand was subtracted. */
+  onPlaced?: (capacity: FreeCapacity) => void;
+}
+
+/** Places up to `count` tasks, best machine first; subtracts them from the capacities. Returns how many were left. */
+export function fillTasks(
+  capacities: readonly FreeCapacity[],
+  demand: CapacityDemand,
+  options: FillOptions,
+): number {
+  return new TaskFill(demand, options).run(capacities);
+}
+
+class TaskFill {
+  private readonly request: ResourceRequest;
+  private readonly count: number;
+  private readonly scarceZone: string | null;
+  private readonly zoneAllowance: Record<string, number> | null;
+  /** The request with what is left of its zones, and with the zone that its tasks are joined in. */
+  private readonly constrained: ResourceRequest;
+  private readonly placedOn = new Map<FreeCapacity, number>();
+  private remaining: number;
+
+  constructor(
+    { request, count }: CapacityDemand,
+    private readonly options: FillOptions,
+  ) {
+    this.request = request;
+    this.count = count;
+    this.scarceZone = options.scarceZone;
+    this.remaining = count;
+    this.zoneAllowance = request.zoneAllowance ? { ...request.zoneAllowance } : null;
+    this.constrained = { ...request, zoneAllowance: this.zoneAllowance };
+  }
+
+  run(capacities: readonly FreeCapacity[]): number {
+    for (const maxPerMachine of this.limitsPerMachine()) {
+      if (this.remaining <= 0) break;
+      if (this.remaining === 1) this.placeOne(capacities, maxPerMachine);
+      else this.placeRanked(capacities, maxPerMachine);
+    }
+    return this.remaining;
+  }
+
+  /** Replicas of a job go to several machines: less is lost with one, and its image is in more places for the next. */
+  private limitsPerMachine(): number[] {
+    if (!this.request.isService || this.request.jobId === '') return [this.count];
+    const spread = Math.max(1, Math.ceil(this.count / MAX_MACHINES_PER_SERVICE));
+    return spread < this.count ? [spread, this.count] : [this.count];
+  }
+
+  private placeOne(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
+    let best: FreeCapacity | null = null;
+    let lowest = Number.POSITIVE_INFINITY;
+    for (const capacity of capacities) {
+      if (!this.isOpen(capacity, maxPerMachine)) continue;
+      const seconds = score(capacity, this.constrained, this.scarceZone);
+      if (seconds < lowest) {
+        lowest = seconds;
+        best = capacity;
+      }
+    }
+    if (best) this.placeOn(best, maxPerMachine);
+  }
+
+  /** Placing on one machine changes the score of no other: they are ranked once, and not for every task anew. */
+  private placeRanked(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
+    const ranked: { capacity: FreeCapacity; seconds: number }[] = [];
+    for (const capacity of capacities)
+      if (this.isOpen(capacity, maxPerMachine))
+        ranked.push({ capacity, seconds: score(capacity, this.request, this.scarceZone) });
+    ranked.sort((one, other) => one.seconds - other.seconds);
+    for (const { capacity } of ranked) {
+      if (this.remaining <= 0) break;
+      this.placeOn(capacity, maxPerMachine);
+    }
+  }
+
+  private isOpen(capacity: FreeCapacity, maxPerMachine: number): boolean {
+    return (
+      isOpenTo(capacity, this.constrained, this.scarceZone) && this.placedCount(capacity) < maxPerMachine
+    );
+  }
+
+  private placedCount(capacity: FreeCapacity): number {
+    return this.placedOn.get(capacity) ?? 0;
+  }
+
+  /** The fuller a machine the better its score: the best one stays the best while a task fits. */
+  private placeOn(capacity: FreeCapacity, maxPerMachine: number): void {
+    const { request, constrained, zoneAllowance } = this;
+    while (
+      this.remaining > 0 &&
+      fits(capacity, request) &&
+      isAllowed(capacity, constrained) &&
+      this.placedCount(capacity) < maxPerMachine
+    ) {
+      if (constrained.zoneAffinity && constrained.zone === null) constrained.zone = capacity.zone;
+      subtract(capacity, request);
+      if (zoneAllowance)
+        zoneAllowance[capacity.zone] = (zoneAllowance[capacity.zone] ?? request.maxTasksPerZone) - 1;
+      this.options.onPlaced?.(capacity);
+      this.remaining--;
+      this.placedOn.set(capacity, this.placedCount(capacity) + 1);
+    }
+  }
+}
--- /dev/null
+++ b/src/scheduler/placement/fill.ts
@@ -0,0 +1,58 @@
+/** Fills free capacity with tasks of one request: one by one, or all or none of a gang. */
+
+import { slotsIn } from '../../model/resources.js';
+import { isOpenTo, subtract } from './capacity-filter.js';
+import { type FillOptions, fillTasks } from './fill-tasks.js';
+import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
+
+/** Places up to `count` tasks, all or none of a gang; subtracts them from the capacities. Returns how many were left. */
+export function fill(
+  capacities: readonly FreeCapacity[],
+  demand: CapacityDemand,
+  options: FillOptions,
+): number {
+  if (!demand.request.allOrNothing) return fillTasks(capacities, demand, options);
+  const chosen = chooseForGang(capacities, demand, options.scarceZone);
+  if (!chosen) return demand.count;
+  for (const capacity of chosen) {
+    subtract(capacity, demand.request);
+    options.onPlaced?.(capacity);
+  }
+  return 0;
+}
+
+/**
+ * The capacities for all tasks of a gang, one a task, or null; with one zone demanded, each zone is tried in turn.
+ * Subtracts nothing.
+ */
+export function chooseForGang(
+  capacities: readonly FreeCapacity[],
+  { request, count }: CapacityDemand,
+  scarceZone: string | null,
+): FreeCapacity[] | null {
+  const open = capacities.filter((capacity) => isOpenTo(capacity, request, scarceZone));
+  const zones =
+    request.zoneAffinity && request.zone === null
+      ? new Set(open.map((capacity) => capacity.zone))
+      : [request.zone];
+  for (const zone of zones) {
+    const inZone = open.filter((capacity) => zone === null || capacity.zone === zone);
+    if (inZone.reduce((sum, capacity) => sum + slotsIn(capacity, request), 0) < count) continue;
+    const originals = new Map(inZone.map((capacity) => [{ ...capacity }, capacity]));
+    const chosen: FreeCapacity[] = [];
+    const task = { ...request, allOrNothing: false, zone };
+    const remaining = fillTasks(
+      [...originals.keys()],
+      { request: task, count },
+      {
+        scarceZone,
+        onPlaced: (copy) => {
+          const original = originals.get(copy);
+          if (original) chosen.push(original);
+        },
+      },
+    );
+    if (remaining === 0) return chosen;
+  }
+  return null;
+}
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -1,18 +1,17 @@
+/** Reserves machines for gangs that wait for capacity. */
+
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
 import type { ClusterState } from '../cluster-state.js';
 import { bootingCapacities } from './booting-capacity.js';
-import { type FreeCapacity, fill } from './free-capacity.js';
+import { fill } from './fill.js';
+import { type CapacityDemand, copyCapacities, type FreeCapacity } from './free-capacity.js';
 
 /** So long a gang that waits for machines keeps to the zone in which it began to gather them. */
 const KEEP_ZONE_MS = 20_000;
-
-/** What a waiting gang still lacks. */
-export interface GangShortfall {
-  /** One task of the gang, tied to the zone in which it gathers: what is rented or freed for it must lie there. */
-  task: ResourceRequest;
-  missing: number;
-}
+/** What a place on a booting machine, and one on a machine yet to be rented, counts against a free one. */
+const BOOTING_SLOT_WEIGHT = 0.75;
+const RENTABLE_SLOT_WEIGHT = 0.5;
 
 interface ZoneChoice {
   zone: string | null;
@@ -23,9 +22,9 @@
  * Reserves machines for gangs that wait.
  *
  * A gang starts only once it has places for all of its tasks. Without reservations, smaller work takes each place as it
- * comes free, and a large gang may wait for ever. So a gang that finds too little room takes what there is out of the
+ * comes free, and a large gang may wait for ever. So a gang that finds too little capacity takes what there is out of the
  * pass, in the order of the queue, and only what it lacks is rented or freed. Reservations last for one pass and are
- * made anew by the next one in the order of then: two gangs can't hold half of what each needs for good.
+ * made anew by the next one in the order of then: two gangs can't reserve half of what each needs for good.
  */
 export class GangReservations {
   private readonly zoneChoices = new Map<string, ZoneChoice>();
@@ -39,15 +38,19 @@
     this.bootingCapacities = null;
   }
 
-  /** Forgets gangs that no longer wait, and keeps the machines held in this pass from being returned as idle. */
-  endPass(waiting: ReadonlySet<string>): void {
-    for (const job of this.zoneChoices.keys()) if (!waiting.has(job)) this.zoneChoices.delete(job);
+  /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
+  endPass(waitingJobs: ReadonlySet<string>): void {
+    for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
     this.state.gatheredMachines = new Set(this.reservedMachines);
   }
 
-  /** Takes the free rooms that a gang can use out of `rooms`, in one zone if it must be in one. */
-  reserve(capacities: FreeCapacity[], request: ResourceRequest, count: number, now: number): GangShortfall {
-    const zone = this.zoneOf(capacities, request, count, now);
+  /**
+   * Subtracts what a gang can use from the capacities, in one zone if it must be in one. Returns what the gang lacks, as
+   * single tasks tied to the zone in which it gathers: what is rented or freed for it must lie there.
+   */
+  reserve(capacities: FreeCapacity[], demand: CapacityDemand, now: number): CapacityDemand {
+    const { request, count } = demand;
+    const zone = this.zoneOf(capacities, demand, now);
     const task: ResourceRequest = {
       ...request,
       allOrNothing: false,
@@ -56,22 +59,23 @@
       slackSeconds: null,
       objectiveSeconds: null,
     };
-    const missing = fill(capacities, task, count, this.state.scarceZone, (capacity) =>
-      this.reservedMachines.add(capacity.machineName),
+    const missing = fill(
+      capacities,
+      { request: task, count },
+      {
+        scarceZone: this.state.scarceZone,
+        onPlaced: (capacity) => this.reservedMachines.add(capacity.machineName),
+      },
     );
-    return { task, missing };
+    return { request: task, count: missing };
   }
 
-  private zoneOf(
-    capacities: FreeCapacity[],
-    request: ResourceRequest,
-    count: number,
-    now: number,
-  ): string | null {
+  private zoneOf(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
+    const { request } = demand;
     if (!request.zoneAffinity || request.zone !== null) return request.zone;
     const before = this.zoneChoices.get(request.jobId);
     if (before && now - before.since < KEEP_ZONE_MS) return before.zone;
-    const zone = this.bestZone(capacities, request, count, now);
+    const zone = this.bestZone(capacities, demand, now);
     this.zoneChoices.set(request.jobId, { zone, since: now });
     return zone;
   }
@@ -79,17 +83,17 @@
   /** The zone in which the gang lacks least: by what is free, then by what is booting, then by what may be rented. */
   private bestZone(
     capacities: FreeCapacity[],
-    request: ResourceRequest,
-    count: number,
+    { request, count }: CapacityDemand,
     now: number,
   ): string | null {
     let best: { zone: string; score: number } | null = null;
     for (const zone of this.zones(request)) {
       const pinned: ResourceRequest = { ...request, allOrNothing: false, zoneAffinity: false, zone };
-      const free = count - fill(copyCapacities(capacities), pinned, count, null, () => {});
+      const trial = copyCapacities(capacities);
+      const free = count - fill(trial, { request: pinned, count }, { scarceZone: null });
       const booting = Math.min(count - free, this.bootingSlots(pinned, now));
-      const rest = this.canRent(pinned, now) ? count - free - booting : 0;
-      const score = free + 0.75 * booting + 0.5 * rest;
+      const rentable = this.canRent(pinned, now) ? count - free - booting : 0;
+      const score = free + BOOTING_SLOT_WEIGHT * booting + RENTABLE_SLOT_WEIGHT * rentable;
       if (!best || score > best.score) best = { zone, score };
     }
     return best?.zone ?? null;
@@ -112,19 +116,10 @@
 
   private canRent(request: ResourceRequest, now: number): boolean {
     for (const type of this.state.machineTypes.values()) {
-      if (slotsIn(type, request) < 1 || !type.zones.includes(request.zone ?? '')) continue;
-      if (
-        this.state.rentalBackoff.isOpen(
-          { machineType: type.name, zone: request.zone ?? '', isSpot: false },
-          now,
-        )
-      )
-        return true;
+      const zone = request.zone ?? '';
+      if (slotsIn(type, request) < 1 || !type.zones.includes(zone)) continue;
+      if (this.state.rentalBackoff.isOpen({ machineType: type.name, zone, isSpot: false }, now)) return true;
     }
     return false;
   }
 }
-
-function copyCapacities(capacities: FreeCapacity[]): FreeCapacity[] {
-  return capacities.map((capacity) => ({ ...capacity }));
-}
--- /dev/null
+++ b/src/scheduler/placement/grants.ts
@@ -0,0 +1,82 @@
+/** Grants: places on machines that owners may give to tasks. */
+
+import type { Grant, PlacementSpec, ResourceRequest } from '../../model/placement.js';
+import type { ClusterState, QueuedRequest, SchedulerOptions } from '../cluster-state.js';
+import { createAllocation, type Machine } from '../machine.js';
+
+/** The owner decides which task takes the place: until it tells, a grant's allocation has none. */
+const NO_TASK_INDEX = -1;
+
+/** Makes grants, each with an allocation that holds its place, and sends a pass's grants together. */
+export class GrantIssuer {
+  private lastGrantId = 0;
+  private readonly unsent = new Map<string, Grant[]>();
+
+  constructor(
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
+  ) {}
+
+  /** Grants one place to the owner of the request, sent by the next `sendAll`. */
+  issue(machine: Machine, { request, instanceId }: QueuedRequest, now: number): void {
+    const id = ++this.lastGrantId;
+    this.allocate(machine, grantedPlacement(machine, request, id), now);
+    const endedTasks = machine.endedTasks.get(request.jobId)?.tasks;
+    const grant: Grant = {
+      id,
+      jobId: request.jobId,
+      team: request.team,
+      machine: machine.name,
+      zone: machine.zone,
+      agentEpoch: machine.agentEpoch,
+      ...(endedTasks && { endedTasks: [...endedTasks] }),
+    };
+    const grants = this.unsent.get(instanceId);
+    if (grants) grants.push(grant);
+    else this.unsent.set(instanceId, [grant]);
+  }
+
+  sendAll(): void {
+    for (const [instanceId, grants] of this.unsent)
+      this.options.send(instanceId, { type: 'grants', fencingToken: this.state.fencingToken, grants });
+    this.unsent.clear();
+  }
+
+  private allocate(machine: Machine, placement: PlacementSpec, now: number): void {
+    const { grantId, jobId } = placement;
+    const allocation = createAllocation(placement, now);
+    allocation.key = `grant#${grantId}`;
+    allocation.desiredState = 'hold';
+    machine.allocations.set(allocation.key, allocation);
+    this.state.markChanged(machine);
+    this.state.grantMachines.set(grantId, machine);
+    const openGrants = this.state.openGrants.get(jobId);
+    if (openGrants) openGrants.add(grantId);
+    else this.state.openGrants.set(jobId, new Set([grantId]));
+  }
+}
+
+function grantedPlacement(machine: Machine, request: ResourceRequest, grantId: number): PlacementSpec {
+  return {
+    jobId: request.jobId,
+    taskIndex: NO_TASK_INDEX,
+    attempt: 0,
+    machine: machine.name,
+    agentEpoch: machine.agentEpoch,
+    desiredState: 'run',
+    gracePeriodSeconds: 0,
+    team: request.team,
+    priority: request.priority,
+    isGang: request.allOrNothing,
+    isService: request.isService,
+    cpus: request.cpus,
+    gpus: request.gpus,
+    memoryGb: request.memoryGb,
+    image: request.image,
+    imageGb: request.imageGb,
+    estimatedRunSeconds: request.estimatedRunSeconds,
+    machineTypes: request.machineTypes,
+    spreadOverZones: request.zoneAllowance !== null,
+    grantId,
+  };
+}
--- /dev/null
+++ b/src/scheduler/placement/open-tasks.ts
@@ -0,0 +1,29 @@
+/** How many tasks of a request are still to be granted a place. */
+
+import type { ResourceRequest } from '../../model/placement.js';
+import type { ClusterState } from '../cluster-state.js';
+
+/** Counts a request's tasks without those granted and not yet told to be stored. */
+export class OpenTasks {
+  constructor(
+    private readonly state: ClusterState,
+    /** Jobs whose owner has declined grants: until when they get none. */
+    private readonly declinedUntil: Map<string, number>,
+  ) {}
+
+  /** What its owner has taken in of the grants is no longer part of the request. */
+  countOf(request: ResourceRequest, now: number): number {
+    let count = request.taskCount;
+    for (const id of this.state.openGrants.get(request.jobId) ?? []) if (id > request.lastGrantTaken) count--;
+    if (this.isPaused(request.jobId, now)) return 0;
+    return request.allOrNothing && count < request.taskCount ? 0 : count;
+  }
+
+  private isPaused(jobId: string, now: number): boolean {
+    const until = this.declinedUntil.get(jobId);
+    if (until === undefined) return false;
+    if (until > now) return true;
+    this.declinedUntil.delete(jobId);
+    return false;
+  }
+}
--- /dev/null
+++ b/src/scheduler/placement/request-placer.ts
@@ -0,0 +1,222 @@
+/** Serves single requests within one pass: grants places, waits for places being freed, has others freed. */
+
+import type { ResourceRequest } from '../../model/placement.js';
+import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { AttemptConflicts } from './attempt-conflicts.js';
+import { avoidsAnyMachine, subtract } from './capacity-filter.js';
+import { equivalenceKey } from './equivalence-key.js';
+import { fill } from './fill.js';
+import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
+import { capacitiesBeingFreed } from './freed-capacity.js';
+import type { GangReservations } from './gang-reservations.js';
+import type { GrantIssuer } from './grants.js';
+import type { JobTimes } from './job-times.js';
+import type { PassRequest } from './pass-requests.js';
+import type { Preemption } from './preemption.js';
+import { addUsage, type TeamUsage } from './team-usage.js';
+import type { WaitObjectives } from './wait-objectives.js';
+
+/** What lives between passes. */
+export interface PlacementContext {
+  options: SchedulerOptions;
+  state: ClusterState;
+  objectives: WaitObjectives;
+  /** Since when some of a job's work has found no capacity. */
+  unplacedSince: JobTimes;
+  /** Since when nothing at all of a job has found capacity. */
+  nothingPlacedSince: JobTimes;
+  grants: GrantIssuer;
+  preemption: Preemption;
+  gangReservations: GangReservations;
+  attemptConflicts: AttemptConflicts;
+}
+
+/** Holds the capacities of one pass and takes from them. */
+export class RequestPlacer {
+  /** Tasks for which machines are to be rented. */
+  readonly unplaced: CapacityDemand[] = [];
+  private readonly usage: TeamUsage;
+  private readonly now: number;
+  private readonly scarceZone: string | null;
+  private readonly capacities: FreeCapacity[];
+  private readonly capacitiesByImage = new Map<string, FreeCapacity[]>();
+  private readonly beingFreed: FreeCapacity[];
+  /** Kinds of requests that find no capacity any more. */
+  private readonly exhaustedKeys = new Set<string>();
+  /** Jobs with machines reserved for them: they may find what others like them don't. */
+  private readonly reservedJobs = new Set<string>();
+  private readonly mayAct: boolean;
+
+  constructor(
+    private readonly context: PlacementContext,
+    { usage, now }: { usage: TeamUsage; now: number },
+  ) {
+    const { state, options } = context;
+    this.usage = usage;
+    this.now = now;
+    this.scarceZone = state.scarceZone;
+    this.capacities = state.freeCapacities(now);
+    for (const { reservation } of state.reservedMachines)
+      if (reservation) this.reservedJobs.add(reservation.jobId);
+    this.beingFreed = capacitiesBeingFreed(state, now);
+    this.mayAct = options.holdsLeadership();
+  }
+
+  /** Keeps what these tasks would take out of reach of all requests served later. */
+  keepBack(demand: CapacityDemand): void {
+    fill(this.capacities, demand, { scarceZone: this.scarceZone });
+  }
+
+  /** Grants places on machines that hold the request's image; returns how many tasks are left. */
+  placeWarm(entry: PassRequest, count: number): number {
+    return this.grantFrom(this.warmCapacities(entry.request.image), entry, count);
+  }
+
+  /** Grants places wherever there are any; what is left waits, has others stopped, or is left to renting. */
+  place(entry: PassRequest, count: number): void {
+    const { request } = entry;
+    let open = count;
+    if (request.isService) open = this.placeReplicas(entry, open);
+    open = this.grantFrom(this.capacities, entry, open);
+    this.noteOutcome({ request, count }, open);
+    if (open <= 0) this.context.unplacedSince.clear(request.jobId);
+    else if (request.allOrNothing) this.gatherForGang(entry, open);
+    else this.makeRoom(entry, open);
+  }
+
+  /** A replica that has to fetch its image is late by far more than one that waits for a task to stop. */
+  private placeReplicas(entry: PassRequest, count: number): number {
+    const { request } = entry;
+    const { now, usage } = this;
+    let open = this.placeWarm(entry, count);
+    if (open > 0) {
+      const warm = this.beingFreed.filter((capacity) => capacity.images?.has(request.image) === true);
+      open = this.waitFor(warm, { request, count: open });
+    }
+    if (open > 0 && this.mayAct)
+      open -= this.context.preemption.preempt({ request, count: open }, { usage, now, warmOnly: true });
+    return open;
+  }
+
+  private noteOutcome(demand: CapacityDemand, open: number): void {
+    const { nothingPlacedSince, attemptConflicts } = this.context;
+    const { jobId } = demand.request;
+    if (open < demand.count) {
+      nothingPlacedSince.clear(jobId);
+      attemptConflicts.onPlaced(jobId);
+    } else {
+      nothingPlacedSince.note(jobId, this.now);
+      attemptConflicts.onUnplaced(demand, this.capacities, this.now);
+    }
+  }
+
+  /** Stops already under way are waited for before more is stopped. */
+  private makeRoom(entry: PassRequest, count: number): void {
+    const { request } = entry;
+    const { now, usage } = this;
+    const key = `${equivalenceKey(request)}|promised`;
+    let waiting = count;
+    if (!this.exhaustedKeys.has(key)) {
+      waiting = this.waitFor(this.beingFreed, { request, count });
+      if (waiting === count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+    }
+    if (waiting <= 0) return;
+    // Places come free all the time: a moment's wait often saves the work that a stop would lose.
+    const isPatienceOver = this.noteUnplaced(entry);
+    if (this.mayAct && isPatienceOver)
+      waiting -= this.context.preemption.preempt(
+        { request, count: waiting },
+        { usage, now, warmOnly: false },
+      );
+    // What capacity is being freed for needs no machine.
+    if (waiting > 0) this.unplaced.push({ request, count: waiting });
+  }
+
+  /**
+   * A gang without capacity for all of its tasks keeps what there is out of reach of what comes after it; what it lacks
+   * is freed of lower work once it has waited, or rented.
+   */
+  private gatherForGang(entry: PassRequest, count: number): void {
+    const { request } = entry;
+    const { now, usage } = this;
+    const { gangReservations, options, preemption } = this.context;
+    const lacking = gangReservations.reserve(this.capacities, { request, count }, now);
+    let waiting = this.waitFor(this.beingFreed, lacking);
+    const isPatienceOver = this.noteUnplaced(entry);
+    const mayStop = options.holdsLeadership() && isPatienceOver;
+    const task = lacking.request;
+    if (waiting > 0 && mayStop)
+      waiting -= preemption.preempt({ request: task, count: waiting }, { usage, now, warmOnly: false });
+    if (waiting > 0) this.unplaced.push({ request: task, count: waiting });
+  }
+
+  /** Notes that work has found no capacity; returns whether that has been so for so long that others are stopped for it. */
+  private noteUnplaced({ request, isWithinGuarantee }: PassRequest): boolean {
+    const { unplacedSince, objectives } = this.context;
+    const since = unplacedSince.note(request.jobId, this.now);
+    return this.now - since >= objectives.preemptAfterMs(request, isWithinGuarantee);
+  }
+
+  /** What comes into capacity being freed counts as used, or one task's guarantee would be claimed for all. */
+  private waitFor(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
+    return fill(beingFreed, demand, {
+      scarceZone: this.scarceZone,
+      onPlaced: () => addUsage(this.usage, demand.request),
+    });
+  }
+
+  /** Grants places for up to `count` tasks; returns how many were left. */
+  private grantFrom(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
+    const { request } = entry;
+    if (!this.mayAct || count <= 0) return count;
+    const key = this.exhaustedKeyFor(request, capacities);
+    if (key !== null && this.exhaustedKeys.has(key)) return count;
+    if (request.allOrNothing) return this.grantToGang(capacities, entry, count);
+    const left = fill(
+      capacities,
+      { request, count },
+      {
+        scarceZone: this.scarceZone,
+        onPlaced: (capacity) => this.grantOn(capacity, entry),
+      },
+    );
+    // One that must be spread or joined may have left some for want of a zone, and not of capacity.
+    const isExhausted = request.zoneAllowance || request.zoneAffinity ? left === count : left > 0;
+    if (key !== null && isExhausted && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+    return left;
+  }
+
+  /** Null: what others like it did not find says nothing of this one. */
+  private exhaustedKeyFor(request: ResourceRequest, capacities: FreeCapacity[]): string | null {
+    if (request.allOrNothing || this.reservedJobs.has(request.jobId)) return null;
+    return `${equivalenceKey(request)}|${capacities === this.capacities ? '' : request.image}`;
+  }
+
+  /** Places for all tasks of a gang, or for none. */
+  private grantToGang(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
+    const { request } = entry;
+    const chosen = this.context.attemptConflicts.chooseForGang(capacities, { request, count });
+    if (!chosen) return count;
+    for (const capacity of chosen) {
+      subtract(capacity, request);
+      this.grantOn(capacity, entry);
+    }
+    return 0;
+  }
+
+  private grantOn(capacity: FreeCapacity, entry: PassRequest): void {
+    const machine = this.context.state.machines.get(capacity.machineName);
+    if (!machine) throw new Error(`free capacity of an unknown machine ${capacity.machineName}`);
+    addUsage(this.usage, entry.request);
+    this.context.grants.issue(machine, entry, this.now);
+  }
+
+  private warmCapacities(image: string): FreeCapacity[] {
+    let warm = this.capacitiesByImage.get(image);
+    if (!warm) {
+      warm = this.capacities.filter((capacity) => capacity.images?.has(image));
+      this.capacitiesByImage.set(image, warm);
+    }
+    return warm;
+  }
+}
--- /dev/null
+++ b/src/scheduler/placement/scarce-zone.ts
@@ -0,0 +1,29 @@
+/** The zone whose ordinary machines are left to jobs that must be spread over zones. */
+
+import type { ClusterState } from '../cluster-state.js';
+
+/** The zone with the fewest machine types, then the fewest ordinary CPUs; null while no job must be spread. */
+export function findScarceZone(state: ClusterState): string | null {
+  if (!hasSpreadService(state)) return null;
+  const zones = new Map<string, { types: number; cpus: number }>();
+  for (const machineType of state.machineTypes.values())
+    for (const name of machineType.zones) {
+      const zone = zones.get(name) ?? { types: 0, cpus: 0 };
+      zone.types++;
+      zones.set(name, zone);
+    }
+  if (zones.size < 2) return null;
+  for (const machine of state.machines.values()) {
+    const zone = zones.get(machine.zone);
+    if (zone && !machine.isSpot) zone.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
+  }
+  const [scarcest] = [...zones].sort(
+    ([, one], [, other]) => one.types - other.types || one.cpus - other.cpus,
+  );
+  return scarcest?.[0] ?? null;
+}
+
+function hasSpreadService(state: ClusterState): boolean {
+  for (const profile of state.serviceProfiles.values()) if (profile.request.zoneAllowance) return true;
+  return false;
+}
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -177,14 +177,15 @@
   t.later(1000);
   t.k.flush();
   const inside = t.k as unknown as {
-    placement: { preemption: { offer: (...a: unknown[]) => unknown } };
+    placement: { context: { preemption: { offers: { offerOn: (...a: unknown[]) => unknown } } } };
     state: { changedMachines: Set<unknown>; capacityOf: (...a: unknown[]) => unknown };
   };
   let offers = 0;
-  const offer = inside.placement.preemption.offer.bind(inside.placement.preemption);
-  inside.placement.preemption.offer = (...a) => {
+  const machineOffers = inside.placement.context.preemption.offers;
+  const offerOn = machineOffers.offerOn.bind(machineOffers);
+  machineOffers.offerOn = (...a) => {
     offers++;
-    return offer(...a);
+    return offerOn(...a);
   };
   // Three hundred replicas that no machine here may run: each used to look at all 1,900 machines.
   const replica = {
@@ -222,12 +223,15 @@
   }
   t.later(1000);
   t.k.flush();
-  const inside = t.k as unknown as { placement: { preemption: { offer: (...a: unknown[]) => unknown } } };
+  const inside = t.k as unknown as {
+    placement: { context: { preemption: { offers: { offerOn: (...a: unknown[]) => unknown } } } };
+  };
   let offers = 0;
-  const offer = inside.placement.preemption.offer.bind(inside.placement.preemption);
-  inside.placement.preemption.offer = (...a) => {
+  const machineOffers = inside.placement.context.preemption.offers;
+  const offerOn = machineOffers.offerOn.bind(machineOffers);
+  machineOffers.offerOn = (...a) => {
     offers++;
-    return offer(...a);
+    return offerOn(...a);
   };
   // Within blue's guarantee, each of a size of its own, and on no machine that is there.
   const want = (i: number) =>
--- a/test/placing.test.ts
+++ b/test/placing.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from 'vitest';
-import { planRentals, RentalBackoff } from '../src/scheduler/fleet/rental-planner.js';
+import { RentalBackoff } from '../src/scheduler/fleet/rental-backoff.js';
+import { planRentals } from '../src/scheduler/fleet/rental-planner.js';
 import { ImageLocations } from '../src/scheduler/image-locations.js';
 import { job } from './standin/day.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
