--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -5,7 +5,7 @@
 /** Machines of one type, zone and kind; CPUs are those of machines that are up. */
 export interface FleetComposition {
   machines: number;
-  up: number;
+  machinesUp: number;
   cpus: number;
   replicaCpus: number;
   batchCpus: number;
@@ -16,11 +16,11 @@
   const byKind: Record<string, FleetComposition> = {};
   for (const machine of state.machines.values()) {
     const key = `${machine.machineType}/${machine.zone}${machine.isSpot ? '/spot' : ''}`;
-    byKind[key] ??= { machines: 0, up: 0, cpus: 0, replicaCpus: 0, batchCpus: 0 };
+    byKind[key] ??= { machines: 0, machinesUp: 0, cpus: 0, replicaCpus: 0, batchCpus: 0 };
     const kind = byKind[key];
     kind.machines++;
     if (!machine.isUp) continue;
-    kind.up++;
+    kind.machinesUp++;
     kind.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
     kind.replicaCpus += machine.totals.replicaCpus;
     kind.batchCpus += machine.totals.batch.cpus;
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -70,6 +70,7 @@
     return this.unreachableMachines.keeps(machine, capacities, now);
   }
 
+  /** At most every half minute. */
   logFleet(now: number): void {
     if (now < this.nextLogAt) return;
     this.nextLogAt = now + LOG_INTERVAL_MS;
@@ -89,7 +90,7 @@
     const { scarceZone } = this.state;
     // The reserve may lie in capacity that lower work uses now and would be stopped for.
     const capacities = this.state.preemptibleCapacities(now);
-    // Services whose room lower work will make are not rented for; that work may be.
+    // Services for which lower work will be stopped need no machine; that work may need one.
     const open = unplaced
       .map((demand) =>
         demand.request.isService
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -59,16 +59,17 @@
       else if (!isEmpty(machine)) continue;
       else if (machine.isQuarantined || machine.isDraining || machine.evictionDeadline !== null)
         this.parts.remove(machine, 'empty, and not used any more');
-      else if (!this.state.gatheredMachines.has(machine.name)) {
-        const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
-        const isIdle =
-          now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
-        if (isIdle) idle.set(machine.name, machine);
-      }
+      else if (this.hasIdledLong(machine, maxIdleMs, now)) idle.set(machine.name, machine);
     }
     return idle;
   }
 
+  private hasIdledLong(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
+    if (this.state.gatheredMachines.has(machine.name)) return false;
+    const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
+    return now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
+  }
+
   private maxIdleMsByType(): Map<string, number> {
     const input = this.state.policyInput();
     const maxIdleMs = new Map<string, number>();
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -82,22 +82,28 @@
     demands: readonly CapacityDemand[],
     index: number,
   ): void {
-    // What is rented for an earlier request may have room for this one.
+    // What is rented for an earlier request may have capacity for this one.
     let open = this.assign(this.capacities, { request, count });
     for (let offers = 0; offers < MAX_OFFERS_PER_REQUEST; offers++) {
       if (open <= 0 || this.callCount() >= this.input.maxCalls) return;
       const similarTasks = similarTaskCount(request, demands, index);
       const offer = cheapestOffer(this.input, request, Math.max(open, similarTasks));
       if (!offer) return;
-      const rented = this.rent(offer, { request, count: open });
       const before = open;
-      open = this.assign(rented, { request, count: open });
-      for (const capacity of rented) if (capacity.cpus > EPSILON) this.capacities.push(capacity);
-      if (open === before && !request.allOrNothing) return;
+      open = this.assignRented(this.rent(offer, { request, count: open }), { request, count: open });
+      // A gang takes its places once there are enough for all of it.
       if (request.allOrNothing) open = this.assign(this.capacities, { request, count: open });
+      else if (open === before) return;
     }
   }
 
+  /** What it leaves free is there for later requests. */
+  private assignRented(rented: FreeCapacity[], demand: CapacityDemand): number {
+    const left = this.assign(rented, demand);
+    for (const capacity of rented) if (capacity.cpus > EPSILON) this.capacities.push(capacity);
+    return left;
+  }
+
   /** Adds to the rental of this offer as many machines as the demand fills; returns their capacities. */
   private rent({ type, zone, isSpot }: RentalOffer, demand: CapacityDemand): FreeCapacity[] {
     const key = offerKey({ machineType: type.name, zone, isSpot });
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -62,20 +62,29 @@
   for (const type of input.machineTypes) {
     const slots = slotsIn(type, request);
     if (slots < 1) continue;
-    for (const zone of type.zones)
-      for (const isSpot of kindsFor(request)) {
-        const offer = { type, zone, isSpot };
-        if (!isOfferOpen(offer, input, request)) continue;
-        const cost = costPerTask(offer, input, { request, tasksPerMachine: Math.min(slots, count) });
-        if (cost < lowestCost) {
-          lowestCost = cost;
-          cheapest = offer;
-        }
+    const tasksPerMachine = Math.min(slots, count);
+    for (const offer of openOffers(type, input, request)) {
+      const cost = costPerTask(offer, input, { request, tasksPerMachine });
+      if (cost < lowestCost) {
+        lowestCost = cost;
+        cheapest = offer;
       }
+    }
   }
   return cheapest;
 }
 
+/** By zone, in the order in which the type lists them. */
+function openOffers(type: MachineType, input: PricingInput, request: ResourceRequest): RentalOffer[] {
+  const offers: RentalOffer[] = [];
+  for (const zone of type.zones)
+    for (const isSpot of kindsFor(request)) {
+      const offer = { type, zone, isSpot };
+      if (isOfferOpen(offer, input, request)) offers.push(offer);
+    }
+  return offers;
+}
+
 /** Spot instances first: they are taken where ordinary machines cost the same. */
 function kindsFor(request: ResourceRequest): readonly boolean[] {
   if (request.spotOnly) return SPOT_ONLY;
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -1,4 +1,4 @@
-/** Which work needs no machine, since running tasks will make room for it soon enough. */
+/** Which work needs no machine, since running tasks will end soon enough. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
@@ -21,7 +21,7 @@
 const LOWEST_PRIORITY = 3;
 
 /**
- * Demand without what running tasks will make room for. Places come free as estimates say, each is taken by the first
+ * Demand without what will take the places of running tasks. Places come free as estimates say, each is taken by the first
  * request that can wait for it, and comes free again when that one's task has run.
  */
 export function withoutWaitable(
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -28,6 +28,7 @@
     private readonly raiseFencingToken: (reason: string) => void,
   ) {}
 
+  /** Forgets what the last pass found. */
   beginPass(): void {
     this.blockingMachines = new Set();
   }
@@ -120,7 +121,7 @@
 function refusesAll(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
   if (!ended) return false;
   if (request.allOrNothing) return indices(request.taskCount).every((task) => ended.tasks.has(task));
-  // Which tasks are left is not told: a machine that has refused one would refuse the next.
+  // Which tasks are left is not known: a machine that has refused one would refuse the next.
   if (!request.remainingTasks) return ended.refused;
   return request.remainingTasks.every((task) => ended.tasks.has(task));
 }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -4,7 +4,7 @@
 import { EPSILON, type Resources } from '../../model/resources.js';
 import type { FreeCapacity, MachineOffer } from './free-capacity.js';
 
-/** Whether one task with this demand has room. */
+/** Whether one task with this demand has enough capacity. */
 export function fits(capacity: Resources, demand: Resources): boolean {
   return (
     capacity.cpus + EPSILON >= demand.cpus &&
@@ -20,7 +20,7 @@
   capacity.memoryGb -= demand.memoryGb;
 }
 
-/** Room becomes free again. */
+/** This amount becomes free again. */
 export function addBack(capacity: Resources, amount: Resources): void {
   capacity.cpus += amount.cpus;
   capacity.gpus += amount.gpus;
--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -6,7 +6,7 @@
 const keys = new WeakMap<ResourceRequest, string>();
 
 /**
- * Requests of one key find room in the same places, or in none: free capacity only shrinks in a pass, so that what the
+ * Requests of one key find capacity on the same machines, or on none: free capacity only shrinks in a pass, so that what the
  * first of them did not find the others need not look for. What ties a request to itself (machines it avoids, capacity
  * reserved for it) is not part of it.
  */
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -33,6 +33,7 @@
 
   constructor(private readonly state: ClusterState) {}
 
+  /** Ends the reservations of the last pass. */
   beginPass(): void {
     this.reservedMachines.clear();
     this.bootingCapacities = null;
--- a/src/scheduler/placement/open-tasks.ts
+++ b/src/scheduler/placement/open-tasks.ts
@@ -3,7 +3,7 @@
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
 
-/** Counts a request's tasks without those granted and not yet told to be stored. */
+/** Counts a request's tasks without those granted whose placement is not stored yet, as far as the leader knows. */
 export class OpenTasks {
   constructor(
     private readonly state: ClusterState,
--- a/src/scheduler/placement/preemption-offers.ts
+++ b/src/scheduler/placement/preemption-offers.ts
@@ -33,6 +33,7 @@
     private readonly gangs: RunningGangs,
   ) {}
 
+  /** Forgets what the last pass found. */
   beginPass(): void {
     this.candidates.clear();
   }
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -33,6 +33,7 @@
     private readonly unplacedSince: (jobId: string) => number | undefined,
   ) {}
 
+  /** Forgets what the last pass found. */
   beginPass(): void {
     this.bootingShare = null;
   }
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,4 +1,4 @@
-/** Has running work stopped to make room for other work. */
+/** Has running work stopped, so that other work finds capacity. */
 
 import type { TaskAttempt } from '../../model/job.js';
 import type { ResourceRequest } from '../../model/placement.js';
@@ -21,7 +21,7 @@
 
 /** Where and when work may be stopped. */
 export interface PreemptionScope {
-  /** Changed by what is stopped, and by what it makes room for. */
+  /** Changed by what is stopped, and by what it is stopped for. */
   usage: TeamUsage;
   now: number;
   /** Only on machines that hold the request's image. */
@@ -48,6 +48,7 @@
     this.offers = new PreemptionOffers(state, this.rules, this.gangs);
   }
 
+  /** Forgets what the last pass found. */
   beginPass(): void {
     this.exhaustedKeys.clear();
     this.rules.beginPass();
@@ -60,7 +61,7 @@
     for (const job of this.failedAt.keys()) if (!waitingJobs.has(job)) this.failedAt.delete(job);
   }
 
-  /** Has lower work stopped so that `count` tasks find room. Returns for how many there will be room. */
+  /** Has lower work stopped so that `count` tasks find capacity. Returns how many will. */
   preempt({ request, count }: CapacityDemand, { usage, now, warmOnly }: PreemptionScope): number {
     const isWithin = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
     if (!isWithin && !this.hasLowerWork(request)) return 0;
@@ -143,9 +144,6 @@
 /** Keeps the cheapest last; among equals the new one becomes the last. */
 function insertByCost(offers: PreemptionOffer[], offer: PreemptionOffer): void {
   let index = offers.length;
-  for (; index > 0; index--) {
-    const before = offers[index - 1];
-    if (!before || before.cost >= offer.cost) break;
-  }
+  while (index > 0 && (offers[index - 1]?.cost ?? Number.POSITIVE_INFINITY) < offer.cost) index--;
   offers.splice(index, 0, offer);
 }
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -81,7 +81,7 @@
     this.noteOutcome({ request, count }, open);
     if (open <= 0) this.context.unplacedSince.clear(request.jobId);
     else if (request.allOrNothing) this.gatherForGang(entry, open);
-    else this.makeRoom(entry, open);
+    else this.waitOrPreempt(entry, open);
   }
 
   /** A replica that has to fetch its image is late by far more than one that waits for a task to stop. */
@@ -111,7 +111,7 @@
   }
 
   /** Stops already under way are waited for before more is stopped. */
-  private makeRoom(entry: PassRequest, count: number): void {
+  private waitOrPreempt(entry: PassRequest, count: number): void {
     const { request } = entry;
     const { now, usage } = this;
     const key = `${equivalenceKey(request)}|promised`;
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -9,6 +9,7 @@
 
   constructor(private readonly state: ClusterState) {}
 
+  /** Forgets what the last pass found. */
   beginPass(): void {
     this.tasksByJob = null;
   }
