--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -7,8 +7,8 @@
 import type { CounterRecord, FinalRecord, JobRecord } from '../model/records.js';
 import { slotsIn } from '../model/resources.js';
 import type { Team } from '../model/team.js';
+import { decodeCompletionBitmap } from '../store/completion-bitmap.js';
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
-import { decodeBitmap } from '../store/stored-job.js';
 import type { WatchCache } from '../store/watch-cache.js';
 export type AnswerCallback = (answer: ApiAnswer) => void;
 
@@ -210,7 +210,7 @@
     }
     if (found.counter && n >= spec.taskCount && spec.kind !== 'service') {
       const counter = new DependencyCounter(spec.taskCount);
-      decodeBitmap(counter, found.counter.record.finishedBitmap);
+      decodeCompletionBitmap(counter, found.counter.record.finishedBitmap);
       if (counter.isFull) {
         this.rememberFinal(id, { isDone: true, finishedTasks: n });
         return { type: 'job', created, state: 'done', done: n, running: 0 };
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -24,6 +24,7 @@
 import { ImageLocations } from '../scheduler/image-locations.js';
 import { Scheduler } from '../scheduler/scheduler.js';
 import { ShardOwner } from '../shard/shard-owner.js';
+import { OPEN_JOBS_PREFIX, SYSTEM_PREFIX } from '../store/keyspace.js';
 import {
   leaderRecord,
   machineTypesRecord,
@@ -63,6 +64,8 @@
 
 /** Least time between two watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
+/** Longest time that a watch waits for a change. */
+const WATCH_WAIT_MS = 10_000;
 
 /** Most facts about images in one message. */
 const MAX_IMAGE_FACTS_PER_MESSAGE = 2000;
@@ -154,23 +157,27 @@
       wake: () => this.wake(),
     });
     this.cloud = cloud;
-    this.systemRecords = new WatchCache('sys/', 10000, 0, this.store, options.clock, (key) =>
-      this.onSystemRecordChanged(key),
-    );
+    this.systemRecords = new WatchCache({
+      prefix: SYSTEM_PREFIX,
+      store: this.store,
+      clock: options.clock,
+      watchWaitMs: WATCH_WAIT_MS,
+      minWatchIntervalMs: 0,
+      isFollowed: true,
+      onChange: (key) => this.onSystemRecordChanged(key),
+    });
     // Followed while this controller owns a team; the API alone catches up when it is asked.
-    this.openJobs = new WatchCache(
-      'open/',
-      10000,
-      OPEN_JOBS_WATCH_INTERVAL_MS,
-      this.store,
-      options.clock,
-      (key, value, version) => {
-        if (value === undefined) return;
-        const [, id, part] = key.split('/');
-        if (id && part) this.owner.onOpenJobChanged(id, part, value, version);
+    this.openJobs = new WatchCache({
+      prefix: OPEN_JOBS_PREFIX,
+      store: this.store,
+      clock: options.clock,
+      watchWaitMs: WATCH_WAIT_MS,
+      minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
+      isFollowed: false,
+      onChange: (key, value, modRevision) => {
+        if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
       },
-      false,
-    );
+    });
     this.api = new JobApi(
       this.store,
       this.openJobs,
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -7,15 +7,8 @@
 } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { Result } from '../model/result.js';
-import {
-  counterRecordKey,
-  type JobWrite,
-  jobRecordKey,
-  revisionOf,
-  type WriteEvents,
-  writeChanges,
-  writeFinal,
-} from './job-writes.js';
+import { counterKey, jobKey, teamKey, teamOfKey } from '../store/keyspace.js';
+import { type JobWrite, revisionOf, type WriteEvents, writeChanges, writeFinal } from './job-writes.js';
 import { isOver, type OwnedJob } from './owned-job.js';
 import type { WriteFence } from './write-fence.js';
 
@@ -168,7 +161,7 @@
       });
       transaction.operations.push(op);
     }
-    for (const key of [jobRecordKey(job.spec.id), counterRecordKey(job.spec.id)])
+    for (const key of [jobKey(job.spec.id), counterKey(job.spec.id)])
       if (!written.has(key)) transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
     batch.teams.add(job.spec.team);
     batch.jobs.push(job);
@@ -187,7 +180,7 @@
   private send(batch: Batch, kind: Kind): void {
     for (const team of batch.teams)
       batch.transaction.preconditions.push({
-        key: `sys/team/${team}`,
+        key: teamKey(team),
         modRevision: this.options.teamRevision(team) ?? -1,
       });
     for (const job of batch.jobs) {
@@ -224,7 +217,7 @@
     const { kind, failedKeys: failed = [] } = result;
     this.options.log.debug({ kind, failed, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
     // Ownership moved; the watch will tell. Nothing of ours was stored.
-    if (kind === 'conflict' && failed.every((key) => key.startsWith('sys/team/')))
+    if (kind === 'conflict' && failed.every((key) => teamOfKey(key) !== null))
       this.pause(OWNERSHIP_MOVED_PAUSE_MS);
     const inDoubt = kind !== 'conflict' && kind !== 'invalid';
     this.options.onUnconfirmed(
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -1,7 +1,8 @@
 import type { StoreOperation } from '../model/key-value-store.js';
 import type { PlacementEntry } from '../model/records.js';
+import { counterKey, finalKey, jobKey, parseJobRecordKey, placementChunkKey } from '../store/keyspace.js';
 import { counterRecord, finalRecord, placementRecord } from '../store/record-codec.js';
-import { makeCounterRecord, placementKey } from '../store/stored-job.js';
+import { makeCounterRecord } from '../store/stored-job.js';
 import type { FinalizedPlacement, OwnedJob, Placement } from './owned-job.js';
 
 /** What follows from a write of a job. */
@@ -21,23 +22,19 @@
   onNotExecuted(): void;
 }
 
-export function jobRecordKey(id: string): string {
-  return `open/${id}/a`;
-}
-
-export function counterRecordKey(id: string): string {
-  return `open/${id}/n`;
-}
-
 /** The revision under which an owner knows a record of a job; 0: it does not exist. */
 export function revisionOf(job: OwnedJob, key: string): number {
-  if (key === jobRecordKey(job.spec.id)) return job.jobRevision;
-  if (key === counterRecordKey(job.spec.id)) return job.counterRevision;
-  return key.startsWith('place/') ? (job.chunkRevisions.get(chunkOf(key)) ?? 0) : 0;
-}
-
-function chunkOf(key: string): number {
-  return Number(key.slice(key.lastIndexOf('/') + 1));
+  const record = parseJobRecordKey(key);
+  switch (record?.type) {
+    case 'job':
+      return job.jobRevision;
+    case 'counter':
+      return job.counterRevision;
+    case 'placements':
+      return job.chunkRevisions.get(record.chunk) ?? 0;
+    case undefined:
+      return 0;
+  }
 }
 
 /** Writes the counter and the chunks of placements that have changed, in at most `room` operations. */
@@ -56,7 +53,7 @@
   if (withCounter)
     ops.push({
       type: 'put',
-      key: counterRecordKey(id),
+      key: counterKey(id),
       value: counterRecord.encode(makeCounterRecord(job.counter, job.runningTasks)),
     });
   for (const chunk of chunks) {
@@ -100,8 +97,10 @@
 
 function keepRevisions(job: OwnedJob, operations: StoreOperation[], revision: number): void {
   for (const op of operations) {
-    if (op.type === 'delete') job.chunkRevisions.delete(chunkOf(op.key));
-    else if (op.key.startsWith('place/')) job.chunkRevisions.set(chunkOf(op.key), revision);
+    const record = parseJobRecordKey(op.key);
+    if (record?.type !== 'placements') continue;
+    if (op.type === 'delete') job.chunkRevisions.delete(record.chunk);
+    else job.chunkRevisions.set(record.chunk, revision);
   }
 }
 
@@ -123,7 +122,7 @@
       if (!placement.isStored) added.push(placement);
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
-  const key = placementKey(job.spec.id, chunk);
+  const key = placementChunkKey(job.spec.id, chunk);
   if (tasks.size > 0) return { type: 'put', key, value: placementRecord.encode({ tasks: tasks }) };
   return job.chunkRevisions.get(chunk) ? { type: 'delete', key } : null;
 }
@@ -136,15 +135,18 @@
   if (maxOperations < finalOps + Math.min(1, job.chunkRevisions.size)) return null;
   const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOps));
   const isLast = chunks.length === job.chunkRevisions.size;
-  const ops: StoreOperation[] = chunks.map((chunk) => ({ type: 'delete', key: placementKey(id, chunk) }));
+  const ops: StoreOperation[] = chunks.map((chunk) => ({
+    type: 'delete',
+    key: placementChunkKey(id, chunk),
+  }));
   if (isLast) {
     ops.push({
       type: 'put',
-      key: `end/${id}`,
+      key: finalKey(id),
       value: finalRecord.encode({ isDone: !job.cancelled, finishedTasks: job.counter.count }),
     });
-    ops.push({ type: 'delete', key: jobRecordKey(id) });
-    if (hasCounter) ops.push({ type: 'delete', key: counterRecordKey(id) });
+    ops.push({ type: 'delete', key: jobKey(id) });
+    if (hasCounter) ops.push({ type: 'delete', key: counterKey(id) });
   }
   const settled = job.outcomesToStore;
   return {
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -1,13 +1,16 @@
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
 import { taskKey } from '../model/job.js';
-import type { KeyValueStore } from '../model/key-value-store.js';
+import type { KeyValueStore, StoredItem } from '../model/key-value-store.js';
 import { LimitedLog } from '../model/limited-log.js';
 import type { Logger } from '../model/logger.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
 import type { ServiceLevelObjective, Team } from '../model/team.js';
-import { readStoredItem, releaseWindow, type StoredJob, tasksPerChunk } from '../store/stored-job.js';
+import { fenceKey, parseJobRecordKey } from '../store/keyspace.js';
+import type { CachedItem } from '../store/prefix-copy.js';
+import { releaseWindow, tasksPerChunk } from '../store/record-sizes.js';
+import { readStoredItem, type StoredJob } from '../store/stored-job.js';
 import { AVOID_AFTER_REFUSAL_MS, assignGrants } from './grant-assignment.js';
 import { JobTransactions } from './job-transactions.js';
 import type { WriteEvents } from './job-writes.js';
@@ -43,7 +46,7 @@
   clock: Clock;
   log: Logger;
   /** The mirrored records under `open/`. */
-  openJobItems(): Iterable<[string, { value: unknown; modRevision: number }]>;
+  openJobItems(): Iterable<[string, CachedItem]>;
   /** The sending time of the latest read of `open/` whose changes have been passed on here; and a new read, if it is due. */
   openJobsFreshAsOf(): number;
   refreshOpenJobs(): void;
@@ -99,7 +102,7 @@
     this.usageLog = new UsageLog(this.usage, options.clock, options.log);
     this.releaseWindow = releaseWindow(options.maxValueKb);
     this.fence = new WriteFence({
-      key: `fence/${options.nodeName}`,
+      key: fenceKey(options.nodeName),
       instanceId: options.instanceId,
       store: options.store,
       clock: options.clock,
@@ -199,8 +202,7 @@
       for (const [name, team] of wanted) if (this.teams.get(name) === team) this.loadTeam(name, team, found);
       // Jobs accepted between the listing and now were shown by the watch before the team was loaded.
       for (const [key, item] of this.options.openJobItems()) {
-        const [, id, part] = key.split('/');
-        if (id && part === 'a') this.onOpenJobChanged(id, part, item.value, item.modRevision);
+        if (parseJobRecordKey(key)?.type === 'job') this.onOpenJobChanged({ key, ...item });
       }
       this.needsFullSync = true;
       this.options.wake();
@@ -298,19 +300,23 @@
   }
 
   /** A change under `open/`, from the watch. */
-  onOpenJobChanged(id: string, part: string, value: unknown, modRevision: number): void {
+  onOpenJobChanged(item: StoredItem): void {
+    const key = parseJobRecordKey(item.key);
+    if (!key) return;
+    const { modRevision } = item;
+    const id = key.jobId;
     const job = this.jobs.get(id);
-    if (part === 'n') {
+    if (key.type === 'counter') {
       if (job && modRevision > job.counterRevision && !job.writeInFlight && !job.isReloading)
         this.reload(job);
       return;
     }
-    if (part !== 'a') return;
+    if (key.type !== 'job') return;
     if (job) {
       // Also of a job that is being read again: that read may wait out an outage, while what runs must be stopped.
       if (modRevision > job.jobRevision) {
         const found = new Map<string, StoredJob>();
-        readStoredItem(found, { key: `open/${id}/a`, value, modRevision: modRevision });
+        readStoredItem(found, item);
         const stored = found.get(id);
         if (stored?.cancelled) {
           job.jobRevision = modRevision;
@@ -321,7 +327,7 @@
     }
     if (this.archived.has(id)) return;
     const found = new Map<string, StoredJob>();
-    readStoredItem(found, { key: `open/${id}/a`, value, modRevision: modRevision });
+    readStoredItem(found, item);
     const stored = found.get(id);
     if (!stored?.spec || !this.teams.get(stored.spec.team)?.isLoaded) return;
     this.adopt(stored);
--- a/src/shard/stored-jobs.ts
+++ b/src/shard/stored-jobs.ts
@@ -1,4 +1,5 @@
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
+import { OPEN_JOBS_PREFIX, PLACEMENTS_PREFIX } from '../store/keyspace.js';
 import { readStoredItem, type StoredJob } from '../store/stored-job.js';
 
 /** Jobs by id, as their stored records tell; null: a read failed. */
@@ -11,9 +12,9 @@
 export function readStoredJobs(state: KeyValueStore, id: string | null, then: StoredJobsCallback): void {
   const found = new Map<string, StoredJob>();
   const suffix = id === null ? '' : `${id}/`;
-  readPages(state, `open/${suffix}`, found, (ok) => {
+  readPages(state, `${OPEN_JOBS_PREFIX}${suffix}`, found, (ok) => {
     if (!ok) return then(null);
-    readPages(state, `place/${suffix}`, found, (placesOk) => then(placesOk ? found : null));
+    readPages(state, `${PLACEMENTS_PREFIX}${suffix}`, found, (placesOk) => then(placesOk ? found : null));
   });
 }
 
--- /dev/null
+++ b/src/store/linearizable-reads.ts
@@ -0,0 +1,95 @@
+/** Brings a copy of a prefix up to date on demand, one read for all who wait for it. */
+
+import type { Clock } from '../model/clock.js';
+import type { KeyValueStore } from '../model/key-value-store.js';
+import type { PrefixCopy } from './prefix-copy.js';
+import type { PrefixListing } from './prefix-listing.js';
+
+/** Least time between two reads on behalf of callers: all that come meanwhile share the next one. */
+const MIN_READ_INTERVAL_MS = 150;
+
+/** What reads need of their cache. */
+export interface LinearizableReadsOptions {
+  prefix: string;
+  store: KeyValueStore;
+  clock: Clock;
+  copy: PrefixCopy;
+  listing: PrefixListing;
+}
+
+/** Told whether the copy holds everything stored before the call. */
+export type ReadCallback = (isFresh: boolean) => void;
+
+/** Reads by a watch that does not wait, which is always sent after the calls that it answers. */
+export class LinearizableReads {
+  /** When the last read that was answered had been sent: all that was stored by then is in the copy. */
+  freshAsOf = Number.NEGATIVE_INFINITY;
+  /** When the last read was sent. */
+  lastReadAt = Number.NEGATIVE_INFINITY;
+  /** Whether the last read failed. */
+  isFailing = false;
+  private isReading = false;
+  private isTimerSet = false;
+  private waiting: ReadCallback[] = [];
+
+  constructor(private readonly options: LinearizableReadsOptions) {}
+
+  /** Calls back once the copy holds everything stored before this call, or with false if that can't be had now. */
+  read(callback: ReadCallback): void {
+    // After a read has failed or hung nobody is kept waiting for the next: it probes, and those that come meanwhile
+    // are answered at once.
+    if (this.isFailing) {
+      this.request();
+      callback(false);
+      return;
+    }
+    this.waiting.push(callback);
+    this.readWhenDue();
+  }
+
+  /** Reads soon although nobody waits for it, unless a read is under way or waited for. */
+  request(): void {
+    if (this.waiting.length > 0 || this.isReading) return;
+    this.waiting.push(() => {});
+    this.readWhenDue();
+  }
+
+  private readWhenDue(): void {
+    if (this.isReading || this.isTimerSet || this.waiting.length === 0) return;
+    const { clock, copy, listing } = this.options;
+    if (!copy.isReady || listing.isRunning) {
+      for (const callback of this.waiting.splice(0)) callback(false);
+      return;
+    }
+    const now = clock.now();
+    const waitMs = this.lastReadAt + MIN_READ_INTERVAL_MS - now;
+    if (waitMs <= 0) {
+      this.send(now);
+      return;
+    }
+    this.isTimerSet = true;
+    clock.after(waitMs, () => {
+      this.isTimerSet = false;
+      this.readWhenDue();
+    });
+  }
+
+  private send(now: number): void {
+    const { prefix, store, copy, listing } = this.options;
+    this.lastReadAt = now;
+    this.isReading = true;
+    const callbacks = this.waiting.splice(0);
+    const { epoch } = listing;
+    store.watch({ prefix, sinceRevision: copy.storeRevision, waitMs: 0 }, (result) => {
+      this.isReading = false;
+      this.isFailing = !result.ok;
+      const isFresh = result.ok && epoch === listing.epoch;
+      if (isFresh) {
+        copy.apply(result.value);
+        this.freshAsOf = now;
+      } else if (!result.ok && result.kind === 'notFound') listing.start();
+      for (const callback of callbacks) callback(isFresh);
+      this.readWhenDue();
+    });
+  }
+}
--- /dev/null
+++ b/src/store/prefix-listing.ts
@@ -0,0 +1,67 @@
+/** Fills a copy of a prefix by listing all its keys, again from the start after each failure. */
+
+import type { Clock } from '../model/clock.js';
+import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
+import type { PrefixCopy } from './prefix-copy.js';
+
+/** Pause before a list that failed is begun anew. */
+const RETRY_MS = 300;
+
+/** What listing needs of its cache. */
+export interface PrefixListingOptions {
+  prefix: string;
+  store: KeyValueStore;
+  clock: Clock;
+  copy: PrefixCopy;
+  /** The copy holds all that was listed. */
+  onListed(): void;
+}
+
+/** Lists the keys, at most once at a time. */
+export class PrefixListing {
+  isRunning = false;
+  /** Counts listings: an answer asked for before one is not applied after it. */
+  epoch = 0;
+
+  constructor(private readonly options: PrefixListingOptions) {}
+
+  /** Begins to list, unless that is under way. */
+  start(): void {
+    if (this.isRunning) return;
+    this.isRunning = true;
+    this.epoch++;
+    this.readPage({ startAfter: this.options.prefix, listedKeys: new Set(), firstRevision: 0 });
+  }
+
+  private readPage(progress: { startAfter: string; listedKeys: Set<string>; firstRevision: number }): void {
+    const { prefix, store, copy } = this.options;
+    const { startAfter, listedKeys } = progress;
+    store.list({ prefix, startAfter, urgency: URGENCY.user }, (result) => {
+      if (!result.ok) {
+        this.retry();
+        return;
+      }
+      const { items, hasMore, storeRevision } = result.value;
+      const firstRevision = progress.firstRevision === 0 ? storeRevision : progress.firstRevision;
+      for (const item of items) {
+        listedKeys.add(item.key);
+        copy.put(item);
+      }
+      const last = items.at(-1);
+      if (hasMore && last) {
+        this.readPage({ startAfter: last.key, listedKeys, firstRevision });
+        return;
+      }
+      copy.finishListing(listedKeys, firstRevision);
+      this.isRunning = false;
+      this.options.onListed();
+    });
+  }
+
+  private retry(): void {
+    this.options.clock.after(RETRY_MS, () => {
+      this.isRunning = false;
+      this.start();
+    });
+  }
+}
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -1,114 +1,89 @@
+/** A job as its stored records have it, put together from them in any order. */
+
 import { DependencyCounter } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
 import type { StoredItem } from '../model/key-value-store.js';
 import type { CounterRecord, PlacementEntry } from '../model/records.js';
+import { decodeCompletionBitmap, encodeCompletionBitmap } from './completion-bitmap.js';
+import { parseJobRecordKey } from './keyspace.js';
 import { counterRecord, jobRecord, placementRecord } from './record-codec.js';
 
+/** What has been read of a job; a record that was not found leaves its defaults. */
 export interface StoredJob {
+  /** Null: the job's own record was not found. */
   spec: JobSpec | null;
+  /** Revision at which it was accepted; 0: not known. */
   acceptedRevision: number;
+  /** Revisions of the job's own record and of its counter; 0: there is none. */
   jobRevision: number;
   counterRevision: number;
   cancelled: boolean;
   runningTasks: number;
+  /** Null: there is no counter record, or its job has not been read. */
   counter: DependencyCounter | null;
   counterRecord: CounterRecord | null;
-  placementChunks: Map<number, { modRevision: number; tasks: Map<number, PlacementEntry> }>;
-}
-
-/** Tasks to a placement record: about 64 bytes each must fit in a value. */
-export function tasksPerChunk(valueKb: number): number {
-  return Math.max(1, Math.min(128, Math.floor((valueKb * 1024) / 64)));
-}
-
-/**
- * How far release may run ahead of the first task not yet counted. It bounds the runs of a counter record
- * (at most one per two tasks, four bytes or so each), whatever the order in which tasks end.
- */
-export function releaseWindow(valueKb: number): number {
-  return Math.max(64, Math.floor((valueKb * 1024) / 4));
-}
-
-export function placementKey(id: string, chunk: number): string {
-  return `place/${id}/${chunk}`;
-}
-
-export function makeCounterRecord(counter: DependencyCounter, running: number): CounterRecord {
-  return { finishedTasks: counter.count, runningTasks: running, finishedBitmap: encodeBitmap(counter) };
+  placementChunks: Map<number, StoredChunk>;
 }
 
-/**
- * Bits as runs `skip,take` in base 36: tasks end roughly in release order, so a record of 100,000 tasks
- * stays small; where runs would be longer than the plain bits, the plain bits are kept.
- */
-function encodeBitmap(counter: DependencyCounter): string {
-  const runs: string[] = [];
-  let length = 0;
-  let i = 0;
-  const plain = Math.ceil(counter.inputCount / 6) + 4;
-  while (i < counter.inputCount) {
-    const a = i;
-    while (i < counter.inputCount && !counter.has(i)) i++;
-    if (i >= counter.inputCount) break;
-    const b = i;
-    while (i < counter.inputCount && counter.has(i)) i++;
-    const run = `${(b - a).toString(36)}.${(i - b).toString(36)}`;
-    runs.push(run);
-    length += run.length + 1;
-    if (length > plain) return `=${counter.encodeBits(0, counter.bits.length)}`;
-  }
-  return runs.join(',');
+/** The placements of one chunk of tasks, by task index. */
+export interface StoredChunk {
+  modRevision: number;
+  tasks: Map<number, PlacementEntry>;
 }
 
-export function decodeBitmap(counter: DependencyCounter, text: string): void {
-  if (text.startsWith('=')) return counter.mergeBits(0, text.slice(1));
-  let i = 0;
-  for (const run of text.split(',')) {
-    if (run === '') continue;
-    const [skip, take] = run.split('.');
-    i += Number.parseInt(skip ?? '0', 36);
-    const n = Number.parseInt(take ?? '0', 36);
-    for (let k = 0; k < n; k++) counter.add(i++);
-  }
+/** The counter record of a job. */
+export function makeCounterRecord(counter: DependencyCounter, runningTasks: number): CounterRecord {
+  return { finishedTasks: counter.count, runningTasks, finishedBitmap: encodeCompletionBitmap(counter) };
 }
 
-/** Adds one stored item to what is known of its job. Items of other kinds are passed over. */
+/** Adds one stored item to what is known of its job, in `into` by job id. Items of other kinds are passed over. */
 export function readStoredItem(into: Map<string, StoredJob>, item: StoredItem): void {
-  const [kind, id, part] = item.key.split('/');
-  if (!id || part === undefined || (kind !== 'open' && kind !== 'place')) return;
-  let stored = into.get(id);
+  const key = parseJobRecordKey(item.key);
+  if (!key) return;
+  let stored = into.get(key.jobId);
   if (!stored) {
-    stored = {
-      spec: null,
-      acceptedRevision: 0,
-      jobRevision: 0,
-      counterRevision: 0,
-      cancelled: false,
-      runningTasks: 0,
-      counter: null,
-      counterRecord: null,
-      placementChunks: new Map(),
-    };
-    into.set(id, stored);
-  }
-  if (kind === 'place') {
-    const record = placementRecord.decode(item.value);
-    stored.placementChunks.set(Number(part), { modRevision: item.modRevision, tasks: record.tasks });
-    return;
+    stored = emptyStoredJob();
+    into.set(key.jobId, stored);
   }
-  if (part === 'a') {
-    const record = jobRecord.decode(item.value);
-    stored.spec = record.spec;
-    stored.jobRevision = item.modRevision;
-    stored.acceptedRevision = record.acceptedRevision ?? item.modRevision;
-    stored.cancelled = record.cancelled === true;
-  } else if (part === 'n') {
-    stored.counterRecord = counterRecord.decode(item.value);
-    stored.counterRevision = item.modRevision;
-    stored.runningTasks = stored.counterRecord.runningTasks;
+  switch (key.type) {
+    case 'placements': {
+      const { tasks } = placementRecord.decode(item.value);
+      stored.placementChunks.set(key.chunk, { modRevision: item.modRevision, tasks });
+      return;
+    }
+    case 'job':
+      readJobRecord(stored, item);
+      break;
+    case 'counter':
+      stored.counterRecord = counterRecord.decode(item.value);
+      stored.counterRevision = item.modRevision;
+      stored.runningTasks = stored.counterRecord.runningTasks;
+      break;
   }
   if (stored.spec && stored.counterRecord && !stored.counter) {
     stored.counter = new DependencyCounter(stored.spec.taskCount);
-    decodeBitmap(stored.counter, stored.counterRecord.finishedBitmap);
+    decodeCompletionBitmap(stored.counter, stored.counterRecord.finishedBitmap);
   }
 }
+
+function readJobRecord(stored: StoredJob, item: StoredItem): void {
+  const record = jobRecord.decode(item.value);
+  stored.spec = record.spec;
+  stored.jobRevision = item.modRevision;
+  stored.acceptedRevision = record.acceptedRevision ?? item.modRevision;
+  stored.cancelled = record.cancelled === true;
+}
+
+function emptyStoredJob(): StoredJob {
+  return {
+    spec: null,
+    acceptedRevision: 0,
+    jobRevision: 0,
+    counterRevision: 0,
+    cancelled: false,
+    runningTasks: 0,
+    counter: null,
+    counterRecord: null,
+    placementChunks: new Map(),
+  };
+}
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -264,9 +264,10 @@
   read('place/', [placed]);
   owner.flush();
   owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 5 });
-  owner.onOpenJobChanged('wk-1', 'n', { n: 1, r: 0, b: '1.1' }, 6);
+  owner.onOpenJobChanged({ key: 'open/wk-1/n', value: { n: 1, r: 0, b: '1.1' }, modRevision: 6 });
   expect(lists.length).toBe(1);
-  owner.onOpenJobChanged('wk-1', 'a', jobRecord.encode({ spec, acceptedRevision: 3, cancelled: true }), 7);
+  const cancelled = jobRecord.encode({ spec, acceptedRevision: 3, cancelled: true });
+  owner.onOpenJobChanged({ key: 'open/wk-1/a', value: cancelled, modRevision: 7 });
   owner.onLeaderMessage({ type: 'timestamp', fencingToken: 5, leaderTimestamp: 1 });
   now = 10;
   owner.flush();
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -84,14 +84,15 @@
       reads.push({ since: sinceRevision, wait: waitMs, cb: callback }),
   };
   const gone: string[] = [];
-  const m = new WatchCache(
-    'open/',
-    10000,
-    0,
-    state as unknown as KeyValueStore,
-    clock as unknown as Clock,
-    (key, value) => value === undefined && gone.push(key),
-  );
+  const m = new WatchCache({
+    prefix: 'open/',
+    store: state as unknown as KeyValueStore,
+    clock: clock as unknown as Clock,
+    watchWaitMs: 10000,
+    minWatchIntervalMs: 0,
+    isFollowed: true,
+    onChange: (key, value) => value === undefined && gone.push(key),
+  });
   m.start();
   const answers: string[] = [];
   const run = (ms: number) => {
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -106,7 +106,15 @@
 ) {
   const state = new RecordedState(new Map(Object.entries(records)));
   const clock = steppingClock();
-  const open = new WatchCache('open/', 10000, 100, state.port, clock, () => {}, false);
+  const open = new WatchCache({
+    prefix: 'open/',
+    store: state.port,
+    clock,
+    watchWaitMs: 10000,
+    minWatchIntervalMs: 100,
+    isFollowed: false,
+    onChange: () => {},
+  });
   open.start();
   const api = new JobApi(
     state.port,
--- a/test/graph.test.ts
+++ b/test/graph.test.ts
@@ -1,7 +1,9 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { DependencyCounter, FanOut } from '../src/model/dependency-counter.js';
-import { decodeBitmap, makeCounterRecord, releaseWindow } from '../src/store/stored-job.js';
+import { decodeCompletionBitmap } from '../src/store/completion-bitmap.js';
+import { releaseWindow } from '../src/store/record-sizes.js';
+import { makeCounterRecord } from '../src/store/stored-job.js';
 
 test('a counter counts each input once, and its record brings it back', () => {
   fc.assert(
@@ -15,7 +17,7 @@
       expect(counter.count).toBe(seen.size);
       expect(counter.isFull).toBe(seen.size === size);
       const back = new DependencyCounter(size);
-      decodeBitmap(back, makeCounterRecord(counter, 0).finishedBitmap);
+      decodeCompletionBitmap(back, makeCounterRecord(counter, 0).finishedBitmap);
       expect([...back.bits]).toEqual([...counter.bits]);
     }),
   );
