--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,8 +1,14 @@
 import type { CloudProvider } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import type { ResultCallback } from '../model/result.js';
-import { readList, readRented, readTypes, writeRemoval, writeRental } from '../wire/cloud-messages.js';
-import { parse } from '../wire/json.js';
+import {
+  decodeMachinePage,
+  decodeMachineTypes,
+  decodeRentedMachines,
+  encodeDeletion,
+  encodeRental,
+} from '../wire/cloud-messages.js';
+import { parseJson } from '../wire/json.js';
 import { HttpClient, type HttpReply } from './http-client.js';
 
 type Job = { urgency: number; method: string; path: string; body: unknown; cb: (r: HttpReply) => void };
@@ -58,7 +64,7 @@
   listMachineTypes(callback: ResultCallback<MachineType[]>): void {
     this.call(3, 'GET', '/machine_types', undefined, (r) => {
       if (r.status !== 200) return callback({ ok: false, kind: 'refused' });
-      callback({ ok: true, value: readTypes(parse(r.text)) });
+      callback({ ok: true, value: decodeMachineTypes(parseJson(r.text)) });
     });
   }
 
@@ -70,17 +76,23 @@
     n: number,
     callback: ResultCallback<string[]>,
   ): void {
-    this.call(1, 'POST', '/machines', writeRental(claim, type, zone, spot, n), (r) => {
-      if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
-      if (r.status === 400) return callback({ ok: false, kind: 'bad' });
-      if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
-      const names = r.status === 200 ? readRented(parse(r.text)) : null;
-      callback(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
-    });
+    this.call(
+      1,
+      'POST',
+      '/machines',
+      encodeRental({ claim, machineType: type, zone, isSpot: spot, count: n }),
+      (r) => {
+        if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
+        if (r.status === 400) return callback({ ok: false, kind: 'bad' });
+        if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
+        const names = r.status === 200 ? decodeRentedMachines(parseJson(r.text)) : null;
+        callback(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
+      },
+    );
   }
 
   deleteMachines(names: string[], callback: ResultCallback<null>): void {
-    this.call(0, 'POST', '/machines/delete', writeRemoval(names), (r) =>
+    this.call(0, 'POST', '/machines/delete', encodeDeletion(names), (r) =>
       callback(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
     );
   }
@@ -88,7 +100,7 @@
   listMachines(since: string, callback: ResultCallback<{ machines: ListedMachine[]; more: boolean }>): void {
     const q = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
     this.call(2, 'GET', `/machines?${q}page=500`, undefined, (r) => {
-      const v = r.status === 200 ? readList(parse(r.text)) : null;
+      const v = r.status === 200 ? decodeMachinePage(parseJson(r.text)) : null;
       callback(v ? { ok: true, value: v } : { ok: false, kind: 'refused' });
     });
   }
--- a/src/transport/http-api.ts
+++ b/src/transport/http-api.ts
@@ -3,8 +3,8 @@
 import type { Hono } from 'hono';
 import type { Controller } from '../controller/controller.js';
 import type { Logger } from '../model/logger.js';
-import { isObj, parse, str } from '../wire/json.js';
-import { readReport, writeAnswer, writeRedirect } from '../wire/worker-messages.js';
+import { asNonEmptyString, isJsonObject, parseJson } from '../wire/json.js';
+import { decodeHeartbeat, encodeHeartbeatAnswer, encodeRedirect } from '../wire/worker-messages.js';
 import type { HttpMessage } from './http-parser.js';
 import { HEARTBEAT_PATH } from './http-paths.js';
 import type { HttpResponse, RequestHandler } from './http-server.js';
@@ -47,18 +47,24 @@
 
 /** The response to the heartbeat in a request's body: the commands for its worker, or where the leader is. */
 export function answerHeartbeat(controller: Controller, log: Logger, text: string): HttpResponse {
-  const body = parse(text);
-  const heartbeat = readReport(body);
+  const body = parseJson(text);
+  const heartbeat = decodeHeartbeat(body);
   if (!heartbeat) {
-    log.info({ machine: isObj(body) ? str(body.trunk) : null }, 'malformed heartbeat dropped');
+    log.info(
+      { machine: isJsonObject(body) ? asNonEmptyString(body.trunk) : null },
+      'malformed heartbeat dropped',
+    );
     return { status: 400, body: '{"error":"malformed report"}' };
   }
   const answer = controller.handleHeartbeat(heartbeat);
   switch (answer.type) {
     case 'accepted':
-      return { status: 200, body: JSON.stringify(writeAnswer(answer.fencingToken, answer.commands)) };
+      return {
+        status: 200,
+        body: JSON.stringify(encodeHeartbeatAnswer(answer.fencingToken, answer.commands)),
+      };
     case 'redirected':
-      return { status: 421, body: JSON.stringify(writeRedirect(answer.leaderName)) };
+      return { status: 421, body: JSON.stringify(encodeRedirect(answer.leaderName)) };
     case 'unavailable':
       return {
         status: 503,
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -7,15 +7,15 @@
   type WatchEvent,
 } from '../model/key-value-store.js';
 import type { Failure, ResultCallback } from '../model/result.js';
-import { parse } from '../wire/json.js';
+import { parseJson } from '../wire/json.js';
 import {
-  readEvents,
-  readFailed,
-  readItem,
-  readItems,
-  readLease,
-  readRev,
-  writeTxn,
+  decodeFailedKeys,
+  decodeItem,
+  decodeItemPage,
+  decodeLeaseId,
+  decodeStoreRevision,
+  decodeWatchBatch,
+  encodeTransaction,
 } from '../wire/store-messages.js';
 import { HttpClient, type HttpReply } from './http-client.js';
 import { RateLimiter } from './rate-limiter.js';
@@ -25,7 +25,8 @@
 function failure(r: HttpReply): Failure {
   if (r.status === 0) return { ok: false, kind: r.sent ? 'unknown' : 'refused' };
   if (r.status === 404 || r.status === 410) return { ok: false, kind: 'gone' };
-  if (r.status === 409) return { ok: false, kind: 'conflict', failedKeys: readFailed(parse(r.text)) };
+  if (r.status === 409)
+    return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(r.text)) };
   if (r.status === 429 || r.status === 503) return { ok: false, kind: 'refused' };
   if (r.status === 400) return { ok: false, kind: 'bad' };
   return { ok: false, kind: 'unknown' };
@@ -69,7 +70,7 @@
           }
           if (r.status === 404 && on404) return callback({ ok: true, value: on404() });
           if (r.status !== 200) return callback(failure(r));
-          const v = read(parse(r.text));
+          const v = read(parseJson(r.text));
           callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
         });
       });
@@ -83,7 +84,7 @@
       'GET',
       `/store/${encodeURI(key)}`,
       undefined,
-      (v) => readItem(v),
+      (v) => decodeItem(v),
       callback,
       () => null,
     );
@@ -96,7 +97,7 @@
     callback: ResultCallback<{ items: StoredItem[]; more: boolean; storeRevision: number }>,
   ): void {
     const q = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=500`;
-    this.run(urgency, 0, 'GET', `/store?${q}`, undefined, readItems, callback);
+    this.run(urgency, 0, 'GET', `/store?${q}`, undefined, decodeItemPage, callback);
   }
 
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void {
@@ -105,14 +106,14 @@
       transaction.operations.length,
       'POST',
       '/txn',
-      writeTxn(transaction),
-      readRev,
+      encodeTransaction(transaction),
+      decodeStoreRevision,
       callback,
     );
   }
 
   grantLease(ttlMs: number, callback: ResultCallback<number>): void {
-    this.run(URGENCY.lease, 0, 'POST', '/grants', { ttl_ms: Math.round(ttlMs) }, readLease, callback);
+    this.run(URGENCY.lease, 0, 'POST', '/grants', { ttl_ms: Math.round(ttlMs) }, decodeLeaseId, callback);
   }
 
   keepLeaseAlive(lease: number, callback: ResultCallback<null>): void {
@@ -152,7 +153,7 @@
       this.watches.call({ method: 'GET', path: `/watch?${q}`, deadlineMs }, (r) => {
         if (r.status === 429) this.limiter.onThrottled();
         if (r.status !== 200) return callback(failure(r));
-        const v = readEvents(parse(r.text));
+        const v = decodeWatchBatch(parseJson(r.text));
         callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
       });
     });
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -5,8 +5,8 @@
 import type { Clock } from '../model/clock.js';
 import type { ApiAnswer } from '../model/job-answer.js';
 import type { Logger } from '../model/logger.js';
-import { parse } from '../wire/json.js';
-import { isJobId, readJob, writeState } from '../wire/user-messages.js';
+import { parseJson } from '../wire/json.js';
+import { decodeSubmission, encodeJobStatus, isJobId } from '../wire/user-messages.js';
 import { ConcurrencyLimit } from './concurrency-limit.js';
 import { JOBS_PATH, READINESS_PATH } from './http-paths.js';
 
@@ -73,7 +73,7 @@
 
   async submit(context: Context): Promise<Response> {
     const { api } = this.controller;
-    const job = readJob(parse(await context.req.text()), this.clock.wall());
+    const job = decodeSubmission(parseJson(await context.req.text()), this.clock.wall());
     if (job.ok) {
       const { spec } = job;
       return new Promise((resolve) =>
@@ -111,7 +111,7 @@
   private respond(context: Context, id: string, answer: ApiAnswer): Response {
     switch (answer.type) {
       case 'job':
-        return context.json(writeState(id, answer), answer.created ? 201 : 200);
+        return context.json(encodeJobStatus(id, answer), answer.created ? 201 : 200);
       case 'notFound':
         return respondUnknown(context);
       case 'rejected':
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -3,8 +3,8 @@
 import type { ResultCallback } from '../model/result.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
 import type { Heartbeat, WorkerCommand } from '../model/worker-messages.js';
-import { parse } from '../wire/json.js';
-import { readReport, writeDirect } from '../wire/worker-messages.js';
+import { parseJson } from '../wire/json.js';
+import { decodeHeartbeat, encodeDirectCommands } from '../wire/worker-messages.js';
 import { HttpClient, type HttpReply } from './http-client.js';
 
 /** Time for a call, the wait for a connection included. */
@@ -71,7 +71,7 @@
       const call = {
         method: 'POST',
         path: COMMANDS_PATH,
-        body: writeDirect(token, agentEpoch, commands),
+        body: encodeDirectCommands(token, agentEpoch, commands),
         deadlineMs: Math.max(1, expiresAt - Date.now()),
       };
       connection.callsInProgress++;
@@ -151,7 +151,7 @@
 
 function reportResult(reply: HttpReply, onResult: ResultCallback<Heartbeat>): void {
   if (reply.status === 0) return onResult({ ok: false, kind: reply.sent ? 'unknown' : 'refused' });
-  const heartbeat = readReport(parse(reply.text));
+  const heartbeat = decodeHeartbeat(parseJson(reply.text));
   switch (reply.status) {
     case 200:
       return onResult(heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' });
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -1,68 +1,95 @@
+/** The cloud's protocol: machine types, rentals, deletions and the list of machines. */
+
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
-import { isObj, num, str } from './json.js';
+import { asFiniteNumber, asNonEmptyString, isJsonObject } from './json.js';
+
+/** Assumed of a machine type where the cloud does not say. */
+const DEFAULT_IMAGE_FETCH_GB_PER_SECOND = 0.1;
+const DEFAULT_HOURLY_PRICE = 1;
+const DEFAULT_BOOT_SECONDS = 30;
+
+/** The machine types in a response; those without a name, CPUs or memory are passed over. */
+export function decodeMachineTypes(encoded: unknown): MachineType[] {
+  if (!isJsonObject(encoded) || !Array.isArray(encoded.barks)) return [];
+  return encoded.barks.map(decodeMachineType).filter((machineType) => machineType !== null);
+}
+
+function decodeMachineType(encoded: unknown): MachineType | null {
+  if (!isJsonObject(encoded)) return null;
+  const name = asNonEmptyString(encoded.label);
+  const cpus = asFiniteNumber(encoded.vcpus);
+  const memoryGb = asFiniteNumber(encoded.ram_gb);
+  if (name === null || cpus === null || memoryGb === null) return null;
+  const hourlyPrice = asFiniteNumber(encoded.hourly) ?? DEFAULT_HOURLY_PRICE;
+  return {
+    name,
+    cpus,
+    gpus: asFiniteNumber(encoded.cards) ?? 0,
+    memoryGb,
+    imageCacheGb: asFiniteNumber(encoded.cache_gb) ?? 0,
+    imageFetchGbPerSecond: asFiniteNumber(encoded.pull_gb_per_s) ?? DEFAULT_IMAGE_FETCH_GB_PER_SECOND,
+    hourlyPrice,
+    hourlySpotPrice: asFiniteNumber(encoded.spot_price) ?? hourlyPrice,
+    bootSeconds: asFiniteNumber(encoded.ready_s) ?? DEFAULT_BOOT_SECONDS,
+    zones: stringsIn(encoded.slopes),
+  };
+}
+
+/** One page of the list of machines, in the order of their names; `more`: further pages follow. */
+export interface MachinePage {
+  machines: ListedMachine[];
+  more: boolean;
+}
+
+/** A page in a response, or null if it is malformed; machines without a name or a known phase are passed over. */
+export function decodeMachinePage(encoded: unknown): MachinePage | null {
+  if (!isJsonObject(encoded) || !Array.isArray(encoded.trunks)) return null;
+  const machines = encoded.trunks.map(decodeListedMachine).filter((machine) => machine !== null);
+  return { machines, more: encoded.has_next === true };
+}
+
+function decodeListedMachine(encoded: unknown): ListedMachine | null {
+  if (!isJsonObject(encoded)) return null;
+  const name = asNonEmptyString(encoded.name_id);
+  const { phase } = encoded;
+  if (name === null || (phase !== 'booting' && phase !== 'running' && phase !== 'failed')) return null;
+  return {
+    name,
+    address: asNonEmptyString(encoded.address) ?? '',
+    machineType: asNonEmptyString(encoded.bark) ?? '',
+    zone: asNonEmptyString(encoded.slope) ?? '',
+    isSpot: encoded.windfall === true,
+    phase,
+    ageSeconds: asFiniteNumber(encoded.age_s) ?? 0,
+  };
+}
 
-export function readTypes(v: unknown): MachineType[] {
-  if (!isObj(v) || !Array.isArray(v.barks)) return [];
-  const out: MachineType[] = [];
-  for (const t of v.barks) {
-    if (!isObj(t)) continue;
-    const name = str(t.label);
-    const cpus = num(t.vcpus);
-    const mem = num(t.ram_gb);
-    if (name === null || cpus === null || mem === null) continue;
-    const zones = Array.isArray(t.slopes) ? t.slopes.filter((z): z is string => typeof z === 'string') : [];
-    out.push({
-      name,
-      cpus,
-      gpus: num(t.cards) ?? 0,
-      memoryGb: mem,
-      imageCacheGb: num(t.cache_gb) ?? 0,
-      imageFetchGbPerSecond: num(t.pull_gb_per_s) ?? 0.1,
-      hourlyPrice: num(t.hourly) ?? 1,
-      hourlySpotPrice: num(t.spot_price) ?? num(t.hourly) ?? 1,
-      bootSeconds: num(t.ready_s) ?? 30,
-      zones,
-    });
-  }
-  return out;
+/** The names of the machines that a rental got, or null if the response is malformed. */
+export function decodeRentedMachines(encoded: unknown): string[] | null {
+  return isJsonObject(encoded) && Array.isArray(encoded.trunks) ? stringsIn(encoded.trunks) : null;
 }
 
-export function readList(v: unknown): { machines: ListedMachine[]; more: boolean } | null {
-  if (!isObj(v) || !Array.isArray(v.trunks)) return null;
-  const machines: ListedMachine[] = [];
-  for (const m of v.trunks) {
-    if (!isObj(m)) continue;
-    const name = str(m.name_id);
-    const phase = m.phase;
-    if (name === null || (phase !== 'booting' && phase !== 'running' && phase !== 'failed')) continue;
-    machines.push({
-      name,
-      address: str(m.address) ?? '',
-      machineType: str(m.bark) ?? '',
-      zone: str(m.slope) ?? '',
-      isSpot: m.windfall === true,
-      phase,
-      ageSeconds: num(m.age_s) ?? 0,
-    });
-  }
-  return { machines, more: v.has_next === true };
+/** What is to be rented. */
+export interface Rental {
+  /** Names the request: a repeat rents nothing more, so it must never be used for another one. */
+  claim: string;
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+  /** Number of machines. */
+  count: number;
 }
 
-export function readRented(v: unknown): string[] | null {
-  if (!isObj(v) || !Array.isArray(v.trunks)) return null;
-  return v.trunks.filter((n): n is string => typeof n === 'string');
+/** The body of a rental request. */
+export function encodeRental({ claim, machineType, zone, isSpot, count }: Rental): Record<string, unknown> {
+  return { claim, bark: machineType, slope: zone, windfall: isSpot, number: count };
 }
 
-export function writeRental(
-  claim: string,
-  type: string,
-  zone: string,
-  spot: boolean,
-  n: number,
-): Record<string, unknown> {
-  return { claim, bark: type, slope: zone, windfall: spot, number: n };
+/** The body of a request to delete machines. */
+export function encodeDeletion(machineNames: string[]): Record<string, unknown> {
+  return { trunks: machineNames };
 }
 
-export function writeRemoval(names: string[]): Record<string, unknown> {
-  return { trunks: names };
+function stringsIn(encoded: unknown): string[] {
+  return Array.isArray(encoded) ? encoded.filter((value): value is string => typeof value === 'string') : [];
 }
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,69 +1,97 @@
-import type { StoredItem, Transaction, WatchEvent } from '../model/key-value-store.js';
-import { count, isObj, str } from './json.js';
+/** The state service's protocol: keys, pages, transactions, leases and watches. */
 
-export function readItem(v: unknown): StoredItem | null {
-  if (!isObj(v)) return null;
-  const key = str(v.key);
-  const version = count(v.mark);
-  if (key === null || version === null) return null;
-  const lease = count(v.tenure);
-  return lease === null
-    ? { key, value: v.value, modRevision: version }
-    : { key, value: v.value, modRevision: version, leaseId: lease };
+import type { StoredItem, StoreOperation, Transaction, WatchEvent } from '../model/key-value-store.js';
+import { asCount, asNonEmptyString, isJsonObject } from './json.js';
+
+/** A key with its value and revision, or null if it is malformed. */
+export function decodeItem(encoded: unknown): StoredItem | null {
+  if (!isJsonObject(encoded)) return null;
+  const key = asNonEmptyString(encoded.key);
+  const modRevision = asCount(encoded.mark);
+  if (key === null || modRevision === null) return null;
+  const leaseId = asCount(encoded.tenure);
+  return { key, value: encoded.value, modRevision, ...(leaseId === null ? {} : { leaseId }) };
 }
 
-export function readItems(v: unknown): { items: StoredItem[]; more: boolean; storeRevision: number } | null {
-  if (!isObj(v) || !Array.isArray(v.items)) return null;
-  const rev = count(v.ring);
-  if (rev === null) return null;
-  const items: StoredItem[] = [];
-  for (const it of v.items) {
-    const item = readItem(it);
-    if (!item) return null;
-    items.push(item);
-  }
-  return { items, more: v.has_next === true, storeRevision: rev };
+/** One page of a listing, in the order of the keys; `more`: further pages follow. */
+export interface ItemPage {
+  items: StoredItem[];
+  more: boolean;
+  /** The store's revision that the page shows. */
+  storeRevision: number;
+}
+
+/** A page in a response, or null if it can't be read whole: a missing item would be taken for a deleted one. */
+export function decodeItemPage(encoded: unknown): ItemPage | null {
+  if (!isJsonObject(encoded) || !Array.isArray(encoded.items)) return null;
+  const storeRevision = asCount(encoded.ring);
+  if (storeRevision === null) return null;
+  const items = decodeAll(encoded.items, decodeItem);
+  return items && { items, more: encoded.has_next === true, storeRevision };
 }
 
-export function readRev(v: unknown): number | null {
-  return isObj(v) ? count(v.ring) : null;
+/** The store's revision after a transaction, or null if the response is malformed. */
+export function decodeStoreRevision(encoded: unknown): number | null {
+  return isJsonObject(encoded) ? asCount(encoded.ring) : null;
 }
 
-export function readFailed(v: unknown): string[] {
-  return isObj(v) && Array.isArray(v.failed)
-    ? v.failed.filter((k): k is string => typeof k === 'string')
+/** The keys whose conditions a transaction failed on, as far as the response names them. */
+export function decodeFailedKeys(encoded: unknown): string[] {
+  return isJsonObject(encoded) && Array.isArray(encoded.failed)
+    ? encoded.failed.filter((key): key is string => typeof key === 'string')
     : [];
 }
 
-export function readLease(v: unknown): number | null {
-  return isObj(v) ? count(v.tenure) : null;
+/** The id of a lease that was granted, or null if the response is malformed. */
+export function decodeLeaseId(encoded: unknown): number | null {
+  return isJsonObject(encoded) ? asCount(encoded.tenure) : null;
 }
 
-export function readEvents(v: unknown): { storeRevision: number; events: WatchEvent[] } | null {
-  if (!isObj(v)) return null;
-  const rev = count(v.ring);
-  if (rev === null || !Array.isArray(v.log)) return null;
-  const events: WatchEvent[] = [];
-  for (const e of v.log) {
-    if (!isObj(e)) return null;
-    const version = count(e.mark);
-    const put = str(e.write);
-    const del = str(e.drop);
-    if (version === null || (put === null && del === null)) return null;
-    events.push({ key: put ?? (del as string), modRevision: version, value: e.value, deleted: put === null });
-  }
-  return { storeRevision: rev, events };
+/** What a watch has brought: all changes up to a revision. */
+export interface WatchBatch {
+  storeRevision: number;
+  events: WatchEvent[];
+}
+
+/** The changes in a response, or null if they can't be read whole: none may be missed. */
+export function decodeWatchBatch(encoded: unknown): WatchBatch | null {
+  if (!isJsonObject(encoded)) return null;
+  const storeRevision = asCount(encoded.ring);
+  if (storeRevision === null || !Array.isArray(encoded.log)) return null;
+  const events = decodeAll(encoded.log, decodeWatchEvent);
+  return events && { storeRevision, events };
 }
 
-export function writeTxn(transaction: Transaction): Record<string, unknown> {
+function decodeWatchEvent(encoded: unknown): WatchEvent | null {
+  if (!isJsonObject(encoded)) return null;
+  const modRevision = asCount(encoded.mark);
+  const written = asNonEmptyString(encoded.write);
+  const key = written ?? asNonEmptyString(encoded.drop);
+  if (modRevision === null || key === null) return null;
+  return { key, modRevision, value: encoded.value, deleted: written === null };
+}
+
+/** The body of a transaction. */
+export function encodeTransaction(transaction: Transaction): Record<string, unknown> {
   return {
-    when: transaction.preconditions.map((w) => ({ key: w.key, mark: w.modRevision })),
-    then: transaction.operations.map((op) =>
-      'del' in op
-        ? { drop: op.del }
-        : op.lease !== undefined
-          ? { write: op.put, value: op.value, tenure: op.lease }
-          : { write: op.put, value: op.value },
-    ),
+    when: transaction.preconditions.map(({ key, modRevision }) => ({ key, mark: modRevision })),
+    then: transaction.operations.map(encodeOperation),
   };
 }
+
+function encodeOperation(operation: StoreOperation): Record<string, unknown> {
+  if ('del' in operation) return { drop: operation.del };
+  const { put, value, lease } = operation;
+  return lease === undefined ? { write: put, value } : { write: put, value, tenure: lease };
+}
+
+/** All values decoded, or null if one can't be. */
+function decodeAll<T>(encoded: readonly unknown[], decode: (value: unknown) => T | null): T[] | null {
+  const decoded: T[] = [];
+  for (const value of encoded) {
+    const one = decode(value);
+    if (one === null) return null;
+    decoded.push(one);
+  }
+  return decoded;
+}
--- a/src/wire/user-messages.ts
+++ b/src/wire/user-messages.ts
@@ -1,113 +1,131 @@
+/** The users' protocol: submissions, and the state of jobs. */
+
 import type { JobKind, JobSpec, Priority } from '../model/job.js';
-import type { ApiAnswer } from '../model/job-answer.js';
-import { count, isObj, num, str } from './json.js';
+import type { ApiAnswer, JobState } from '../model/job-answer.js';
+import { asCount, asFiniteNumber, asNonEmptyString, isJsonObject, lookUp } from './json.js';
 
-const ID = /^wk-[0-9A-Za-z]{1,32}$/;
-const SHAPES: Record<string, JobKind> = { sweep: 'array', group: 'gang', standing: 'service' };
-const RANKS: Record<string, Priority> = { prod: 0, urgent: 1, standard: 2, low: 3 };
-const STATES = { queued: 'pending', running: 'running', done: 'done', cancelled: 'withdrawn' };
-const MOST_TASKS = 100000;
+const JOB_ID = /^wk-[0-9A-Za-z]{1,32}$/;
 
-export function isJobId(id: string): boolean {
-  return ID.test(id);
+const JOB_KINDS: Readonly<Record<string, JobKind>> = { sweep: 'array', group: 'gang', standing: 'service' };
+
+const PRIORITIES: Readonly<Record<string, Priority>> = { prod: 0, urgent: 1, standard: 2, low: 3 };
+
+const JOB_PHASES: Readonly<Record<JobState, string>> = {
+  queued: 'pending',
+  running: 'running',
+  done: 'done',
+  cancelled: 'withdrawn',
+};
+
+const MAX_TASKS = 100_000;
+const MAX_NAME_LENGTH = 128;
+const MAX_IMAGE_NAME_LENGTH = 256;
+const MAX_MACHINE_TYPES = 64;
+
+/** Reads the value of a field; undefined: it is missing or invalid. */
+type FieldReader<T> = (encoded: unknown) => T | undefined;
+
+function flag(encoded: unknown): boolean | undefined {
+  return typeof encoded === 'boolean' ? encoded : undefined;
+}
+
+function amount(encoded: unknown): number | undefined {
+  const value = asFiniteNumber(encoded);
+  return value !== null && value >= 0 ? value : undefined;
+}
+
+function taskCount(encoded: unknown): number | undefined {
+  const value = asCount(encoded);
+  return value !== null && value >= 1 && value <= MAX_TASKS ? value : undefined;
 }
 
-/** A submission, checked field by field: the job, or what is wrong with it and the id if one can be read. */
-export function readJob(
-  body: unknown,
-  at: number,
-): { ok: true; spec: JobSpec } | { ok: false; id: string | null; reason: string } {
-  if (!isObj(body)) return { ok: false, id: null, reason: 'not a JSON object' };
-  const id = str(body.name_id);
-  if (id === null || !ID.test(id)) return { ok: false, id: null, reason: 'name_id is missing or invalid' };
-  const bad = (field: string) => ({ ok: false as const, id, reason: `${field} is missing or invalid` });
-  const jobClass = str(body.grove);
-  if (jobClass === null || jobClass.length > 128) return bad('grove');
-  const team = str(body.crew);
-  if (team === null || team.length > 128) return bad('crew');
-  const kind =
-    typeof body.shape === 'string' && Object.hasOwn(SHAPES, body.shape) ? SHAPES[body.shape] : undefined;
-  if (kind === undefined) return bad('shape');
-  const priority =
-    typeof body.rank === 'string' && Object.hasOwn(RANKS, body.rank) ? RANKS[body.rank] : undefined;
-  if (priority === undefined) return bad('rank');
-  const tasks = count(body.saplings);
-  if (tasks === null || tasks < 1 || tasks > MOST_TASKS) return bad('saplings');
-  const amount = (v: unknown, absent: number | null): number | null => {
-    if (v === null || v === undefined) return absent;
-    const n = num(v);
-    return n !== null && n >= 0 ? n : null;
+function text(maxLength: number): FieldReader<string> {
+  return (encoded) => {
+    const value = asNonEmptyString(encoded);
+    return value !== null && value.length <= maxLength ? value : undefined;
   };
-  const cpus = amount(body.vcpus, null);
-  if (cpus === null) return bad('vcpus');
-  const gpus = amount(body.cards, null);
-  if (gpus === null) return bad('cards');
-  const mem = amount(body.ram_gb, null);
-  if (mem === null) return bad('ram_gb');
-  const image = str(body.seed);
-  if (image === null || image.length > 256) return bad('seed');
-  const imageGb = amount(body.pull_gb, null);
-  if (imageGb === null) return bad('pull_gb');
-  let types: string[] | null = null;
-  if (body.barks !== null && body.barks !== undefined) {
-    if (!Array.isArray(body.barks) || body.barks.length > 64) return bad('barks');
-    types = [];
-    for (const t of body.barks) {
-      if (typeof t !== 'string' || t.length > 128) return bad('barks');
-      types.push(t);
-    }
-  }
-  let zone: string | null = null;
-  if (body.slope !== null && body.slope !== undefined) {
-    zone = str(body.slope);
-    if (zone === null || zone.length > 128) return bad('slope');
-  }
-  const flag = (v: unknown): boolean | null => (typeof v === 'boolean' ? v : null);
-  const together = flag(body.together);
-  if (together === null) return bad('together');
-  const apart = flag(body.apart);
-  if (apart === null) return bad('apart');
-  const spot = flag(body.windfall);
-  if (spot === null) return bad('windfall');
-  const estimateS = amount(body.growth_s, null);
-  if (estimateS === null) return bad('growth_s');
-  const checkpointS = amount(body.ring_s, null);
-  if (checkpointS === null) return bad('ring_s');
-  const saveS = amount(body.resin_s, null);
-  if (saveS === null) return bad('resin_s');
-  let deadlineS: number | null = null;
-  if (body.frost_s !== null && body.frost_s !== undefined) {
-    deadlineS = amount(body.frost_s, null);
-    if (deadlineS === null) return bad('frost_s');
-  }
-  return {
-    ok: true,
-    spec: {
-      id,
-      jobClass,
-      team,
-      kind,
-      priority,
-      taskCount: tasks,
-      cpus,
-      gpus,
-      memoryGb: mem,
-      image,
-      imageGb,
-      machineTypes: types,
-      zone,
-      zoneAffinity: together,
-      zoneAntiAffinity: apart,
-      spotAllowed: spot,
-      estimatedRunSeconds: estimateS,
-      checkpointIntervalSeconds: checkpointS,
-      checkpointSaveSeconds: saveS,
-      deadlineSeconds: deadlineS,
-      acceptedAtMs: at,
-    },
+}
+
+function oneOf<T>(meanings: Readonly<Record<string, T>>): FieldReader<T> {
+  return (encoded) => lookUp(meanings, encoded);
+}
+
+function machineTypes(encoded: unknown): string[] | undefined {
+  if (!Array.isArray(encoded) || encoded.length > MAX_MACHINE_TYPES) return undefined;
+  const isName = (value: unknown) => typeof value === 'string' && value.length <= MAX_NAME_LENGTH;
+  return encoded.every(isName) ? [...encoded] : undefined;
+}
+
+function optional<T>(read: FieldReader<T>): FieldReader<T | null> {
+  return (encoded) => (encoded === null || encoded === undefined ? null : read(encoded));
+}
+
+type SubmittedFields = Omit<JobSpec, 'id' | 'acceptedAtMs'>;
+
+/** By field, its name in the protocol and what reads it. */
+type SubmissionTable = {
+  readonly [Field in keyof SubmittedFields]: {
+    readonly name: string;
+    readonly read: FieldReader<SubmittedFields[Field]>;
   };
+};
+
+/** The fields of a submission besides its id, in the order in which they are checked: the first fault is the one reported. */
+const SUBMITTED_FIELDS: SubmissionTable = {
+  jobClass: { name: 'grove', read: text(MAX_NAME_LENGTH) },
+  team: { name: 'crew', read: text(MAX_NAME_LENGTH) },
+  kind: { name: 'shape', read: oneOf(JOB_KINDS) },
+  priority: { name: 'rank', read: oneOf(PRIORITIES) },
+  taskCount: { name: 'saplings', read: taskCount },
+  cpus: { name: 'vcpus', read: amount },
+  gpus: { name: 'cards', read: amount },
+  memoryGb: { name: 'ram_gb', read: amount },
+  image: { name: 'seed', read: text(MAX_IMAGE_NAME_LENGTH) },
+  imageGb: { name: 'pull_gb', read: amount },
+  machineTypes: { name: 'barks', read: optional(machineTypes) },
+  zone: { name: 'slope', read: optional(text(MAX_NAME_LENGTH)) },
+  zoneAffinity: { name: 'together', read: flag },
+  zoneAntiAffinity: { name: 'apart', read: flag },
+  spotAllowed: { name: 'windfall', read: flag },
+  estimatedRunSeconds: { name: 'growth_s', read: amount },
+  checkpointIntervalSeconds: { name: 'ring_s', read: amount },
+  checkpointSaveSeconds: { name: 'resin_s', read: amount },
+  deadlineSeconds: { name: 'frost_s', read: optional(amount) },
+};
+
+/** A submission that was read, or what is wrong with it, and its job's id if that can be read. */
+export type DecodedSubmission =
+  | { ok: true; spec: JobSpec }
+  | { ok: false; id: string | null; reason: string };
+
+/** Whether a string has the form of job ids. */
+export function isJobId(id: string): boolean {
+  return JOB_ID.test(id);
+}
+
+/** Reads a submission that is accepted at `acceptedAtMs` (time of day), field by field. */
+export function decodeSubmission(encoded: unknown, acceptedAtMs: number): DecodedSubmission {
+  if (!isJsonObject(encoded)) return { ok: false, id: null, reason: 'not a JSON object' };
+  const id = asNonEmptyString(encoded.name_id);
+  if (id === null || !isJobId(id)) return { ok: false, id: null, reason: invalid('name_id') };
+  const fields: Record<string, unknown> = {};
+  for (const [field, { name, read }] of Object.entries(SUBMITTED_FIELDS)) {
+    const value = read(encoded[name]);
+    if (value === undefined) return { ok: false, id, reason: invalid(name) };
+    fields[field] = value;
+  }
+  // Every field of the table has been read.
+  return { ok: true, spec: { id, ...(fields as unknown as SubmittedFields), acceptedAtMs } };
+}
+
+function invalid(field: string): string {
+  return `${field} is missing or invalid`;
 }
 
-export function writeState(id: string, a: Extract<ApiAnswer, { type: 'job' }>): Record<string, unknown> {
-  return { name_id: id, phase: STATES[a.state], done: a.done, running: a.running };
+/** A job's state as users are told. */
+export function encodeJobStatus(
+  id: string,
+  answer: Extract<ApiAnswer, { type: 'job' }>,
+): Record<string, unknown> {
+  return { name_id: id, phase: JOB_PHASES[answer.state], done: answer.done, running: answer.running };
 }
--- a/src/wire/worker-messages.ts
+++ b/src/wire/worker-messages.ts
@@ -1,15 +1,18 @@
+/** The workers' protocol: heartbeats, their answers and direct commands. */
+
 import type { ExitReason, TaskPhase } from '../model/job.js';
 import type { Heartbeat, TaskStatus, WorkerCommand } from '../model/worker-messages.js';
-import { count, isObj, num, str } from './json.js';
+import { asCount, asFiniteNumber, asNonEmptyString, isJsonObject, lookUp } from './json.js';
 
-const PHASES: Record<string, TaskPhase> = {
+const TASK_PHASES: Readonly<Record<string, TaskPhase>> = {
   pulling: 'fetching',
   gathering: 'waiting',
   running: 'running',
   saving: 'saving',
   ended: 'exited',
 };
-const WHYS: Record<string, ExitReason> = {
+
+const EXIT_REASONS: Readonly<Record<string, ExitReason>> = {
   done: 'done',
   stopped: 'stopped',
   mates_gone: 'gangMemberLost',
@@ -20,88 +23,100 @@
   unknown: 'unknown',
 };
 
-const CALLS: Readonly<Record<WorkerCommand['type'], string>> = {
+const COMMAND_NAMES: Readonly<Record<WorkerCommand['type'], string>> = {
   start: 'start',
   stop: 'stop',
   forget: 'reap',
 };
 
-function readTask(v: unknown): TaskStatus | null {
-  if (!isObj(v)) return null;
-  const name = str(v.sapling);
-  const attempt = count(v.sprout);
-  const phase = typeof v.phase === 'string' && Object.hasOwn(PHASES, v.phase) ? PHASES[v.phase] : undefined;
-  if (name === null || attempt === null || phase === undefined) return null;
-  const cut = name.lastIndexOf('/');
-  const taskIndex = Number(name.slice(cut + 1));
-  if (cut < 1 || !Number.isInteger(taskIndex) || taskIndex < 0) return null;
-  let reason: ExitReason | null = null;
-  if (phase === 'exited')
-    reason = (typeof v.blight === 'string' && Object.hasOwn(WHYS, v.blight) && WHYS[v.blight]) || 'error';
-  return {
-    jobId: name.slice(0, cut),
-    taskIndex,
-    attempt,
-    phase,
-    exitReason: reason,
-    checkpointSaved: v.stored === true,
-  };
-}
-
-/** A worker's report, or null if it is malformed: a list that can't be read whole proves nothing. */
-export function readReport(v: unknown): Heartbeat | null {
-  if (!isObj(v)) return null;
-  const machine = str(v.trunk);
-  const addr = str(v.address);
-  const type = str(v.bark);
-  const zone = str(v.slope);
-  const agentEpoch = count(v.season);
-  const sequence = count(v.tally);
-  const token = v.crook === null || v.crook === undefined ? 0 : count(v.crook);
-  if (machine === null || addr === null || type === null || zone === null) return null;
-  if (agentEpoch === null || sequence === null || token === null || !Array.isArray(v.saplings)) return null;
-  const tasks: TaskStatus[] = [];
-  for (const t of v.saplings) {
-    const r = readTask(t);
-    if (!r) return null;
-    tasks.push(r);
-  }
+/**
+ * A worker's heartbeat, or null if it is malformed. A list of tasks that can't be read whole proves nothing: a task that is
+ * missing from it would be taken for gone.
+ */
+export function decodeHeartbeat(encoded: unknown): Heartbeat | null {
+  if (!isJsonObject(encoded)) return null;
+  const machine = asNonEmptyString(encoded.trunk);
+  const address = asNonEmptyString(encoded.address);
+  const machineType = asNonEmptyString(encoded.bark);
+  const zone = asNonEmptyString(encoded.slope);
+  if (machine === null || address === null || machineType === null || zone === null) return null;
+  const agentEpoch = asCount(encoded.season);
+  const sequence = asCount(encoded.tally);
+  const fencingToken = asCount(encoded.crook ?? 0);
+  if (agentEpoch === null || sequence === null || fencingToken === null) return null;
+  const tasks = decodeTasks(encoded.saplings);
+  if (tasks === null) return null;
   return {
     machine,
-    address: addr,
-    machineType: type,
+    address,
+    machineType,
     zone,
-    isSpot: v.windfall === true,
+    isSpot: encoded.windfall === true,
     agentEpoch,
     sequence,
-    fencingToken: token,
-    evictionNoticeSeconds: num(v.felling_s),
+    fencingToken,
+    evictionNoticeSeconds: asFiniteNumber(encoded.felling_s),
     tasks,
   };
 }
 
-function writeCommand(command: WorkerCommand): Record<string, unknown> {
-  const base = {
-    call: CALLS[command.type],
-    sapling: `${command.jobId}/${command.taskIndex}`,
-    sprout: command.attempt,
+function decodeTasks(encoded: unknown): TaskStatus[] | null {
+  if (!Array.isArray(encoded)) return null;
+  const tasks: TaskStatus[] = [];
+  for (const value of encoded) {
+    const task = decodeTask(value);
+    if (!task) return null;
+    tasks.push(task);
+  }
+  return tasks;
+}
+
+function decodeTask(encoded: unknown): TaskStatus | null {
+  if (!isJsonObject(encoded)) return null;
+  const name = asNonEmptyString(encoded.sapling);
+  const attempt = asCount(encoded.sprout);
+  const phase = lookUp(TASK_PHASES, encoded.phase);
+  if (name === null || attempt === null || phase === undefined) return null;
+  const slash = name.lastIndexOf('/');
+  const taskIndex = Number(name.slice(slash + 1));
+  if (slash < 1 || !Number.isInteger(taskIndex) || taskIndex < 0) return null;
+  return {
+    jobId: name.slice(0, slash),
+    taskIndex,
+    attempt,
+    phase,
+    exitReason: phase === 'exited' ? (lookUp(EXIT_REASONS, encoded.blight) ?? 'error') : null,
+    checkpointSaved: encoded.stored === true,
   };
-  return command.type === 'stop' ? { ...base, pruning_s: command.gracePeriodSeconds } : base;
 }
 
-export function writeAnswer(token: number, commands: WorkerCommand[]): Record<string, unknown> {
-  return { crook: token, calls: commands.map(writeCommand) };
+/** The answer to a heartbeat: commands, which the worker executes in order if the token is no lower than any it has seen. */
+export function encodeHeartbeatAnswer(
+  fencingToken: number,
+  commands: WorkerCommand[],
+): Record<string, unknown> {
+  return { crook: fencingToken, calls: commands.map(encodeCommand) };
 }
 
-export function writeDirect(
-  token: number,
+/** The body of commands sent to a worker's address. */
+export function encodeDirectCommands(
+  fencingToken: number,
   agentEpoch: number,
   commands: WorkerCommand[],
 ): Record<string, unknown> {
-  return { crook: token, season: agentEpoch, calls: commands.map(writeCommand) };
+  return { crook: fencingToken, season: agentEpoch, calls: commands.map(encodeCommand) };
+}
+
+/** The answer to a worker that must turn to the leader; null: it isn't known here who leads. */
+export function encodeRedirect(leaderName: string | null): Record<string, string> {
+  return leaderName === null ? {} : { keeper: leaderName };
 }
 
-/** To a worker that asked another controller than the leader: where to go, if that is known. */
-export function writeRedirect(leader: string | null): Record<string, string> {
-  return leader === null ? {} : { keeper: leader };
+function encodeCommand(command: WorkerCommand): Record<string, unknown> {
+  const call = COMMAND_NAMES[command.type];
+  const sapling = `${command.jobId}/${command.taskIndex}`;
+  const sprout = command.attempt;
+  return command.type === 'stop'
+    ? { call, sapling, sprout, pruning_s: command.gracePeriodSeconds }
+    : { call, sapling, sprout };
 }
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -13,7 +13,7 @@
 import { WriteFence } from '../../src/shard/write-fence.js';
 import { readStoredItem, type StoredJob } from '../../src/store/stored-job.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
-import { readItem, writeTxn } from '../../src/wire/store-messages.js';
+import { decodeItem, encodeTransaction } from '../../src/wire/store-messages.js';
 import { ownerOptions } from '../standin/owner.js';
 import { RecordedState } from './recorded-state.js';
 
@@ -127,13 +127,13 @@
 function storedJob(records: Record<string, string>): StoredJob | undefined {
   const found = new Map<string, StoredJob>();
   for (const [key, text] of Object.entries(records))
-    readStoredItem(found, readItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+    readStoredItem(found, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
   return [...found.values()][0];
 }
 
 /** What is written of a job's changes, as it goes to the state service. */
 function writtenText(operations: StoreOperation[] | undefined): string {
-  return JSON.stringify(writeTxn({ preconditions: [], operations: operations ?? [] }).then);
+  return JSON.stringify(encodeTransaction({ preconditions: [], operations: operations ?? [] }).then);
 }
 
 function ownedJob(spec: JobSpec): OwnedJob {
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -6,7 +6,7 @@
 import { createRequestHandler } from '../../src/transport/http-api.js';
 import type { HttpResponse } from '../../src/transport/http-server.js';
 import { createUserApi } from '../../src/transport/user-api.js';
-import { readJob, writeState } from '../../src/wire/user-messages.js';
+import { decodeSubmission, encodeJobStatus } from '../../src/wire/user-messages.js';
 
 const JOB_TEXT =
   '{"name_id":"wk-000412","grove":"train","crew":"vision","shape":"group","rank":"urgent","saplings":16,"vcpus":8.0,"cards":1.0,"ram_gb":64.0,"seed":"img-07","pull_gb":6.2,"barks":["g8"],"slope":"a","together":true,"apart":false,"windfall":true,"growth_s":240.0,"ring_s":30.0,"resin_s":4.0,"frost_s":900.0}';
@@ -81,7 +81,7 @@
 const PENDING_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
 
 describe('a submission', () => {
-  const read = (text: string) => readJob(JSON.parse(text), 1700000000000);
+  const read = (text: string) => decodeSubmission(JSON.parse(text), 1700000000000);
 
   test('is read whole', () => {
     expect(read(JOB_TEXT)).toStrictEqual({ ok: true, spec: SPEC });
@@ -172,7 +172,7 @@
     ['cancelled', 'withdrawn'],
   ] as const)('%s is written as %s', (state, phase) => {
     const answer = { type: 'job', created: false, state, done: 3, running: 13 } as const;
-    expect(JSON.stringify(writeState('wk-000412', answer))).toBe(
+    expect(JSON.stringify(encodeJobStatus('wk-000412', answer))).toBe(
       `{"name_id":"wk-000412","phase":"${phase}","done":3,"running":13}`,
     );
   });
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -6,7 +6,7 @@
 import type { Heartbeat, WorkerCommand } from '../../src/model/worker-messages.js';
 import { answerHeartbeat } from '../../src/transport/http-api.js';
 import { WorkerClient } from '../../src/transport/worker-client.js';
-import { readReport } from '../../src/wire/worker-messages.js';
+import { decodeHeartbeat } from '../../src/wire/worker-messages.js';
 import { RecordingServer } from './recording-server.js';
 
 const REPORT_TEXT =
@@ -50,11 +50,11 @@
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
 const taskOf = (text: string) =>
-  readReport(JSON.parse(REPORT_TEXT.replace(/"saplings":.*$/, `"saplings":[${text}]}`)))?.tasks[0];
+  decodeHeartbeat(JSON.parse(REPORT_TEXT.replace(/"saplings":.*$/, `"saplings":[${text}]}`)))?.tasks[0];
 
 describe('a worker’s report', () => {
   test('is read whole', () => {
-    expect(readReport(JSON.parse(REPORT_TEXT))).toStrictEqual(REPORT);
+    expect(decodeHeartbeat(JSON.parse(REPORT_TEXT))).toStrictEqual(REPORT);
   });
 
   test.each<[string, string, Partial<Heartbeat>]>([
@@ -65,7 +65,7 @@
     ['token null', REPORT_TEXT.replace('"crook":41', '"crook":null'), { fencingToken: 0 }],
     ['a field that is not known', REPORT_TEXT.replace('{"trunk"', '{"moss":1,"trunk"'), {}],
   ])('is read: %s', (_title, text, difference) => {
-    expect(readReport(JSON.parse(text))).toStrictEqual({ ...REPORT, ...difference });
+    expect(decodeHeartbeat(JSON.parse(text))).toStrictEqual({ ...REPORT, ...difference });
   });
 
   test.each<[string, TaskPhase]>([
@@ -112,7 +112,7 @@
     '"sprout":2',
     '"phase":"running"',
   ])('is not read without %s', (field) => {
-    expect(readReport(JSON.parse(REPORT_TEXT.replace(field, '"moss":0')))).toBe(null);
+    expect(decodeHeartbeat(JSON.parse(REPORT_TEXT.replace(field, '"moss":0')))).toBe(null);
   });
 });
 
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -1,12 +1,18 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { ConcurrencyLimit } from '../src/transport/concurrency-limit.js';
-import { readList, readRented, readTypes } from '../src/wire/cloud-messages.js';
-import { parse } from '../src/wire/json.js';
+import { decodeMachinePage, decodeMachineTypes, decodeRentedMachines } from '../src/wire/cloud-messages.js';
+import { parseJson } from '../src/wire/json.js';
 import { decodePeerMessage } from '../src/wire/peer-codec.js';
-import { readEvents, readFailed, readItem, readItems, readLease } from '../src/wire/store-messages.js';
-import { readJob } from '../src/wire/user-messages.js';
-import { readReport } from '../src/wire/worker-messages.js';
+import {
+  decodeFailedKeys,
+  decodeItem,
+  decodeItemPage,
+  decodeLeaseId,
+  decodeWatchBatch,
+} from '../src/wire/store-messages.js';
+import { decodeSubmission } from '../src/wire/user-messages.js';
+import { decodeHeartbeat } from '../src/wire/worker-messages.js';
 
 const REPORT = JSON.stringify({
   trunk: 'vm-1',
@@ -23,15 +29,15 @@
 
 test('nothing read from outside throws, random or truncated', () => {
   const readers = [
-    readReport,
-    readTypes,
-    readList,
-    readRented,
-    readItem,
-    readItems,
-    readEvents,
-    readFailed,
-    readLease,
+    decodeHeartbeat,
+    decodeMachineTypes,
+    decodeMachinePage,
+    decodeRentedMachines,
+    decodeItem,
+    decodeItemPage,
+    decodeWatchBatch,
+    decodeFailedKeys,
+    decodeLeaseId,
     decodePeerMessage,
   ];
   const known = fc.dictionary(
@@ -56,19 +62,19 @@
   fc.assert(
     fc.property(fc.oneof(fc.jsonValue(), known), (value) => {
       for (const read of readers) read(value);
-      readJob(value, 0);
+      decodeSubmission(value, 0);
     }),
     { numRuns: 500 },
   );
 
   for (let length = 0; length < REPORT.length; length++)
-    expect(readReport(parse(REPORT.slice(0, length)))).toBe(null);
-  expect(readReport(parse(REPORT))?.tasks[0]?.exitReason).toBe('done');
+    expect(decodeHeartbeat(parseJson(REPORT.slice(0, length)))).toBe(null);
+  expect(decodeHeartbeat(parseJson(REPORT))?.tasks[0]?.exitReason).toBe('done');
 });
 
 test('a report with one task that cannot be read proves nothing', () => {
   // Read as a shorter list it would settle a task that still runs.
-  expect(readReport(parse(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
+  expect(decodeHeartbeat(parseJson(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -9,11 +9,15 @@
 import type { KeyValueStore } from '../../src/model/key-value-store.js';
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { WorkerCommandPort } from '../../src/model/worker-command-port.js';
-import { writeRemoval, writeRental } from '../../src/wire/cloud-messages.js';
+import { encodeDeletion, encodeRental } from '../../src/wire/cloud-messages.js';
 import { encodePeerMessage } from '../../src/wire/peer-codec.js';
-import { writeTxn } from '../../src/wire/store-messages.js';
-import { writeState } from '../../src/wire/user-messages.js';
-import { writeAnswer, writeDirect, writeRedirect } from '../../src/wire/worker-messages.js';
+import { encodeTransaction } from '../../src/wire/store-messages.js';
+import { encodeJobStatus } from '../../src/wire/user-messages.js';
+import {
+  encodeDirectCommands,
+  encodeHeartbeatAnswer,
+  encodeRedirect,
+} from '../../src/wire/worker-messages.js';
 
 const enabled = Boolean(process.env.SIMDIGEST);
 const digests: OutputDigest[] = [];
@@ -53,9 +57,9 @@
     this.add(host, 'heartbeat answer', () => {
       switch (answer.type) {
         case 'accepted':
-          return [200, writeAnswer(answer.fencingToken, answer.commands)];
+          return [200, encodeHeartbeatAnswer(answer.fencingToken, answer.commands)];
         case 'redirected':
-          return [421, writeRedirect(answer.leaderName)];
+          return [421, encodeRedirect(answer.leaderName)];
         case 'unavailable':
           return [503];
       }
@@ -66,7 +70,7 @@
     this.add(host, 'user answer', () => {
       switch (answer.type) {
         case 'job':
-          return [answer.created ? 201 : 200, writeState('', answer)];
+          return [answer.created ? 201 : 200, encodeJobStatus('', answer)];
         case 'notFound':
           return [404];
         case 'rejected':
@@ -89,7 +93,7 @@
         port.list(prefix, since, urgency, then);
       },
       compareAndSwap: (transaction, urgency, then) => {
-        add('txn', [writeTxn(transaction), urgency]);
+        add('txn', [encodeTransaction(transaction), urgency]);
         port.compareAndSwap(transaction, urgency, then);
       },
       grantLease: (ttlMs, then) => {
@@ -119,11 +123,11 @@
         port.listMachineTypes(then);
       },
       rentMachines: (claim, type, zone, spot, count, then) => {
-        add('rent', writeRental(claim, type, zone, spot, count));
+        add('rent', encodeRental({ claim, machineType: type, zone, isSpot: spot, count }));
         port.rentMachines(claim, type, zone, spot, count, then);
       },
       deleteMachines: (names, then) => {
-        add('remove', writeRemoval(names));
+        add('remove', encodeDeletion(names));
         port.deleteMachines(names, then);
       },
       listMachines: (since, then) => {
@@ -136,7 +140,7 @@
   workers(host: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
       sendCommands: (address, token, agentEpoch, commands, then) => {
-        this.add(host, `worker ${address}`, () => writeDirect(token, agentEpoch, commands));
+        this.add(host, `worker ${address}`, () => encodeDirectCommands(token, agentEpoch, commands));
         port.sendCommands(address, token, agentEpoch, commands, then);
       },
     };
