--- a/src/wire/field-codec.ts
+++ b/src/wire/field-codec.ts
@@ -3,6 +3,8 @@
  * the short names that earlier versions write and read, whatever a field is called in the program.
  */
 
+import { isJsonObject } from './json.js';
+
 /** Translates a value to its encoded form and back. */
 export interface Codec<T> {
   encode(value: T): unknown;
@@ -18,21 +20,35 @@
   }
 }
 
-/** A field's encoded name, with a codec where its value is not written as it is. */
-export type FieldMapping<T> = string | { readonly name: string; readonly codec: Codec<T> };
+/** A field's encoded name, with a codec where its value is not written as it is, or must be there to be read. */
+export type FieldMapping<T> = string | CodedField<T>;
+
+interface CodedField<T> {
+  readonly name: string;
+  readonly codec: Codec<T>;
+  /** What lacks the field, or has null for it, can't be decoded. */
+  readonly isRequired: boolean;
+}
 
 /** The encoded name of each field of `T`. */
 export type FieldMappings<T> = { readonly [Key in keyof T]-?: FieldMapping<NonNullable<T[Key]>> };
 
 /** A field whose value has a codec of its own; null and undefined are written as they are. */
 export function field<T>(name: string, codec: Codec<T>): FieldMapping<T> {
-  return { name, codec };
+  return { name, codec, isRequired: false };
+}
+
+/** A field without which an object can't be decoded. */
+export function requiredField<T>(name: string, codec: Codec<T>): FieldMapping<T> {
+  return { name, codec, isRequired: true };
 }
 
 /** An object with named fields, written in the order of the mappings. Absent fields stay absent, unknown ones are ignored. */
 export function object<T extends object>(mappings: FieldMappings<T>): Codec<T> {
   const fields = (Object.entries(mappings) as [string, FieldMapping<unknown>][]).map(([key, mapping]) =>
-    typeof mapping === 'string' ? { key, name: mapping, codec: null } : { key, ...mapping },
+    typeof mapping === 'string'
+      ? { key, name: mapping, codec: null, isRequired: false }
+      : { key, ...mapping },
   );
   const encodeFields = compileTranslation(
     fields.map(({ key, name, codec }) => ({
@@ -48,10 +64,13 @@
       convert: codec && ((value) => codec.decode(value)),
     })),
   );
+  const requiredNames = fields.filter(({ isRequired }) => isRequired).map(({ name }) => name);
   return {
     encode: (value) => encodeFields(value as Record<string, unknown>),
     decode: (encoded) => {
-      if (!isObject(encoded)) throw new DecodeError('an object', encoded);
+      if (!isJsonObject(encoded)) throw new DecodeError('an object', encoded);
+      for (const name of requiredNames)
+        if (encoded[name] === undefined || encoded[name] === null) throw new DecodeError(name, encoded[name]);
       return decodeFields(encoded) as T;
     },
   };
@@ -100,6 +119,17 @@
   };
 }
 
+/** Values that are written as they are, and read if they pass a check. */
+export function checked<T>(expected: string, isValid: (encoded: unknown) => boolean): Codec<T> {
+  return {
+    encode: (value) => value,
+    decode: (encoded) => {
+      if (!isValid(encoded)) throw new DecodeError(expected, encoded);
+      return encoded as T;
+    },
+  };
+}
+
 /** A list of values of one kind. */
 export function list<T>(codec: Codec<T>): Codec<T[]> {
   return {
@@ -138,14 +168,10 @@
       return encoded;
     },
     decode: (encoded) => {
-      if (!isObject(encoded)) throw new DecodeError('an object', encoded);
+      if (!isJsonObject(encoded)) throw new DecodeError('an object', encoded);
       const variant = decoders.get(encoded[encodedTag]);
       if (!variant) throw new DecodeError(`a known ${encodedTag}`, encoded[encodedTag]);
       return { ...variant.codec.decode(encoded), type: variant.tag };
     },
   };
 }
-
-function isObject(value: unknown): value is Record<string, unknown> {
-  return typeof value === 'object' && value !== null && !Array.isArray(value);
-}
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -1,10 +1,23 @@
-/** Messages between controllers: the encoded names are those of every version that may serve at the same time. */
+/**
+ * Messages between controllers. The encoded names are those of every version that may serve at the same time; the order of a
+ * table's fields is that of the encoded bytes.
+ */
 
 import type { ExitReason, TaskAttempt } from '../model/job.js';
 import type { PeerMessage, PeerMessageBody } from '../model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
-import { DecodeError, field, list, object, renamedValues, taggedUnion } from './field-codec.js';
+import {
+  checked,
+  DecodeError,
+  field,
+  list,
+  object,
+  renamedValues,
+  requiredField,
+  taggedUnion,
+} from './field-codec.js';
+import { isJsonObject, type JsonObject } from './json.js';
 
 const exitReason = renamedValues<ExitReason>({
   gangMemberLost: 'peers',
@@ -102,7 +115,11 @@
   },
 });
 
-const ownerMessage = taggedUnion<ShardMessage>('k', {
+const shardEpochs = checked<Record<string, number>>('numbers by name', isJsonObject);
+
+const grantIds = checked<number[]>('a list', Array.isArray);
+
+const shardMessage = taggedUnion<ShardMessage>('k', {
   fullSync: {
     tagValue: 'sync',
     fields: {
@@ -112,9 +129,9 @@
       syncNumber: 'sync',
       chunkCount: 'parts',
       chunkIndex: 'part',
-      shardEpochs: 'gens',
-      placements: field('held', list(placement)),
-      requests: field('wants', list(resourceRequest)),
+      shardEpochs: requiredField('gens', shardEpochs),
+      placements: requiredField('held', list(placement)),
+      requests: requiredField('wants', list(resourceRequest)),
     },
   },
   resourceRequests: {
@@ -123,7 +140,7 @@
       type: 'k',
       fencingToken: 'token',
       instanceId: 'inst',
-      requests: field('wants', list(resourceRequest)),
+      requests: requiredField('wants', list(resourceRequest)),
     },
   },
   placements: {
@@ -132,7 +149,7 @@
       type: 'k',
       fencingToken: 'token',
       instanceId: 'inst',
-      placements: field('held', list(placement)),
+      placements: requiredField('held', list(placement)),
     },
   },
   release: {
@@ -141,11 +158,11 @@
       type: 'k',
       fencingToken: 'token',
       instanceId: 'inst',
-      tasks: field(
+      tasks: requiredField(
         'tasks',
         list(object<{ machine: string; taskKey: string }>({ machine: 'machine', taskKey: 'key' })),
       ),
-      grants: 'grants',
+      grants: requiredField('grants', grantIds),
     },
   },
   cancellationCoverage: {
@@ -156,13 +173,13 @@
       instanceId: 'inst',
       syncNumber: 'sync',
       placementMessages: 'n',
-      shardEpochs: 'gens',
+      shardEpochs: requiredField('gens', shardEpochs),
       leaderTimestamp: 'mark',
     },
   },
 });
 
-const evictedTask = object<TaskAttempt>({
+const taskAttempt = object<TaskAttempt>({
   jobId: 'job',
   taskIndex: 'idx',
   attempt: 'attempt',
@@ -173,16 +190,21 @@
   syncRequested: { tagValue: 'resync', fields: { type: 'k', fencingToken: 'token' } },
   grants: {
     tagValue: 'grants',
-    fields: { type: 'k', fencingToken: 'token', grants: field('grants', list(grant)) },
+    fields: { type: 'k', fencingToken: 'token', grants: requiredField('grants', list(grant)) },
   },
   timestamp: { tagValue: 'mark', fields: { type: 'k', fencingToken: 'token', leaderTimestamp: 'at' } },
   allocationEvents: {
     tagValue: 'seen',
-    fields: { type: 'k', fencingToken: 'token', events: field('seen', list(allocationEvent)) },
+    fields: { type: 'k', fencingToken: 'token', events: requiredField('seen', list(allocationEvent)) },
   },
   evict: {
     tagValue: 'evict',
-    fields: { type: 'k', fencingToken: 'token', tasks: field('tasks', list(evictedTask)), reason: 'why' },
+    fields: {
+      type: 'k',
+      fencingToken: 'token',
+      tasks: requiredField('tasks', list(taskAttempt)),
+      reason: 'why',
+    },
   },
 });
 
@@ -214,10 +236,13 @@
   },
   cancelled: { tagValue: 'cancelled', fields: { type: 'k', jobId: 'job', cancellationNumber: 'n' } },
   images: { tagValue: 'images', fields: { type: 'k', added: 'add', removedMachines: 'gone' } },
-  toLeader: { tagValue: 'owner', fields: { type: 'k', recipient: 'to', message: field('m', ownerMessage) } },
+  toLeader: {
+    tagValue: 'owner',
+    fields: { type: 'k', recipient: 'to', message: requiredField('m', shardMessage) },
+  },
   toShardOwner: {
     tagValue: 'scheduler',
-    fields: { type: 'k', recipient: 'to', message: field('m', leaderMessage) },
+    fields: { type: 'k', recipient: 'to', message: requiredField('m', leaderMessage) },
   },
 });
 
@@ -244,36 +269,33 @@
   }
 }
 
-/** The fields that a controller relies on, in the encoded form. */
-interface EncodedBody {
-  [field: string]: unknown;
-}
+// What a controller relies on in the encoded form.
 
 function isPeerMessage(encoded: unknown): boolean {
-  if (!isObject(encoded)) return false;
+  if (!isJsonObject(encoded)) return false;
   if (typeof encoded.host !== 'string' || typeof encoded.inst !== 'string' || typeof encoded.seq !== 'number')
     return false;
   const { body } = encoded;
-  return isObject(body) && isMessageBody(body);
+  return isJsonObject(body) && isMessageBody(body);
 }
 
-function isMessageBody(body: EncodedBody): boolean {
+function isMessageBody(body: JsonObject): boolean {
   switch (body.k) {
     case 'ping':
-      return isPing(body);
+      return isHeartbeat(body);
     case 'cancelled':
       return typeof body.job === 'string' && typeof body.n === 'number';
     case 'images':
       return isImageFacts(body.add) && isNames(body.gone);
     case 'owner':
     case 'scheduler':
-      return typeof body.to === 'string' && isObject(body.m);
+      return typeof body.to === 'string' && isJsonObject(body.m);
     default:
       return false;
   }
 }
 
-function isPing(body: EncodedBody): boolean {
+function isHeartbeat(body: JsonObject): boolean {
   return (
     typeof body.token === 'number' &&
     typeof body.leader === 'string' &&
@@ -305,15 +327,12 @@
 
 function isTimestamp(value: unknown): boolean {
   return (
-    value === null || (isObject(value) && typeof value.inst === 'string' && typeof value.mark === 'number')
+    value === null ||
+    (isJsonObject(value) && typeof value.inst === 'string' && typeof value.mark === 'number')
   );
 }
 
 function isCoverage(value: unknown): boolean {
   if (value === null) return true;
-  return isTimestamp(value) && isObject(value) && (value.pending === null || isNames(value.pending));
-}
-
-function isObject(value: unknown): value is EncodedBody {
-  return typeof value === 'object' && value !== null;
+  return isTimestamp(value) && isJsonObject(value) && (value.pending === null || isNames(value.pending));
 }
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -77,6 +77,47 @@
   expect(decodeHeartbeat(parseJson(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
 });
 
+test('a message between controllers that lacks a part is dropped', () => {
+  const heartbeat = {
+    k: 'ping',
+    leader: 'stand-2',
+    token: 7,
+    okAgeMs: 120,
+    strays: [],
+    mark: 123456.5,
+    had: { inst: 'stand-2.9f', mark: 999 },
+    told: 3,
+    cover: { inst: 'stand-2.9f', mark: 998, pending: ['vm-1'] },
+  };
+  const fromOwner = (message: object) => ({ k: 'owner', to: 'stand-2.9f', m: { token: 7, ...message } });
+  const fromLeader = (message: object) => ({ k: 'scheduler', to: 'stand-2.9f', m: { token: 7, ...message } });
+  const decode = (body: object) => decodePeerMessage({ host: 'stand-1', inst: 'stand-1.0a', seq: 1, body });
+  const without = (body: object, part: string) =>
+    JSON.parse(JSON.stringify(body, (key, value) => (key === part ? undefined : value)));
+
+  const bodies: [body: object, parts: string[]][] = [
+    [
+      heartbeat,
+      ['k', 'leader', 'token', 'okAgeMs', 'strays', 'mark', 'had', 'told', 'cover', 'inst', 'pending'],
+    ],
+    [
+      fromOwner({ k: 'sync', inst: 'i', sync: 1, gens: {}, held: [], wants: [] }),
+      ['to', 'm', 'gens', 'held', 'wants'],
+    ],
+    [fromOwner({ k: 'wants', inst: 'i', wants: [] }), ['wants']],
+    [fromOwner({ k: 'held', inst: 'i', held: [] }), ['held']],
+    [fromOwner({ k: 'drop', inst: 'i', tasks: [], grants: [] }), ['tasks', 'grants']],
+    [fromOwner({ k: 'covered', inst: 'i', sync: 1, n: 1, gens: {}, mark: 1 }), ['gens']],
+    [fromLeader({ k: 'grants', grants: [] }), ['to', 'm', 'grants']],
+    [fromLeader({ k: 'seen', seen: [] }), ['seen']],
+    [fromLeader({ k: 'evict', tasks: [], why: 'x' }), ['tasks']],
+  ];
+  for (const [body, parts] of bodies) {
+    expect(decode(body)).not.toBe(null);
+    for (const part of parts) expect([part, decode(without(body, part))]).toEqual([part, null]);
+  }
+});
+
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
   const limit = new ConcurrencyLimit(50, 4, 100, 100);
   let now = 0;
