--- a/src/main.ts
+++ b/src/main.ts
@@ -13,9 +13,9 @@
 import { createRequestHandler } from './transport/http-api.js';
 import { HttpServer } from './transport/http-server.js';
 import { InboundConnections } from './transport/inbound-connections.js';
-import { Mesh } from './transport/peer-connections.js';
+import { PeerConnections } from './transport/peer-connections.js';
 import { socketBudget } from './transport/socket-budget.js';
-import { StateClient } from './transport/store-client.js';
+import { StoreClient } from './transport/store-client.js';
 import { systemClock } from './transport/system-clock.js';
 import { createUserApi } from './transport/user-api.js';
 import { WorkerClient } from './transport/worker-client.js';
@@ -86,13 +86,13 @@
 
 function createController({ settings, policy, maxWorkerConnections, log }: ControllerParts): Controller {
   const { services, params } = settings;
-  const mesh = new Mesh(
-    settings.mesh_addr,
-    settings.siblings.map((peer) => ({ host: peer.host_name, addr: peer.peer_addr })),
+  const peers = new PeerConnections({
+    bind: settings.mesh_addr,
+    peers: settings.siblings.map((peer) => ({ nodeName: peer.host_name, address: peer.peer_addr })),
     log,
-    (message) => controller.push({ type: 'peerMessage', message: message }),
-    (host, up) => controller.push({ type: 'peerConnection', nodeName: host, isUp: up }),
-  );
+    onMessage: (message) => controller.push({ type: 'peerMessage', message }),
+    onConnection: (nodeName, isUp) => controller.push({ type: 'peerConnection', nodeName, isUp }),
+  });
   const controller: Controller = new Controller({
     ...controllerParameters(settings),
     instanceId: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
@@ -100,14 +100,14 @@
     policy,
     clock: systemClock,
     log,
-    store: new StateClient(services.state, {
-      rps: params.state.rps,
-      writeRps: params.state.write_rps,
-      nodes: params.size,
+    store: new StoreClient(services.state, {
+      requestsPerSecond: params.state.rps,
+      writesPerSecond: params.state.write_rps,
+      controllers: params.size,
     }),
     cloud: new CloudClient(services.cloud, params.cloud.rps),
     workers: new WorkerClient(maxWorkerConnections),
-    peers: mesh,
+    peers,
   });
   return controller;
 }
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,107 +1,160 @@
+/** The cloud over HTTP. */
+
 import type { CloudProvider } from '../model/cloud-provider.js';
-import type { ListedMachine, MachineType } from '../model/machine-type.js';
-import type { ResultCallback } from '../model/result.js';
+import type { MachineType } from '../model/machine-type.js';
+import type { Result, ResultCallback } from '../model/result.js';
 import {
   decodeMachinePage,
   decodeMachineTypes,
   decodeRentedMachines,
   encodeDeletion,
   encodeRental,
+  type MachinePage,
 } from '../wire/cloud-messages.js';
 import { parseJson } from '../wire/json.js';
-import { HttpClient, type HttpReply } from './http-client.js';
+import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
+
+const MAX_SOCKETS = 6;
+const DEADLINE_MS = 5000;
+const PAGE_MACHINES = 500;
+/** Part of the cloud's limit that is used: another controller may have led a moment ago. */
+const RATE_SHARE = 0.85;
+/** Calls saved up, in seconds' worth of the limit; the cloud allows twice as many. */
+const BURST_SECONDS = 1;
+/** Time between two looks at the queue while calls wait. */
+const QUEUE_INTERVAL_MS = 50;
+
+/** Order in which waiting calls are sent, least first: each second of a machine no longer needed is charged. */
+const PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
 
-type Job = { urgency: number; method: string; path: string; body: unknown; cb: (r: HttpReply) => void };
+type Priority = (typeof PRIORITY)[keyof typeof PRIORITY];
+
+interface QueuedCall extends Omit<HttpCall, 'deadlineMs'> {
+  priority: Priority;
+  onReply: (reply: HttpReply) => void;
+}
 
-/** The cloud's interface: one queue, deletions first, then rentals, then lists, under its limit of calls. */
+/** The cloud over HTTP: one queue by priority, paced to stay under the cloud's limit of calls. */
 export class CloudClient implements CloudProvider {
   private readonly client: HttpClient;
-  private readonly queue: Job[] = [];
+  private readonly queue: QueuedCall[] = [];
+  /** Calls that may be sent now. */
   private tokens: number;
-  private at = Date.now();
+  /** When tokens were last added; wall-clock ms. */
+  private refilledAt = Date.now();
   private timer: NodeJS.Timeout | null = null;
 
+  /**
+   * @param address `HOST:PORT` of the cloud
+   * @param callsPerSecond the cloud's limit
+   */
   constructor(
-    addr: string,
-    private readonly rps: number,
+    address: string,
+    private readonly callsPerSecond: number,
   ) {
-    this.client = new HttpClient(addr, 6);
-    this.tokens = rps;
-  }
-
-  private call(
-    urgency: number,
-    method: string,
-    path: string,
-    body: unknown,
-    callback: (r: HttpReply) => void,
-  ): void {
-    this.queue.push({ urgency, method, path, body, cb: callback });
-    this.queue.sort((a, b) => a.urgency - b.urgency);
-    this.pump();
-  }
-
-  private pump(): void {
-    const now = Date.now();
-    // A little under the limit: another controller may have led a moment ago.
-    this.tokens = Math.min(this.rps, this.tokens + (Math.max(0, now - this.at) / 1000) * this.rps * 0.85);
-    this.at = now;
-    while (this.queue.length > 0 && this.tokens >= 1) {
-      const j = this.queue.shift() as Job;
-      this.tokens -= 1;
-      this.client.call({ method: j.method, path: j.path, body: j.body, deadlineMs: 5000 }, (r) => {
-        if (r.status === 429) this.tokens = Math.min(this.tokens, 0);
-        j.cb(r);
-      });
-    }
-    if (this.queue.length > 0 && !this.timer)
-      this.timer = setTimeout(() => {
-        this.timer = null;
-        this.pump();
-      }, 50);
+    this.client = new HttpClient(address, MAX_SOCKETS);
+    this.tokens = callsPerSecond * BURST_SECONDS;
   }
 
+  /** The machine types with their present prices. Fails as `refused`. */
   listMachineTypes(callback: ResultCallback<MachineType[]>): void {
-    this.call(3, 'GET', '/machine_types', undefined, (r) => {
-      if (r.status !== 200) return callback({ ok: false, kind: 'refused' });
-      callback({ ok: true, value: decodeMachineTypes(parseJson(r.text)) });
-    });
+    const onReply = (reply: HttpReply) =>
+      callback(
+        reply.status === 200
+          ? { ok: true, value: decodeMachineTypes(parseJson(reply.text)) }
+          : { ok: false, kind: 'refused' },
+      );
+    this.send({ priority: PRIORITY.machineTypes, method: 'GET', path: '/machine_types', onReply });
   }
 
+  /**
+   * Rents up to `count` machines; the result names those that were rented. Fails as `gone` if none is available, as `bad` if
+   * the cloud rejects the request, as `unknown` if no response comes and as `refused` otherwise.
+   */
   rentMachines(
     claim: string,
-    type: string,
+    machineType: string,
     zone: string,
-    spot: boolean,
-    n: number,
+    isSpot: boolean,
+    count: number,
     callback: ResultCallback<string[]>,
   ): void {
-    this.call(
-      1,
-      'POST',
-      '/machines',
-      encodeRental({ claim, machineType: type, zone, isSpot: spot, count: n }),
-      (r) => {
-        if (r.status === 0) return callback({ ok: false, kind: 'unknown' });
-        if (r.status === 400) return callback({ ok: false, kind: 'bad' });
-        if (r.status === 503 && r.text.includes('no capacity')) return callback({ ok: false, kind: 'gone' });
-        const names = r.status === 200 ? decodeRentedMachines(parseJson(r.text)) : null;
-        callback(names ? { ok: true, value: names } : { ok: false, kind: 'refused' });
+    this.send({
+      priority: PRIORITY.rental,
+      method: 'POST',
+      path: '/machines',
+      body: encodeRental({ claim, machineType, zone, isSpot, count }),
+      onReply: (reply) => callback(rentalResultOf(reply)),
+    });
+  }
+
+  /** Deletes machines, known or not. Fails as `unknown`. */
+  deleteMachines(machineNames: string[], callback: ResultCallback<null>): void {
+    this.send({
+      priority: PRIORITY.deletion,
+      method: 'POST',
+      path: '/machines/delete',
+      body: encodeDeletion(machineNames),
+      onReply: (reply) =>
+        callback(reply.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
+    });
+  }
+
+  /** One page of the machines, in the order of their names, starting after `since`. Fails as `refused`. */
+  listMachines(since: string, callback: ResultCallback<MachinePage>): void {
+    const start = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
+    this.send({
+      priority: PRIORITY.machineList,
+      method: 'GET',
+      path: `/machines?${start}page=${PAGE_MACHINES}`,
+      onReply: (reply) => {
+        const page = reply.status === 200 ? decodeMachinePage(parseJson(reply.text)) : null;
+        callback(page ? { ok: true, value: page } : { ok: false, kind: 'refused' });
       },
-    );
+    });
+  }
+
+  private send(call: QueuedCall): void {
+    this.queue.push(call);
+    this.queue.sort((a, b) => a.priority - b.priority);
+    this.drainQueue();
+  }
+
+  private drainQueue(): void {
+    this.refill();
+    while (this.queue.length > 0 && this.tokens >= 1) {
+      const { method, path, body, onReply } = this.queue.shift() as QueuedCall;
+      this.tokens -= 1;
+      this.client.call({ method, path, body, deadlineMs: DEADLINE_MS }, (reply) => {
+        if (reply.status === 429) this.tokens = Math.min(this.tokens, 0);
+        onReply(reply);
+      });
+    }
+    if (this.queue.length > 0) this.schedule();
   }
 
-  deleteMachines(names: string[], callback: ResultCallback<null>): void {
-    this.call(0, 'POST', '/machines/delete', encodeDeletion(names), (r) =>
-      callback(r.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
+  private refill(): void {
+    const now = Date.now();
+    const seconds = Math.max(0, now - this.refilledAt) / 1000;
+    this.refilledAt = now;
+    this.tokens = Math.min(
+      this.callsPerSecond * BURST_SECONDS,
+      this.tokens + seconds * this.callsPerSecond * RATE_SHARE,
     );
   }
 
-  listMachines(since: string, callback: ResultCallback<{ machines: ListedMachine[]; more: boolean }>): void {
-    const q = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
-    this.call(2, 'GET', `/machines?${q}page=500`, undefined, (r) => {
-      const v = r.status === 200 ? decodeMachinePage(parseJson(r.text)) : null;
-      callback(v ? { ok: true, value: v } : { ok: false, kind: 'refused' });
-    });
+  private schedule(): void {
+    this.timer ??= setTimeout(() => {
+      this.timer = null;
+      this.drainQueue();
+    }, QUEUE_INTERVAL_MS);
   }
 }
+
+function rentalResultOf(reply: HttpReply): Result<string[]> {
+  if (reply.status === 0) return { ok: false, kind: 'unknown' };
+  if (reply.status === 400) return { ok: false, kind: 'bad' };
+  if (reply.status === 503 && reply.text.includes('no capacity')) return { ok: false, kind: 'gone' };
+  const names = reply.status === 200 ? decodeRentedMachines(parseJson(reply.text)) : null;
+  return names ? { ok: true, value: names } : { ok: false, kind: 'refused' };
+}
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -1,99 +1,131 @@
+/** Connections between controllers: each sends on the connections it makes and receives on those made to it. */
+
 import net from 'node:net';
 import { Packr, UnpackrStream } from 'msgpackr';
 import type { Logger } from '../model/logger.js';
 import type { PeerMessage, PeerTransport } from '../model/peer-message.js';
 import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
+import { parseAddress } from './address.js';
 
-const MOST_WAITING = 4 << 20;
+/** With more than this waiting to be sent a connection is taken to be cut off: starting anew beats piling up. */
+const MAX_UNSENT_BYTES = 4 << 20;
+const CONNECT_TIMEOUT_MS = 2000;
+/** Pause before a connection is made again. It grows with each failure and starts over once a connection is made. */
+const FIRST_RECONNECT_DELAY_MS = 200;
+const MAX_RECONNECT_DELAY_MS = 1000;
+const RECONNECT_DELAY_FACTOR = 1.5;
+/** Heartbeats come far more often: a connection without any message for so long is dead. */
+const RECEIVE_TIMEOUT_MS = 15_000;
 
-interface Peer {
-  host: string;
-  addr: string;
-  sock: net.Socket | null;
-  up: boolean;
-  pause: number;
+/** Another controller. */
+export interface Peer {
+  nodeName: string;
+  /** `HOST:PORT`. */
+  address: string;
 }
 
-function split(addr: string): { host: string; port: number } {
-  const cut = addr.lastIndexOf(':');
-  return { host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)) };
+/** What {@link PeerConnections} connects, and who is told. */
+export interface PeerConnectionsOptions {
+  /** Where the other controllers connect to, `HOST:PORT`. */
+  bind: string;
+  peers: readonly Peer[];
+  log: Logger;
+  /** A message has come, from whichever peer. */
+  onMessage: (message: PeerMessage) => void;
+  /** The connection to a peer has been made or lost; a message sent before may be lost. */
+  onConnection: (nodeName: string, isUp: boolean) => void;
 }
 
-/** Connections among controllers: each dials every sibling and sends on what it dialled. */
-export class Mesh implements PeerTransport {
-  private readonly peers = new Map<string, Peer>();
+/**
+ * Listens for the other controllers and keeps a connection to each of them. Nothing is sent twice or acknowledged: messages
+ * are lost with their connection, and while there is none. Failing to listen is logged; no peer can reach
+ * this controller then.
+ */
+export class PeerConnections implements PeerTransport {
+  private readonly outbound = new Map<string, OutboundConnection>();
   /** Records: the names of fields go once into a message, however many placements it lists. */
   private readonly packr = new Packr();
 
+  constructor(private readonly options: PeerConnectionsOptions) {
+    const { bind, peers, log, onConnection } = options;
+    const server = net.createServer((socket) => this.receive(socket));
+    server.on('error', (error) => log.error({ err: String(error) }, 'peer server failed'));
+    server.listen(parseAddress(bind));
+    for (const { nodeName, address } of peers)
+      this.outbound.set(nodeName, new OutboundConnection(address, (isUp) => onConnection(nodeName, isUp)));
+  }
+
+  /** Sends a message to a peer if there is a connection to it. */
+  send(nodeName: string, message: PeerMessage): void {
+    const connection = this.outbound.get(nodeName);
+    if (connection?.isReady()) connection.write(this.packr.pack(encodePeerMessage(message)));
+  }
+
+  private receive(socket: net.Socket): void {
+    socket.setNoDelay(true);
+    socket.setTimeout(RECEIVE_TIMEOUT_MS, () => socket.destroy());
+    const messages = new UnpackrStream();
+    messages.on('data', (encoded: unknown) => {
+      const message = decodePeerMessage(encoded);
+      if (message) this.options.onMessage(message);
+      else this.options.log.debug({}, 'malformed peer message dropped');
+    });
+    messages.on('error', () => socket.destroy());
+    socket.on('error', () => socket.destroy());
+    socket.pipe(messages);
+  }
+}
+
+/** The connection to one peer, made again whenever it is lost. */
+class OutboundConnection {
+  private socket: net.Socket;
+  private isUp = false;
+  private reconnectDelayMs = FIRST_RECONNECT_DELAY_MS;
+
   constructor(
-    bind: string,
-    peers: { host: string; addr: string }[],
-    private readonly log: Logger,
-    private readonly got: (message: PeerMessage) => void,
-    private readonly link: (host: string, up: boolean) => void,
+    private readonly address: string,
+    private readonly onChange: (isUp: boolean) => void,
   ) {
-    const server = net.createServer((s) => this.accept(s));
-    server.on('error', (e) => log.error({ err: String(e) }, 'mesh server'));
-    const b = split(bind);
-    server.listen(b.port, b.host);
-    for (const p of peers) {
-      const peer: Peer = { host: p.host, addr: p.addr, sock: null, up: false, pause: 200 };
-      this.peers.set(p.host, peer);
-      this.dial(peer);
-    }
+    this.socket = this.connect();
   }
 
-  private accept(s: net.Socket): void {
-    s.setNoDelay(true);
-    s.setTimeout(15000, () => s.destroy());
-    const stream = new UnpackrStream();
-    stream.on('data', (v: unknown) => {
-      const message = decodePeerMessage(v);
-      if (message) this.got(message);
-      else this.log.debug({}, 'mesh message dropped');
-    });
-    stream.on('error', () => s.destroy());
-    s.on('error', () => s.destroy());
-    s.pipe(stream);
+  /** Whether there is a connection that takes more; one that is cut off is closed. */
+  isReady(): boolean {
+    if (!this.isUp) return false;
+    if (this.socket.writableLength <= MAX_UNSENT_BYTES) return true;
+    this.socket.destroy();
+    return false;
   }
 
-  private dial(p: Peer): void {
-    const s = net.connect(split(p.addr));
-    p.sock = s;
-    s.setNoDelay(true);
-    const timer = setTimeout(() => s.destroy(), 2000);
-    s.on('connect', () => {
-      clearTimeout(timer);
-      p.up = true;
-      p.pause = 200;
-      this.link(p.host, true);
-    });
-    s.on('error', () => s.destroy());
-    s.on('close', () => {
-      clearTimeout(timer);
-      if (p.sock !== s) return;
-      const was = p.up;
-      p.up = false;
-      p.sock = null;
-      if (was) this.link(p.host, false);
-      setTimeout(() => this.dial(p), p.pause);
-      p.pause = Math.min(1000, p.pause * 1.5);
-    });
+  write(data: Buffer): void {
+    this.socket.write(data);
   }
 
-  send(host: string, message: PeerMessage): void {
-    const p = this.peers.get(host);
-    if (!p?.up || !p.sock) return;
-    if (p.sock.writableLength > MOST_WAITING) {
-      // Behind a cut: start anew rather than pile up.
-      p.sock.destroy();
-      return;
-    }
-    p.sock.write(this.packr.pack(encodePeerMessage(message)));
+  private connect(): net.Socket {
+    const socket = net.connect(parseAddress(this.address));
+    socket.setNoDelay(true);
+    const connectTimer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
+    socket.on('connect', () => {
+      clearTimeout(connectTimer);
+      this.isUp = true;
+      this.reconnectDelayMs = FIRST_RECONNECT_DELAY_MS;
+      this.onChange(true);
+    });
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => {
+      clearTimeout(connectTimer);
+      this.onClose();
+    });
+    return socket;
   }
 
-  /** A sibling not heard of for long although connected: the connection hangs. */
-  reset(host: string): void {
-    this.peers.get(host)?.sock?.destroy();
+  private onClose(): void {
+    const wasUp = this.isUp;
+    this.isUp = false;
+    if (wasUp) this.onChange(false);
+    setTimeout(() => {
+      this.socket = this.connect();
+    }, this.reconnectDelayMs);
+    this.reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, this.reconnectDelayMs * RECONNECT_DELAY_FACTOR);
   }
 }
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,12 +1,13 @@
+/** The state service over HTTP. */
+
 import {
   type KeyValueStore,
   type StoredItem,
   type Transaction,
   URGENCY,
   type Urgency,
-  type WatchEvent,
 } from '../model/key-value-store.js';
-import type { Failure, ResultCallback } from '../model/result.js';
+import type { Failure, Result, ResultCallback } from '../model/result.js';
 import { parseJson } from '../wire/json.js';
 import {
   decodeFailedKeys,
@@ -16,146 +17,174 @@
   decodeStoreRevision,
   decodeWatchBatch,
   encodeTransaction,
+  type ItemPage,
+  type WatchBatch,
 } from '../wire/store-messages.js';
-import { HttpClient, type HttpReply } from './http-client.js';
-import { RateLimiter } from './rate-limiter.js';
+import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
+import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
+const MAX_REQUEST_SOCKETS = 16;
+/** A watch occupies its connection for as long as it waits. */
+const MAX_WATCH_SOCKETS = 8;
 const DEADLINE_MS = 1500;
+/** Added to the time that a watch waits, for its response to come. */
+const WATCH_RESPONSE_MS = 3000;
+const PAGE_ITEMS = 500;
+/** A throttled request is sent again so often, after a pause that grows by so much each time, plus a random part of it. */
+const MAX_THROTTLED_RETRIES = 3;
+const THROTTLED_RETRY_STEP_MS = 60;
 
-function failure(r: HttpReply): Failure {
-  if (r.status === 0) return { ok: false, kind: r.sent ? 'unknown' : 'refused' };
-  if (r.status === 404 || r.status === 410) return { ok: false, kind: 'gone' };
-  if (r.status === 409)
-    return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(r.text)) };
-  if (r.status === 429 || r.status === 503) return { ok: false, kind: 'refused' };
-  if (r.status === 400) return { ok: false, kind: 'bad' };
-  return { ok: false, kind: 'unknown' };
+/** A request, and how its response is read. */
+interface StoreRequest<T> {
+  urgency: Urgency;
+  /** Puts and deletions in it. */
+  writes: number;
+  call: Omit<HttpCall, 'deadlineMs'>;
+  /** Reads the body of a response with status 200; null: it is malformed, and the outcome unknown. */
+  decode: (body: unknown) => T | null;
+  /** The result where the service answers that there is no such thing; absent: that is a failure. */
+  ifMissing?: T;
 }
 
-/** The state service over HTTP, paced under its limits; leases pass the queue. */
-export class StateClient implements KeyValueStore {
-  private readonly client: HttpClient;
+/**
+ * The state service over HTTP, paced to stay under this controller's part of its limits; lease requests pass the queue.
+ * Requests fail as
+ * - `refused` if they were surely not executed;
+ * - `gone` if there is no such lease, or the changes asked for are no longer kept;
+ * - `conflict`, with the keys, if a transaction's conditions did not hold;
+ * - `bad` if the service rejected them, as it does a write with an expired lease;
+ * - `unknown` if they may have been executed, or may yet be.
+ */
+export class StoreClient implements KeyValueStore {
+  private readonly requests: HttpClient;
   private readonly watches: HttpClient;
   private readonly limiter: RateLimiter;
 
-  constructor(addr: string, limits: { rps: number; writeRps: number; nodes: number }) {
-    this.client = new HttpClient(addr, 16);
-    this.watches = new HttpClient(addr, 8);
-    this.limiter = new RateLimiter({
-      requestsPerSecond: limits.rps,
-      writesPerSecond: limits.writeRps,
-      controllers: limits.nodes,
-    });
-  }
-
-  private run<T>(
-    urgency: Urgency,
-    ops: number,
-    method: string,
-    path: string,
-    body: unknown,
-    read: (v: unknown) => T | null,
-    callback: ResultCallback<T>,
-    on404?: () => T,
-  ): void {
-    let tries = 0;
-    const go = () =>
-      this.limiter.acquire(urgency, ops, (ok) => {
-        if (!ok) return callback({ ok: false, kind: 'refused' });
-        this.client.call({ method, path, body, deadlineMs: DEADLINE_MS }, (r) => {
-          if (r.status === 429) {
-            this.limiter.onThrottled();
-            // Surely not executed: once more, a little later.
-            if (++tries < 4) return void setTimeout(go, 60 * tries + Math.random() * 60);
-          }
-          if (r.status === 404 && on404) return callback({ ok: true, value: on404() });
-          if (r.status !== 200) return callback(failure(r));
-          const v = read(parseJson(r.text));
-          callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
-        });
-      });
-    go();
+  /** @param address `HOST:PORT` of the service */
+  constructor(address: string, limits: RateLimits) {
+    this.requests = new HttpClient(address, MAX_REQUEST_SOCKETS);
+    this.watches = new HttpClient(address, MAX_WATCH_SOCKETS);
+    this.limiter = new RateLimiter(limits);
   }
 
+  /** A key's item; null: there is none. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void {
     this.run<StoredItem | null>(
-      urgency,
-      0,
-      'GET',
-      `/store/${encodeURI(key)}`,
-      undefined,
-      (v) => decodeItem(v),
+      {
+        urgency,
+        writes: 0,
+        call: { method: 'GET', path: `/store/${encodeURI(key)}` },
+        decode: decodeItem,
+        ifMissing: null,
+      },
       callback,
-      () => null,
     );
   }
 
-  list(
-    prefix: string,
-    since: string,
-    urgency: Urgency,
-    callback: ResultCallback<{ items: StoredItem[]; more: boolean; storeRevision: number }>,
-  ): void {
-    const q = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=500`;
-    this.run(urgency, 0, 'GET', `/store?${q}`, undefined, decodeItemPage, callback);
+  /** One page of the keys with a prefix, in their order, starting after `since`. */
+  list(prefix: string, since: string, urgency: Urgency, callback: ResultCallback<ItemPage>): void {
+    const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=${PAGE_ITEMS}`;
+    this.run(
+      { urgency, writes: 0, call: { method: 'GET', path: `/store?${query}` }, decode: decodeItemPage },
+      callback,
+    );
   }
 
+  /** Carries out a transaction; its result is the store's revision after it. */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void {
     this.run(
-      urgency,
-      transaction.operations.length,
-      'POST',
-      '/txn',
-      encodeTransaction(transaction),
-      decodeStoreRevision,
+      {
+        urgency,
+        writes: transaction.operations.length,
+        call: { method: 'POST', path: '/txn', body: encodeTransaction(transaction) },
+        decode: decodeStoreRevision,
+      },
       callback,
     );
   }
 
+  /** Takes a lease of a time to live in ms, rounded; its result is the lease's id. */
   grantLease(ttlMs: number, callback: ResultCallback<number>): void {
-    this.run(URGENCY.lease, 0, 'POST', '/grants', { ttl_ms: Math.round(ttlMs) }, decodeLeaseId, callback);
+    const call = { method: 'POST', path: '/grants', body: { ttl_ms: Math.round(ttlMs) } };
+    this.run({ urgency: URGENCY.lease, writes: 0, call, decode: decodeLeaseId }, callback);
   }
 
-  keepLeaseAlive(lease: number, callback: ResultCallback<null>): void {
-    this.run<null | true>(
-      URGENCY.lease,
-      0,
-      'POST',
-      `/grants/${lease}/touch`,
-      {},
-      () => true,
-      (result) => callback(result.ok ? { ok: true, value: null } : result),
-    );
+  /** Renews a lease for its full time. */
+  keepLeaseAlive(leaseId: number, callback: ResultCallback<null>): void {
+    this.runOnLease({ method: 'POST', path: `/grants/${leaseId}/touch`, body: {} }, callback);
   }
 
-  revokeLease(lease: number, callback: ResultCallback<null>): void {
-    this.run<null | true>(
-      URGENCY.lease,
-      0,
-      'DELETE',
-      `/grants/${lease}`,
-      undefined,
-      () => true,
-      (result) => callback(result.ok ? { ok: true, value: null } : result),
-    );
+  /** Ends a lease; the keys attached to it go. */
+  revokeLease(leaseId: number, callback: ResultCallback<null>): void {
+    this.runOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  watch(
-    prefix: string,
-    since: number,
-    waitMs: number,
-    callback: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>,
-  ): void {
-    const q = `prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
-    this.limiter.acquire(URGENCY.user, 0, (ok) => {
-      if (!ok) return callback({ ok: false, kind: 'refused' });
-      const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + 3000;
-      this.watches.call({ method: 'GET', path: `/watch?${q}`, deadlineMs }, (r) => {
-        if (r.status === 429) this.limiter.onThrottled();
-        if (r.status !== 200) return callback(failure(r));
-        const v = decodeWatchBatch(parseJson(r.text));
-        callback(v === null ? { ok: false, kind: 'unknown' } : { ok: true, value: v });
+  /** Waits for changes after the revision `since`, for up to `waitMs`; 0: only asks for those there are. */
+  watch(prefix: string, since: number, waitMs: number, callback: ResultCallback<WatchBatch>): void {
+    const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
+    const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + WATCH_RESPONSE_MS;
+    this.limiter.acquire(URGENCY.user, 0, (acquired) => {
+      if (!acquired) {
+        callback({ ok: false, kind: 'refused' });
+        return;
+      }
+      this.watches.call({ method: 'GET', path, deadlineMs }, (reply) => {
+        if (reply.status === 429) this.limiter.onThrottled();
+        callback(resultOf(reply, decodeWatchBatch));
       });
     });
   }
+
+  private runOnLease(call: StoreRequest<true>['call'], callback: ResultCallback<null>): void {
+    const request = { urgency: URGENCY.lease, writes: 0, call, decode: () => true as const };
+    this.run(request, (result) => callback(result.ok ? { ok: true, value: null } : result));
+  }
+
+  private run<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttledBefore = 0): void {
+    this.limiter.acquire(request.urgency, request.writes, (acquired) => {
+      if (!acquired) {
+        callback({ ok: false, kind: 'refused' });
+        return;
+      }
+      this.requests.call({ ...request.call, deadlineMs: DEADLINE_MS }, (reply) => {
+        if (reply.status === 429) this.limiter.onThrottled();
+        // A throttled request was not executed.
+        if (reply.status === 429 && throttledBefore < MAX_THROTTLED_RETRIES)
+          this.retry(request, callback, throttledBefore + 1);
+        else if (reply.status === 404 && request.ifMissing !== undefined)
+          callback({ ok: true, value: request.ifMissing });
+        else callback(resultOf(reply, request.decode));
+      });
+    });
+  }
+
+  private retry<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttled: number): void {
+    const delayMs = THROTTLED_RETRY_STEP_MS * (throttled + Math.random());
+    setTimeout(() => this.run(request, callback, throttled), delayMs);
+  }
+}
+
+function resultOf<T>(reply: HttpReply, decode: (body: unknown) => T | null): Result<T> {
+  if (reply.status !== 200) return failureOf(reply);
+  const value = decode(parseJson(reply.text));
+  return value === null ? { ok: false, kind: 'unknown' } : { ok: true, value };
+}
+
+function failureOf(reply: HttpReply): Failure {
+  switch (reply.status) {
+    case 0:
+      return { ok: false, kind: reply.sent ? 'unknown' : 'refused' };
+    case 400:
+      return { ok: false, kind: 'bad' };
+    case 404:
+    case 410:
+      return { ok: false, kind: 'gone' };
+    case 409:
+      return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(reply.text)) };
+    case 429:
+    case 503:
+      return { ok: false, kind: 'refused' };
+    default:
+      return { ok: false, kind: 'unknown' };
+  }
 }
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -6,7 +6,7 @@
 import type { PeerMessage, PeerMessageBody } from '../../src/model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../../src/model/placement.js';
 import type { LeaderMessage, ShardMessage } from '../../src/model/shard-messages.js';
-import { Mesh } from '../../src/transport/peer-connections.js';
+import { PeerConnections } from '../../src/transport/peer-connections.js';
 import { decode, encode } from './peer-codec.js';
 
 /** By title: the JSON text of what is on the wire, and its bytes in base64. */
@@ -354,17 +354,17 @@
       });
     });
     await new Promise<void>((done) => {
-      const mesh: Mesh = new Mesh(
-        '127.0.0.1:0',
-        [{ host: 'stand-2', addr: `127.0.0.1:${port}` }],
+      const connections: PeerConnections = new PeerConnections({
+        bind: '127.0.0.1:0',
+        peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
         log,
-        () => {},
-        (_host, up) => {
-          if (!up) return;
-          for (const [, message] of EXAMPLES) mesh.send('stand-2', message);
+        onMessage: () => {},
+        onConnection: (_nodeName, isUp) => {
+          if (!isUp) return;
+          for (const [, message] of EXAMPLES) connections.send('stand-2', message);
           done();
         },
-      );
+      });
     });
     await all;
     expect(Buffer.concat(received).toString('base64')).toBe(wire.toString('base64'));
@@ -379,16 +379,16 @@
     await new Promise((done) => free.close(done));
     const got: PeerMessage[] = [];
     await new Promise<void>((done) => {
-      new Mesh(
-        `127.0.0.1:${port}`,
-        [],
+      new PeerConnections({
+        bind: `127.0.0.1:${port}`,
+        peers: [],
         log,
-        (message) => {
+        onMessage: (message) => {
           got.push(message);
           if (got.length === EXAMPLES.length) done();
         },
-        () => {},
-      );
+        onConnection: () => {},
+      });
       const socket = net.connect(port, '127.0.0.1', () => {
         for (const [title] of EXAMPLES) socket.write(bytesOf(title));
       });
--- a/test/forms/store-messages.test.ts
+++ b/test/forms/store-messages.test.ts
@@ -1,13 +1,17 @@
 import { afterAll, beforeAll, describe, expect, test } from 'vitest';
 import { type KeyValueStore, type Transaction, URGENCY } from '../../src/model/key-value-store.js';
 import type { Result } from '../../src/model/result.js';
-import { StateClient } from '../../src/transport/store-client.js';
+import { StoreClient } from '../../src/transport/store-client.js';
 import { RecordingServer } from './recording-server.js';
 
 const server = new RecordingServer();
-let store: StateClient;
+let store: StoreClient;
 beforeAll(async () => {
-  store = new StateClient(await server.listen(), { rps: 1000, writeRps: 1000, nodes: 1 });
+  store = new StoreClient(await server.listen(), {
+    requestsPerSecond: 1000,
+    writesPerSecond: 1000,
+    controllers: 1,
+  });
 });
 afterAll(() => server.close());
 
