--- a/src/transport/http-api.ts
+++ b/src/transport/http-api.ts
@@ -1,7 +1,7 @@
 /** All that a controller serves over HTTP: heartbeats of workers, and the API of users and health checks. */
 
 import type { Hono } from 'hono';
-import type { Controller } from '../controller/controller.js';
+import type { ControllerService } from '../model/controller-service.js';
 import type { Logger } from '../model/logger.js';
 import { asNonEmptyString, isJsonObject, parseJson } from '../wire/json.js';
 import { decodeHeartbeat, encodeHeartbeatAnswer, encodeRedirect } from '../wire/worker-messages.js';
@@ -15,7 +15,7 @@
 /** Parts of {@link createRequestHandler}. */
 export interface RequestHandlerOptions {
   userApi: Hono;
-  controller: Controller;
+  controller: ControllerService;
   log: Logger;
 }
 
@@ -46,7 +46,7 @@
 }
 
 /** The response to the heartbeat in a request's body: the commands for its worker, or where the leader is. */
-export function answerHeartbeat(controller: Controller, log: Logger, text: string): HttpResponse {
+export function answerHeartbeat(controller: ControllerService, log: Logger, text: string): HttpResponse {
   const body = parseJson(text);
   const heartbeat = decodeHeartbeat(body);
   if (!heartbeat) {
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -1,8 +1,8 @@
 /** The HTTP API of users and health checks. */
 
 import { type Context, Hono } from 'hono';
-import type { Controller } from '../controller/controller.js';
 import type { Clock } from '../model/clock.js';
+import type { ControllerService } from '../model/controller-service.js';
 import type { ApiAnswer } from '../model/job-answer.js';
 import type { Logger } from '../model/logger.js';
 import { parseJson } from '../wire/json.js';
@@ -22,7 +22,7 @@
 
 /** Parts of the users' API. */
 export interface UserApiOptions {
-  controller: Controller;
+  controller: ControllerService;
   clock: Clock;
   log: Logger;
 }
@@ -32,12 +32,12 @@
 
 /** Users' requests alone are limited: they never hold up heartbeats and health checks. */
 function createProgressLimit(clock: Clock): LimitProgress {
-  const limit = new ConcurrencyLimit(
-    INITIAL_REQUESTS_IN_PROGRESS,
-    MIN_REQUESTS_IN_PROGRESS,
-    MAX_REQUESTS_IN_PROGRESS,
-    FAST_ANSWER_MS,
-  );
+  const limit = new ConcurrencyLimit({
+    initialLimit: INITIAL_REQUESTS_IN_PROGRESS,
+    minLimit: MIN_REQUESTS_IN_PROGRESS,
+    maxLimit: MAX_REQUESTS_IN_PROGRESS,
+    fastMs: FAST_ANSWER_MS,
+  });
   return async (context, work) => {
     if (!limit.tryAcquire()) return respondLater(context, 'too many requests in progress');
     const startedAt = clock.now();
@@ -60,27 +60,27 @@
   return context.json({ error: reason }, 503);
 }
 
-function respondUnknown(context: Context): Response {
+function respondNoSuchJob(context: Context): Response {
   return context.json({ error: 'no such job' }, 404);
 }
 
 /** Serves the requests on jobs. */
 class JobHandlers {
   constructor(
-    private readonly controller: Controller,
+    private readonly controller: ControllerService,
     private readonly clock: Clock,
   ) {}
 
   async submit(context: Context): Promise<Response> {
     const { api } = this.controller;
-    const job = decodeSubmission(parseJson(await context.req.text()), this.clock.wall());
-    if (job.ok) {
-      const { spec } = job;
+    const submission = decodeSubmission(parseJson(await context.req.text()), this.clock.wall());
+    if (submission.ok) {
+      const { spec } = submission;
       return new Promise((resolve) =>
         api.submitJob(spec, (answer) => resolve(this.respond(context, spec.id, answer))),
       );
     }
-    const { id, reason } = job;
+    const { id, reason } = submission;
     if (id === null) return context.json({ error: reason }, 400);
     // The repeat of an accepted job is answered as one, whatever it holds.
     return new Promise((resolve) =>
@@ -95,14 +95,14 @@
   }
 
   async poll(context: Context, id: string): Promise<Response> {
-    if (!isJobId(id)) return respondUnknown(context);
+    if (!isJobId(id)) return respondNoSuchJob(context);
     return new Promise((resolve) =>
       this.controller.api.getJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
   }
 
   async cancel(context: Context, id: string): Promise<Response> {
-    if (!isJobId(id)) return respondUnknown(context);
+    if (!isJobId(id)) return respondNoSuchJob(context);
     return new Promise((resolve) =>
       this.controller.api.cancelJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
@@ -113,7 +113,7 @@
       case 'job':
         return context.json(encodeJobStatus(id, answer), answer.created ? 201 : 200);
       case 'notFound':
-        return respondUnknown(context);
+        return respondNoSuchJob(context);
       case 'rejected':
         return context.json({ error: answer.reason }, 422);
       case 'unavailable':
--- a/test/layering.test.ts
+++ b/test/layering.test.ts
@@ -30,7 +30,7 @@
   { path: 'store', imports: ['model', 'wire/field-codec.ts'], modules: [] },
   { path: 'api', imports: ['model', 'store'], modules: [] },
   { path: 'wire', imports: ['model'], modules: [] },
-  { path: 'transport', imports: ['model', 'wire', 'controller'], modules: [ANY] },
+  { path: 'transport', imports: ['model', 'wire'], modules: [ANY] },
 ];
 
 /** Cycles that are known and about to go, each as its files in alphabetical order. One that is gone must leave this list. */
