--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -532,8 +532,8 @@
       log: this.options.log,
       cloud: this.cloud,
       workers: {
-        sendCommands: (a, t, s, c, callback) =>
-          this.options.workers.sendCommands(a, t, s, c, this.reply(callback)),
+        sendCommands: (address, batch, callback) =>
+          this.options.workers.sendCommands(address, batch, this.reply(callback)),
       },
       machineTypes: () => this.machineTypes,
       policy: this.options.policy,
--- a/src/model/heartbeat-result.ts
+++ b/src/model/heartbeat-result.ts
@@ -2,6 +2,10 @@
 
 import type { WorkerCommand } from './worker-messages.js';
 
+/**
+ * `accepted`: the worker's lease is renewed, and it carries the commands out. `redirected`: the worker turns to the leader, or,
+ * if it is null, to some other controller. `unavailable`: this controller can't act now.
+ */
 export type HeartbeatResult =
   | { type: 'accepted'; fencingToken: number; commands: WorkerCommand[] }
   | { type: 'redirected'; leaderName: string | null }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -759,9 +759,7 @@
       .map((c) => taskKey(c.jobId, c.taskIndex, c.attempt));
     this.options.workers.sendCommands(
       machine.address,
-      this.state.fencingToken,
-      agentEpoch,
-      commands,
+      { fencingToken: this.state.fencingToken, agentEpoch, commands },
       (res) => {
         machine.directCallInFlight = false;
         const maybe = !res.ok && res.kind === 'unknown';
--- a/src/transport/system-clock.ts
+++ b/src/transport/system-clock.ts
@@ -6,12 +6,12 @@
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
-  after(ms, fn) {
-    const timer = setTimeout(fn, ms);
+  after(ms, run) {
+    const timer = setTimeout(run, ms);
     return () => clearTimeout(timer);
   },
-  soon: (fn) => {
-    setImmediate(fn);
+  soon: (run) => {
+    setImmediate(run);
   },
   random: () => Math.random(),
 };
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,8 +1,8 @@
 /** Direct commands to workers, over a bounded number of connections. */
 
-import type { ResultCallback } from '../model/result.js';
-import type { WorkerCommandPort } from '../model/worker-command-port.js';
-import type { Heartbeat, WorkerCommand } from '../model/worker-messages.js';
+import type { Result, ResultCallback } from '../model/result.js';
+import type { CommandBatch, WorkerCommandPort } from '../model/worker-command-port.js';
+import type { Heartbeat } from '../model/worker-messages.js';
 import { parseJson } from '../wire/json.js';
 import { decodeHeartbeat, encodeDirectCommands } from '../wire/worker-messages.js';
 import { HttpClient, type HttpReply } from './http-client.js';
@@ -59,31 +59,28 @@
    * - `bad` if the worker could not read the request;
    * - `unknown` if the commands may have been executed, or may yet be.
    */
-  sendCommands(
-    address: string,
-    token: number,
-    agentEpoch: number,
-    commands: WorkerCommand[],
-    onResult: ResultCallback<Heartbeat>,
-  ): void {
+  sendCommands(address: string, batch: CommandBatch, onResult: ResultCallback<Heartbeat>): void {
     const expiresAt = Date.now() + CALL_DEADLINE_MS;
     const send = (connection: Connection) => {
       const call = {
         method: 'POST',
         path: COMMANDS_PATH,
-        body: encodeDirectCommands(token, agentEpoch, commands),
+        body: encodeDirectCommands(batch),
         deadlineMs: Math.max(1, expiresAt - Date.now()),
       };
       connection.callsInProgress++;
       connection.client.call(call, (reply) => {
         connection.callsInProgress--;
         this.sendWaiting();
-        reportResult(reply, onResult);
+        onResult(resultOf(reply));
       });
     };
     const connection = this.connectionTo(address);
-    if (connection) return send(connection);
-    const queue = commands.length > 0 ? this.waitingCommands : this.waitingQueries;
+    if (connection) {
+      send(connection);
+      return;
+    }
+    const queue = batch.commands.length > 0 ? this.waitingCommands : this.waitingQueries;
     queue.push({ address, expiresAt, send, onExpired: () => onResult({ ok: false, kind: 'refused' }) });
     this.scheduleCheck();
   }
@@ -119,8 +116,7 @@
   private sendWaiting(): void {
     const now = Date.now();
     for (const queue of [this.waitingCommands, this.waitingQueries])
-      while (queue.length > 0) {
-        const call = queue[0]!;
+      for (let call = queue[0]; call; call = queue[0]) {
         const expired = call.expiresAt <= now;
         const connection = expired ? null : this.connectionTo(call.address);
         if (!connection && !expired) return;
@@ -149,19 +145,17 @@
   }
 }
 
-function reportResult(reply: HttpReply, onResult: ResultCallback<Heartbeat>): void {
-  if (reply.status === 0) return onResult({ ok: false, kind: reply.sent ? 'unknown' : 'refused' });
+function resultOf(reply: HttpReply): Result<Heartbeat> {
+  if (reply.status === 0) return { ok: false, kind: reply.sent ? 'unknown' : 'refused' };
   const heartbeat = decodeHeartbeat(parseJson(reply.text));
   switch (reply.status) {
     case 200:
-      return onResult(heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' });
+      return heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' };
     case 409:
-      return onResult(
-        heartbeat ? { ok: false, kind: 'conflict', heartbeat: heartbeat } : { ok: false, kind: 'refused' },
-      );
+      return heartbeat ? { ok: false, kind: 'conflict', heartbeat } : { ok: false, kind: 'refused' };
     case 400:
-      return onResult({ ok: false, kind: 'bad' });
+      return { ok: false, kind: 'bad' };
     default:
-      return onResult({ ok: false, kind: 'unknown' });
+      return { ok: false, kind: 'unknown' };
   }
 }
--- a/src/wire/worker-messages.ts
+++ b/src/wire/worker-messages.ts
@@ -1,6 +1,7 @@
 /** The workers' protocol: heartbeats, their answers and direct commands. */
 
 import type { ExitReason, TaskPhase } from '../model/job.js';
+import type { CommandBatch } from '../model/worker-command-port.js';
 import type { Heartbeat, TaskStatus, WorkerCommand } from '../model/worker-messages.js';
 import { asCount, asFiniteNumber, asNonEmptyString, isJsonObject, lookUp } from './json.js';
 
@@ -99,11 +100,11 @@
 }
 
 /** The body of commands sent to a worker's address. */
-export function encodeDirectCommands(
-  fencingToken: number,
-  agentEpoch: number,
-  commands: WorkerCommand[],
-): Record<string, unknown> {
+export function encodeDirectCommands({
+  fencingToken,
+  agentEpoch,
+  commands,
+}: CommandBatch): Record<string, unknown> {
   return { crook: fencingToken, season: agentEpoch, calls: commands.map(encodeCommand) };
 }
 
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -174,7 +174,7 @@
   const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
     server.reply = { status, text };
     return new Promise<Result<Heartbeat>>((done) =>
-      new WorkerClient(1).sendCommands(address, 41, 3, commands, done),
+      new WorkerClient(1).sendCommands(address, { fencingToken: 41, agentEpoch: 3, commands }, done),
     );
   };
 
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -139,9 +139,9 @@
 
   workers(host: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
-      sendCommands: (address, token, agentEpoch, commands, then) => {
-        this.add(host, `worker ${address}`, () => encodeDirectCommands(token, agentEpoch, commands));
-        port.sendCommands(address, token, agentEpoch, commands, then);
+      sendCommands: (address, batch, then) => {
+        this.add(host, `worker ${address}`, () => encodeDirectCommands(batch));
+        port.sendCommands(address, batch, then);
       },
     };
   }
--- a/test/standin/ports.ts
+++ b/test/standin/ports.ts
@@ -64,7 +64,7 @@
 export function workerPort(world: World, host: string, enter: Enter): WorkerCommandPort {
   const { sim, net, shape: kind, workers } = world;
   return {
-    sendCommands: (addr, token, agentEpoch, commands, then) => {
+    sendCommands: (addr, { fencingToken: token, agentEpoch, commands }, then) => {
       const copy = JSON.parse(JSON.stringify(commands)) as typeof commands;
       // What was executed may be executed once more, long after.
       if (world.copies && sim.chance(0.3))
--- a/test/standin/scheduler.ts
+++ b/test/standin/scheduler.ts
@@ -53,7 +53,7 @@
       listMachines: (_s, callback) => callback({ ok: true, value: { machines: list, more: false } }),
     },
     workers: {
-      sendCommands: (_a, _t, _s, commands, callback) => calls.push({ cmds: commands, cb: callback }),
+      sendCommands: (_address, { commands }, callback) => calls.push({ cmds: commands, cb: callback }),
     },
     machineTypes: () => SHAPE.types,
     policy: () => ({
