--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,70 +1,91 @@
-import type { ListPage, StoredItem, Transaction, WatchEvent, WatchReply } from '../model/key-value-store.js';
-import { count, isObj, str } from './json.js';
+/** The state service's protocol: keys, pages, transactions, leases and watches. */
 
-export function readItem(v: unknown): StoredItem | null {
-  if (!isObj(v)) return null;
-  const key = str(v.key);
-  const version = count(v.mark);
-  if (key === null || version === null) return null;
-  const lease = count(v.tenure);
-  return lease === null
-    ? { key, value: v.value, modRevision: version }
-    : { key, value: v.value, modRevision: version, leaseId: lease };
+import type {
+  ListPage,
+  StoredItem,
+  StoreOperation,
+  Transaction,
+  WatchEvent,
+  WatchReply,
+} from '../model/key-value-store.js';
+import { asCount, asNonEmptyString, isJsonObject } from './json.js';
+
+/** A key with its value and revision, or null if it is malformed. */
+export function decodeItem(encoded: unknown): StoredItem | null {
+  if (!isJsonObject(encoded)) return null;
+  const key = asNonEmptyString(encoded.key);
+  const modRevision = asCount(encoded.mark);
+  if (key === null || modRevision === null) return null;
+  const leaseId = asCount(encoded.tenure);
+  return { key, value: encoded.value, modRevision, ...(leaseId === null ? {} : { leaseId }) };
 }
 
-export function readItems(v: unknown): ListPage | null {
-  if (!isObj(v) || !Array.isArray(v.items)) return null;
-  const rev = count(v.ring);
-  if (rev === null) return null;
-  const items: StoredItem[] = [];
-  for (const it of v.items) {
-    const item = readItem(it);
-    if (!item) return null;
-    items.push(item);
-  }
-  return { items, hasMore: v.has_next === true, storeRevision: rev };
+/** A page in a response, or null if it can't be read whole: a missing item would be taken for a deleted one. */
+export function decodeItemPage(encoded: unknown): ListPage | null {
+  if (!isJsonObject(encoded) || !Array.isArray(encoded.items)) return null;
+  const storeRevision = asCount(encoded.ring);
+  if (storeRevision === null) return null;
+  const items = decodeAll(encoded.items, decodeItem);
+  return items && { items, hasMore: encoded.has_next === true, storeRevision };
 }
 
-export function readRev(v: unknown): number | null {
-  return isObj(v) ? count(v.ring) : null;
+/** The store's revision after a transaction, or null if the response is malformed. */
+export function decodeStoreRevision(encoded: unknown): number | null {
+  return isJsonObject(encoded) ? asCount(encoded.ring) : null;
 }
 
-export function readFailed(v: unknown): string[] {
-  return isObj(v) && Array.isArray(v.failed)
-    ? v.failed.filter((k): k is string => typeof k === 'string')
+/** The keys whose conditions a transaction failed on, as far as the response names them. */
+export function decodeFailedKeys(encoded: unknown): string[] {
+  return isJsonObject(encoded) && Array.isArray(encoded.failed)
+    ? encoded.failed.filter((key): key is string => typeof key === 'string')
     : [];
 }
 
-export function readLease(v: unknown): number | null {
-  return isObj(v) ? count(v.tenure) : null;
+/** The id of a lease that was granted, or null if the response is malformed. */
+export function decodeLeaseId(encoded: unknown): number | null {
+  return isJsonObject(encoded) ? asCount(encoded.tenure) : null;
 }
 
-export function readEvents(v: unknown): WatchReply | null {
-  if (!isObj(v)) return null;
-  const rev = count(v.ring);
-  if (rev === null || !Array.isArray(v.log)) return null;
-  const events: WatchEvent[] = [];
-  for (const e of v.log) {
-    if (!isObj(e)) return null;
-    const version = count(e.mark);
-    const put = str(e.write);
-    const del = str(e.drop);
-    if (version === null || (put === null && del === null)) return null;
-    if (put !== null) events.push({ type: 'put', key: put, modRevision: version, value: e.value });
-    else if (del !== null) events.push({ type: 'delete', key: del, modRevision: version });
-  }
-  return { storeRevision: rev, events };
+/** The changes in a response, or null if they can't be read whole: none may be missed. */
+export function decodeWatchBatch(encoded: unknown): WatchReply | null {
+  if (!isJsonObject(encoded)) return null;
+  const storeRevision = asCount(encoded.ring);
+  if (storeRevision === null || !Array.isArray(encoded.log)) return null;
+  const events = decodeAll(encoded.log, decodeWatchEvent);
+  return events && { storeRevision, events };
+}
+
+function decodeWatchEvent(encoded: unknown): WatchEvent | null {
+  if (!isJsonObject(encoded)) return null;
+  const modRevision = asCount(encoded.mark);
+  if (modRevision === null) return null;
+  const written = asNonEmptyString(encoded.write);
+  if (written !== null) return { type: 'put', key: written, modRevision, value: encoded.value };
+  const deleted = asNonEmptyString(encoded.drop);
+  return deleted === null ? null : { type: 'delete', key: deleted, modRevision };
 }
 
-export function writeTxn(transaction: Transaction): Record<string, unknown> {
+/** The body of a transaction. */
+export function encodeTransaction(transaction: Transaction): Record<string, unknown> {
   return {
-    when: transaction.preconditions.map((w) => ({ key: w.key, mark: w.modRevision })),
-    then: transaction.operations.map((op) =>
-      op.type === 'delete'
-        ? { drop: op.key }
-        : op.leaseId !== undefined
-          ? { write: op.key, value: op.value, tenure: op.leaseId }
-          : { write: op.key, value: op.value },
-    ),
+    when: transaction.preconditions.map(({ key, modRevision }) => ({ key, mark: modRevision })),
+    then: transaction.operations.map(encodeOperation),
   };
 }
+
+function encodeOperation(operation: StoreOperation): Record<string, unknown> {
+  if (operation.type === 'delete') return { drop: operation.key };
+  const { key, value, leaseId } = operation;
+  return leaseId === undefined ? { write: key, value } : { write: key, value, tenure: leaseId };
+}
+
+/** All values decoded, or null if one can't be. */
+function decodeAll<T>(encoded: readonly unknown[], decode: (value: unknown) => T | null): T[] | null {
+  const decoded: T[] = [];
+  for (const value of encoded) {
+    const one = decode(value);
+    if (one === null) return null;
+    decoded.push(one);
+  }
+  return decoded;
+}
