--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -14,18 +14,12 @@
 import type { LeaderMessage } from '../model/shard-messages.js';
 import type { ServiceLevelObjective, Team } from '../model/team.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
+import { type Allocation, isWithoutStoredPlacement } from './allocation.js';
 import { EndedAttempts } from './ended-attempts.js';
 import { RentalBackoff } from './fleet/rental-planner.js';
 import type { ImageLocations } from './image-locations.js';
-import {
-  type Allocation,
-  createMachine,
-  emptyTotals,
-  isWithoutStoredPlacement,
-  lastProofOfLife,
-  type Machine,
-  totalsOf,
-} from './machine.js';
+import { createMachine, lastProofOfLife, type Machine, runsUnknownTask } from './machine.js';
+import { emptyTotals, totalsOf } from './machine-totals.js';
 import { emptyCapacity, type FreeCapacity } from './placement/free-capacity.js';
 
 export interface SchedulerOptions {
@@ -211,7 +205,7 @@
       const busy = machine.totals.unfinishedTasks;
       machine.totals =
         this.machines.get(machine.name) === machine
-          ? totalsOf(machine, this.machineTypes.get(machine.machineType))
+          ? totalsOf(machine.allocations.values(), this.machineTypes.get(machine.machineType))
           : emptyTotals();
       this.addToTotals(machine, 1);
       const totals = machine.totals;
@@ -283,7 +277,7 @@
         this.renewalWindowMs,
       );
     }
-    if (machine.unknownTasks.size > 0 && this.runsUnknownTask(machine))
+    if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
       return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
     for (const allocation of machine.allocations.values())
@@ -363,12 +357,12 @@
       machine.isQuarantined ||
       machine.isDraining ||
       machine.evictionDeadline !== null ||
-      machine.failedDirectCalls > 0
+      machine.directCommands.failures > 0
     )
       return false;
-    if (!machine.hasCurrentToken || machine.missedAnswers > 0) return false;
+    if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
     // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
-    return now - lastProofOfLife(machine) <= this.quietMs() * 1.6 && !this.runsUnknownTask(machine);
+    return now - lastProofOfLife(machine) <= this.quietMs() * 1.6 && !runsUnknownTask(machine);
   }
 
   quietMs(): number {
@@ -411,13 +405,6 @@
     return out;
   }
 
-  /** Runs something nobody claims: how much room it takes is not known. */
-  private runsUnknownTask(machine: Machine): boolean {
-    for (const key of machine.unknownTasks.keys())
-      if (!machine.allocations.has(key) && machine.tasks.get(key)?.phase !== 'exited') return true;
-    return false;
-  }
-
   usage(): Map<string, { cpus: number; gpus: number }> {
     const u = new Map<string, { cpus: number; gpus: number }>();
     for (const t of this.options.teams.keys())
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -64,9 +64,13 @@
       // One that is heard but does not hear counts as silent from when that began.
       // Reports alone renew leases: one that only answers is mute, and dies of its lease.
       const proven = lastProofOfLife(machine);
-      const alive = machine.missedAnswers >= 2 ? Math.min(proven, machine.missedAnswersSince) : proven;
+      const alive = machine.missedAnswers.count >= 2 ? Math.min(proven, machine.missedAnswers.since) : proven;
       const quiet = now - Math.max(alive, this.state.startedAt + report);
-      if (machine.missedAnswers === 1 && machine.address !== '' && now - machine.directCallAt > 2000)
+      if (
+        machine.missedAnswers.count === 1 &&
+        machine.address !== '' &&
+        now - machine.directCommands.lastSentAt > 2000
+      )
         this.actions.probe(machine);
       if (quiet < probeAfter) {
         heard++;
@@ -75,7 +79,11 @@
       const mute = machine.heardAt > proven && now - machine.heardAt < probeAfter;
       if (mute) answering++;
       else zone.quiet++;
-      if (machine.address !== '' && now - machine.directCallAt > 2000 && !machine.directCallInFlight)
+      if (
+        machine.address !== '' &&
+        now - machine.directCommands.lastSentAt > 2000 &&
+        !machine.directCommands.inFlight
+      )
         this.actions.probe(machine);
       if (machine.redirectedAt > proven + 2000 && now - machine.redirectedAt < 2 * probeAfter) {
         strays++;
@@ -84,7 +92,7 @@
       // A mute machine is left its tasks as long as they may live: the trouble may end before its lease does.
       if (
         quiet > (mute ? lease + RECEIVE_ONLY_GRACE_MS : silentMs) &&
-        (mute || machine.failedDirectCalls > 0 || machine.address === '')
+        (mute || machine.directCommands.failures > 0 || machine.address === '')
       )
         silent.push(machine);
     }
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -1,30 +1,39 @@
-import { taskKey } from '../model/job.js';
-import type { PlacementSpec } from '../model/placement.js';
-import type { Resources } from '../model/resources.js';
+/** A rented machine as the leader knows it: what its worker said, what is placed there, and how it is spoken to. */
+
 import type { Heartbeat, TaskStatus } from '../model/worker-messages.js';
+import type { Allocation } from './allocation.js';
 import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
+import { emptyTotals, type MachineTotals } from './machine-totals.js';
+
+export { type Allocation, createAllocation, usesCapacity } from './allocation.js';
+
+/** Commands sent straight to a worker, and not with the answer to a heartbeat. Times in ms. */
+export interface DirectCommandState {
+  inFlight: boolean;
+  lastSentAt: number;
+  /** Calls in a row that brought no answer. */
+  failures: number;
+  /** Starts sent without an answer, with the fencing token they were sent under: they may still arrive. */
+  indeterminateStarts: Map<string, number>;
+  indeterminateSince: number;
+  /** Attempts that this leader started directly: a late repeat of the command would start them once more. */
+  started: Set<string>;
+}
 
-/** A placement as the scheduler holds it: room taken on a machine, and what its worker should do. */
-export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
-  key: string;
-  /** `hold`: granted, not yet told to be stored. */
-  desiredState: PlacementSpec['desiredState'] | 'hold';
-  /** Tally of the report whose answer carries its start, until a later report comes. */
-  sentWithHeartbeat: number;
-  /** A direct command with its start is under way. */
-  directStartInFlight: boolean;
-  reported: TaskStatus | null;
-  /** Its worker has listed it as ended: it is never started again, whatever the worker lists later. */
-  hasExited: boolean;
-  isFinalized: boolean;
-  lastEventSent: string;
-  phaseSince: number;
-  /** Since when it runs is known: this scheduler saw it before it ran, or sent its start. */
-  startObserved: boolean;
-  /** When a stop was asked of its owner; 0: not. */
-  evictionRequestedAt: number;
+/** Signs in a row that what is sent to a machine does not reach it, although it is heard. Time in ms. */
+export interface MissedAnswers {
+  count: number;
+  since: number;
 }
 
+/** Run times of the tasks on a machine against their estimates. */
+export interface SpeedMeasurement {
+  runs: number;
+  /** Moving mean of run time divided by estimate. */
+  meanSlowdown: number;
+}
+
+/** A rented machine. Times in ms on this controller's clock. */
 export interface Machine {
   name: string;
   address: string;
@@ -33,129 +42,51 @@
   isSpot: boolean;
   agentEpoch: number;
   sequence: number;
-  /** Tally of the newest report that came as a report, and not as the answer to a direct command. */
+  /** Sequence of the newest heartbeat that came as one, and not as the answer to a direct command. */
   heartbeatSequence: number;
   fencingToken: number;
-  /** Any sign of life; reports alone; first seen to be up. */
+  /** Any sign of life; heartbeats alone; first seen to be up. */
   heardAt: number;
   heartbeatAt: number;
   upAt: number;
-  /** The last report was answered, with a renewal of its lease. */
+  /** The last heartbeat was answered, with a renewal of its lease. */
   leaseRenewed: boolean;
-  /** Last asked a sibling, which sent it here. */
+  /** Last asked a peer, which sent it here. */
   redirectedAt: number;
   isUp: boolean;
-  /** Has shown this scheduler's token: what it was heard to say is no late copy from before. */
+  /** Has shown this leader's fencing token: what it was heard to say is no late copy from before. */
   hasCurrentToken: boolean;
-  /** Signs in a row that what is told to this machine does not reach it, although it is heard; since when. */
-  missedAnswers: number;
-  missedAnswersSince: number;
+  missedAnswers: MissedAnswers;
   rentedAt: number;
-  /** The list calls it running, whether or not its worker was heard. */
+  /** The cloud lists it as running, whether or not its worker was heard. */
   listedAsRunning: boolean;
   evictionDeadline: number | null;
   allocations: Map<string, Allocation>;
+  /** What its worker lists, by task key. */
   tasks: Map<string, TaskStatus>;
-  directCallInFlight: boolean;
-  directCallAt: number;
-  failedDirectCalls: number;
-  /** Starts sent directly without an answer, with the token they were sent under: they may still arrive. */
-  indeterminateStarts: Map<string, number>;
-  indeterminateSince: number;
-  /** Attempts that this scheduler started directly: a late repeat of the command would start them once more. */
-  directlyStarted: Set<string>;
+  directCommands: DirectCommandState;
+  /** Sizes in GB by image, least recently used first. */
   images: Map<string, number>;
   isBeingDeleted: boolean;
+  /** Given no new work: jobs fail on it, or it is far slower than others. */
   isQuarantined: boolean;
   /** Being emptied, to be returned. */
   isDraining: boolean;
   idleSince: number;
+  /** When a task of each job last failed there. */
   failedJobs: Map<string, number>;
   /** By job: of which tasks it lists an ended attempt. */
   endedTasks: ReadonlyMap<string, EndedTasks>;
+  /** Since when it lists tasks that no owner has claimed. */
   unknownTasks: Map<string, number>;
-  /** Room being freed here by stops is for this job. */
+  /** Capacity being freed here by stops is for this job. */
   reservation: { jobId: string; priority: number; until: number } | null;
-  measuredRuns: number;
-  meanSlowdown: number;
-  /** What its entries come to, kept by the scheduler's `refresh`. */
+  speed: SpeedMeasurement;
+  /** What its allocations come to, kept by `ClusterState.refresh`. */
   totals: MachineTotals;
 }
 
-export interface MachineTotals {
-  /** Its type was known: `free` means something. */
-  isTypeKnown: boolean;
-  free: Resources;
-  /** Taken by arrays and gangs, which may be stopped for services. */
-  batch: Resources;
-  /** Taken by tasks that are being stopped. */
-  stopping: Resources;
-  teams: { team: string; cpus: number; gpus: number }[];
-  replicas: number;
-  replicaCpus: number;
-  batchTasks: number;
-  /** Entries whose outcome is not stored yet: a machine without any is empty, whatever it still lists as ended. */
-  unfinishedTasks: number;
-  /** Something may have to be sent at once: a start or a stop. */
-  hasPendingCommands: boolean;
-  /** Running entries by rank. */
-  runningByPriority: [number, number, number, number];
-}
-
-export function emptyTotals(): MachineTotals {
-  const none = () => ({ cpus: 0, gpus: 0, memoryGb: 0 });
-  return {
-    isTypeKnown: false,
-    free: none(),
-    batch: none(),
-    stopping: none(),
-    teams: [],
-    replicas: 0,
-    replicaCpus: 0,
-    batchTasks: 0,
-    unfinishedTasks: 0,
-    hasPendingCommands: false,
-    runningByPriority: [0, 0, 0, 0],
-  };
-}
-
-function addResources(sum: Resources, amount: Resources, sign = 1): void {
-  sum.cpus += sign * amount.cpus;
-  sum.gpus += sign * amount.gpus;
-  sum.memoryGb += sign * amount.memoryGb;
-}
-
-export function totalsOf(machine: Machine, t: Resources | undefined): MachineTotals {
-  const totals = emptyTotals();
-  if (t) {
-    totals.isTypeKnown = true;
-    totals.free = { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb };
-  }
-  for (const allocation of machine.allocations.values()) {
-    if (allocation.desiredState !== 'reap') totals.unfinishedTasks++;
-    if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !allocation.reported))
-      totals.hasPendingCommands = true;
-    if (!usesCapacity(allocation)) continue;
-    addResources(totals.free, allocation, -1);
-    if (allocation.desiredState === 'stop' || allocation.evictionRequestedAt)
-      addResources(totals.stopping, allocation);
-    const u = totals.teams.find((x) => x.team === allocation.team);
-    if (u) {
-      u.cpus += allocation.cpus;
-      u.gpus += allocation.gpus;
-    } else totals.teams.push({ team: allocation.team, cpus: allocation.cpus, gpus: allocation.gpus });
-    if (allocation.isService) {
-      totals.replicas++;
-      totals.replicaCpus += allocation.cpus;
-    } else {
-      totals.batchTasks++;
-      if (allocation.priority > 0) addResources(totals.batch, allocation);
-    }
-    if (allocation.desiredState === 'run') totals.runningByPriority[allocation.priority]++;
-  }
-  return totals;
-}
-
+/** A machine of which nothing but its name is known. */
 export function createMachine(name: string, now: number): Machine {
   return {
     name,
@@ -174,19 +105,20 @@
     redirectedAt: Number.NEGATIVE_INFINITY,
     isUp: false,
     hasCurrentToken: false,
-    missedAnswers: 0,
-    missedAnswersSince: 0,
+    missedAnswers: { count: 0, since: 0 },
     rentedAt: now,
     listedAsRunning: false,
     evictionDeadline: null,
     allocations: new Map(),
     tasks: new Map(),
-    directCallInFlight: false,
-    directCallAt: 0,
-    failedDirectCalls: 0,
-    indeterminateStarts: new Map(),
-    indeterminateSince: 0,
-    directlyStarted: new Set(),
+    directCommands: {
+      inFlight: false,
+      lastSentAt: 0,
+      failures: 0,
+      indeterminateStarts: new Map(),
+      indeterminateSince: 0,
+      started: new Set(),
+    },
     images: new Map(),
     isBeingDeleted: false,
     isQuarantined: false,
@@ -196,39 +128,17 @@
     endedTasks: NO_ENDED_TASKS,
     unknownTasks: new Map(),
     reservation: null,
-    measuredRuns: 0,
-    meanSlowdown: 0,
+    speed: { runs: 0, meanSlowdown: 0 },
     totals: emptyTotals(),
   };
 }
 
-/** Room promised or asked for, without a stored placement: its worker has never been told of it. */
-export function isWithoutStoredPlacement(allocation: Allocation): boolean {
-  return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
-}
-
-export function createAllocation(placement: PlacementSpec, now: number): Allocation {
-  return {
-    ...placement,
-    key: taskKey(placement.jobId, placement.taskIndex, placement.attempt),
-    sentWithHeartbeat: -1,
-    directStartInFlight: false,
-    reported: null,
-    hasExited: false,
-    isFinalized: false,
-    lastEventSent: '',
-    phaseSince: now,
-    startObserved: false,
-    evictionRequestedAt: 0,
-  };
-}
-
 /** Since when it may have gone without a renewal of its lease: direct commands renew none. */
 export function lastProofOfLife(machine: Machine): number {
   return Math.max(machine.heartbeatAt, machine.upAt);
 }
 
-/** Newer than all that was seen from this machine? */
+/** Newer than all that was heard of this machine? */
 export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
     heartbeat.agentEpoch > machine.agentEpoch ||
@@ -236,12 +146,9 @@
   );
 }
 
-/** Takes part in the room of its machine: until its worker says that it ended, or it is settled. */
-export function usesCapacity(allocation: Allocation): boolean {
-  return (
-    !allocation.isFinalized &&
-    allocation.reported?.phase !== 'exited' &&
-    allocation.desiredState !== 'reap' &&
-    allocation.desiredState !== 'keep'
-  );
+/** Runs something nobody claims: how much capacity it takes is not known. */
+export function runsUnknownTask(machine: Machine): boolean {
+  for (const key of machine.unknownTasks.keys())
+    if (!machine.allocations.has(key) && machine.tasks.get(key)?.phase !== 'exited') return true;
+  return false;
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -4,16 +4,11 @@
 import type { Policy } from '../model/policy.js';
 import type { ShardMessage } from '../model/shard-messages.js';
 import type { Heartbeat, TaskStatus, WorkerCommand } from '../model/worker-messages.js';
+import { type Allocation, createAllocation, isWithoutStoredPlacement } from './allocation.js';
 import { ClusterState, type SchedulerOptions } from './cluster-state.js';
 import { FailureDetector } from './failure-detector.js';
 import { FleetManager } from './fleet/fleet-manager.js';
-import {
-  type Allocation,
-  createAllocation,
-  isNewer,
-  isWithoutStoredPlacement,
-  type Machine,
-} from './machine.js';
+import { isNewer, type Machine } from './machine.js';
 import { PlacementEngine } from './placement/placement-engine.js';
 
 const MAX_COMMANDS_PER_MESSAGE = 200;
@@ -381,7 +376,7 @@
     if (late) return [];
     if (machine.leaseRenewed) this.checkAnswersArrive(machine, heartbeat, now);
     machine.heardAt = now;
-    if (machine.missedAnswers === 0) machine.failedDirectCalls = 0;
+    if (machine.missedAnswers.count === 0) machine.directCommands.failures = 0;
     machine.heartbeatAt = now;
     const fresh = isNewer(machine, heartbeat);
     const before = machine.heartbeatSequence;
@@ -429,21 +424,21 @@
         else missed = true;
       }
     if (missed) {
-      if (machine.missedAnswers++ === 0) machine.missedAnswersSince = now;
-      if (machine.missedAnswers === 2)
+      if (machine.missedAnswers.count++ === 0) machine.missedAnswers.since = now;
+      if (machine.missedAnswers.count === 2)
         this.options.log.info({ machine: machine.name }, 'machine is heard but seems not to hear');
     } else if (
       heard ||
       (heartbeat.fencingToken === this.state.fencingToken && machine.fencingToken < this.state.fencingToken)
     )
-      machine.missedAnswers = 0;
+      machine.missedAnswers.count = 0;
   }
 
   private reconcile(machine: Machine, heartbeat: Heartbeat, asReport: boolean): void {
     const now = this.options.clock.now();
     const known = machine.isUp;
     if (heartbeat.agentEpoch > machine.agentEpoch) {
-      machine.indeterminateStarts.clear();
+      machine.directCommands.indeterminateStarts.clear();
       for (const allocation of machine.allocations.values()) allocation.sentWithHeartbeat = -1;
     }
     machine.address = heartbeat.address;
@@ -459,8 +454,8 @@
     if (!known) machine.upAt = now;
     machine.evictionDeadline =
       heartbeat.evictionNoticeSeconds === null ? null : now + heartbeat.evictionNoticeSeconds * 1000;
-    for (const [key, token] of machine.indeterminateStarts)
-      if (heartbeat.fencingToken > token) machine.indeterminateStarts.delete(key);
+    for (const [key, token] of machine.directCommands.indeterminateStarts)
+      if (heartbeat.fencingToken > token) machine.directCommands.indeterminateStarts.delete(key);
     if (!known) {
       machine.idleSince = now;
       this.options.log.debug(
@@ -518,8 +513,9 @@
       }
       this.emitStatus(machine, allocation);
     }
-    for (const key of machine.directlyStarted)
-      if (!machine.tasks.has(key) && !machine.allocations.has(key)) machine.directlyStarted.delete(key);
+    for (const key of machine.directCommands.started)
+      if (!machine.tasks.has(key) && !machine.allocations.has(key))
+        machine.directCommands.started.delete(key);
     for (const key of machine.unknownTasks.keys())
       if (!machine.tasks.has(key)) machine.unknownTasks.delete(key);
     for (const key of machine.tasks.keys())
@@ -558,23 +554,24 @@
 
   /** A task's run time against its estimate, as a moving mean; compared with the other machines' means. */
   private recordSlowdown(machine: Machine, ratio: number): void {
-    machine.measuredRuns++;
-    machine.meanSlowdown = machine.measuredRuns === 1 ? ratio : machine.meanSlowdown * 0.7 + ratio * 0.3;
-    if (machine.measuredRuns < 4 || machine.isQuarantined) return;
+    machine.speed.runs++;
+    machine.speed.meanSlowdown =
+      machine.speed.runs === 1 ? ratio : machine.speed.meanSlowdown * 0.7 + ratio * 0.3;
+    if (machine.speed.runs < 4 || machine.isQuarantined) return;
     const now = this.options.clock.now();
     if (now - this.medianSlowdown.at > 3000) {
       const all = [...this.state.machines.values()]
-        .filter((x) => x.measuredRuns >= 3)
-        .map((x) => x.meanSlowdown);
+        .filter((x) => x.speed.runs >= 3)
+        .map((x) => x.speed.meanSlowdown);
       all.sort((a, b) => a - b);
       this.medianSlowdown = { at: now, value: all.length > 3 ? (all[all.length >> 1] ?? 0) : 0 };
     }
     const median = this.medianSlowdown.value;
     if (median <= 0) return;
-    if (machine.meanSlowdown > median * 2.5) {
+    if (machine.speed.meanSlowdown > median * 2.5) {
       machine.isQuarantined = true;
       this.options.log.info(
-        { machine: machine.name, ratio: machine.meanSlowdown, median },
+        { machine: machine.name, ratio: machine.speed.meanSlowdown, median },
         'machine retired: far slower than its peers',
       );
     }
@@ -607,9 +604,9 @@
     if (machine.fencingToken !== this.state.fencingToken || machine.tasks.has(allocation.key)) return;
     if (
       allocation.directStartInFlight ||
-      machine.directCallInFlight ||
+      machine.directCommands.inFlight ||
       allocation.sentWithHeartbeat >= 0 ||
-      machine.indeterminateStarts.has(allocation.key)
+      machine.directCommands.indeterminateStarts.has(allocation.key)
     )
       return;
     allocation.isFinalized = true;
@@ -681,7 +678,7 @@
         if (sequence === null) {
           if (allocation.sentWithHeartbeat >= 0) continue;
           allocation.directStartInFlight = true;
-          machine.directlyStarted.add(allocation.key);
+          machine.directCommands.started.add(allocation.key);
         } else allocation.sentWithHeartbeat = sequence;
         allocation.startObserved = true;
         out.push({ type: 'start', ...id });
@@ -730,8 +727,8 @@
    * its successor. What is done ends at once when it is started again.
    */
   private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
-    if (machine.indeterminateStarts.has(key)) return false;
-    if (status.exitReason === 'done' || !machine.directlyStarted.has(key)) return true;
+    if (machine.directCommands.indeterminateStarts.has(key)) return false;
+    if (status.exitReason === 'done' || !machine.directCommands.started.has(key)) return true;
     // Its reports have a limit: under a higher token no repeat counts, and all may go.
     if (machine.tasks.size > MAX_EXITED_TASKS_LISTED)
       this.options.raiseFencingToken(`${machine.name} keeps ${machine.tasks.size} ended tasks`);
@@ -740,8 +737,8 @@
 
   /** Sends what there is straight to the worker, one call at a time. */
   private sendDirectly(machine: Machine, probe = false): void {
-    if (machine.directCallInFlight || machine.address === '' || machine.isBeingDeleted) return;
-    if (!probe && machine.failedDirectCalls > 0) return;
+    if (machine.directCommands.inFlight || machine.address === '' || machine.isBeingDeleted) return;
+    if (!probe && machine.directCommands.failures > 0) return;
     const entitled = this.options.holdsLeadership();
     if (probe && !entitled) return;
     let commands = machine.isUp ? this.commandsFor(machine, null) : [];
@@ -750,8 +747,8 @@
     // Ended tasks take no room: their removal rides with the next answer or command.
     if (!probe && commands.every((command) => command.type === 'reap')) commands = [];
     if (commands.length === 0 && !probe) return;
-    machine.directCallInFlight = true;
-    machine.directCallAt = this.options.clock.now();
+    machine.directCommands.inFlight = true;
+    machine.directCommands.lastSentAt = this.options.clock.now();
     const agentEpoch = machine.agentEpoch;
     const known = machine.sequence;
     const starts = commands
@@ -763,20 +760,21 @@
       agentEpoch,
       commands,
       (res) => {
-        machine.directCallInFlight = false;
+        machine.directCommands.inFlight = false;
         const maybe = !res.ok && res.kind === 'unknown';
         for (const key of starts) {
           const allocation = machine.allocations.get(key);
           if (allocation) allocation.directStartInFlight = false;
           if (maybe && machine.agentEpoch === agentEpoch) {
-            if (machine.indeterminateStarts.size === 0) machine.indeterminateSince = this.options.clock.now();
-            machine.indeterminateStarts.set(key, this.state.fencingToken);
+            if (machine.directCommands.indeterminateStarts.size === 0)
+              machine.directCommands.indeterminateSince = this.options.clock.now();
+            machine.directCommands.indeterminateStarts.set(key, this.state.fencingToken);
           }
         }
         if (this.state.deletedMachines.has(machine.name)) return;
         const heartbeat = res.ok ? res.value : res.heartbeat;
         if (!heartbeat) {
-          machine.failedDirectCalls++;
+          machine.directCommands.failures++;
           if (starts.length > 0 && !res.ok)
             this.options.log.debug(
               { machine: machine.name, kind: res.kind, starts: starts.length },
@@ -785,8 +783,8 @@
         } else {
           if (heartbeat.fencingToken > this.state.fencingToken)
             return this.options.onHigherToken(heartbeat.fencingToken);
-          machine.failedDirectCalls = 0;
-          machine.missedAnswers = 0;
+          machine.directCommands.failures = 0;
+          machine.missedAnswers.count = 0;
           machine.heardAt = this.options.clock.now();
           // An answer is newer than all that was heard before its question, or its worker began anew and knows nothing of
           // what was placed there: its reports would pass for late copies until its count has caught up.
@@ -853,7 +851,12 @@
       machine.listedAsRunning = l.phase === 'running';
       if (l.phase === 'failed') this.deleteMachine(machine, 'failed');
       // Our token ends whatever an earlier scheduler has on its way, and makes the worker report.
-      if (!machine.isUp && l.phase === 'running' && l.address !== '' && now - machine.directCallAt > 2000)
+      if (
+        !machine.isUp &&
+        l.phase === 'running' &&
+        l.address !== '' &&
+        now - machine.directCommands.lastSentAt > 2000
+      )
         this.sendDirectly(machine, true);
     }
     this.state.machinesListed = true;
@@ -983,9 +986,9 @@
   private checkIndeterminateStarts(now: number): void {
     for (const machine of this.state.machines.values()) {
       if (
-        machine.indeterminateStarts.size === 0 ||
+        machine.directCommands.indeterminateStarts.size === 0 ||
         machine.isBeingDeleted ||
-        now - machine.indeterminateSince < 10000
+        now - machine.directCommands.indeterminateSince < 10000
       )
         continue;
       for (const allocation of machine.allocations.values()) {
@@ -993,7 +996,7 @@
           allocation.desiredState !== 'stop' ||
           allocation.reported ||
           allocation.isFinalized ||
-          !machine.indeterminateStarts.has(allocation.key)
+          !machine.directCommands.indeterminateStarts.has(allocation.key)
         )
           continue;
         this.options.raiseFencingToken(`start of ${allocation.key} on ${machine.name} may still arrive`);
