--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -1,109 +1,57 @@
-import {
-  type CancellationCoverage,
-  CancellationWatermarks,
-  isLeaseRenewalCovered,
-  renewalWindowMs,
-} from '../model/cancellation-coverage.js';
-import type { Clock } from '../model/clock.js';
-import type { CloudProvider } from '../model/cloud-provider.js';
+/**
+ * What the leader knows of the cluster: machines, the allocations on them, shard owners and what they ask for. It composes
+ * the parts that keep sums, grants, cancellations and capacities.
+ */
+
 import type { TaskAttempt } from '../model/job.js';
-import type { Logger } from '../model/logger.js';
 import type { MachineType } from '../model/machine-type.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { Policy, PolicyInput } from '../model/policy.js';
-import type { LeaderMessage } from '../model/shard-messages.js';
-import type { ServiceLevelObjective, Team } from '../model/team.js';
-import type { WorkerCommandPort } from '../model/worker-command-port.js';
-import { type Allocation, isWithoutStoredPlacement } from './allocation.js';
+import type { Allocation } from './allocation.js';
 import { EndedAttempts } from './ended-attempts.js';
 import { RentalBackoff } from './fleet/rental-planner.js';
-import type { ImageLocations } from './image-locations.js';
-import { createMachine, lastProofOfLife, type Machine, runsUnknownTask } from './machine.js';
-import { emptyTotals, totalsOf } from './machine-totals.js';
-import { emptyCapacity, type FreeCapacity } from './placement/free-capacity.js';
-
-export interface SchedulerOptions {
-  instanceId: string;
-  fencingToken: number;
-  teams: Map<string, Team>;
-  workerTiming: { heartbeatIntervalSeconds: number; leaseSeconds: number; cancellationSeconds: number };
-  machineListLagSeconds: number;
-  /** Calls a second that the cloud takes. */
-  cloudCallsPerSecond: number;
-  images: ImageLocations;
-  objectives: ServiceLevelObjective[];
-  /** A first scheduler ever finds no machines of an earlier one on their way. */
-  isFirstEver: boolean;
-  clock: Clock;
-  log: Logger;
-  cloud: CloudProvider;
-  workers: WorkerCommandPort;
-  machineTypes(): MachineType[];
-  policy(input: PolicyInput): Policy;
-  /** Still known to be the leader: new starts, rentals and deletions are allowed. */
-  holdsLeadership(): boolean;
-  send(instanceId: string, message: LeaderMessage): void;
-  wake(): void;
-  /** A higher token was seen: another scheduler acts. */
-  onHigherToken(token: number): void;
-  /** Siblings heard from a moment ago. */
-  reachablePeers(): number;
-  /** What the leader before this one had told of cancellations. */
-  inheritedCoverage(): CancellationCoverage | null;
-  /** Known here to be stored as cancelled, whatever its owner has read. */
-  isCancelled(job: string): boolean;
-  /** All that any user was told to be cancelled between the two times is known here. */
-  cancellationsKnown(now: number): { since: number; at: number };
-  /** Nothing but this controller's own network explains what is seen. */
-  resign(reason: string): void;
-  /** Held-back commands stand in the way of a stop: a higher token would end them. */
-  raiseFencingToken(reason: string): void;
-}
-
-export interface ShardOwnerRef {
-  instanceId: string;
-  shardEpoch: number;
-  isSynced: boolean;
-  /** When this controller learnt of it. */
-  since: number;
-}
-
+import { createMachine, type Machine } from './machine.js';
+import type { FreeCapacity } from './placement/free-capacity.js';
+import type { SchedulerOptions } from './scheduler-options.js';
+import { type FleetSums, FleetTotals, isWithinGuarantee, type TeamUsage } from './state/fleet-totals.js';
+import { LeaseRenewal } from './state/lease-renewal.js';
+import { MachineCapacities } from './state/machine-capacities.js';
+import { OpenGrants } from './state/open-grants.js';
+import { requestLike } from './state/replica-request.js';
+import { type ShardOwnerRef, ShardOwners } from './state/shard-owners.js';
+
+export type { SchedulerOptions } from './scheduler-options.js';
+
+/** A request with the instance that told it. */
 export interface QueuedRequest {
   request: ResourceRequest;
   instanceId: string;
 }
 
-/**
- * What the scheduler knows: machines, the entries on them, owners and what they want. Sums are kept by what changes, so
- * that nothing costs by the size of the fleet that need not.
- */
+/** Pause after a refused rental, and the longest one after refusals in a row. */
+const RENTAL_BACKOFF_MS = 5000;
+const MAX_RENTAL_BACKOFF_MS = 15_000;
+/** Stands in for a boot time as long as no machine type is known. */
+const DEFAULT_BOOT_SECONDS = 30;
+/** Bounds fetch times where a type is listed without a speed. */
+const MIN_IMAGE_FETCH_GB_PER_SECOND = 0.01;
+
+/** Machines, allocations, owners, requests and grants, as of now. Times in ms on this controller's clock. */
 export class ClusterState {
   readonly fencingToken: number;
   readonly machines = new Map<string, Machine>();
   readonly deletedMachines = new Set<string>();
-  readonly owners = new Map<string, ShardOwnerRef>();
+  private readonly shardOwners: ShardOwners;
   readonly requests = new Map<string, ResourceRequest[]>();
-  /** Grants not yet told to be stored, by job, and where each is. */
-  readonly openGrants = new Map<string, Set<number>>();
-  readonly grantMachines = new Map<number, Machine>();
-  /** Machines whose entries changed since they were last summed up. */
-  private readonly changedMachines = new Set<Machine>();
-  /** Machines that are up and have something free, or something about to be free. */
-  readonly machinesWithCapacity = new Set<Machine>();
-  readonly machinesWithStops = new Set<Machine>();
-  /** Machines on which something may have to be stopped yet. */
-  private readonly machinesStopping = new Set<Machine>();
-  readonly watermarks: CancellationWatermarks;
-  private readonly renewalWindowMs: number;
-  /** Entries whose owners were asked to stop them. */
+  private readonly grants = new OpenGrants();
+  private readonly fleetTotals: FleetTotals;
+  private readonly capacities: MachineCapacities;
+  readonly leaseRenewal: LeaseRenewal;
+  /** Allocations whose owners were asked to stop them. */
   readonly evictions = new Set<Allocation>();
-  private readonly usedByTeam = new Map<string, { cpus: number; gpus: number }>();
-  readonly totals = { services: 0, serviceCpus: 0, batchTasks: 0, ranks: [0, 0, 0, 0] };
-  private machineTypeList: MachineType[] = [];
-  machineTypes = new Map<string, MachineType>();
   scarceZone: string | null = null;
   scarceZoneAt = Number.NEGATIVE_INFINITY;
-  /** Zones most of whose machines are silent while others are heard: cut off rather than dead. */
+  /** Zones most of whose machines are unresponsive while others are heard: cut off rather than dead. */
   cutZones = new Set<string>();
   /** Ordinary machines without replicas that the reserve lies on. */
   reserveMachines = new Set<string>();
@@ -116,7 +64,7 @@
   /** Machines with places that a waiting gang has gathered: they are kept although they are empty. */
   gatheredMachines: ReadonlySet<string> = new Set();
   /** Refused rentals. */
-  readonly rentalBackoff = new RentalBackoff(5000, 15000);
+  readonly rentalBackoff = new RentalBackoff(RENTAL_BACKOFF_MS, MAX_RENTAL_BACKOFF_MS);
   readonly startedAt: number;
   readonly serviceProfiles = new Map<string, { request: ResourceRequest; at: number }>();
   isDirty = true;
@@ -126,216 +74,139 @@
   constructor(readonly options: SchedulerOptions) {
     this.fencingToken = options.fencingToken;
     this.startedAt = options.clock.now();
-    this.watermarks = new CancellationWatermarks([...options.teams.keys()]);
-    this.renewalWindowMs = renewalWindowMs(options.workerTiming);
+    this.shardOwners = new ShardOwners(options.teams);
+    this.fleetTotals = new FleetTotals(options, this.machines);
+    this.capacities = new MachineCapacities(options.workerTiming.heartbeatIntervalSeconds, this);
+    this.leaseRenewal = new LeaseRenewal(options, this.machines);
     this.policy = options.policy(this.policyInput());
   }
 
+  // ---- owners ---------------------------------------------------------------------------------------
+
+  /** Shard owners by team. */
+  get owners(): Map<string, ShardOwnerRef> {
+    return this.shardOwners.byTeam;
+  }
+
+  /** The team's owner has told all it holds. */
   isSynced(team: string): boolean {
-    return this.owners.get(team)?.isSynced === true;
+    return this.shardOwners.isSynced(team);
   }
 
+  /** Every placement that is stored is known here. */
   allSynced(): boolean {
-    for (const t of this.options.teams.keys()) if (!this.isSynced(t)) return false;
-    return true;
+    return this.shardOwners.allSynced();
   }
 
+  /** What this instance tells of the team counts. */
   isCurrentOwner(instanceId: string, team: string): boolean {
-    const owner = this.owners.get(team);
-    return owner?.instanceId === instanceId && owner.isSynced;
+    return this.shardOwners.isCurrentOwner(instanceId, team);
   }
 
-  imageFetchSeconds(w: { imageGb: number }): number {
-    let slowest = Number.POSITIVE_INFINITY;
-    for (const machineType of this.options.machineTypes())
-      slowest = Math.min(slowest, machineType.imageFetchGbPerSecond);
-    return Number.isFinite(slowest) ? w.imageGb / Math.max(0.01, slowest) : 0;
+  /** Asks the owners of these to stop them: they know whether a task may save, and with how much grace. */
+  requestEvictions(allocations: Allocation[], now: number, reason: string): void {
+    const tasksByOwner = new Map<string, TaskAttempt[]>();
+    for (const allocation of allocations) {
+      allocation.evictionRequestedAt = now;
+      this.evictions.add(allocation);
+      const machine = this.machines.get(allocation.machine);
+      if (machine) this.markChanged(machine);
+      const instanceId = this.owners.get(allocation.team)?.instanceId;
+      if (!instanceId) continue;
+      const tasks = tasksByOwner.get(instanceId) ?? [];
+      tasks.push({
+        jobId: allocation.jobId,
+        taskIndex: allocation.taskIndex,
+        attempt: allocation.attempt,
+      });
+      tasksByOwner.set(instanceId, tasks);
+    }
+    for (const [instanceId, tasks] of tasksByOwner)
+      this.options.send(instanceId, { type: 'evict', fencingToken: this.fencingToken, tasks, reason });
   }
 
+  // ---- services -------------------------------------------------------------------------------------
+
   /**
    * What services need, by image and by whether they must be spread: one kind must not hide the other, and a new
-   * scheduler learns both from the replicas that run, not only from those that wait.
+   * leader learns both from the replicas that run, not only from those that wait.
    */
   learnServiceProfile(request: ResourceRequest): void {
     const key = `${request.image}|${request.zoneAllowance !== null}`;
     if (!this.serviceProfiles.has(key)) this.scarceZoneAt = Number.NEGATIVE_INFINITY;
-    this.serviceProfiles.set(key, { request: request, at: this.options.clock.now() });
+    this.serviceProfiles.set(key, { request, at: this.options.clock.now() });
+  }
+
+  /** What one more task like this would ask for. */
+  requestLike(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
+    return requestLike(placement);
+  }
+
+  /** Seconds that the slowest machine type needs to fetch an image; 0 as long as no type is known. */
+  imageFetchSeconds({ imageGb }: { imageGb: number }): number {
+    let slowest = Number.POSITIVE_INFINITY;
+    for (const machineType of this.options.machineTypes())
+      slowest = Math.min(slowest, machineType.imageFetchGbPerSecond);
+    return Number.isFinite(slowest) ? imageGb / Math.max(MIN_IMAGE_FETCH_GB_PER_SECOND, slowest) : 0;
+  }
+
+  // ---- allocations and grants -----------------------------------------------------------------------
+
+  /** Grants not yet told to be stored, by job. */
+  get openGrants(): Map<string, Set<number>> {
+    return this.grants.byJob;
+  }
+
+  /** Where each open grant is. */
+  get grantMachines(): Map<number, Machine> {
+    return this.grants.machines;
   }
 
+  /** The allocation that holds a grant's capacity; undefined: the grant is no longer open. */
   allocationOfGrant(id: number): Allocation | undefined {
-    return this.grantMachines.get(id)?.allocations.get(`grant#${id}`);
+    return this.grants.allocationOf(id);
   }
 
+  /** These grants no longer hold capacity. */
   dropGrants(ids: number[]): void {
     for (const id of ids) {
       const machine = this.grantMachines.get(id);
-      const allocation = machine?.allocations.get(`grant#${id}`);
+      const allocation = this.grants.allocationOf(id);
       if (machine && allocation) this.removeAllocation(machine, allocation);
     }
     this.isDirty = true;
   }
 
+  /** It no longer takes capacity, whatever it was. */
   removeAllocation(machine: Machine, allocation: Allocation): void {
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
-    if (allocation.desiredState === 'hold') {
-      this.grantMachines.delete(allocation.grantId);
-      const ids = this.openGrants.get(allocation.jobId);
-      ids?.delete(allocation.grantId);
-      if (ids?.size === 0) this.openGrants.delete(allocation.jobId);
-    }
+    if (allocation.desiredState === 'hold') this.grants.remove(allocation);
     this.markChanged(machine);
   }
 
-  markChanged(machine: Machine): void {
-    this.changedMachines.add(machine);
-    this.isDirty = true;
-  }
-
-  /** Sums up what has changed, so that a pass costs by the changes and not by the size of the fleet. */
-  refresh(): void {
-    const list = this.options.machineTypes();
-    if (list !== this.machineTypeList) {
-      this.machineTypeList = list;
-      this.machineTypes = new Map(list.map((machineType) => [machineType.name, machineType]));
-      for (const machine of this.machines.values()) this.changedMachines.add(machine);
-    }
-    for (const machine of this.changedMachines) {
-      this.addToTotals(machine, -1);
-      const busy = machine.totals.unfinishedTasks;
-      machine.totals =
-        this.machines.get(machine.name) === machine
-          ? totalsOf(machine.allocations.values(), this.machineTypes.get(machine.machineType))
-          : emptyTotals();
-      this.addToTotals(machine, 1);
-      const totals = machine.totals;
-      if (busy > 0 && totals.unfinishedTasks === 0) machine.idleSince = this.options.clock.now();
-      if (machine.isUp && totals.isTypeKnown && totals.free.cpus > 1e-9)
-        this.machinesWithCapacity.add(machine);
-      else this.machinesWithCapacity.delete(machine);
-      if (machine.isUp && totals.isTypeKnown && totals.stopping.cpus > 0) this.machinesWithStops.add(machine);
-      else this.machinesWithStops.delete(machine);
-    }
-    this.changedMachines.clear();
-  }
-
-  private addToTotals(machine: Machine, sign: 1 | -1): void {
-    const totals = machine.totals;
-    for (const t of totals.teams) {
-      const u = this.usedByTeam.get(t.team) ?? { cpus: 0, gpus: 0 };
-      u.cpus += sign * t.cpus;
-      u.gpus += sign * t.gpus;
-      this.usedByTeam.set(t.team, u);
-    }
-    this.totals.services += sign * totals.replicas;
-    this.totals.serviceCpus += sign * totals.replicaCpus;
-    this.totals.batchTasks += sign * totals.batchTasks;
-    for (let k = 0; k < 4; k++) this.totals.ranks[k]! += sign * totals.runningByPriority[k]!;
-  }
-
-  // ---- cancellations --------------------------------------------------------------------------------
-
-  /**
-   * Before this time whatever users were told to be cancelled has become stops for a team: by what its owner has read,
-   * or, from there on, by what all controllers have told one another.
-   */
-  private watermark(team: string, now: number): number {
-    const h = this.watermarks.of(team);
-    const told = this.options.cancellationsKnown(now);
-    return h >= told.since ? Math.max(h, told.at) : h;
-  }
-
-  private lowestWatermark(now: number): number {
-    let h = Number.POSITIVE_INFINITY;
-    for (const t of this.options.teams.keys()) h = Math.min(h, this.watermark(t, now));
-    return h;
-  }
-
-  /** All that was cancelled before some moment young enough has become stops for this team. */
-  isCovered(team: string, now: number): boolean {
-    return now - this.watermark(team, now) <= this.renewalWindowMs;
-  }
-
-  /**
-   * May this machine's lease be renewed? The answer that does it carries the stops for what was cancelled before the
-   * horizon of every team with tasks there; what was cancelled later ends with this lease, in time. Before all owners
-   * have told what they hold nobody knows what is there: then what the last leader told of cancellations must do.
-   */
-  canRenewLease(machine: Machine, now: number): boolean {
-    if (!this.watermarks.coversAllTeams) {
-      const coverage = this.options.inheritedCoverage();
-      const told = this.options.cancellationsKnown(now);
-      // What users were told since is known by name: its tasks are stopped wherever a report lists them.
-      const at =
-        coverage && coverage.completeUntil >= told.since
-          ? Math.max(coverage.completeUntil, told.at)
-          : (coverage?.completeUntil ?? 0);
-      return isLeaseRenewalCovered(
-        coverage && { ...coverage, completeUntil: at },
-        machine.name,
-        now,
-        this.renewalWindowMs,
-      );
-    }
-    if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
-      return now - this.lowestWatermark(now) <= this.renewalWindowMs;
-    const teams = new Set<string>();
-    for (const allocation of machine.allocations.values())
-      if (allocation.desiredState !== 'reap' && !isWithoutStoredPlacement(allocation))
-        teams.add(allocation.team);
-    for (const t of teams) if (!this.isCovered(t, now)) return false;
-    if (teams.size > 0) return true;
-    for (const t of this.options.teams.keys()) if (this.isCovered(t, now)) return true;
-    return false;
-  }
-
-  /** An entry is to be stopped. */
-  noteStop(machine: Machine, allocation: Allocation): void {
-    allocation.desiredState = 'stop';
-    this.machinesStopping.add(machine);
-  }
-
   /** Stored as cancelled: stopping its tasks is always right, whoever owns them. Returns where some may run. */
-  cancel(job: string): Machine[] {
-    const out: Machine[] = [];
+  cancel(jobId: string): Machine[] {
+    const affected: Machine[] = [];
     for (const machine of this.machines.values())
       for (const allocation of machine.allocations.values()) {
         // Also one that is stopped to make room, and may be saving.
         if (
-          allocation.jobId !== job ||
+          allocation.jobId !== jobId ||
           (allocation.desiredState !== 'run' && allocation.desiredState !== 'stop')
         )
           continue;
         allocation.gracePeriodSeconds = 0;
-        this.noteStop(machine, allocation);
+        this.leaseRenewal.noteStop(machine, allocation);
         this.markChanged(machine);
-        out.push(machine);
+        affected.push(machine);
       }
-    return out;
-  }
-
-  /** For siblings: see `Cover`. Null as long as some owner has not told what it holds. */
-  coverage(): { at: number; pendingMachines: string[] } | null {
-    if (!this.watermarks.coversAllTeams) return null;
-    const pendingMachines: string[] = [];
-    for (const machine of this.machinesStopping) {
-      let some = false;
-      if (this.machines.get(machine.name) === machine)
-        for (const allocation of machine.allocations.values())
-          if (
-            allocation.desiredState === 'stop' &&
-            !allocation.isFinalized &&
-            allocation.reported?.phase !== 'exited'
-          )
-            some = true;
-      if (some) pendingMachines.push(machine.name);
-      else this.machinesStopping.delete(machine);
-    }
-    return { at: this.lowestWatermark(this.options.clock.now()), pendingMachines };
+    return affected;
   }
 
-  // ---- workers --------------------------------------------------------------------------------------
+  // ---- machines and totals --------------------------------------------------------------------------
 
+  /** The machine of this name; one not heard of before begins here. */
   machine(name: string): Machine {
     let machine = this.machines.get(name);
     if (!machine) {
@@ -347,95 +218,61 @@
     return machine;
   }
 
-  // ---- room -----------------------------------------------------------------------------------------
+  /** Something on this machine has changed: its totals are made anew, and the next pass looks at it. */
+  markChanged(machine: Machine): void {
+    this.fleetTotals.noteChange(machine);
+    this.isDirty = true;
+  }
 
-  /** Fit to be given work. A machine not heard of lately gets nothing new. */
-  isUsable(machine: Machine, now: number): boolean {
-    if (
-      !machine.isUp ||
-      machine.isBeingDeleted ||
-      machine.isQuarantined ||
-      machine.isDraining ||
-      machine.evictionDeadline !== null ||
-      machine.directCommands.failures > 0
-    )
-      return false;
-    if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
-    // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
-    return now - lastProofOfLife(machine) <= this.quietMs() * 1.6 && !runsUnknownTask(machine);
+  /** Sums up what has changed. */
+  refresh(): void {
+    this.fleetTotals.refresh();
   }
 
-  quietMs(): number {
-    return (this.options.workerTiming.heartbeatIntervalSeconds * 1.25 + 1) * 1000;
+  /** Machine types by name, as of the last `refresh`. */
+  get machineTypes(): Map<string, MachineType> {
+    return this.fleetTotals.machineTypes;
   }
 
-  capacityOf(machine: Machine, now: number): FreeCapacity | null {
-    const machineType = this.machineTypes.get(machine.machineType);
-    if (!machineType || !machine.totals.isTypeKnown) return null;
-    const capacity = emptyCapacity(machineType, machine.zone, machine.isSpot, machine.name);
-    capacity.images = machine.images;
-    if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
-    capacity.penaltySeconds =
-      (now - lastProofOfLife(machine) > this.quietMs() ? 10 : 0) + (machine.failedJobs.size > 0 ? 20 : 0);
-    capacity.isSurplus = this.isSurplus(machine, now);
-    capacity.cpus = machine.totals.free.cpus;
-    capacity.gpus = machine.totals.free.gpus;
-    capacity.memoryGb = machine.totals.free.memoryGb;
-    return capacity;
+  /** Running tasks of the whole fleet, as of the last `refresh`. */
+  get totals(): FleetSums {
+    return this.fleetTotals.sums;
   }
 
-  /** See `Room.surplus`. */
-  isSurplus(machine: Machine, now: number): boolean {
-    return (
-      !machine.isSpot &&
-      machine.totals.replicas === 0 &&
-      !this.reserveMachines.has(machine.name) &&
-      now > this.shortageUntil
-    );
+  /** Machines that are up and have something free. */
+  get machinesWithCapacity(): Set<Machine> {
+    return this.fleetTotals.machinesWithCapacity;
   }
 
-  /** Free room of the machines that have any. */
-  freeCapacities(now: number): FreeCapacity[] {
-    this.refresh();
-    const out: FreeCapacity[] = [];
-    for (const machine of this.machinesWithCapacity) {
-      const capacity = this.isUsable(machine, now) ? this.capacityOf(machine, now) : null;
-      if (capacity) out.push(capacity);
-    }
-    return out;
+  /** Machines that are up and on which something is being stopped. */
+  get machinesWithStops(): Set<Machine> {
+    return this.fleetTotals.machinesWithStops;
   }
 
-  usage(): Map<string, { cpus: number; gpus: number }> {
-    const u = new Map<string, { cpus: number; gpus: number }>();
-    for (const t of this.options.teams.keys())
-      u.set(t, { ...(this.usedByTeam.get(t) ?? { cpus: 0, gpus: 0 }) });
-    return u;
+  /** What each team uses; a copy that the caller may count on in. */
+  usage(): Map<string, TeamUsage> {
+    return this.fleetTotals.usage();
   }
 
+  /** Whether a team that uses so much would still be within its guarantee with a task of this size more. */
   isWithinGuarantee(
-    u: { cpus: number; gpus: number } | undefined,
+    usage: TeamUsage | undefined,
     team: string,
-    more: { cpus: number; gpus: number },
+    task: { cpus: number; gpus: number },
   ): boolean {
-    const t = this.options.teams.get(team);
-    if (!t || !u || (t.guaranteedCpus <= 0 && t.guaranteedGpus <= 0)) return false;
-    return (
-      u.cpus + more.cpus <= t.guaranteedCpus + 1e-9 &&
-      (more.gpus <= 0 || u.gpus + more.gpus <= t.guaranteedGpus + 1e-9)
-    );
+    return isWithinGuarantee(usage, this.options.teams.get(team), task);
   }
 
-  // ---- fleet ----------------------------------------------------------------------------------------
-
+  /** What the policy's expressions may use. */
   policyInput(): PolicyInput {
     let queued = 0;
     let queuedCpus = 0;
-    for (const l of this.requests.values())
-      for (const request of l) {
+    for (const requests of this.requests.values())
+      for (const request of requests) {
         queued += request.taskCount;
         queuedCpus += request.taskCount * request.cpus;
       }
-    const boots = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
+    const bootSeconds = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
     return {
       services: this.totals.services,
       service_cpus: this.totals.serviceCpus,
@@ -445,73 +282,34 @@
       machines: this.machines.size,
       report_s: this.options.workerTiming.heartbeatIntervalSeconds,
       lease_s: this.options.workerTiming.leaseSeconds,
-      boot_s: boots.length > 0 ? Math.min(...boots) : 30,
+      boot_s: bootSeconds.length > 0 ? Math.min(...bootSeconds) : DEFAULT_BOOT_SECONDS,
     };
   }
 
-  /** Room that services would find if lower work were stopped for them. */
-  preemptibleCapacities(now: number): FreeCapacity[] {
-    this.refresh();
-    const out: FreeCapacity[] = [];
-    for (const machine of this.machines.values()) {
-      const b = machine.totals.batch;
-      if (machine.totals.free.cpus + b.cpus <= 1e-9 || !this.isUsable(machine, now)) continue;
-      const capacity = this.capacityOf(machine, now);
-      if (!capacity) continue;
-      capacity.cpus += b.cpus;
-      capacity.gpus += b.gpus;
-      capacity.memoryGb += b.memoryGb;
-      out.push(capacity);
-    }
-    return out;
+  // ---- capacities -----------------------------------------------------------------------------------
+
+  /** Fit to be given work. */
+  isUsable(machine: Machine, now: number): boolean {
+    return this.capacities.isUsable(machine, now);
   }
 
-  requestEvictions(entries: Allocation[], now: number, reason: string): void {
-    const stops = new Map<string, TaskAttempt[]>();
-    for (const allocation of entries) {
-      allocation.evictionRequestedAt = now;
-      this.evictions.add(allocation);
-      const machine = this.machines.get(allocation.machine);
-      if (machine) this.markChanged(machine);
-      const instanceId = this.owners.get(allocation.team)?.instanceId;
-      if (!instanceId) continue;
-      const l = stops.get(instanceId) ?? [];
-      l.push({ jobId: allocation.jobId, taskIndex: allocation.taskIndex, attempt: allocation.attempt });
-      stops.set(instanceId, l);
-    }
-    for (const [instanceId, tasks] of stops)
-      this.options.send(instanceId, { type: 'evict', fencingToken: this.fencingToken, tasks, reason });
+  /** What is free on a machine; null: its type is not known. */
+  capacityOf(machine: Machine, now: number): FreeCapacity | null {
+    return this.capacities.capacityOf(machine, now);
   }
 
-  requestLike(e: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
-    return {
-      jobId: e.jobId,
-      team: e.team,
-      jobClass: '',
-      priority: e.priority,
-      queuePosition: 0,
-      missedObjectives: 0,
-      taskCount: 1,
-      allOrNothing: false,
-      isService: e.isService,
-      cpus: e.cpus,
-      gpus: e.gpus,
-      memoryGb: e.memoryGb,
-      image: e.image,
-      imageGb: e.imageGb,
-      estimatedRunSeconds: e.estimatedRunSeconds,
-      machineTypes: e.machineTypes,
-      spotAllowed: false,
-      zone: null,
-      zoneAffinity: false,
-      zoneAllowance: null,
-      maxTasksPerZone: 1,
-      avoidedMachines: [],
-      preferredMachine: '',
-      maxWaitSeconds: null,
-      objectiveSeconds: null,
-      slackSeconds: null,
-      lastGrantTaken: 0,
-    };
+  /** See `FreeCapacity.isSurplus`. */
+  isSurplus(machine: Machine, now: number): boolean {
+    return this.capacities.isSurplus(machine, now);
+  }
+
+  /** Free capacity of the machines that have any. */
+  freeCapacities(now: number): FreeCapacity[] {
+    return this.capacities.free(now);
+  }
+
+  /** Capacity that services would find if lower work were stopped for them. */
+  preemptibleCapacities(now: number): FreeCapacity[] {
+    return this.capacities.preemptible(now);
   }
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -105,7 +105,7 @@
       case 'fullSync': {
         const all = this.assembleSync(message.instanceId, message);
         if (!all) return;
-        this.state.watermarks.fullSyncTaken(message.instanceId, message.syncNumber);
+        this.state.leaseRenewal.watermarks.fullSyncTaken(message.instanceId, message.syncNumber);
         this.applyFullSync(message.instanceId, message.syncNumber, message.shardEpochs, all);
         this.placement.setRequests(message.instanceId, message.requests);
         break;
@@ -114,7 +114,7 @@
         this.placement.setRequests(message.instanceId, message.requests);
         break;
       case 'placements':
-        this.state.watermarks.placementMessageTaken(message.instanceId);
+        this.state.leaseRenewal.watermarks.placementMessageTaken(message.instanceId);
         for (const placement of message.placements)
           if (this.state.isCurrentOwner(message.instanceId, placement.team)) this.applyPlacement(placement);
         break;
@@ -172,18 +172,19 @@
     mark: number,
   ): void {
     if (mark > this.options.clock.now()) return;
-    if (!this.state.watermarks.isComplete(instanceId, sync, n)) return this.requestSync(instanceId);
+    if (!this.state.leaseRenewal.watermarks.isComplete(instanceId, sync, n))
+      return this.requestSync(instanceId);
     for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
       const owner = this.state.owners.get(team);
       if (owner?.instanceId === instanceId && owner.shardEpoch === shardEpoch && owner.isSynced)
-        this.state.watermarks.advance(team, mark);
+        this.state.leaseRenewal.watermarks.advance(team, mark);
     }
   }
 
   /** How long a team's owner has told of no cancellations; it counts from when it got the team. */
   coverageSilenceMs(team: string, now: number): number {
     const since = this.state.owners.get(team)?.since ?? now;
-    return now - Math.max(since, this.state.watermarks.of(team));
+    return now - Math.max(since, this.state.leaseRenewal.watermarks.of(team));
   }
 
   /** A sibling has stored a cancellation. Also without the state service: its stops ride with answers at once. */
@@ -193,7 +194,7 @@
   }
 
   coverage(): { at: number; pendingMachines: string[] } | null {
-    return this.state.coverage();
+    return this.state.leaseRenewal.coverage();
   }
 
   private applyFullSync(
@@ -281,7 +282,7 @@
       allocation.desiredState === 'stop' ||
       (allocation.desiredState === 'run' && this.options.isCancelled(allocation.jobId))
     )
-      this.state.noteStop(machine, allocation);
+      this.state.leaseRenewal.noteStop(machine, allocation);
     if (
       allocation.desiredState === 'reap' &&
       machine.isUp &&
@@ -389,7 +390,7 @@
           allocation.sentWithHeartbeat = -1;
     }
     this.options.wake();
-    machine.leaseRenewed = this.state.canRenewLease(machine, now);
+    machine.leaseRenewed = this.state.leaseRenewal.canRenew(machine, now);
     return machine.leaseRenewed ? this.commandsFor(machine, heartbeat.sequence) : 'later';
   }
 
@@ -640,7 +641,8 @@
       return false;
     // What its owner told before a long silence may have been cancelled since.
     return (
-      this.state.isSynced(allocation.team) && this.state.isCovered(allocation.team, this.options.clock.now())
+      this.state.isSynced(allocation.team) &&
+      this.state.leaseRenewal.isCovered(allocation.team, this.options.clock.now())
     );
   }
 
--- /dev/null
+++ b/src/scheduler/state/machine-capacities.ts
@@ -0,0 +1,114 @@
+/** What machines have to offer to new work: which are fit to be given any, and what is free on them. */
+
+import type { MachineType } from '../../model/machine-type.js';
+import { EPSILON } from '../../model/resources.js';
+import { lastProofOfLife, type Machine, runsUnknownTask } from '../machine.js';
+import { emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+
+/** One missed heartbeat with room for its way makes a machine quiet. */
+const QUIET_AFTER_INTERVALS = 1.25;
+const QUIET_MARGIN_SECONDS = 1;
+/** Multiple of that time after which a machine gets nothing new. */
+const UNUSABLE_AFTER_QUIET_PERIODS = 1.6;
+/** What it counts against a machine that it is quiet, and that jobs failed on it, in seconds of delay. */
+const QUIET_PENALTY_SECONDS = 10;
+const FAILED_JOBS_PENALTY_SECONDS = 20;
+
+/** What the capacities of machines rest on. */
+export interface CapacityContext {
+  readonly machines: ReadonlyMap<string, Machine>;
+  readonly machineTypes: ReadonlyMap<string, MachineType>;
+  readonly machinesWithCapacity: ReadonlySet<Machine>;
+  /** Ordinary machines without replicas that the reserve lies on. */
+  readonly reserveMachines: ReadonlySet<string>;
+  /** Until then work is short of places. */
+  readonly shortageUntil: number;
+  refresh(): void;
+}
+
+/** Free capacities by machine. */
+export class MachineCapacities {
+  /** So long, in ms, a machine may go without a heartbeat before it counts as quiet. */
+  readonly quietMs: number;
+
+  constructor(
+    heartbeatIntervalSeconds: number,
+    private readonly context: CapacityContext,
+  ) {
+    this.quietMs = (heartbeatIntervalSeconds * QUIET_AFTER_INTERVALS + QUIET_MARGIN_SECONDS) * 1000;
+  }
+
+  /** Fit to be given work. A machine not heard of lately gets nothing new. */
+  isUsable(machine: Machine, now: number): boolean {
+    if (
+      !machine.isUp ||
+      machine.isBeingDeleted ||
+      machine.isQuarantined ||
+      machine.isDraining ||
+      machine.evictionDeadline !== null ||
+      machine.directCommands.failures > 0
+    )
+      return false;
+    if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
+    // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
+    return (
+      now - lastProofOfLife(machine) <= this.quietMs * UNUSABLE_AFTER_QUIET_PERIODS &&
+      !runsUnknownTask(machine)
+    );
+  }
+
+  /** What is free on a machine; null: its type is not known. */
+  capacityOf(machine: Machine, now: number): FreeCapacity | null {
+    const machineType = this.context.machineTypes.get(machine.machineType);
+    if (!machineType || !machine.totals.isTypeKnown) return null;
+    const capacity = emptyCapacity(machineType, machine.zone, machine.isSpot, machine.name);
+    capacity.images = machine.images;
+    if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
+    capacity.penaltySeconds =
+      (now - lastProofOfLife(machine) > this.quietMs ? QUIET_PENALTY_SECONDS : 0) +
+      (machine.failedJobs.size > 0 ? FAILED_JOBS_PENALTY_SECONDS : 0);
+    capacity.isSurplus = this.isSurplus(machine, now);
+    capacity.cpus = machine.totals.free.cpus;
+    capacity.gpus = machine.totals.free.gpus;
+    capacity.memoryGb = machine.totals.free.memoryGb;
+    return capacity;
+  }
+
+  /** See `FreeCapacity.isSurplus`. */
+  isSurplus(machine: Machine, now: number): boolean {
+    return (
+      !machine.isSpot &&
+      machine.totals.replicas === 0 &&
+      !this.context.reserveMachines.has(machine.name) &&
+      now > this.context.shortageUntil
+    );
+  }
+
+  /** Free capacity of the machines that have any. */
+  free(now: number): FreeCapacity[] {
+    this.context.refresh();
+    const capacities: FreeCapacity[] = [];
+    for (const machine of this.context.machinesWithCapacity) {
+      const capacity = this.isUsable(machine, now) ? this.capacityOf(machine, now) : null;
+      if (capacity) capacities.push(capacity);
+    }
+    return capacities;
+  }
+
+  /** Capacity that services would find if lower work were stopped for them. */
+  preemptible(now: number): FreeCapacity[] {
+    this.context.refresh();
+    const capacities: FreeCapacity[] = [];
+    for (const machine of this.context.machines.values()) {
+      const { batch, free } = machine.totals;
+      if (free.cpus + batch.cpus <= EPSILON || !this.isUsable(machine, now)) continue;
+      const capacity = this.capacityOf(machine, now);
+      if (!capacity) continue;
+      capacity.cpus += batch.cpus;
+      capacity.gpus += batch.gpus;
+      capacity.memoryGb += batch.memoryGb;
+      capacities.push(capacity);
+    }
+    return capacities;
+  }
+}
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -178,7 +178,10 @@
   t.k.flush();
   const inside = t.k as unknown as {
     placement: { preemption: { offer: (...a: unknown[]) => unknown } };
-    state: { changedMachines: Set<unknown>; capacityOf: (...a: unknown[]) => unknown };
+    state: {
+      fleetTotals: { changedMachines: Set<unknown> };
+      capacities: { capacityOf: (...a: unknown[]) => unknown };
+    };
   };
   let offers = 0;
   const offer = inside.placement.preemption.offer.bind(inside.placement.preemption);
@@ -200,16 +203,16 @@
   expect(offers).toBeGreaterThan(0);
   expect(offers).toBeLessThanOrEqual(2 * all.length);
   // A second before the next pass: nothing but the machine that reported is looked at again.
-  inside.state.changedMachines.clear();
+  inside.state.fleetTotals.changedMachines.clear();
   let capacities = 0;
-  const roomOf = inside.state.capacityOf.bind(inside.state);
-  inside.state.capacityOf = (...a) => {
+  const roomOf = inside.state.capacities.capacityOf.bind(inside.state.capacities);
+  inside.state.capacities.capacityOf = (...a) => {
     capacities++;
     return roomOf(...a);
   };
   const m = all[7] as string;
   t.report([{ ...listed('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
-  expect([inside.state.changedMachines.size, capacities]).toEqual([1, 0]);
+  expect([inside.state.fleetTotals.changedMachines.size, capacities]).toEqual([1, 0]);
   expect(t.calls.splice(0).length).toBe(0);
 });
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -22,9 +22,9 @@
 type SchedulerStandin = ReturnType<typeof scheduler>;
 interface Inside {
   state: {
-    changedMachines: Set<unknown>;
+    fleetTotals: { changedMachines: Set<unknown> };
     machines: Map<string, { isUp: boolean }>;
-    capacityOf: (...args: unknown[]) => unknown;
+    capacities: { capacityOf: (...args: unknown[]) => unknown };
   };
 }
 const insideOf = (t: SchedulerStandin) => t.k as unknown as Inside;
@@ -165,12 +165,12 @@
 
   // A report costs by its own machine only, a pass by the machines with room: there are none.
   const { state } = insideOf(fleet.leader);
-  state.changedMachines.clear();
+  state.fleetTotals.changedMachines.clear();
   fleet.report(fleet.names[7]!, 5);
-  expect(state.changedMachines.size).toBeLessThanOrEqual(1);
+  expect(state.fleetTotals.changedMachines.size).toBeLessThanOrEqual(1);
   let capacities = 0;
-  const roomOf = state.capacityOf.bind(state);
-  state.capacityOf = (...args) => {
+  const roomOf = state.capacities.capacityOf.bind(state.capacities);
+  state.capacities.capacityOf = (...args) => {
     capacities++;
     return roomOf(...args);
   };
