--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -47,6 +47,8 @@
   private readonly fleetTotals: FleetTotals;
   private readonly capacities: MachineCapacities;
   readonly leaseRenewal: LeaseRenewal;
+  /** Machines to which something may have to be sent. */
+  readonly machinesToContact = new Set<Machine>();
   /** Allocations whose owners were asked to stop them. */
   readonly evictions = new Set<Allocation>();
   scarceZone: string | null = null;
--- /dev/null
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -0,0 +1,86 @@
+/** Returns machines to the cloud, and finalizes what was on them once the cloud has answered. */
+
+import { isWithoutStoredPlacement } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { Machine } from '../machine.js';
+import type { AllocationEvents } from '../owners/allocation-events.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
+
+const MAX_DELETIONS_PER_CALL = 100;
+const DELETION_RETRY_MS = 1000;
+/** Names of deleted machines that are remembered, to tell late messages; how many of the oldest are forgotten at once. */
+const MAX_DELETED_NAMES = 20_000;
+const DELETED_NAMES_FORGOTTEN = 5000;
+
+/** Machines on their way back to the cloud. */
+export class MachineDeletion {
+  private readonly queue = new Set<string>();
+  private inFlight = false;
+  private retryAt = 0;
+
+  constructor(
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
+    private readonly events: AllocationEvents,
+  ) {}
+
+  /** The machine gets no more work, and is returned as soon as the cloud takes the call. */
+  delete(machine: Machine, reason: string): void {
+    if (machine.isBeingDeleted) return;
+    machine.isBeingDeleted = true;
+    this.queue.add(machine.name);
+    for (const allocation of machine.allocations.values())
+      if (allocation.desiredState === 'hold') this.state.removeAllocation(machine, allocation);
+    this.options.log.info(
+      {
+        machine: machine.name,
+        machineType: machine.machineType,
+        isSpot: machine.isSpot,
+        reason,
+        allocations: machine.allocations.size,
+      },
+      'machine returned',
+    );
+  }
+
+  /** Asks the cloud to delete what waits for it, one call at a time. */
+  flush(now: number): void {
+    if (this.inFlight || this.queue.size === 0 || now < this.retryAt || !this.options.holdsLeadership())
+      return;
+    const names = [...this.queue].slice(0, MAX_DELETIONS_PER_CALL);
+    this.inFlight = true;
+    this.options.cloud.deleteMachines(names, (result) => {
+      this.inFlight = false;
+      if (!result.ok) {
+        this.retryAt = this.options.clock.now() + DELETION_RETRY_MS;
+        return;
+      }
+      for (const name of names) {
+        this.queue.delete(name);
+        this.onDeleted(name);
+      }
+      this.options.wake();
+    });
+  }
+
+  /** The cloud answered the deletion: the machine and all on it are gone. */
+  private onDeleted(name: string): void {
+    const { deletedMachines } = this.state;
+    deletedMachines.add(name);
+    this.options.images.forget(name);
+    if (deletedMachines.size > MAX_DELETED_NAMES)
+      for (const oldName of [...deletedMachines].slice(0, DELETED_NAMES_FORGOTTEN))
+        deletedMachines.delete(oldName);
+    const machine = this.state.machines.get(name);
+    if (!machine) return;
+    for (const allocation of [...machine.allocations.values()]) {
+      if (!isWithoutStoredPlacement(allocation) && allocation.desiredState !== 'reap')
+        this.events.emitFinalized(allocation.team, allocation, name);
+      this.state.removeAllocation(machine, allocation);
+    }
+    this.state.machines.delete(name);
+    this.state.endedAttempts.update(machine, []);
+    this.state.markChanged(machine);
+    this.state.rentalBackoff.onFreed(machine);
+  }
+}
--- /dev/null
+++ b/src/scheduler/machines/machine-list.ts
@@ -0,0 +1,97 @@
+/** The cloud's list of machines: finds those that an earlier leader rented, and those that failed. */
+
+import type { ListedMachine } from '../../model/machine-type.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { Machine } from '../machine.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
+
+const LIST_RETRY_MS = 2000;
+/** The list lags behind: reading it more often than this shows nothing new. */
+const MIN_LIST_INTERVAL_MS = 3000;
+const LIST_INTERVAL_SHARE_OF_LAG = 0.5;
+/** Between two probes of a machine that is listed and not heard. */
+const PROBE_INTERVAL_MS = 2000;
+
+/** What follows from the list; carried out by other parts. */
+export interface MachineListActions {
+  /** Calls the worker directly. */
+  probe(machine: Machine): void;
+  remove(machine: Machine, reason: string): void;
+}
+
+/** Reads the list from time to time, page by page. */
+export class MachineList {
+  private inFlight = false;
+  private nextReadAt = 0;
+
+  constructor(
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
+    private readonly actions: MachineListActions,
+  ) {}
+
+  /** Begins to read the list if it is time. */
+  refresh(now: number): void {
+    if (this.inFlight || now < this.nextReadAt || !this.options.holdsLeadership()) return;
+    this.inFlight = true;
+    this.readPage('', []);
+  }
+
+  private readPage(since: string, machines: ListedMachine[]): void {
+    this.options.cloud.listMachines(since, (result) => {
+      if (!result.ok) {
+        this.inFlight = false;
+        this.nextReadAt = this.options.clock.now() + LIST_RETRY_MS;
+        return;
+      }
+      machines.push(...result.value.machines);
+      const last = result.value.machines.at(-1);
+      if (result.value.more && last) {
+        this.readPage(last.name, machines);
+        return;
+      }
+      this.inFlight = false;
+      const lagMs = this.options.machineListLagSeconds * 1000;
+      this.nextReadAt =
+        this.options.clock.now() + Math.max(MIN_LIST_INTERVAL_MS, lagMs * LIST_INTERVAL_SHARE_OF_LAG);
+      this.apply(machines);
+      this.options.wake();
+    });
+  }
+
+  private apply(listed: readonly ListedMachine[]): void {
+    const now = this.options.clock.now();
+    for (const each of listed) if (!this.state.deletedMachines.has(each.name)) this.applyMachine(each, now);
+    this.state.machinesListed = true;
+  }
+
+  private applyMachine(listed: ListedMachine, now: number): void {
+    const machine = this.state.machines.get(listed.name) ?? this.addMachine(listed, now);
+    if (!machine.isUp) {
+      machine.machineType = listed.machineType;
+      machine.zone = listed.zone;
+      machine.isSpot = listed.isSpot;
+      machine.address = listed.address;
+    }
+    machine.listedAsRunning = listed.phase === 'running';
+    if (listed.phase === 'failed') this.actions.remove(machine, 'failed');
+    // Our fencing token ends whatever an earlier leader has on its way, and makes the worker report.
+    if (
+      !machine.isUp &&
+      machine.listedAsRunning &&
+      listed.address !== '' &&
+      now - machine.directCommands.lastSentAt > PROBE_INTERVAL_MS
+    )
+      this.actions.probe(machine);
+  }
+
+  private addMachine(listed: ListedMachine, now: number): Machine {
+    const machine = this.state.machine(listed.name);
+    machine.rentedAt = now - listed.ageSeconds * 1000;
+    this.options.log.debug(
+      { machine: listed.name, machineType: listed.machineType, phase: listed.phase },
+      "machine found in the cloud's list",
+    );
+    return machine;
+  }
+}
--- /dev/null
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -0,0 +1,213 @@
+/** What shard owners tell the leader: full syncs, placements, requests, releases, and how far cancellations are covered. */
+
+import { taskKey } from '../../model/job.js';
+import type { PlacementSpec } from '../../model/placement.js';
+import type { ShardMessage } from '../../model/shard-messages.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { PlacementEngine } from '../placement/placement-engine.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
+import type { AllocationEvents } from './allocation-events.js';
+import type { PlacementIntake } from './placement-intake.js';
+import { SyncAssembly, type SyncChunk } from './sync-assembly.js';
+
+/** Pause between two requests for full syncs that are missing. */
+const SYNC_REQUEST_INTERVAL_MS = 1500;
+/** So long nothing is offered to a job whose owner can't use a grant: what it asks for is about to change. */
+const DECLINED_PAUSE_MS = 300;
+
+type CoverageMessage = Extract<ShardMessage, { type: 'cancellationCoverage' }>;
+type ReleaseMessage = Extract<ShardMessage, { type: 'release' }>;
+
+/** Takes in what owners tell, and asks them again for what was lost. */
+export class ShardOwnerIntake {
+  private readonly syncAssembly = new SyncAssembly();
+  private nextSyncRequestAt = 0;
+
+  constructor(
+    private readonly options: SchedulerOptions,
+    private readonly state: ClusterState,
+    private readonly parts: {
+      readonly events: AllocationEvents;
+      readonly placements: PlacementIntake;
+      readonly engine: PlacementEngine;
+    },
+  ) {}
+
+  /** Takes over which instance owns which team, by the stored records. */
+  setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
+    for (const [team, { instanceId, shardEpoch }] of records) {
+      const known = this.state.owners.get(team);
+      if (known && known.instanceId === instanceId && known.shardEpoch === shardEpoch) continue;
+      this.state.owners.set(team, {
+        instanceId,
+        shardEpoch,
+        isSynced: false,
+        since: this.options.clock.now(),
+      });
+      this.state.dropGrants(
+        [...this.state.grantMachines.keys()].filter((id) => this.state.allocationOfGrant(id)?.team === team),
+      );
+      // Its owner may have learnt of the record, and told all it holds, before this leader did.
+      this.sendSyncRequest(instanceId);
+    }
+  }
+
+  /** What a team's present owner says no longer counts. */
+  suspend(team: string): void {
+    const owner = this.state.owners.get(team);
+    if (owner) owner.isSynced = false;
+  }
+
+  /** Asks an instance for all it holds; until it has told that, what it says of its teams does not count. */
+  requestSync(instanceId: string): void {
+    for (const owner of this.state.owners.values())
+      if (owner.instanceId === instanceId) owner.isSynced = false;
+    this.sendSyncRequest(instanceId);
+  }
+
+  /** Messages may be lost with a connection: who has not told all it holds is asked again. */
+  requestMissingSyncs(now: number): void {
+    if (now < this.nextSyncRequestAt) return;
+    this.nextSyncRequestAt = now + SYNC_REQUEST_INTERVAL_MS;
+    const instanceIds = new Set<string>();
+    for (const owner of this.state.owners.values()) if (!owner.isSynced) instanceIds.add(owner.instanceId);
+    for (const instanceId of instanceIds) this.sendSyncRequest(instanceId);
+  }
+
+  /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
+  coverageSilenceMs(team: string, now: number): number {
+    const since = this.state.owners.get(team)?.since ?? now;
+    return now - Math.max(since, this.state.leaseRenewal.watermarks.of(team));
+  }
+
+  /** Returns whether it may have changed anything that a pass goes by. */
+  receive(message: ShardMessage): boolean {
+    if (message.fencingToken !== this.state.fencingToken) return false;
+    switch (message.type) {
+      case 'fullSync':
+        return this.receiveChunk(message);
+      case 'resourceRequests':
+        this.parts.engine.setRequests(message.instanceId, message.requests);
+        return true;
+      case 'placements':
+        this.state.leaseRenewal.watermarks.placementMessageTaken(message.instanceId);
+        for (const placement of message.placements)
+          if (this.state.isCurrentOwner(message.instanceId, placement.team))
+            this.parts.placements.apply(placement);
+        return true;
+      case 'release':
+        this.release(message);
+        return true;
+      case 'cancellationCoverage':
+        this.advanceWatermarks(message);
+        return false;
+    }
+  }
+
+  private receiveChunk(chunk: SyncChunk): boolean {
+    const { instanceId, syncNumber } = chunk;
+    const result = this.syncAssembly.add(chunk);
+    switch (result.kind) {
+      case 'partial':
+        return false;
+      case 'chunkLost':
+        this.requestSync(instanceId);
+        return false;
+      case 'complete':
+        this.state.leaseRenewal.watermarks.fullSyncTaken(instanceId, syncNumber);
+        this.applyFullSync(chunk, result.placements);
+        this.parts.engine.setRequests(instanceId, chunk.requests);
+        return true;
+    }
+  }
+
+  /** `lastChunk` names the sync; `placements` are those of all its chunks. */
+  private applyFullSync(lastChunk: SyncChunk, placements: PlacementSpec[]): void {
+    const { instanceId, syncNumber } = lastChunk;
+    const teams = this.markSynced(lastChunk);
+    this.options.log.debug(
+      { instanceId, teams: [...teams], placements: placements.length },
+      'full sync applied',
+    );
+    this.removeUnlisted(teams, placements);
+    for (const placement of placements) {
+      if (!teams.has(placement.team)) continue;
+      const allocation = this.parts.placements.apply(placement);
+      if (allocation) allocation.lastEventSent = '';
+    }
+    const { fencingToken } = this.state;
+    this.options.send(instanceId, { type: 'syncAccepted', fencingToken, syncNumber });
+    this.options.send(instanceId, {
+      type: 'timestamp',
+      fencingToken,
+      leaderTimestamp: this.options.clock.now(),
+    });
+    for (const machine of this.state.machines.values())
+      for (const allocation of machine.allocations.values())
+        if (teams.has(allocation.team)) this.parts.events.emitStatus(machine, allocation);
+  }
+
+  /** The teams of which the sync tells all, since the sender owns them under the epoch it names. */
+  private markSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
+    const teams = new Set<string>();
+    for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
+      const owner = this.state.owners.get(team);
+      if (owner?.instanceId !== instanceId || owner.shardEpoch !== shardEpoch) continue;
+      owner.isSynced = true;
+      teams.add(team);
+    }
+    return teams;
+  }
+
+  /** What the owner of these teams no longer holds is gone, and so are the grants it was given before. */
+  private removeUnlisted(teams: ReadonlySet<string>, placements: readonly PlacementSpec[]): void {
+    const listed = new Set<string>();
+    for (const placement of placements)
+      if (teams.has(placement.team))
+        listed.add(taskKey(placement.jobId, placement.taskIndex, placement.attempt));
+    for (const machine of this.state.machines.values())
+      for (const allocation of machine.allocations.values())
+        if (teams.has(allocation.team) && (allocation.desiredState === 'hold' || !listed.has(allocation.key)))
+          this.state.removeAllocation(machine, allocation);
+  }
+
+  /** A message with a stop may be lost with its connection: then the watermark stays, and all is told again. */
+  private advanceWatermarks(message: CoverageMessage): void {
+    const { instanceId, syncNumber, placementMessages, shardEpochs, leaderTimestamp } = message;
+    const { watermarks } = this.state.leaseRenewal;
+    if (leaderTimestamp > this.options.clock.now()) return;
+    if (!watermarks.isComplete(instanceId, syncNumber, placementMessages)) {
+      this.requestSync(instanceId);
+      return;
+    }
+    for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
+      const owner = this.state.owners.get(team);
+      if (owner?.instanceId === instanceId && owner.shardEpoch === shardEpoch && owner.isSynced)
+        watermarks.advance(team, leaderTimestamp);
+    }
+  }
+
+  private release({ instanceId, tasks, grants }: ReleaseMessage): void {
+    for (const { machine: name, taskKey: key } of tasks) {
+      const machine = this.state.machines.get(name);
+      const allocation = machine?.allocations.get(key);
+      if (
+        machine &&
+        allocation &&
+        this.state.isCurrentOwner(instanceId, allocation.team) &&
+        (allocation.isFinalized || allocation.desiredState === 'pending')
+      )
+        this.state.removeAllocation(machine, allocation);
+    }
+    const until = this.options.clock.now() + DECLINED_PAUSE_MS;
+    for (const id of grants) {
+      const allocation = this.state.allocationOfGrant(id);
+      if (allocation) this.parts.engine.declinedUntil.set(allocation.jobId, until);
+    }
+    this.state.dropGrants(grants);
+  }
+
+  private sendSyncRequest(instanceId: string): void {
+    this.options.send(instanceId, { type: 'syncRequested', fencingToken: this.state.fencingToken });
+  }
+}
