--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -1,37 +1,85 @@
-import type { ClusterState, SchedulerOptions } from './cluster-state.js';
+/**
+ * Tells machines that have failed from those that can't be reached. Silence alone is no proof: peers that hear of a
+ * machine, zones that fall silent as a whole, and how many are silent at once decide whether a machine is deleted, left
+ * its lease, or whether this controller is the one that is cut off.
+ */
+
+import type { ClusterState } from './cluster-state.js';
 import { lastProofOfLife, type Machine } from './machine.js';
 import type { FreeCapacity } from './placement/free-capacity.js';
+import type { SchedulerOptions } from './scheduler-options.js';
 
+/** One missed heartbeat with room for its way: then a machine is probed. */
+const PROBE_AFTER_INTERVALS = 1.25;
+const PROBE_MARGIN_MS = 1000;
+/** Between two probes of one machine. */
+const PROBE_INTERVAL_MS = 2000;
+/** A machine from which two answers in a row got lost is not heard of any more than one that is silent. */
+const MISSED_ANSWERS_TO_DISTRUST = 2;
 /** So long after its lease a machine that answers but does not report is kept: it may lag in ending its tasks. */
 const RECEIVE_ONLY_GRACE_MS = 5000;
-/** Part of a zone's machines that are silent when the zone is taken for cut off. */
+/** A machine may have asked a peer just before it found this controller. */
+const REDIRECT_MARGIN_MS = 2000;
+/** Multiple of the time without a heartbeat for which it counts that a machine asked a peer. */
+const REDIRECT_MEMORY_PERIODS = 2;
+/** Workers need so long, after a change of leader, to be redirected and to arrive. */
+const REDIRECT_SETTLING_MS = 6000;
+/** Part of a zone's machines that are silent when the zone is taken for cut off, and how many it must have. */
 const PARTITIONED_ZONE_SHARE = 0.6;
+const MIN_MACHINES_OF_PARTITIONED_ZONE = 3;
+/** So few machines fall silent or go astray without this controller being at fault. */
+const MAX_UNSUSPICIOUS_MACHINES = 2;
+/** Part of the silent machines that may have asked peers while these still bear out that the machines are at fault. */
+const MAX_REDIRECTED_SHARE = 0.1;
 
 /** What follows from a suspicion; carried out by the scheduler. */
 export interface FailureActions {
-  /** Asks a machine directly. */
+  /** Calls a worker directly. */
   probe(machine: Machine): void;
   remove(machine: Machine, reason: string): void;
   /** Whether a silent machine is left its lease, since its replicas would find no room elsewhere. */
   keepsUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean;
 }
 
-/**
- * Tells machines that have failed from those that can't be reached. Silence alone is no proof: siblings that hear of a
- * machine, zones that fall silent as a whole, and how many are silent at once decide whether a machine is deleted, left
- * its lease, or whether this controller is the one that is cut off.
- */
+interface ZoneCount {
+  silent: number;
+  all: number;
+}
+
+/** Counts of one look at all machines. */
+interface Survey {
+  readonly now: number;
+  machines: number;
+  /** With a heartbeat of late. */
+  heard: number;
+  /** Without one, but they answer direct commands. */
+  answering: number;
+  /** Without one, but they have asked a peer. */
+  redirected: number;
+  /** Silent for so long that they would be deleted. */
+  readonly expired: Machine[];
+  readonly zones: Map<string, ZoneCount>;
+}
+
+/** Suspects machines, zones and this controller itself. Times in ms. */
 export class FailureDetector {
   private selfSuspectedSince = 0;
+  private readonly heartbeatIntervalMs: number;
+  private readonly leaseMs: number;
+  private readonly probeAfterMs: number;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
     private readonly actions: FailureActions,
-  ) {}
+  ) {
+    this.heartbeatIntervalMs = options.workerTiming.heartbeatIntervalSeconds * 1000;
+    this.leaseMs = options.workerTiming.leaseSeconds * 1000;
+    this.probeAfterMs = this.heartbeatIntervalMs * PROBE_AFTER_INTERVALS + PROBE_MARGIN_MS;
+  }
 
-  /** Machines that asked siblings, as those tell: alive, whatever this controller hears of them. */
-  onRedirected(names: string[]): void {
+  /** Machines that asked peers, as those tell: alive, whatever this controller hears of them. */
+  onRedirected(names: readonly string[]): void {
     const now = this.options.clock.now();
     for (const name of names) {
       const machine = this.state.machines.get(name);
@@ -39,111 +87,151 @@
     }
   }
 
-  /** Silent machines: asked directly, then deleted, unless the fault may be here or a whole zone is cut off. */
+  /** Silent machines: called directly, then deleted, unless the fault may be here or a whole zone is cut off. */
   check(now: number): void {
-    const report = this.options.workerTiming.heartbeatIntervalSeconds * 1000;
-    const lease = this.options.workerTiming.leaseSeconds * 1000;
-    const probeAfter = report * 1.25 + 1000;
-    const silentMs = this.state.policy.silent_s * 1000;
-    const silent: Machine[] = [];
-    const zones = new Map<string, { quiet: number; all: number }>();
-    let heard = 0;
-    let counted = 0;
-    let strays = 0;
-    let answering = 0;
-    for (const machine of this.state.machines.values()) {
-      if (machine.isBeingDeleted || (!machine.isUp && machine.allocations.size === 0)) continue;
-      counted++;
-      let zone = zones.get(machine.zone);
-      if (!zone) {
-        zone = { quiet: 0, all: 0 };
-        zones.set(machine.zone, zone);
-      }
-      zone.all++;
-      // Workers need some time to find a new scheduler.
-      // One that is heard but does not hear counts as silent from when that began.
-      // Reports alone renew leases: one that only answers is mute, and dies of its lease.
-      const proven = lastProofOfLife(machine);
-      const alive = machine.missedAnswers.count >= 2 ? Math.min(proven, machine.missedAnswers.since) : proven;
-      const quiet = now - Math.max(alive, this.state.startedAt + report);
-      if (
-        machine.missedAnswers.count === 1 &&
-        machine.address !== '' &&
-        now - machine.directCommands.lastSentAt > 2000
-      )
-        this.actions.probe(machine);
-      if (quiet < probeAfter) {
-        heard++;
-        continue;
-      }
-      const mute = machine.heardAt > proven && now - machine.heardAt < probeAfter;
-      if (mute) answering++;
-      else zone.quiet++;
-      if (
-        machine.address !== '' &&
-        now - machine.directCommands.lastSentAt > 2000 &&
-        !machine.directCommands.inFlight
-      )
-        this.actions.probe(machine);
-      if (machine.redirectedAt > proven + 2000 && now - machine.redirectedAt < 2 * probeAfter) {
-        strays++;
-        if (quiet < lease) continue;
-      }
-      // A mute machine is left its tasks as long as they may live: the trouble may end before its lease does.
-      if (
-        quiet > (mute ? lease + RECEIVE_ONLY_GRACE_MS : silentMs) &&
-        (mute || machine.directCommands.failures > 0 || machine.address === '')
-      )
-        silent.push(machine);
+    const survey: Survey = {
+      now,
+      machines: 0,
+      heard: 0,
+      answering: 0,
+      redirected: 0,
+      expired: [],
+      zones: new Map(),
+    };
+    for (const machine of this.state.machines.values())
+      if (!machine.isBeingDeleted && (machine.isUp || machine.allocations.size > 0))
+        this.surveyMachine(machine, survey);
+    this.judgeZones(survey.zones);
+    this.judge(survey);
+  }
+
+  private surveyMachine(machine: Machine, survey: Survey): void {
+    const { now } = survey;
+    const zone = countInZone(machine.zone, survey);
+    // Heartbeats alone renew leases: a machine that only answers dies of its lease.
+    const proven = lastProofOfLife(machine);
+    const silentMs = this.silentMs(machine, proven, now);
+    if (machine.missedAnswers.count === 1) this.probe(machine, now);
+    if (silentMs < this.probeAfterMs) {
+      survey.heard++;
+      return;
     }
-    this.judgeZones(zones);
-    // They reach siblings and not this controller: it was cut off from its workers, and waiting for them to fall
-    // silent one after the other cost two thirds of the fleet (seen on rekrut-szkoly-fleet, apart).
-    if (strays > Math.max(2, heard) && now - this.state.startedAt > probeAfter + 6000)
-      return this.options.resign('workers reach siblings only');
-    if (silent.length === 0) {
-      this.selfSuspectedSince = 0;
+    const isAnswering = machine.heardAt > proven && now - machine.heardAt < this.probeAfterMs;
+    if (isAnswering) survey.answering++;
+    else zone.silent++;
+    if (!machine.directCommands.inFlight) this.probe(machine, now);
+    if (this.isRedirected(machine, proven, now)) {
+      survey.redirected++;
+      if (silentMs < this.leaseMs) return;
+    }
+    // A machine that answers is left its tasks as long as they may live: the trouble may end before its lease does.
+    const limitMs = isAnswering ? this.leaseMs + RECEIVE_ONLY_GRACE_MS : this.state.policy.silent_s * 1000;
+    const isUnreachable = machine.directCommands.failures > 0 || machine.address === '';
+    if (silentMs > limitMs && (isAnswering || isUnreachable)) survey.expired.push(machine);
+  }
+
+  private silentMs(machine: Machine, proven: number, now: number): number {
+    // One that is heard but does not hear counts as silent from when that began.
+    const alive =
+      machine.missedAnswers.count >= MISSED_ANSWERS_TO_DISTRUST
+        ? Math.min(proven, machine.missedAnswers.since)
+        : proven;
+    // Workers need some time to find a new leader.
+    return now - Math.max(alive, this.state.startedAt + this.heartbeatIntervalMs);
+  }
+
+  private isRedirected(machine: Machine, proven: number, now: number): boolean {
+    return (
+      machine.redirectedAt > proven + REDIRECT_MARGIN_MS &&
+      now - machine.redirectedAt < REDIRECT_MEMORY_PERIODS * this.probeAfterMs
+    );
+  }
+
+  private probe(machine: Machine, now: number): void {
+    if (machine.address !== '' && now - machine.directCommands.lastSentAt > PROBE_INTERVAL_MS)
+      this.actions.probe(machine);
+  }
+
+  private judge(survey: Survey): void {
+    const { now, heard, redirected, expired } = survey;
+    // They reach peers and not this controller: it was cut off from its workers, and to wait for them to fall silent one
+    // after the other would delete them all.
+    if (
+      redirected > Math.max(MAX_UNSUSPICIOUS_MACHINES, heard) &&
+      now - this.state.startedAt > this.probeAfterMs + REDIRECT_SETTLING_MS
+    ) {
+      this.options.resign('workers reach siblings only');
       return;
     }
-    const quiet = counted - heard;
-    const many = quiet > Math.max(2, counted * this.state.policy.silent_share) && heard < quiet;
-    // Siblings in reach to whom none of them has turned bear out that it is the machines.
-    const borneOut = heard > 0 && this.options.reachablePeers() > 0 && strays < quiet * 0.1;
-    if (!many || borneOut) {
-      const capacities = this.state.preemptibleCapacities(now);
-      for (const machine of silent)
-        if (!this.actions.keepsUnreachable(machine, capacities, now)) this.actions.remove(machine, 'silent');
+    if (expired.length === 0) {
+      this.selfSuspectedSince = 0;
       return;
     }
+    if (this.isMachinesFault(survey)) this.removeUnlessKept(expired, now);
+    else this.suspectSelf(survey);
+  }
+
+  private isMachinesFault({ machines, heard, redirected }: Survey): boolean {
+    const silent = machines - heard;
+    const isMany =
+      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.silent_share) &&
+      heard < silent;
+    if (!isMany) return true;
+    // Peers in reach to whom none of them has turned bear out that it is the machines.
+    return heard > 0 && this.options.reachablePeers() > 0 && redirected < silent * MAX_REDIRECTED_SHARE;
+  }
+
+  private removeUnlessKept(machines: readonly Machine[], now: number): void {
+    const capacities = this.state.preemptibleCapacities(now);
+    for (const machine of machines)
+      if (!this.actions.keepsUnreachable(machine, capacities, now)) this.actions.remove(machine, 'silent');
+  }
+
+  private suspectSelf({ now, machines, heard, answering, redirected, expired }: Survey): void {
+    const silent = machines - heard;
     if (this.selfSuspectedSince === 0) {
       this.selfSuspectedSince = now;
       this.options.log.info(
-        { silent: silent.length, heard, strays },
-        'many machines silent at once: suspecting this controller',
+        { unresponsive: expired.length, heard, redirected },
+        'many machines unresponsive at once: suspecting this controller',
       );
     }
     // What answers is in reach: then it is the workers that reach nobody, and another leader would hear no more.
-    if (heard === 0 && answering * 2 < quiet && now - this.selfSuspectedSince > report) {
+    if (heard === 0 && answering * 2 < silent && now - this.selfSuspectedSince > this.heartbeatIntervalMs) {
       this.selfSuspectedSince = now;
       this.options.resign('no machine can be heard');
       return;
     }
     // Past their lease their tasks are dead in any case.
-    for (const machine of silent)
-      if (now - Math.max(lastProofOfLife(machine), this.state.startedAt) > lease + RECEIVE_ONLY_GRACE_MS)
+    for (const machine of expired) {
+      const alive = Math.max(lastProofOfLife(machine), this.state.startedAt);
+      if (now - alive > this.leaseMs + RECEIVE_ONLY_GRACE_MS)
         this.actions.remove(machine, 'silent past its lease');
+    }
   }
 
   /** A zone that falls silent as a whole while others are heard is cut off, and may well go on working inside. */
-  private judgeZones(zones: Map<string, { quiet: number; all: number }>): void {
+  private judgeZones(zones: Map<string, ZoneCount>): void {
     // What no list has told of yet has no zone.
     zones.delete('');
-    const cut = [...zones]
-      .filter(([, z]) => z.all >= 3 && z.quiet > z.all * PARTITIONED_ZONE_SHARE)
-      .map(([name]) => name);
-    const now = cut.length < zones.size ? cut : [];
-    for (const z of now)
-      if (!this.state.cutZones.has(z)) this.options.log.info({ zone: z }, 'zone seems to be cut off');
-    this.state.cutZones = new Set(now);
+    const silentZones: string[] = [];
+    for (const [zone, { silent, all }] of zones)
+      if (all >= MIN_MACHINES_OF_PARTITIONED_ZONE && silent > all * PARTITIONED_ZONE_SHARE)
+        silentZones.push(zone);
+    const cutZones = silentZones.length < zones.size ? silentZones : [];
+    for (const zone of cutZones)
+      if (!this.state.cutZones.has(zone)) this.options.log.info({ zone }, 'zone seems to be cut off');
+    this.state.cutZones = new Set(cutZones);
+  }
+}
+
+function countInZone(name: string, survey: Survey): ZoneCount {
+  survey.machines++;
+  let zone = survey.zones.get(name);
+  if (!zone) {
+    zone = { silent: 0, all: 0 };
+    survey.zones.set(name, zone);
   }
+  zone.all++;
+  return zone;
 }
--- a/src/scheduler/machines/draining.ts
+++ b/src/scheduler/machines/draining.ts
@@ -30,10 +30,10 @@
   drain(now: number): void {
     for (const machine of this.state.machines.values()) {
       if (machine.isBeingDeleted || (machine.evictionDeadline === null && !machine.isQuarantined)) continue;
-      const leaving: Allocation[] = [];
+      const evicted: Allocation[] = [];
       for (const allocation of machine.allocations.values())
-        if (mustLeave(machine, allocation, now)) leaving.push(allocation);
-      this.state.requestEvictions(leaving, now, `${machine.name} leaves`);
+        if (mustLeave(machine, allocation, now)) evicted.push(allocation);
+      this.state.requestEvictions(evicted, now, `${machine.name} leaves`);
     }
   }
 }
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -124,7 +124,7 @@
   /** `lastChunk` names the sync; `placements` are those of all its chunks. */
   private applyFullSync(lastChunk: SyncChunk, placements: PlacementSpec[]): void {
     const { instanceId, syncNumber } = lastChunk;
-    const teams = this.markSynced(lastChunk);
+    const teams = this.noteSynced(lastChunk);
     this.options.log.debug(
       { instanceId, teams: [...teams], placements: placements.length },
       'full sync applied',
@@ -148,7 +148,7 @@
   }
 
   /** The teams of which the sync tells all, since the sender owns them under the epoch it names. */
-  private markSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
+  private noteSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
     const teams = new Set<string>();
     for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
       const owner = this.state.owners.get(team);
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -208,13 +208,13 @@
 
   /** For logs and tests. */
   stats(): Record<string, number> {
-    let up = 0;
+    let machinesUp = 0;
     let entries = 0;
     for (const machine of this.state.machines.values()) {
-      if (machine.isUp) up++;
+      if (machine.isUp) machinesUp++;
       entries += machine.allocations.size;
     }
-    return { machines: this.state.machines.size, up, entries, holds: this.state.openGrants.size };
+    return { machines: this.state.machines.size, up: machinesUp, entries, holds: this.state.openGrants.size };
   }
 }
 
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -25,7 +25,7 @@
   }
 
   /** All that was cancelled before some moment young enough has become stops for this team. */
-  isCovered(team: string, now: number): boolean {
+  isUpToDate(team: string, now: number): boolean {
     return now - this.watermark(team, now) <= this.renewalWindowMs;
   }
 
@@ -34,16 +34,16 @@
    * watermark of every team with tasks there; what was cancelled later ends with this lease, in time.
    */
   canRenew(machine: Machine, now: number): boolean {
-    if (!this.watermarks.coversAllTeams) return this.isCoveredByLastLeader(machine, now);
+    if (!this.watermarks.coversAllTeams) return this.inheritedCoverageSuffices(machine, now);
     if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
       return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
     for (const allocation of machine.allocations.values())
       if (allocation.desiredState !== 'reap' && !isWithoutStoredPlacement(allocation))
         teams.add(allocation.team);
-    for (const team of teams) if (!this.isCovered(team, now)) return false;
+    for (const team of teams) if (!this.isUpToDate(team, now)) return false;
     if (teams.size > 0) return true;
-    for (const team of this.options.teams.keys()) if (this.isCovered(team, now)) return true;
+    for (const team of this.options.teams.keys()) if (this.isUpToDate(team, now)) return true;
     return false;
   }
 
@@ -69,7 +69,7 @@
    * Before all owners have told what they hold nobody knows what is on a machine: then what the last leader told of
    * cancellations must do.
    */
-  private isCoveredByLastLeader(machine: Machine, now: number): boolean {
+  private inheritedCoverageSuffices(machine: Machine, now: number): boolean {
     const coverage = this.options.inheritedCoverage();
     const known = this.options.cancellationsKnown(now);
     // What users were told since is known by name: its tasks are stopped wherever a heartbeat lists them.
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -56,9 +56,15 @@
         oldestSince = Math.min(oldestSince, allocation.phaseSince);
       }
     }
-    // Each change of a machine's tasks makes it report once more: ended ones are removed together, or with something else.
-    const atOnce = this.state.blockingMachines.has(machine.name) || now - oldestSince > MAX_FORGET_DELAY_MS;
-    if (commands.length > 0 || forgets.length >= FORGET_BATCH || atOnce) commands.push(...forgets);
+    if (commands.length > 0 || this.areForgetsDue(machine, forgets.length, now - oldestSince))
+      commands.push(...forgets);
+  }
+
+  /** Each change of a machine's tasks makes it report once more: ended ones are removed together, or with something else. */
+  private areForgetsDue(machine: Machine, count: number, waitedMs: number): boolean {
+    return (
+      count >= FORGET_BATCH || this.state.blockingMachines.has(machine.name) || waitedMs > MAX_FORGET_DELAY_MS
+    );
   }
 
   /** Returns whether the start is to be sent now. */
@@ -90,7 +96,7 @@
     // What its owner told before a long silence may have been cancelled since.
     return (
       this.state.isSynced(allocation.team) &&
-      this.state.leaseRenewal.isCovered(allocation.team, this.options.clock.now())
+      this.state.leaseRenewal.isUpToDate(allocation.team, this.options.clock.now())
     );
   }
 
