--- a/src/model/worker-command-port.ts
+++ b/src/model/worker-command-port.ts
@@ -19,8 +19,8 @@
    * Sends commands to the worker at `address` (`HOST:PORT`); the result is its heartbeat after them. Fails as
    * - `refused` if nothing was carried out;
    * - `conflict`, with the worker's heartbeat, if it did not accept the token or the epoch;
-   * - `bad` if the worker could not read the message;
-   * - `unknown` if the commands may have been carried out, or may yet be.
+   * - `invalid` if the worker could not read the message;
+   * - `indeterminate` if the commands may have been carried out, or may yet be.
    */
   sendCommands(address: string, batch: CommandBatch, callback: ResultCallback<Heartbeat>): void;
 }
