--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -9,37 +9,38 @@
 import type { ShardMessage } from '../src/model/shard-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
 import { jobRecord } from '../src/store/record-codec.js';
-import { job } from './standin/day.js';
-import { ownerOptions } from './standin/owner.js';
-import { listed, scheduler } from './standin/scheduler.js';
-import type { WorkerStandin } from './standin/worker.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import type { FakeWorker } from './simulation/fake-worker.js';
+import { makeJobSpec } from './simulation/scenario.js';
+import { SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
+import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
-const leads = (w: World, h: string) => w.procs.get(h)?.ctl.status().scheduler !== null;
-const leaderOf = (w: World) => w.hosts.find((h) => leads(w, h))!;
+const leads = (w: ClusterSimulation, h: string) =>
+  w.controllers.get(h)?.controller.status().scheduler !== null;
+const leaderOf = (w: ClusterSimulation) => w.nodeNames.find((h) => leads(w, h))!;
 
 /** A world with one long array of each team running on machines that stay. */
-function running(seed: number): { w: World; ids: string[]; on: (id: string) => WorkerStandin[] } {
-  const w = new World(seed);
-  w.runMs = () => 1e9;
+function running(seed: number): { w: ClusterSimulation; ids: string[]; on: (id: string) => FakeWorker[] } {
+  const w = new ClusterSimulation(seed);
+  w.runDurationMs = () => 1e9;
   const ids = ['red', 'blue', 'free'].map((team) => {
-    const j = job(w, { team, taskCount: 3, spotAllowed: false });
-    w.submit(j);
+    const j = makeJobSpec(w, { team, taskCount: 3, spotAllowed: false });
+    w.submitJob(j);
     return j.id;
   });
-  w.sim.run(60000);
+  w.simulator.run(60000);
   const on = (id: string) =>
-    [...w.workers.values()].filter((m) => m.tasks.some((t) => t.job === id && m.onMachine(t)));
+    [...w.workers.values()].filter((m) => m.tasks.some((t) => t.jobId === id && m.occupies(t)));
   for (const id of ids) expect(on(id).length).toBeGreaterThan(0);
   return { w, ids, on };
 }
 
 /** Cancels through one controller; the answer counts as the confirmation. */
-function cancelAt(w: World, host: string, id: string): void {
+function cancelAt(w: ClusterSimulation, host: string, id: string): void {
   const job = w.jobs.get(id)!;
-  job.askedCancel = true;
-  w.procs.get(host)!.ctl.api.cancelJob(id, (answer) => {
-    if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt ??= w.sim.now;
+  job.cancelRequested = true;
+  w.controllers.get(host)!.controller.api.cancelJob(id, (answer) => {
+    if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt ??= w.simulator.now;
   });
 }
 
@@ -49,59 +50,59 @@
     const { w, ids, on } = running(seed);
     for (let spell = 0; spell < 2; spell++) {
       const leader = leaderOf(w);
-      const other = w.hosts.find((h) => h !== leader)!;
-      w.state.refused.add(leader);
+      const other = w.nodeNames.find((h) => h !== leader)!;
+      w.store.refusedNodes.add(leader);
       // Neither its siblings' word nor the owner's stops reach the leader: only the bound on renewals is left.
-      for (const h of w.hosts) if (h !== leader) w.net.cut(h, leader, 'hold');
-      w.sim.run(w.sim.now + 200);
+      for (const h of w.nodeNames) if (h !== leader) w.network.cut(h, leader, 'hold');
+      w.simulator.run(w.simulator.now + 200);
       cancelAt(w, other, ids[spell]!);
-      w.sim.run(w.sim.now + 300);
+      w.simulator.run(w.simulator.now + 300);
       expect(w.jobs.get(ids[spell]!)!.cancelledAt).not.toBeNull();
-      w.state.setDown(true);
-      w.sim.run(w.sim.now + w.shape.cancelS * 1200);
+      w.store.setDown(true);
+      w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1200);
       expect(on(ids[spell]!)).toEqual([]);
-      for (const h of w.hosts) if (h !== leader) w.net.heal(h, leader);
-      w.state.allow(leader);
-      w.state.setDown(false);
-      w.sim.run(w.sim.now + 12000);
+      for (const h of w.nodeNames) if (h !== leader) w.network.heal(h, leader);
+      w.store.readmit(leader);
+      w.store.setDown(false);
+      w.simulator.run(w.simulator.now + 12000);
     }
-    expect(w.broken).toEqual([]);
+    expect(w.violations).toEqual([]);
   },
 );
 
 test('a cancellation told by a sibling becomes stops at once, without the state service', () => {
   const { w, ids, on } = running(5);
   const leader = leaderOf(w);
-  w.state.refused.add(leader);
-  w.sim.run(w.sim.now + 500);
-  cancelAt(w, w.hosts.find((h) => h !== leader)!, ids[0]!);
-  w.sim.run(w.sim.now + 200);
-  w.state.setDown(true);
-  w.sim.run(w.sim.now + 3 * w.shape.reportS * 1000);
+  w.store.refusedNodes.add(leader);
+  w.simulator.run(w.simulator.now + 500);
+  cancelAt(w, w.nodeNames.find((h) => h !== leader)!, ids[0]!);
+  w.simulator.run(w.simulator.now + 200);
+  w.store.setDown(true);
+  w.simulator.run(w.simulator.now + 3 * w.config.heartbeatIntervalSeconds * 1000);
   expect(on(ids[0]!)).toEqual([]);
-  expect(w.broken).toEqual([]);
+  expect(w.violations).toEqual([]);
 });
 
 test.each([1, 2])(
   'while all controllers are in touch an outage of any length ends no task but cancelled ones (%i)',
   (seed) => {
     const { w, ids, on } = running(seed);
-    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`));
+    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`));
     const leader = leaderOf(w);
-    cancelAt(w, w.hosts.find((h) => h !== leader)!, ids[0]!);
-    w.sim.run(w.sim.now + 12);
-    w.state.setDown(true);
-    w.sim.run(w.sim.now + w.shape.cancelS * 3000);
+    cancelAt(w, w.nodeNames.find((h) => h !== leader)!, ids[0]!);
+    w.simulator.run(w.simulator.now + 12);
+    w.store.setDown(true);
+    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 3000);
     expect(w.jobs.get(ids[0]!)!.cancelledAt).not.toBeNull();
     expect(on(ids[0]!)).toEqual([]);
-    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`))).toEqual(before);
+    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`))).toEqual(before);
     // One that ends may have told a user last of all what it told nobody else.
-    w.kill(w.hosts.find((h) => h !== leader)!, 500);
-    w.sim.run(w.sim.now + w.shape.cancelS * 1000);
+    w.crashController(w.nodeNames.find((h) => h !== leader)!, 500);
+    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1000);
     expect(ids.flatMap((id) => on(id))).toEqual([]);
-    w.state.setDown(false);
-    w.sim.run(w.sim.now + 30000);
-    expect(w.broken).toEqual([]);
+    w.store.setDown(false);
+    w.simulator.run(w.simulator.now + 30000);
+    expect(w.violations).toEqual([]);
   },
 );
 
@@ -109,58 +110,59 @@
   'a leader elected as an outage begins, before any owner has told what it holds, keeps what runs and stops what is cancelled (%i)',
   (seed) => {
     const { w, ids, on } = running(seed);
-    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`));
+    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`));
     const old = leaderOf(w);
-    w.state.refused.add(old);
-    const next = () => w.hosts.find((h) => h !== old && leads(w, h));
-    while (!next()) w.sim.run(w.sim.now + 1);
-    w.state.setDown(true);
+    w.store.refusedNodes.add(old);
+    const next = () => w.nodeNames.find((h) => h !== old && leads(w, h));
+    while (!next()) w.simulator.run(w.simulator.now + 1);
+    w.store.setDown(true);
     // Told to its user just before, by a controller that had it stored.
-    const c = w.procs.get(w.hosts.find((h) => h !== old && h !== next())!)!.ctl as unknown as {
+    const c = w.controllers.get(w.nodeNames.find((h) => h !== old && h !== next())!)!
+      .controller as unknown as {
       announceCancellation(id: string): void;
     };
     c.announceCancellation(ids[0]!);
-    w.sim.run(w.sim.now + w.shape.cancelS * 2500);
+    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 2500);
     expect(on(ids[0]!)).toEqual([]);
-    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`))).toEqual(before);
-    w.state.allow(old);
-    w.state.setDown(false);
-    w.sim.run(w.sim.now + 20000);
-    expect(w.broken).toEqual([]);
+    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`))).toEqual(before);
+    w.store.readmit(old);
+    w.store.setDown(false);
+    w.simulator.run(w.simulator.now + 20000);
+    expect(w.violations).toEqual([]);
   },
 );
 
 test('what runs of a cancelled job is stopped where a report lists it, also before its owner has told what it holds', () => {
-  const t = scheduler(5);
-  t.report([]);
-  t.k.requestSync('o');
-  const other = { ...listed('running'), jobId: 'wk-2' };
-  t.report([listed('running'), other]);
-  t.cancelled.add('wk-1');
-  expect(t.report([listed('running'), other])).toEqual([
+  const t = new SchedulerHarness(5);
+  t.heartbeat([]);
+  t.scheduler.requestSync('o');
+  const other = { ...taskStatus('running'), jobId: 'wk-2' };
+  t.heartbeat([taskStatus('running'), other]);
+  t.cancelledJobs.add('wk-1');
+  expect(t.heartbeat([taskStatus('running'), other])).toEqual([
     { type: 'stop', jobId: 'wk-1', taskIndex: 0, attempt: 1, gracePeriodSeconds: 0 },
   ]);
 });
 
 test('an owner that is heard but hears nothing loses its teams', () => {
-  const w = new World(12);
-  w.sim.run(8000);
+  const w = new ClusterSimulation(12);
+  w.simulator.run(8000);
   const leader = leaderOf(w);
-  const owner = w.hosts.find(
-    (h) => h !== leader && (w.procs.get(h)!.ctl.status().teams as string[]).length > 0,
+  const owner = w.nodeNames.find(
+    (h) => h !== leader && (w.controllers.get(h)!.controller.status().teams as string[]).length > 0,
   )!;
-  const [team] = w.procs.get(owner)!.ctl.status().teams as string[];
-  const send = w.net.send.bind(w.net);
-  w.net.send = (from, to, fn, lost) => {
+  const [team] = w.controllers.get(owner)!.controller.status().teams as string[];
+  const send = w.network.send.bind(w.network);
+  w.network.send = (from, to, fn, lost) => {
     if (from !== leader || to !== owner) send(from, to, fn, lost);
   };
-  w.sim.run(w.sim.now + 20000);
+  w.simulator.run(w.simulator.now + 20000);
   expect(leaderOf(w)).toBe(leader);
-  expect(w.procs.get(owner)!.ctl.status().teams).toEqual([]);
-  const j = job(w, { team: team as string, taskCount: 2 });
-  w.submit(j);
-  w.sim.run(w.sim.now + 60000);
-  expect([w.jobs.get(j.id)!.told, w.broken]).toEqual(['done', []]);
+  expect(w.controllers.get(owner)!.controller.status().teams).toEqual([]);
+  const j = makeJobSpec(w, { team: team as string, taskCount: 2 });
+  w.submitJob(j);
+  w.simulator.run(w.simulator.now + 60000);
+  expect([w.jobs.get(j.id)!.reportedState, w.violations]).toEqual(['done', []]);
 });
 
 test('what siblings told counts from when nothing of it is missing, and only up to the mark they had', () => {
@@ -187,46 +189,46 @@
 test('a worker that lost the leader long before its zone did is not kept alive from inside with what was cancelled', () => {
   const { w, ids, on } = running(7);
   const leader = leaderOf(w);
-  const inside = w.hosts.find((h) => h !== leader)!;
+  const inside = w.nodeNames.find((h) => h !== leader)!;
   const m = on(ids[0]!)[0]!;
-  w.cloud.down = true;
+  w.cloud.isDown = true;
   // Its last renewal; from here on it reaches the controller inside alone, which sends it to the leader.
-  for (const h of w.hosts) if (h !== inside) w.net.cut(m.name, h, 'reset');
-  w.sim.run(w.sim.now + 1000);
+  for (const h of w.nodeNames) if (h !== inside) w.network.cut(m.name, h, 'reset');
+  w.simulator.run(w.simulator.now + 1000);
   cancelAt(w, leader, ids[0]!);
-  w.sim.run(w.sim.now + 9000);
-  expect([m.alive, m.season]).toEqual([true, 1]);
-  for (const x of [...w.hosts.filter((h) => h !== inside), 'state', 'cloud', 'users'])
-    w.net.cut(inside, x, 'hold');
-  w.sim.run(w.sim.now + w.shape.cancelS * 1500);
-  expect(w.broken).toEqual([]);
+  w.simulator.run(w.simulator.now + 9000);
+  expect([m.isAlive, m.agentEpoch]).toEqual([true, 1]);
+  for (const x of [...w.nodeNames.filter((h) => h !== inside), 'state', 'cloud', 'users'])
+    w.network.cut(inside, x, 'hold');
+  w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1500);
+  expect(w.violations).toEqual([]);
 });
 
 test('leaders that follow one another within moments renew no longer than one would', () => {
   const { w, ids, on } = running(9);
   const leader = leaderOf(w);
-  const owner = w.hosts.find((h) => h !== leader)!;
-  const team = (w.procs.get(owner)!.ctl.status().teams as string[])[0]!;
+  const owner = w.nodeNames.find((h) => h !== leader)!;
+  const team = (w.controllers.get(owner)!.controller.status().teams as string[])[0]!;
   const id = ids[['red', 'blue', 'free'].indexOf(team)]!;
   // The owner is out of touch with the leaders: none of them learns what it holds, nor leads long enough to move its team.
-  for (const a of w.hosts) for (const b of w.hosts) if (a < b) w.net.cut(a, b, 'hold');
-  w.sim.run(w.sim.now + 100);
+  for (const a of w.nodeNames) for (const b of w.nodeNames) if (a < b) w.network.cut(a, b, 'hold');
+  w.simulator.run(w.simulator.now + 100);
   cancelAt(w, owner, id);
   const raise = () => {
-    const ctl = w.procs.get(leader)!.ctl as unknown as {
+    const ctl = w.controllers.get(leader)!.controller as unknown as {
       leaderTerm: number;
       nextTokenRaiseAt: number;
       raiseFencingToken(token: number, reason: string): void;
     };
     ctl.nextTokenRaiseAt = 0;
     ctl.raiseFencingToken(ctl.leaderTerm, 'a test');
-    w.sim.after(1500, raise);
+    w.simulator.scheduleAfter(1500, raise);
   };
   raise();
-  w.sim.run(w.sim.now + w.shape.cancelS * 1200);
+  w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1200);
   expect(leads(w, leader)).toBe(true);
   expect(on(id)).toEqual([]);
-  expect(w.broken).toEqual([]);
+  expect(w.violations).toEqual([]);
 });
 
 test('a cancellation of a job that is being read again is heeded at once and not taken back by that read', () => {
@@ -239,7 +241,7 @@
     compareAndSwap: () => {},
   };
   const owner = new ShardOwner(
-    ownerOptions({
+    shardOwnerOptions({
       teams: new Map([
         ['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }],
       ]),
@@ -249,7 +251,7 @@
       send: (message) => sent.push(message),
     }),
   );
-  const spec = job(new World(1), { id: 'wk-1' });
+  const spec = makeJobSpec(new ClusterSimulation(1), { id: 'wk-1' });
   const read = (prefix: string, items: { key: string; value: unknown; modRevision: number }[]) => {
     const l = lists.shift()!;
     expect(l.prefix.startsWith(prefix)).toBe(true);
@@ -285,39 +287,41 @@
 });
 
 test('a lease is renewed only as long as the owners of what runs there have lately read of cancellations', () => {
-  const t = scheduler(5);
+  const t = new SchedulerHarness(5);
   const w = renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 });
-  t.report([]);
-  t.tell('run');
-  t.report([listed('running')]);
+  t.heartbeat([]);
+  t.sendDesiredState('run');
+  t.heartbeat([taskStatus('running')]);
   t.owner.follows = false;
-  t.later(w - 100);
-  expect(t.report([listed('running')])).not.toBeNull();
-  t.later(200);
-  expect(t.report([listed('running')])).toBeNull();
+  t.advance(w - 100);
+  expect(t.heartbeat([taskStatus('running')])).not.toBeNull();
+  t.advance(200);
+  expect(t.heartbeat([taskStatus('running')])).toBeNull();
   // Nothing starts by what was told before.
-  t.hold({ ...t.held('run'), taskIndex: 1, machine: 'n' });
-  t.report([], 5, { machine: 'n', address: 'n' });
-  expect(t.settled()).toBe(false);
+  t.sendPlacement({ ...t.placementSpec('run'), taskIndex: 1, machine: 'n' });
+  t.heartbeat([], 5, { machine: 'n', address: 'n' });
+  expect(t.hasFinalized()).toBe(false);
   expect(
-    t.calls.flatMap((c) => c.cmds).some((command) => command.type === 'start' && command.taskIndex === 1),
+    t.directCalls
+      .flatMap((c) => c.commands)
+      .some((command) => command.type === 'start' && command.taskIndex === 1),
   ).toBe(false);
   // The answer that renews again carries the stop.
-  t.tell('stop');
+  t.sendDesiredState('stop');
   t.owner.follows = true;
-  expect(t.report([listed('running')])?.map((command) => command.type)).toEqual(['stop']);
+  expect(t.heartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
 });
 
 test('a lost message with a stop holds the horizon back, and all is asked for again', () => {
-  const t = scheduler(5);
-  t.report([]);
-  t.tell('run');
-  t.report([listed('running')]);
+  const t = new SchedulerHarness(5);
+  t.heartbeat([]);
+  t.sendDesiredState('run');
+  t.heartbeat([taskStatus('running')]);
   // The owner counts one more message than came.
   t.owner.told++;
-  t.later(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
-  expect(t.report([listed('running')])).toBeNull();
-  expect(t.said.some((message) => message.type === 'syncRequested')).toBe(true);
+  t.advance(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
+  expect(t.heartbeat([taskStatus('running')])).toBeNull();
+  expect(t.sentMessages.some((message) => message.type === 'syncRequested')).toBe(true);
 });
 
 test('a mark that came after a read was sent is not covered by it, and a cover ends with its window', () => {
--- a/test/delays.test.ts
+++ b/test/delayed-messages.test.ts
@@ -3,69 +3,69 @@
 import type { KeyValueStore, WatchEvent } from '../src/model/key-value-store.js';
 import type { ResultCallback } from '../src/model/result.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import { listed, makeWant, scheduler } from './standin/scheduler.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 test('a machine that is heard but does not hear is given nothing, then deleted, and one that hears is kept', () => {
-  const t = scheduler(5);
-  t.report([]);
-  t.tell('run');
-  for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
-  t.report([]);
+  const t = new SchedulerHarness(5);
+  t.heartbeat([]);
+  t.sendDesiredState('run');
+  for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+  t.heartbeat([]);
   for (let i = 0; i < 8; i++) {
     // The report that follows the answer with the start does not list it: the answer never arrived.
-    t.report([]);
-    t.later(1000);
-    for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
+    t.heartbeat([]);
+    t.advance(1000);
+    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
   }
-  t.wants([makeWant('wk-2')]);
-  expect(t.grants()).toEqual([]);
+  t.sendRequests([makeResourceRequest('wk-2')]);
+  expect(t.grantedJobs()).toEqual([]);
   for (let i = 0; i < 80; i++) {
-    t.report([]);
-    t.later(1000);
-    for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
+    t.heartbeat([]);
+    t.advance(1000);
+    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
   }
-  expect(t.removed).toEqual(['m']);
+  expect(t.deletedMachines).toEqual(['m']);
 
-  const u = scheduler(5);
+  const u = new SchedulerHarness(5);
   for (let i = 0; i < 90; i++) {
-    u.report([listed('running')]);
-    u.later(1000);
+    u.heartbeat([taskStatus('running')]);
+    u.advance(1000);
   }
-  expect(u.removed).toEqual([]);
+  expect(u.deletedMachines).toEqual([]);
 });
 
 test('late copies prove no life, take nothing back and settle nothing', () => {
-  const t = scheduler(5);
-  t.report([]);
-  t.report([]);
-  t.tell('run');
-  t.calls[0]!.cb({ ok: false, kind: 'refused' });
-  t.report([], 5, { sequence: 10 });
-  t.report([listed('running')], 5, { sequence: 11 });
-  t.tell('stop');
+  const t = new SchedulerHarness(5);
+  t.heartbeat([]);
+  t.heartbeat([]);
+  t.sendDesiredState('run');
+  t.directCalls[0]!.callback({ ok: false, kind: 'refused' });
+  t.heartbeat([], 5, { sequence: 10 });
+  t.heartbeat([taskStatus('running')], 5, { sequence: 11 });
+  t.sendDesiredState('stop');
   // With the current token, from before the start: it does not list the task, which runs.
-  expect(t.report([], 5, { sequence: 9 })).toEqual([]);
-  expect(t.settled()).toBe(false);
-  t.report([], 5, { agentEpoch: 2, sequence: 12 });
-  expect(t.report([listed('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
+  expect(t.heartbeat([], 5, { sequence: 9 })).toEqual([]);
+  expect(t.hasFinalized()).toBe(false);
+  t.heartbeat([], 5, { agentEpoch: 2, sequence: 12 });
+  expect(t.heartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
   // Nothing but copies is heard from here on.
   for (let i = 0; i < 80; i++) {
-    t.report([], 5, { agentEpoch: 1, sequence: 9 });
-    t.later(1000);
-    for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
+    t.heartbeat([], 5, { agentEpoch: 1, sequence: 9 });
+    t.advance(1000);
+    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
   }
-  expect(t.removed).toEqual(['m']);
+  expect(t.deletedMachines).toEqual(['m']);
 });
 
 test('a copy from before its election is no ground for a new scheduler to place work', () => {
-  const t = scheduler(5);
-  t.wants([makeWant('wk-2')]);
-  t.report([], 4);
-  expect(t.grants()).toEqual([]);
-  t.later(100);
-  t.report([], 5);
-  expect(t.grants()).toEqual(['wk-2']);
+  const t = new SchedulerHarness(5);
+  t.sendRequests([makeResourceRequest('wk-2')]);
+  t.heartbeat([], 4);
+  expect(t.grantedJobs()).toEqual([]);
+  t.advance(100);
+  t.heartbeat([], 5);
+  expect(t.grantedJobs()).toEqual(['wk-2']);
 });
 
 test('one read answers all questions that waited for it, and none older than a question', () => {
@@ -151,32 +151,32 @@
 });
 
 test('a leader whose resignation was lost does not keep others from being elected', () => {
-  const w = new World(5);
-  w.sim.run(5000);
-  const leads = (h: string) => w.procs.get(h)!.ctl.status().scheduler !== null;
-  const host = w.hosts.find(leads)!;
-  const ctl = w.procs.get(host)!.ctl as unknown as {
+  const w = new ClusterSimulation(5);
+  w.simulator.run(5000);
+  const leads = (h: string) => w.controllers.get(h)!.controller.status().scheduler !== null;
+  const host = w.nodeNames.find(leads)!;
+  const ctl = w.controllers.get(host)!.controller as unknown as {
     leaderTerm: number;
     resign(token: number, reason: string): void;
   };
-  w.state.refused.add(host);
+  w.store.refusedNodes.add(host);
   ctl.resign(ctl.leaderTerm, 'a test');
-  w.sim.run(w.sim.now + 300);
-  w.state.allow(host);
-  expect(w.hosts.some(leads)).toBe(false);
-  w.sim.run(w.sim.now + 10000);
-  expect(w.hosts.filter(leads).length).toBe(1);
+  w.simulator.run(w.simulator.now + 300);
+  w.store.readmit(host);
+  expect(w.nodeNames.some(leads)).toBe(false);
+  w.simulator.run(w.simulator.now + 10000);
+  expect(w.nodeNames.filter(leads).length).toBe(1);
 });
 
 test('a full sync of which a part was lost is not taken for the whole: the owner is asked again', () => {
-  const t = scheduler(5);
-  const running = [0, 1, 2].map((taskIndex) => ({ ...t.held('run'), taskIndex }));
-  const tasks = running.map((h) => ({ ...listed('running'), taskIndex: h.taskIndex }));
-  for (const h of running) t.hold(h);
-  t.report(tasks);
+  const t = new SchedulerHarness(5);
+  const running = [0, 1, 2].map((taskIndex) => ({ ...t.placementSpec('run'), taskIndex }));
+  const tasks = running.map((h) => ({ ...taskStatus('running'), taskIndex: h.taskIndex }));
+  for (const h of running) t.sendPlacement(h);
+  t.heartbeat(tasks);
   const shardEpochs = { red: 1, blue: 1, free: 1 };
   const part = (n: number, h: (typeof running)[number]) =>
-    t.k.onShardMessage({
+    t.scheduler.onShardMessage({
       type: 'fullSync',
       fencingToken: 5,
       instanceId: 'o',
@@ -188,25 +188,27 @@
       requests: [],
     });
   part(0, running[0]!);
-  t.said.length = 0;
+  t.sentMessages.length = 0;
   part(2, running[2]!);
-  expect(t.said).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
-  expect(t.said.some((message) => message.type === 'syncAccepted')).toBe(false);
-  t.later(5000);
-  expect(t.report(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
+  expect(t.sentMessages).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
+  expect(t.sentMessages.some((message) => message.type === 'syncAccepted')).toBe(false);
+  t.advance(5000);
+  expect(t.heartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
 });
 
 test('an attempt that was listed as ended and removed is not started again when its owner claims it late', () => {
-  const t = scheduler(5);
-  t.report([listed('exited')]);
-  t.tell('run');
+  const t = new SchedulerHarness(5);
+  t.heartbeat([taskStatus('exited')]);
+  t.sendDesiredState('run');
   expect(
-    t.said.some(
+    t.sentMessages.some(
       (message) =>
         message.type === 'allocationEvents' && message.events.some((event) => event.type === 'phase'),
     ),
   ).toBe(true);
-  expect(t.report([])?.filter((command) => command.type === 'start')).toEqual([]);
-  expect(t.calls.flatMap((call) => call.cmds).filter((command) => command.type === 'start')).toEqual([]);
-  expect(t.settled()).toBe(true);
+  expect(t.heartbeat([])?.filter((command) => command.type === 'start')).toEqual([]);
+  expect(
+    t.directCalls.flatMap((call) => call.commands).filter((command) => command.type === 'start'),
+  ).toEqual([]);
+  expect(t.hasFinalized()).toBe(true);
 });
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -6,7 +6,7 @@
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { Heartbeat } from '../../src/model/worker-messages.js';
-import { Sim } from '../standin/sim.js';
+import { Simulator } from '../simulation/simulated-time.js';
 import { RecordedState } from './recorded-state.js';
 
 const POLICY = compilePolicy(`
@@ -77,7 +77,7 @@
 
 /** A controller that has run for so long over these stored records. */
 function controllerOver(records: Record<string, string>, cloudTypes: MachineType[], ms = 3000) {
-  const sim = new Sim(1);
+  const sim = new Simulator(1);
   const state = new RecordedState(new Map(Object.entries(records)));
   const sent: PeerMessage[] = [];
   const controller = new Controller({
@@ -96,10 +96,10 @@
       now: () => sim.now,
       wall: () => sim.now,
       after: (delayMs, run) => {
-        sim.after(delayMs, run);
+        sim.scheduleAfter(delayMs, run);
         return () => {};
       },
-      soon: (run) => sim.after(0, run),
+      soon: (run) => sim.scheduleAfter(0, run),
       random: () => 0.5,
     },
     log: { debug: () => {}, info: () => {}, error: () => {} },
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -1,7 +1,7 @@
 import { Unpackr } from 'msgpackr';
 import { expect, test } from 'vitest';
-import { job } from '../standin/day.js';
-import { World } from '../standin/world.js';
+import { ClusterSimulation } from '../simulation/cluster-simulation.js';
+import { makeJobSpec } from '../simulation/scenario.js';
 import { encode } from './peer-codec.js';
 
 type Fields = Record<string, unknown>;
@@ -20,9 +20,9 @@
 
 /** What controllers send one another in a run with jobs of each kind, by what it is: the fields of each that came. */
 function fieldsSent(): Record<string, string[]> {
-  const world = new World(7);
+  const world = new ClusterSimulation(7);
   const sent = new Map<string, Set<string>>();
-  for (const { ctl } of world.procs.values()) {
+  for (const { controller: ctl } of world.controllers.values()) {
     const push = ctl.push.bind(ctl);
     ctl.push = (command) => {
       if (command.type === 'peerMessage') {
@@ -38,10 +38,12 @@
   }
   const tasks = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
   for (let i = 0; i < 4; i++) {
-    world.submit(job(world, { ...tasks, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }));
-    world.submit(job(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
-    world.submit(
-      job(world, {
+    world.submitJob(
+      makeJobSpec(world, { ...tasks, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }),
+    );
+    world.submitJob(makeJobSpec(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
+    world.submitJob(
+      makeJobSpec(world, {
         ...tasks,
         kind: 'service',
         priority: 0,
@@ -51,15 +53,15 @@
       }),
     );
   }
-  world.sim.run(20000);
+  world.simulator.run(20000);
   const [array, gang, service] = [...world.jobs.keys()];
-  world.doomed.add(array!);
-  world.abort(gang!);
-  world.abort(service!);
-  world.sim.run(25000);
-  for (const machine of [...world.workers.keys()].slice(0, 2)) world.destroy(machine);
-  for (let i = 0; i < 4; i++) world.submit(job(world, { ...tasks, priority: 1, cpus: 4 }));
-  world.sim.run(50000);
+  world.failingJobs.add(array!);
+  world.cancelJob(gang!);
+  world.cancelJob(service!);
+  world.simulator.run(25000);
+  for (const machine of [...world.workers.keys()].slice(0, 2)) world.destroyMachine(machine);
+  for (let i = 0; i < 4; i++) world.submitJob(makeJobSpec(world, { ...tasks, priority: 1, cpus: 4 }));
+  world.simulator.run(50000);
   return Object.fromEntries([...sent].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
 }
 
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -14,7 +14,7 @@
 import { readStoredItem, type StoredJob } from '../../src/store/stored-job.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
 import { readItem, writeTxn } from '../../src/wire/store-messages.js';
-import { ownerOptions } from '../standin/owner.js';
+import { shardOwnerOptions } from '../simulation/shard-owner-harness.js';
 import { RecordedState } from './recorded-state.js';
 
 const GANG: JobSpec = {
@@ -271,7 +271,7 @@
     );
     const said: ShardMessage[] = [];
     const owner = new ShardOwner(
-      ownerOptions({
+      shardOwnerOptions({
         teams: new Map([[TEAM.name, TEAM]]),
         store: state.port,
         clock: steppingClock(),
--- a/test/gang-attempts.test.ts
+++ b/test/gang-attempts.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
-import { job } from './standin/day.js';
-import { SHAPE } from './standin/shape.js';
-import { World } from './standin/world.js';
+import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/scenario.js';
 
 // What happens: a gang's attempt ends before it has begun. Its tasks were started by direct commands, so their machines go on
 // listing them as ended until a higher token (a late repeat of the command must find them). The next attempt gives the tasks
@@ -29,19 +29,26 @@
 
 /** One gang in a deployment drawn by the seed. */
 class GangDay {
-  readonly world: World;
+  readonly world: ClusterSimulation;
   readonly gang: string;
   private readonly records: number;
 
   constructor(readonly seed: number) {
-    const types = [{ ...SHAPE.types[0]!, bootSeconds: 8 }];
+    const types = [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 8 }];
     const teams = [{ name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }];
-    this.world = new World(seed, { ...SHAPE, ops: 4, valueKb: 1, capacity: 40, teams, types });
+    this.world = new ClusterSimulation(seed, {
+      ...CLUSTER_CONFIG,
+      maxTransactionOperations: 4,
+      maxValueKb: 1,
+      machineCapacity: 40,
+      teams,
+      machineTypes: types,
+    });
     // No machine on which everything fails.
-    this.world.faulty.add = () => this.world.faulty;
-    const { sim } = this.world;
+    this.world.faultyMachines.add = () => this.world.faultyMachines;
+    const { simulator: sim } = this.world;
     const tasks = sim.pick([2, 5, 20, 40, 80, 80]);
-    const spec = job(this.world, {
+    const spec = makeJobSpec(this.world, {
       kind: 'gang',
       priority: 2,
       taskCount: tasks,
@@ -55,27 +62,27 @@
     });
     this.gang = spec.id;
     this.records = Math.ceil(tasks / 16);
-    this.world.runMs = (id) => (id === spec.id ? RUN_MS : 4000);
-    this.world.submit(spec);
+    this.world.runDurationMs = (id) => (id === spec.id ? RUN_MS : 4000);
+    this.world.submitJob(spec);
   }
 
   stored(): number {
     const prefix = `place/${this.gang}/`;
-    return [...this.world.state.keys.keys()].filter((key) => key.startsWith(prefix)).length;
+    return [...this.world.store.records.keys()].filter((key) => key.startsWith(prefix)).length;
   }
 
   /** Machines with a task of the gang in this phase. */
   machinesIn(phase: Phase): string[] {
     return [...this.world.workers.values()]
-      .filter((worker) => worker.tasks.some((task) => task.job === this.gang && task.phase === phase))
+      .filter((worker) => worker.tasks.some((task) => task.jobId === this.gang && task.phase === phase))
       .map((worker) => worker.name);
   }
 
   /** Runs until this holds, or the gang is done. */
   until(holds: () => boolean, ms = 90_000): boolean {
-    const { sim, jobs } = this.world;
+    const { simulator: sim, jobs } = this.world;
     const end = sim.now + ms;
-    while (sim.now < end && jobs.get(this.gang)?.told !== 'done') {
+    while (sim.now < end && jobs.get(this.gang)?.reportedState !== 'done') {
       if (holds()) return true;
       sim.run(sim.now + 1);
     }
@@ -87,64 +94,65 @@
   }
 
   leader(): string {
-    const { hosts, procs } = this.world;
-    return hosts.find((host) => procs.get(host)?.ctl.status().scheduler) ?? hosts[0]!;
+    const { nodeNames: hosts, controllers: procs } = this.world;
+    return hosts.find((host) => procs.get(host)?.controller.status().scheduler) ?? hosts[0]!;
   }
 
   owner(): string {
-    const { hosts, procs } = this.world;
+    const { nodeNames: hosts, controllers: procs } = this.world;
     return (
-      hosts.find((host) => (procs.get(host)!.ctl.status().teams as string[]).includes('red')) ?? hosts[0]!
+      hosts.find((host) => (procs.get(host)!.controller.status().teams as string[]).includes('red')) ??
+      hosts[0]!
     );
   }
 
   /** The newest fencing token that any worker has seen. */
   token(): number {
-    return Math.max(0, ...[...this.world.workers.values()].map((worker) => worker.token));
+    return Math.max(0, ...[...this.world.workers.values()].map((worker) => worker.fencingToken));
   }
 
   killAll(): void {
-    for (const host of this.world.hosts) this.world.kill(host, 2000);
+    for (const host of this.world.nodeNames) this.world.crashController(host, 2000);
   }
 
   /** A machine of the gang goes for good, or hangs for a while. */
   loseIn(phase: Phase): void {
     if (!this.until(() => this.machinesIn(phase).length > 0)) return;
-    const { sim, workers } = this.world;
+    const { simulator: sim, workers } = this.world;
     const name = sim.pick(this.machinesIn(phase));
-    if (sim.chance(0.5)) return this.world.destroy(name);
+    if (sim.chance(0.5)) return this.world.destroyMachine(name);
     const worker = workers.get(name)!;
-    worker.hung = true;
-    sim.after(15_000, () => {
-      worker.hung = false;
+    worker.isHung = true;
+    sim.scheduleAfter(15_000, () => {
+      worker.isHung = false;
     });
   }
 
   /** Urgent work has the gang stopped, which saves; a machine goes as it does. */
   loseSaving(): void {
-    this.world.runMs = (id) => (id === this.gang ? 30_000 : 4000);
+    this.world.runDurationMs = (id) => (id === this.gang ? 30_000 : 4000);
     if (!this.until(() => this.machinesIn('running').length > 0)) return;
-    this.world.submit(
-      job(this.world, { priority: 1, taskCount: 200, cpus: 4, memoryGb: 1, spotAllowed: false }),
+    this.world.submitJob(
+      makeJobSpec(this.world, { priority: 1, taskCount: 200, cpus: 4, memoryGb: 1, spotAllowed: false }),
     );
     this.loseIn('saving');
-    this.world.runMs = (id) => (id === this.gang ? RUN_MS : 4000);
+    this.world.runDurationMs = (id) => (id === this.gang ? RUN_MS : 4000);
   }
 }
 
 const TROUBLES: Record<string, (day: GangDay) => void> = {
   'the owner goes between two transactions': (day) => {
     day.untilStored(1);
-    day.world.kill(day.owner(), 3000);
+    day.world.crashController(day.owner(), 3000);
   },
   'the leader goes between two transactions': (day) => {
     day.untilStored(1);
-    day.world.kill(day.leader(), 3000);
+    day.world.crashController(day.leader(), 3000);
   },
   'the state service goes between two transactions': (day) => {
     day.untilStored(1);
-    day.world.state.setDown(true);
-    day.world.sim.after(12_000, () => day.world.state.setDown(false));
+    day.world.store.setDown(true);
+    day.world.simulator.scheduleAfter(12_000, () => day.world.store.setDown(false));
   },
   'all controllers go after the first transaction': (day) => {
     day.untilStored(1);
@@ -164,7 +172,7 @@
   },
   'the leader stands still': (day) => {
     day.untilStored(1);
-    day.world.pause(day.leader(), 8000);
+    day.world.pauseController(day.leader(), 8000);
   },
   'it loses a machine while it fetches': (day) => day.loseIn('fetching'),
   'it loses a machine while it waits': (day) => day.loseIn('waiting'),
@@ -180,15 +188,15 @@
   (seed, trouble) => {
     const day = new GangDay(seed);
     const { world } = day;
-    for (let times = world.sim.pick([1, 1, 2, 3]); times > 0; times--) {
+    for (let times = world.simulator.pick([1, 1, 2, 3]); times > 0; times--) {
       TROUBLES[trouble]!(day);
-      world.sim.run(world.sim.now + 5000);
+      world.simulator.run(world.simulator.now + 5000);
     }
-    world.quietFrom = world.sim.now;
+    world.faultsEndAt = world.simulator.now;
     const before = day.token();
-    world.sim.run(world.sim.now + STARTS_WITHIN_MS);
-    expect(world.broken).toEqual([]);
-    expect(world.unfinished()).toEqual([]);
+    world.simulator.run(world.simulator.now + STARTS_WITHIN_MS);
+    expect(world.violations).toEqual([]);
+    expect(world.unfinishedJobs()).toEqual([]);
     // Each refusal ends an attempt and stops all its tasks; each token costs a new leader's beginning.
     expect(world.refusals.busy).toBe(0);
     expect(day.token() - before).toBeLessThanOrEqual(MOST_TOKENS);
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -3,17 +3,17 @@
 import { createRequestHandler } from '../src/transport/http-api.js';
 import type { HttpResponse, RequestHandler } from '../src/transport/http-server.js';
 import { createUserApi } from '../src/transport/user-api.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
 
-let world: World;
+let world: ClusterSimulation;
 let handle: RequestHandler;
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
 beforeAll(() => {
-  world = new World(7);
-  world.sim.run(3000);
-  const clock = { now: () => world.sim.now, wall: () => world.sim.now } as unknown as Clock;
-  const controller = world.procs.get('c0')!.ctl;
+  world = new ClusterSimulation(7);
+  world.simulator.run(3000);
+  const clock = { now: () => world.simulator.now, wall: () => world.simulator.now } as unknown as Clock;
+  const controller = world.controllers.get('c0')!.controller;
   const userApi = createUserApi({ controller, clock, log });
   handle = createRequestHandler({ userApi, controller, log });
 });
@@ -34,7 +34,7 @@
   });
   for (let i = 0; i < 400 && !response; i++) {
     await new Promise((resolve) => setImmediate(resolve));
-    world.sim.run(world.sim.now + 20);
+    world.simulator.run(world.simulator.now + 20);
   }
   if (!response) throw new Error('no answer');
   return {
@@ -49,7 +49,7 @@
 const poll = (id: string) => ask('GET', `/v2/runs/${id}`);
 const cancel = (id: string) => ask('POST', `/v2/runs/${id}/abort`);
 const checkReadiness = () => ask('GET', '/ready');
-const advance = (ms: number) => world.sim.run(world.sim.now + ms);
+const advance = (ms: number) => world.simulator.run(world.simulator.now + ms);
 
 const JOB = {
   name_id: 'wk-000412',
@@ -112,10 +112,10 @@
 });
 
 test('in an outage users are told when to come back, and workers of a node that does not lead are sent on', async () => {
-  world.state.setDown(true);
+  world.store.setDown(true);
   const reply = await submit({ ...JOB, name_id: 'wk-000700' });
   expect([reply.status, reply.retryAfter]).toEqual([503, expect.stringMatching(/^[123]$/)]);
-  world.state.setDown(false);
+  world.store.setDown(false);
 
   expect((await ask('POST', '/hello', { trunk: 'vm-1' })).status).toBe(400);
   const heartbeat = {
@@ -138,7 +138,7 @@
   advance(10000);
   expect((await checkReadiness()).status).toBe(200);
 
-  world.state.refused.add('c0');
+  world.store.refusedNodes.add('c0');
   advance(4000);
   expect((await checkReadiness()).status).toBe(503);
   const reply = await poll('wk-000412');
@@ -148,13 +148,13 @@
     'close',
   ]);
 
-  world.state.allow('c0');
+  world.store.readmit('c0');
   advance(5000);
   expect((await checkReadiness()).status).toBe(200);
 
-  world.state.setDown(true);
+  world.store.setDown(true);
   advance(8000);
   expect((await checkReadiness()).status).toBe(200);
   expect((await poll('wk-000412')).connection).toBe(null);
-  world.state.setDown(false);
+  world.store.setDown(false);
 });
--- a/test/write-doubt.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -3,9 +3,9 @@
 import { LimitedLog } from '../src/model/limited-log.js';
 import type { LogFields } from '../src/model/logger.js';
 import type { Team } from '../src/model/team.js';
-import { job, playDoubtfulDay } from './standin/day.js';
-import { OwnerStandin } from './standin/owner.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec, runIndeterminateWritesScenario } from './simulation/scenario.js';
+import { ShardOwnerHarness } from './simulation/shard-owner-harness.js';
 
 // Transactions of an owner that get no answer: they may have been carried out, or may yet be.
 
@@ -21,37 +21,37 @@
   guaranteedGpus: 0,
   maxGpus: 0,
 };
-const world = new World(1);
+const world = new ClusterSimulation(1);
 const specs = ['wk-000001', 'wk-000002', 'wk-000003'].map((id) =>
-  job(world, { id, taskCount: LIMIT_TASKS, cpus: CPUS }),
+  makeJobSpec(world, { id, taskCount: LIMIT_TASKS, cpus: CPUS }),
 );
 const cpus = () => CPUS;
 
 test('what a write in doubt places counts against the limit while other jobs of that write are read again', () => {
-  const standin = new OwnerStandin(TEAM, specs);
-  standin.losses.push('carried out at once');
+  const standin = new ShardOwnerHarness(TEAM, specs);
+  standin.lostAnswers.push('carried out at once');
   standin.grant('wk-000001', 5);
   standin.grant('wk-000002', 5);
-  standin.heldReads = 'open/wk-000002';
+  standin.heldReadPrefix = 'open/wk-000002';
   // The first job has been read again, which makes the owner tell all it holds; the second has not.
   standin.run(3000);
-  expect(standin.said.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
+  expect(standin.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
   standin.grant('wk-000003', 5);
   standin.run(1000);
-  standin.release();
+  standin.releaseReads();
   standin.run(3000);
-  expect(standin.storedPlacements()).toEqual({ 'wk-000001': 5, 'wk-000002': 5 });
+  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': 5, 'wk-000002': 5 });
 });
 
 test('a write that was not found when its jobs were read again is never carried out later', () => {
-  const standin = new OwnerStandin(TEAM, specs);
-  standin.losses.push('carried out late');
+  const standin = new ShardOwnerHarness(TEAM, specs);
+  standin.lostAnswers.push('carried out late');
   standin.grant('wk-000001', 5);
   standin.grant('wk-000002', 5);
   standin.run(3000);
   standin.grant('wk-000003', LIMIT_TASKS);
   standin.run(3000);
-  expect(standin.storedPlacements()).toEqual({ 'wk-000003': LIMIT_TASKS });
+  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000003': LIMIT_TASKS });
   standin.carryOutLate();
   expect(standin.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
@@ -62,7 +62,8 @@
 // to the same job. What showed it: day 19 at 62.743 s, grants 270 and 274 for one place of vm-000009, stored by the same
 // transaction, with a full telling between the two grants; 23 of 24 days had 3 to 69 refusals.
 test('no place of a machine is given twice at a full telling while placements are in flight or in doubt', () => {
-  for (const seed of [1, 2, 19]) expect([seed, playDoubtfulDay(seed).refusals.no_room]).toEqual([seed, 0]);
+  for (const seed of [1, 2, 19])
+    expect([seed, runIndeterminateWritesScenario(seed).refusals.no_room]).toEqual([seed, 0]);
 });
 
 // What happens: the leader starts an attempt once more that has ended. Why: an owner that tells it all it holds left out the ended
@@ -71,11 +72,11 @@
 // stored, and the leader, which no longer knew that it had ended, started it. What showed it: day 19, wk-000063/4 ended at
 // 71.262 s, its outcome in flight from 71.954 s, a full telling at 72.278 s, read again at 76.482 s, started at 76.49 s.
 test('an attempt that ended is told as held while its outcome is in flight or in doubt', () => {
-  const standin = new OwnerStandin(TEAM, specs);
+  const standin = new ShardOwnerHarness(TEAM, specs);
   standin.grant('wk-000001', 1);
   standin.run(100);
   const ended = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
-  standin.losses.push('carried out late');
+  standin.lostAnswers.push('carried out late');
   standin.owner.onLeaderMessage({
     type: 'allocationEvents',
     fencingToken: 1,
@@ -84,15 +85,15 @@
   const told: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
     standin.run(400);
-    standin.said.length = 0;
+    standin.sentMessages.length = 0;
     standin.owner.resync();
     standin.run(1);
-    const placements = standin.said.flatMap((message) =>
+    const placements = standin.sentMessages.flatMap((message) =>
       message.type === 'fullSync' ? message.placements : [],
     );
     told.push(placements.find(({ taskIndex, machine }) => taskIndex === 0 && machine === 'm1')?.desiredState);
   }
-  expect(standin.late.length).toBe(1);
+  expect(standin.lateTransactions.length).toBe(1);
   expect(told.slice(0, 3)).toEqual(['keep', 'keep', 'keep']);
   expect(told).not.toContain(undefined);
 });
@@ -100,68 +101,71 @@
 test.each(Array.from({ length: seeds }, (_, i) => from + i))(
   'day %i with teams at their limits and transactions without an answer keeps the rules and finishes its work',
   (seed) => {
-    const w = playDoubtfulDay(seed);
-    expect(w.broken.slice(0, 5)).toEqual([]);
-    expect(w.unfinished()).toEqual([]);
-    expect(w.service.startsAfterCancellation).toBe(0);
-    expect(w.starts).toBeGreaterThan(0);
+    const w = runIndeterminateWritesScenario(seed);
+    expect(w.violations.slice(0, 5)).toEqual([]);
+    expect(w.unfinishedJobs()).toEqual([]);
+    expect(w.serviceLevel.startsAfterCancellation).toBe(0);
+    expect(w.taskStarts).toBeGreaterThan(0);
   },
   120000,
 );
 
 test('the fence is seen to have moved although the answer to its own write is lost', () => {
-  const standin = new OwnerStandin(TEAM, specs);
-  standin.losses.push('carried out late', 'carried out at once');
+  const standin = new ShardOwnerHarness(TEAM, specs);
+  standin.lostAnswers.push('carried out late', 'carried out at once');
   standin.grant('wk-000001', 5);
   standin.run(4000);
-  expect(standin.linesOf('write in doubt resolved').length).toBe(1);
+  expect(standin.logLines('write in doubt resolved').length).toBe(1);
   expect(standin.carryOutLate()).toBe(0);
   standin.grant('wk-000001', LIMIT_TASKS);
   standin.run(1000);
-  expect(standin.storedPlacements()).toEqual({ 'wk-000001': LIMIT_TASKS });
+  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': LIMIT_TASKS });
 });
 
 test('a write and its fence that are both late: carried out before the fence has moved it is found, after it never', () => {
   for (const early of [true, false]) {
-    const standin = new OwnerStandin(TEAM, specs);
-    standin.losses.push('carried out late', 'carried out late');
+    const standin = new ShardOwnerHarness(TEAM, specs);
+    standin.lostAnswers.push('carried out late', 'carried out late');
     standin.grant('wk-000001', 5);
     standin.run(2000);
     if (early) expect(standin.carryOutLate()).toBe(2);
     standin.run(3000);
     expect(standin.carryOutLate()).toBe(0);
-    expect(standin.storedPlacements()).toEqual(early ? { 'wk-000001': 5 } : {});
+    expect(standin.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
     expect(standin.owner.stats().placed).toBe(early ? 5 : 0);
   }
 });
 
 test('a write that fails by its fence alone is sent again, and its jobs are not read for it', () => {
-  const standin = new OwnerStandin(TEAM, specs);
+  const standin = new ShardOwnerHarness(TEAM, specs);
   standin.grant('wk-000001', 1);
   standin.run(100);
   // A write of the process before this one on the same host, carried out late.
-  standin.put('fence/o', { inst: 'earlier' });
+  standin.writeRecord('fence/o', { inst: 'earlier' });
   standin.grant('wk-000002', 5);
   standin.run(1000);
-  expect(standin.storedPlacements()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
-  expect(standin.linesOf('job read again')).toEqual([]);
+  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
+  expect(standin.logLines('job read again')).toEqual([]);
 });
 
 test("what a write in doubt, its end and a team's use look like in the log", () => {
-  const standin = new OwnerStandin(TEAM, specs);
-  standin.losses.push('carried out at once');
+  const standin = new ShardOwnerHarness(TEAM, specs);
+  standin.lostAnswers.push('carried out at once');
   standin.grant('wk-000001', 5);
   standin.run(3000);
-  expect(standin.linesOf('write in doubt')[0]?.fields).toMatchObject({
+  expect(standin.logLines('write in doubt')[0]?.fields).toMatchObject({
     jobs: ['wk-000001'],
     of: 1,
     placements: 5,
   });
-  expect(standin.linesOf('write in doubt resolved')[0]?.fields).toMatchObject({ job: 'wk-000001', found: 5 });
-  expect(standin.linesOf('team usage changed').map((line) => line.fields)).toContainEqual(
+  expect(standin.logLines('write in doubt resolved')[0]?.fields).toMatchObject({
+    job: 'wk-000001',
+    found: 5,
+  });
+  expect(standin.logLines('team usage changed').map((line) => line.fields)).toContainEqual(
     expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, cpus_max: TEAM.maxCpus }),
   );
-  expect(standin.linesOf('team counted over its limit')).toEqual([]);
+  expect(standin.logLines('team counted over its limit')).toEqual([]);
 });
 
 test('a line that a trouble repeats is bounded, and says how many were left out', () => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -8,18 +8,18 @@
 import type { TaskStatus, WorkerCommand } from '../src/model/worker-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
 import { jobRecord } from '../src/store/record-codec.js';
-import { job } from './standin/day.js';
-import { ownerOptions } from './standin/owner.js';
-import { scheduler } from './standin/scheduler.js';
-import { SHAPE } from './standin/shape.js';
-import { World } from './standin/world.js';
+import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/scenario.js';
+import { SchedulerHarness } from './simulation/scheduler-harness.js';
+import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
 // One leader and one owner with 4,000 machines: counts of work and bounds on memory, not times.
 
 const MACHINES = 4000;
 const HEAP_BOUND = 60 * 1024 * 1024;
 
-type SchedulerStandin = ReturnType<typeof scheduler>;
+type SchedulerStandin = SchedulerHarness;
 interface Inside {
   state: {
     changedMachines: Set<unknown>;
@@ -27,7 +27,7 @@
     capacityOf: (...args: unknown[]) => unknown;
   };
 }
-const insideOf = (t: SchedulerStandin) => t.k as unknown as Inside;
+const insideOf = (t: SchedulerStandin) => t.scheduler as unknown as Inside;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
@@ -65,8 +65,8 @@
     random: () => 0,
   };
   const owner = new ShardOwner(
-    ownerOptions({
-      teams: new Map(SHAPE.teams.map((team) => [team.name, team])),
+    shardOwnerOptions({
+      teams: new Map(CLUSTER_CONFIG.teams.map((team) => [team.name, team])),
       maxValueKb: 16,
       maxTransactionOperations: 32,
       maxTasksPerRequest: MACHINES,
@@ -75,7 +75,7 @@
       send,
     }),
   );
-  owner.setShards(new Map(SHAPE.teams.map((team) => [team.name, 1])));
+  owner.setShards(new Map(CLUSTER_CONFIG.teams.map((team) => [team.name, 1])));
   return owner;
 }
 
@@ -84,7 +84,7 @@
   readonly names = Array.from({ length: MACHINES }, (_, i) => `vm-${String(i).padStart(6, '0')}`);
   readonly tasks = new Map<string, Map<string, TaskStatus>>(this.names.map((name) => [name, new Map()]));
   readonly owner: ShardOwner;
-  leader = scheduler(5, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
+  leader = new SchedulerHarness(5, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
   messages = 0;
   private toldUpTo = 0;
 
@@ -92,7 +92,7 @@
     this.owner = ownerWith(specs, (message) => {
       this.messages++;
       this.leader.owner.told += message.type === 'placements' ? 1 : 0;
-      this.leader.k.onShardMessage(JSON.parse(JSON.stringify(message)));
+      this.leader.scheduler.onShardMessage(JSON.parse(JSON.stringify(message)));
     });
     this.owner.setLeader(5);
   }
@@ -104,7 +104,7 @@
   report(name: string, token: number): void {
     const tasks = this.tasks.get(name)!;
     const over = { machine: name, address: name, zone: this.zoneOf(name) };
-    const commands = this.leader.report([...tasks.values()], token, over) ?? [];
+    const commands = this.leader.heartbeat([...tasks.values()], token, over) ?? [];
     for (const command of commands) this.execute(name, command);
   }
 
@@ -125,16 +125,16 @@
   /** All machines, or those of some zones, report once, and messages go back and forth. */
   round(token: number, zones: string[] = ['a', 'b']): void {
     for (const name of this.names) if (zones.includes(this.zoneOf(name))) this.report(name, token);
-    this.leader.later(1000);
-    this.leader.k.flush();
-    for (const call of this.leader.calls.splice(0)) call.cb({ ok: false, kind: 'refused' });
-    const { said } = this.leader;
+    this.leader.advance(1000);
+    this.leader.scheduler.flush();
+    for (const call of this.leader.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
+    const { sentMessages: said } = this.leader;
     for (; this.toldUpTo < said.length; this.toldUpTo++) this.owner.onLeaderMessage(said[this.toldUpTo]!);
     this.owner.flush();
   }
 
   elect(token: number): void {
-    this.leader = scheduler(token, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
+    this.leader = new SchedulerHarness(token, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
     this.toldUpTo = 0;
     this.owner.setLeader(token);
     this.owner.flush();
@@ -148,7 +148,7 @@
 }
 
 test('4,000 machines register, get work, see an election and the loss of a zone', () => {
-  const array = job(new World(1), {
+  const array = makeJobSpec(new ClusterSimulation(1), {
     team: 'free',
     taskCount: MACHINES,
     cpus: 4,
@@ -174,8 +174,8 @@
     capacities++;
     return roomOf(...args);
   };
-  fleet.leader.later(1000);
-  fleet.leader.k.flush();
+  fleet.leader.advance(1000);
+  fleet.leader.scheduler.flush();
   expect(capacities).toBeLessThanOrEqual(MACHINES);
 
   // An election: the owner tells all it holds in parts of a bounded size, and nothing is stopped or started again.
@@ -184,11 +184,11 @@
   expect(fleet.messages).toBeLessThanOrEqual(12);
   for (let i = 0; i < 6; i++) fleet.round(6);
   expect(fleet.running()).toBe(MACHINES);
-  expect(fleet.leader.k.stats().entries).toBe(MACHINES);
+  expect(fleet.leader.scheduler.stats().entries).toBe(MACHINES);
 
   // A zone with most machines falls silent, and no sibling bears out that they are dead: none is deleted.
   for (let i = 0; i < 12; i++) fleet.round(6, ['a']);
-  expect(fleet.leader.removed).toEqual([]);
+  expect(fleet.leader.deletedMachines).toEqual([]);
   for (let i = 0; i < 3; i++) fleet.round(6);
   expect(fleet.running()).toBe(MACHINES);
   expect(heapUsed() - before).toBeLessThan(1.5 * HEAP_BOUND);
@@ -202,7 +202,7 @@
     nodeName: 'c0',
     instanceId: 'c0.1',
     peerNames: ['c1'],
-    teams: SHAPE.teams,
+    teams: CLUSTER_CONFIG.teams,
     workerTiming: { heartbeatIntervalSeconds: 3, leaseSeconds: 21, cancellationSeconds: 46 },
     storeLimits: { maxValueKb: 16, maxTransactionOperations: 16, writesPerSecond: 20 },
     machineListLagSeconds: 3,
--- /dev/null
+++ b/test/placement.test.ts
@@ -0,0 +1,208 @@
+import { expect, test } from 'vitest';
+import { planRentals, RentalBackoff } from '../src/scheduler/fleet/rental-planner.js';
+import { ImageLocations } from '../src/scheduler/image-locations.js';
+import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/scenario.js';
+import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
+
+test('a guarantee claims no more than what another team has beyond its own', () => {
+  const t = new SchedulerHarness(5);
+  // Blue (8 guaranteed) runs 9 CPUs: only one of them may be stopped, and one is not enough.
+  t.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+  t.heartbeat([]);
+  const blue = { ...t.placementSpec('run'), team: 'blue', priority: 3 as const, cpus: 1, memoryGb: 0.5 };
+  for (let i = 0; i < 4; i++) t.sendPlacement({ ...blue, jobId: `wk-b${i}` });
+  t.sendPlacement({ ...blue, jobId: 'wk-b9', machine: 'n', cpus: 5, priority: 0, isService: true });
+  t.sendPlacement({
+    ...blue,
+    jobId: 'wk-f',
+    team: 'red',
+    machine: 'n',
+    cpus: 11,
+    priority: 0,
+    isService: true,
+  });
+  t.sendRequests([makeResourceRequest('wk-2', { team: 'free', priority: 1, cpus: 4, memoryGb: 1 })]);
+  for (let i = 0; i < 10; i++) {
+    t.heartbeat([]);
+    t.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+    t.advance(1000);
+    t.scheduler.flush();
+  }
+  expect(t.sentMessages.filter((message) => message.type === 'evict')).toEqual([]);
+});
+
+test('machines for spread replicas are not rented again and again where they may not go', () => {
+  const capacity = new RentalBackoff(5000, 15000);
+  for (const zone of ['a', 'b'])
+    for (const type of ['small', 'big'])
+      if (zone === 'b') capacity.onRefused({ machineType: type, zone, isSpot: false }, 0);
+  const request = makeResourceRequest('wk-1', {
+    isService: true,
+    priority: 0,
+    spotAllowed: false,
+    cpus: 4,
+    zoneAllowance: {},
+    maxTasksPerZone: 4,
+  });
+  const input = {
+    machineTypes: CLUSTER_CONFIG.machineTypes,
+    rentalBackoff: capacity,
+    now: 0,
+    amortizationSeconds: 60,
+    serviceAmortizationSeconds: 60,
+    scarceZone: 'b',
+    maxCalls: 4,
+  };
+  const first = planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: [] });
+  const slots = first.reduce(
+    (n, rental) =>
+      n +
+      rental.count *
+        (CLUSTER_CONFIG.machineTypes.find((machineType) => machineType.name === rental.machineType)!.cpus /
+          4),
+    0,
+  );
+  expect(slots).toBe(4);
+  const coming = first.flatMap((rental) =>
+    Array.from({ length: rental.count }, () => {
+      const machineType = CLUSTER_CONFIG.machineTypes.find((x) => x.name === rental.machineType)!;
+      return {
+        machineName: '',
+        machineType: machineType.name,
+        zone: rental.zone,
+        isSpot: false,
+        cpus: machineType.cpus,
+        gpus: 0,
+        memoryGb: machineType.memoryGb,
+        totalCpus: machineType.cpus,
+        images: null,
+        imageFetchGbPerSecond: 1,
+        penaltySeconds: 0,
+        reservation: null,
+        isSurplus: false,
+      };
+    }),
+  );
+  expect(
+    planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: coming }),
+  ).toEqual([]);
+});
+
+test('a large array begins within its bound while small ones keep coming', () => {
+  const w = new ClusterSimulation(11);
+  w.cloud.capacity = 2;
+  let n = 0;
+  const small = () => {
+    w.submitJob(makeJobSpec(w, { id: `wk-s${++n}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }));
+    w.simulator.scheduleAfter(1500, small);
+  };
+  small();
+  w.simulator.run(20000);
+  const large = makeJobSpec(w, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
+  w.submitJob(large);
+  const at = w.simulator.now;
+  const begun = () =>
+    [...w.workers.values()].some((x) => x.tasks.some((t) => t.jobId === large.id)) ||
+    w.completedTasks.has('wk-large/0');
+  while (!begun() && w.simulator.now < at + 240000) w.simulator.run(w.simulator.now + 500);
+  expect((w.simulator.now - at) / 1000).toBeLessThan(180);
+  expect(w.violations).toEqual([]);
+}, 60000);
+
+test('work does not wait for machines that are overdue', () => {
+  const t = new SchedulerHarness(5);
+  t.rentals.served = true;
+  t.sendRequests([
+    makeResourceRequest('wk-1', { isService: true, priority: 0, spotAllowed: false, cpus: 4, taskCount: 1 }),
+  ]);
+  const run = (seconds: number) => {
+    for (let i = 0; i < seconds; i++) {
+      t.advance(1000);
+      t.scheduler.flush();
+    }
+  };
+  run(7);
+  expect(t.rentals.n).toBe(1);
+  run(13);
+  expect(t.rentals.n).toBeGreaterThan(1);
+});
+
+test('what one scheduler learnt of images the next one knows', () => {
+  const a = new ImageLocations();
+  a.learn('m', 'i', 1);
+  a.learn('m', 'i', 1);
+  a.learn('n', 'k', 2);
+  a.forget('n');
+  const n = a.takeChanges();
+  const b = new ImageLocations();
+  b.apply([['n', 'old', 1]], []);
+  b.apply(n.added, n.removedMachines);
+  expect([b.all(), a.all(), a.takeChanges()]).toEqual([
+    [['m', 'i', 1]],
+    [['m', 'i', 1]],
+    { added: [], removedMachines: [] },
+  ]);
+});
+
+test('a machine kept for the image of a service is the reserve as well', () => {
+  const t = new SchedulerHarness(5, { reserve_replicas: 1, idle_s: 10 });
+  const n = { machine: 'n', address: 'n' };
+  const replica = { ...t.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
+  t.heartbeat([], 5, n);
+  t.sendPlacement(replica);
+  t.heartbeat([taskStatus('running')], 5, n);
+  t.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, n);
+  t.sendPlacement({ ...replica, desiredState: 'reap' });
+  for (let i = 0; i < 30; i++) {
+    t.heartbeat([], 5, n);
+    t.heartbeat([]);
+    t.advance(1000);
+    t.scheduler.flush();
+    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+  }
+  expect(t.deletedMachines).toEqual(['m']);
+});
+
+test('room kept for urgent work is given to lower work that found none for long', () => {
+  const t = new SchedulerHarness(5, { reserve_batch: 4, idle_s: 1e6 }, [
+    { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
+  ]);
+  t.heartbeat([]);
+  t.sendRequests([makeResourceRequest('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
+  t.grantedJobs();
+  const low = makeResourceRequest('wk-low', { priority: 3, cpus: 4 });
+  t.sendRequests([low]);
+  t.scheduler.onShardMessage({ type: 'release', fencingToken: 5, instanceId: 'o', tasks: [], grants: [1] });
+  const run = (seconds: number) => {
+    for (let i = 0; i < seconds; i++) {
+      t.heartbeat([]);
+      t.advance(1000);
+      t.scheduler.flush();
+    }
+  };
+  run(40);
+  expect(t.grantedJobs()).toEqual(['wk-u']);
+  run(20);
+  expect(t.grantedJobs()).toEqual(['wk-u', 'wk-low']);
+});
+
+test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
+  const t = new SchedulerHarness(5, { idle_s: 1e6 });
+  t.heartbeat([]);
+  const ended = { ...taskStatus('exited'), exitReason: 'busy' as const };
+  t.heartbeat([ended]);
+  t.sendRequests([makeResourceRequest('wk-1'), makeResourceRequest('wk-2')]);
+  expect(t.grantedJobs()).toEqual(['wk-2']);
+  for (let i = 0; i < 20; i++) {
+    t.heartbeat([ended]);
+    t.advance(1000);
+    t.scheduler.flush();
+  }
+  expect(t.grantedJobs()).toEqual(['wk-2']);
+  expect(t.tokenRaiseReasons.length).toBeGreaterThan(0);
+  t.heartbeat([]);
+  t.advance(1000);
+  expect(t.grantedJobs()).toEqual(['wk-2', 'wk-1']);
+});
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { listed, makeWant, scheduler } from './standin/scheduler.js';
+import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 // What happens: tasks are stopped for a service, stand ready for 5 s, find their old place again and are stopped once more, for
 // minutes (inc-1fa0: one task 16 times). Why: the ordinary room of the zone with the fewest types is kept for replicas that must be
@@ -7,22 +7,22 @@
 // ordinary machine of wroclaw-dc: seven tasks stopped at 201.42 s for seven one-task services, all placed there again at
 // 206.49 s, when the reservation of 5 s was over, and stopped again at 206.51 s; each service began elsewhere in the end.
 
-type SchedulerStandin = ReturnType<typeof scheduler>;
+type SchedulerStandin = SchedulerHarness;
 
-const stopsFor = (t: SchedulerStandin) => t.said.filter((message) => message.type === 'evict').length;
+const stopsFor = (t: SchedulerStandin) => t.sentMessages.filter((message) => message.type === 'evict').length;
 
 /** Low work fills one ordinary machine in this zone; zone b has the fewest types. One service must be spread. */
 function fullMachineIn(zone: string): SchedulerStandin {
-  const t = scheduler(5);
+  const t = new SchedulerHarness(5);
   const over = { zone };
-  t.report([], 5, over);
-  t.hold({ ...t.held('run'), jobId: 'wk-low', priority: 3, cpus: 4, memoryGb: 1 });
-  t.report([{ ...listed('running'), jobId: 'wk-low' }], 5, over);
+  t.heartbeat([], 5, over);
+  t.sendPlacement({ ...t.placementSpec('run'), jobId: 'wk-low', priority: 3, cpus: 4, memoryGb: 1 });
+  t.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, over);
   return t;
 }
 
 const service = (id: string, over: object) =>
-  makeWant(id, { priority: 0, isService: true, spotAllowed: false, cpus: 4, ...over });
+  makeResourceRequest(id, { priority: 0, isService: true, spotAllowed: false, cpus: 4, ...over });
 const spread = service('wk-spread', { zoneAllowance: {}, machineTypes: ['big'] });
 
 test.each([
@@ -32,11 +32,11 @@
   'work in zone %s is stopped for a service that need not be spread only where it may then go (%i)',
   (zone, stops) => {
     const t = fullMachineIn(zone);
-    t.wants([spread, service('wk-alone', {})]);
+    t.sendRequests([spread, service('wk-alone', {})]);
     for (let i = 0; i < 3; i++) {
-      t.report([{ ...listed('running'), jobId: 'wk-low' }], 5, { zone });
-      t.later(1000);
-      t.k.flush();
+      t.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, { zone });
+      t.advance(1000);
+      t.scheduler.flush();
     }
     expect(stopsFor(t)).toBe(stops);
   },
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -10,9 +10,9 @@
 import { assignGrants } from '../src/shard/grant-assignment.js';
 import { createOwnedJob, type OwnedJob } from '../src/shard/owned-job.js';
 import { TeamUsage } from '../src/shard/team-usage.js';
-import { job } from './standin/day.js';
-import { makeWant, scheduler } from './standin/scheduler.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/scenario.js';
+import { makeResourceRequest, SchedulerHarness } from './simulation/scheduler-harness.js';
 
 // Which machines would refuse which tasks, and what is placed where; the story is told in gang-attempts.test.ts.
 
@@ -26,8 +26,7 @@
   ...over,
 });
 const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
-const isGranted = (t: ReturnType<typeof scheduler>, id: string) =>
-  t.grants().filter((job) => job === id).length;
+const isGranted = (t: SchedulerHarness, id: string) => t.grantedJobs().filter((job) => job === id).length;
 
 // ---- matching ----------------------------------------------------------------------------------------
 
@@ -89,7 +88,7 @@
 // ---- the leader --------------------------------------------------------------------------------------
 
 const gang = (over: object = {}) =>
-  makeWant('wk-gang', {
+  makeResourceRequest('wk-gang', {
     allOrNothing: true,
     spotAllowed: false,
     cpus: 4,
@@ -98,12 +97,13 @@
     ...over,
   });
 
-function fleet(lists: Record<string, TaskStatus[]>): { t: ReturnType<typeof scheduler>; second: () => void } {
-  const t = scheduler(5, { idle_s: 1e6 });
+function fleet(lists: Record<string, TaskStatus[]>): { t: SchedulerHarness; second: () => void } {
+  const t = new SchedulerHarness(5, { idle_s: 1e6 });
   const second = () => {
-    for (const [machine, tasks] of Object.entries(lists)) t.report(tasks, 5, { machine, address: machine });
-    t.later(1000);
-    t.k.flush();
+    for (const [machine, tasks] of Object.entries(lists))
+      t.heartbeat(tasks, 5, { machine, address: machine });
+    t.advance(1000);
+    t.scheduler.flush();
   };
   second();
   return { t, second };
@@ -111,19 +111,19 @@
 
 test('a gang begins on machines that list its ended attempts if its tasks can be given out otherwise', () => {
   const { t, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 1)] });
-  t.wants([gang()]);
+  t.sendRequests([gang()]);
   second();
   expect(isGranted(t, 'wk-gang')).toBe(2);
-  expect(t.raised).toEqual([]);
+  expect(t.tokenRaiseReasons).toEqual([]);
 });
 
 test('a machine is passed over for a gang if no task can be given to it, and others are chosen', () => {
   // Whatever a and b get, task 0 is left; c takes it.
   const { t, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)], c: [] });
-  t.wants([gang()]);
+  t.sendRequests([gang()]);
   second();
   expect(isGranted(t, 'wk-gang')).toBe(2);
-  const machines = t.said.flatMap((message) =>
+  const machines = t.sentMessages.flatMap((message) =>
     message.type === 'grants' ? message.grants.map((grant) => grant.machine) : [],
   );
   expect(machines).toContain('c');
@@ -132,29 +132,29 @@
 test('a higher token is asked for only if the gang would begin but for ended attempts, and after 15 s of that', () => {
   const blocked = { a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)] };
   const alone = fleet(blocked);
-  alone.t.wants([gang()]);
+  alone.t.sendRequests([gang()]);
   for (let i = 0; i < 14; i++) alone.second();
-  expect([isGranted(alone.t, 'wk-gang'), alone.t.raised.length]).toEqual([0, 0]);
+  expect([isGranted(alone.t, 'wk-gang'), alone.t.tokenRaiseReasons.length]).toEqual([0, 0]);
   for (let i = 0; i < 4; i++) alone.second();
-  expect(alone.t.raised[0]).toContain('ended attempts of wk-gang');
+  expect(alone.t.tokenRaiseReasons[0]).toContain('ended attempts of wk-gang');
   // A third task has no machine at all: no token would help.
   const short = fleet(blocked);
-  short.t.wants([gang({ taskCount: 3 })]);
+  short.t.sendRequests([gang({ taskCount: 3 })]);
   for (let i = 0; i < 20; i++) short.second();
-  expect(short.t.raised).toEqual([]);
+  expect(short.t.tokenRaiseReasons).toEqual([]);
 });
 
 test('an array or service passes a machine over that lists all tasks it has left, and no other', () => {
   for (const service of [false, true]) {
     const over = { cpus: 4, spotAllowed: false, isService: service };
     const { t, second } = fleet({ a: [ended('wk-1', 0), ended('wk-1', 2)] });
-    t.wants([makeWant('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
+    t.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
     second();
     expect(isGranted(t, 'wk-1')).toBe(0);
-    t.wants([makeWant('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
+    t.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
     second();
     expect(isGranted(t, 'wk-1')).toBe(1);
-    const [grant] = t.said.flatMap((message) => (message.type === 'grants' ? message.grants : []));
+    const [grant] = t.sentMessages.flatMap((message) => (message.type === 'grants' ? message.grants : []));
     expect(grant?.endedTasks).toEqual([0, 2]);
   }
 });
@@ -163,13 +163,13 @@
   const lists = { a: [ended('wk-1', 0)] };
   const { t, second } = fleet(lists);
   const reaps = () => {
-    const answer = t.report(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
+    const answer = t.heartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
     return answer.filter((command) => command.type === 'reap').length;
   };
-  t.hold({ ...t.held('reap'), jobId: 'wk-1', machine: 'a' });
+  t.sendPlacement({ ...t.placementSpec('reap'), jobId: 'wk-1', machine: 'a' });
   second();
   expect(reaps()).toBe(0);
-  t.wants([makeWant('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
+  t.sendRequests([makeResourceRequest('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
   second();
   expect(reaps()).toBe(1);
 });
@@ -177,9 +177,9 @@
 test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
   const MACHINES = 4000;
   const JOBS = 200;
-  const t = scheduler(5, { idle_s: 1e6 });
+  const t = new SchedulerHarness(5, { idle_s: 1e6 });
   const report = (i: number, over: Partial<Heartbeat> = {}) =>
-    t.report([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, {
+    t.heartbeat([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, {
       machine: `m${i}`,
       address: `m${i}`,
       ...over,
@@ -187,13 +187,13 @@
   for (let i = 0; i < MACHINES; i++) report(i);
   const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
   const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
-  t.wants(
+  t.sendRequests(
     Array.from({ length: JOBS }, (_, i) =>
-      makeWant(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
+      makeResourceRequest(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
     ),
   );
-  t.later(1000);
-  t.k.flush();
+  t.advance(1000);
+  t.scheduler.flush();
   const seen = looks.mock.results.reduce(
     (sum, { value }) => sum + [...(value as Iterable<unknown>)].length,
     0,
@@ -208,7 +208,7 @@
 // ---- the owner ---------------------------------------------------------------------------------------
 
 function owned(over: Partial<JobSpec>): OwnedJob {
-  const spec = job(new World(1), { cpus: 1, ...over });
+  const spec = makeJobSpec(new ClusterSimulation(1), { cpus: 1, ...over });
   const stored = {
     spec,
     acceptedRevision: 1,
@@ -266,9 +266,9 @@
 // ---- reports that nobody expects ------------------------------------------------------------------------
 
 test('lists of unknown, ended and future attempts, in two phases at once, late or twice hold no gang up for good', () => {
-  const w = new World(3, { ...new World(1).shape, capacity: 20 });
-  w.faulty.add = () => w.faulty;
-  const spec = job(w, {
+  const w = new ClusterSimulation(3, { ...new ClusterSimulation(1).config, machineCapacity: 20 });
+  w.faultyMachines.add = () => w.faultyMachines;
+  const spec = makeJobSpec(w, {
     id: 'wk-gang',
     kind: 'gang',
     taskCount: 4,
@@ -281,31 +281,31 @@
     ended('wk-gang', 0, { attempt: 90, phase: 'saving', exitReason: null }),
     ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
   ];
-  w.copies = true;
-  w.submit(spec);
+  w.duplicatesMessages = true;
+  w.submitJob(spec);
   for (let second = 0; second < 20; second++) {
-    w.sim.run(w.sim.now + 1000);
+    w.simulator.run(w.simulator.now + 1000);
     for (const m of w.workers.values()) {
       const r = {
         machine: m.name,
         address: m.name,
-        machineType: m.type,
+        machineType: m.machineType,
         zone: m.zone,
-        isSpot: m.spot,
+        isSpot: m.isSpot,
         agentEpoch: 1,
-        fencingToken: m.token,
+        fencingToken: m.fencingToken,
       };
-      const ctl = w.procs.get(w.sim.pick(w.hosts))!.ctl;
+      const ctl = w.controllers.get(w.simulator.pick(w.nodeNames))!.controller;
       ctl.handleHeartbeat({
         ...r,
-        sequence: m.tally + w.sim.pick([-3, 0, 1]),
+        sequence: m.heartbeatSequence + w.simulator.pick([-3, 0, 1]),
         evictionNoticeSeconds: null,
         tasks: odd(m.name),
       });
     }
   }
-  w.quietFrom = w.sim.now;
-  w.sim.run(w.sim.now + 240_000);
-  expect(w.broken).toEqual([]);
-  expect(w.unfinished()).toEqual([]);
+  w.faultsEndAt = w.simulator.now;
+  w.simulator.run(w.simulator.now + 240_000);
+  expect(w.violations).toEqual([]);
+  expect(w.unfinishedJobs()).toEqual([]);
 });
--- a/test/release-order.test.ts
+++ b/test/release-queue.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
 import { type QueuedJob, ReleaseQueue, type TeamLoad } from '../src/shard/release-queue.js';
-import { job } from './standin/day.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/scenario.js';
 
-const world = new World(31);
+const world = new ClusterSimulation(31);
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
   maxParallel: () => limit,
@@ -17,7 +17,7 @@
   over: Partial<JobSpec> = {},
   state: Partial<QueuedJob> = {},
 ): QueuedJob {
-  const spec = job(world, { id, acceptedAtMs: atS * 1000, ...over });
+  const spec = makeJobSpec(world, { id, acceptedAtMs: atS * 1000, ...over });
   return { spec, acceptedRevision: atS, finishedTasks: 0, placedTasks: 0, failures: 0, ...state };
 }
 
--- a/test/setup.ts
+++ b/test/setup.ts
@@ -1,5 +1,5 @@
 import { afterEach } from 'vitest';
-import { printDigests } from './standin/output-digest.js';
+import { printDigests } from './simulation/output-digest.js';
 
 /**
  * Lets the runner's messages through between tests. Simulated days never wait for anything, so a file of them would keep its
--- a/test/standin/shape.ts
+++ b/test/simulation/cluster-config.ts
@@ -1,27 +1,27 @@
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ServiceLevelObjective, Team } from '../../src/model/team.js';
-import type { Sim } from './sim.js';
+import type { Simulator } from './simulated-time.js';
 
 /** What a deployment is: the settings that its controllers get, and the machines that its cloud has. */
-export interface Shape {
-  hosts: string[];
-  reportS: number;
-  leaseS: number;
-  cancelS: number;
-  ops: number;
-  valueKb: number;
-  writeRps: number;
-  ttlMs: number;
-  types: MachineType[];
+export interface ClusterConfig {
+  nodeNames: string[];
+  heartbeatIntervalSeconds: number;
+  leaseSeconds: number;
+  cancellationSeconds: number;
+  maxTransactionOperations: number;
+  maxValueKb: number;
+  writesPerSecond: number;
+  leaseTtlMs: number;
+  machineTypes: MachineType[];
   teams: Team[];
   objectives: ServiceLevelObjective[];
   /** Machines that the cloud has. */
-  capacity: number;
+  machineCapacity: number;
   /** Zones that have none of them. */
-  empty: string[];
+  zonesWithoutCapacity: string[];
 }
 
-const type = (over: Partial<MachineType>): MachineType => ({
+const makeMachineType = (over: Partial<MachineType>): MachineType => ({
   name: 'small',
   cpus: 4,
   gpus: 0,
@@ -34,7 +34,7 @@
   zones: ['a', 'b'],
   ...over,
 });
-const team = (name: string, cpus: number, cpusMax: number): Team => ({
+const makeTeam = (name: string, cpus: number, cpusMax: number): Team => ({
   name,
   guaranteedCpus: cpus,
   maxCpus: cpusMax,
@@ -42,18 +42,18 @@
   maxGpus: 0,
 });
 
-export const SHAPE: Shape = {
-  hosts: ['c0', 'c1', 'c2'],
-  reportS: 2,
-  leaseS: 20,
-  cancelS: 40,
-  ops: 16,
-  valueKb: 4,
-  writeRps: 100,
-  ttlMs: 2500,
-  types: [
-    type({}),
-    type({
+export const CLUSTER_CONFIG: ClusterConfig = {
+  nodeNames: ['c0', 'c1', 'c2'],
+  heartbeatIntervalSeconds: 2,
+  leaseSeconds: 20,
+  cancellationSeconds: 40,
+  maxTransactionOperations: 16,
+  maxValueKb: 4,
+  writesPerSecond: 100,
+  leaseTtlMs: 2500,
+  machineTypes: [
+    makeMachineType({}),
+    makeMachineType({
       name: 'big',
       cpus: 16,
       memoryGb: 64,
@@ -63,28 +63,28 @@
       zones: ['a'],
     }),
   ],
-  teams: [team('red', 12, 40), team('blue', 8, 24), team('free', 0, 0)],
+  teams: [makeTeam('red', 12, 40), makeTeam('blue', 8, 24), makeTeam('free', 0, 0)],
   objectives: [
     { kind: 'wait', jobClass: 'c', withinSeconds: 1 },
     { kind: 'finished', jobClass: 'c', withinSeconds: 20 },
   ],
-  capacity: 12,
-  empty: [],
+  machineCapacity: 12,
+  zonesWithoutCapacity: [],
 };
 
 /** A deployment drawn by the seed: controllers, zones, one of them perhaps without capacity, teams, types and times. */
-export function drawShape(sim: Sim): Shape {
+export function drawClusterConfig(sim: Simulator): ClusterConfig {
   const all = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(sim.random() * 4));
   const empty = all.length > 1 && sim.chance(0.4) ? [all.at(-1) as string] : [];
   const reportS = sim.pick([1, 2, 4]);
   const leaseS = reportS * sim.pick([6, 10]);
   const teams = Array.from({ length: 1 + Math.floor(sim.random() * 8) }, (_, i) =>
-    team(`t${i}`, sim.pick([0, 8, 12]), sim.pick([0, 16, 24, 40])),
+    makeTeam(`t${i}`, sim.pick([0, 8, 12]), sim.pick([0, 16, 24, 40])),
   );
-  const types = [type({ zones: all })];
+  const types = [makeMachineType({ zones: all })];
   for (let i = 0; i < Math.floor(sim.random() * 5); i++)
     types.push(
-      type({
+      makeMachineType({
         name: `big${i}`,
         cpus: sim.pick([8, 16, 32]),
         memoryGb: sim.pick([16, 64]),
@@ -95,34 +95,34 @@
       }),
     );
   return {
-    ...SHAPE,
-    hosts: Array.from({ length: 1 + Math.floor(sim.random() * 7) }, (_, i) => `c${i}`),
-    reportS,
-    leaseS,
-    cancelS: leaseS * 2,
-    ops: sim.pick([8, 16, 32]),
-    valueKb: sim.pick([4, 8, 16]),
-    writeRps: sim.pick([50, 150]),
-    types,
+    ...CLUSTER_CONFIG,
+    nodeNames: Array.from({ length: 1 + Math.floor(sim.random() * 7) }, (_, i) => `c${i}`),
+    heartbeatIntervalSeconds: reportS,
+    leaseSeconds: leaseS,
+    cancellationSeconds: leaseS * 2,
+    maxTransactionOperations: sim.pick([8, 16, 32]),
+    maxValueKb: sim.pick([4, 8, 16]),
+    writesPerSecond: sim.pick([50, 150]),
+    machineTypes: types,
     teams,
-    capacity: sim.pick([8, 12, 30]),
-    empty,
+    machineCapacity: sim.pick([8, 12, 30]),
+    zonesWithoutCapacity: empty,
   };
 }
 
 /** One team, a thousand machines and more. */
-export const FLEET: Shape = {
-  ...SHAPE,
-  reportS: 6,
-  leaseS: 34,
-  cancelS: 64,
-  ops: 32,
-  valueKb: 16,
-  ttlMs: 3500,
-  teams: [team('red', 0, 0)],
-  types: [
-    type({ bootSeconds: 20, imageFetchGbPerSecond: 0.12, zones: ['a'] }),
-    type({
+export const LARGE_FLEET_CONFIG: ClusterConfig = {
+  ...CLUSTER_CONFIG,
+  heartbeatIntervalSeconds: 6,
+  leaseSeconds: 34,
+  cancellationSeconds: 64,
+  maxTransactionOperations: 32,
+  maxValueKb: 16,
+  leaseTtlMs: 3500,
+  teams: [makeTeam('red', 0, 0)],
+  machineTypes: [
+    makeMachineType({ bootSeconds: 20, imageFetchGbPerSecond: 0.12, zones: ['a'] }),
+    makeMachineType({
       name: 'big',
       cpus: 32,
       memoryGb: 256,
@@ -137,5 +137,5 @@
     { kind: 'finished', jobClass: 'c', withinSeconds: 150 },
     { kind: 'wait', jobClass: 's', withinSeconds: 1 },
   ],
-  capacity: 2000,
+  machineCapacity: 2000,
 };
--- a/test/standin/cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,8 +1,9 @@
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { ListedMachine } from '../../src/model/machine-type.js';
 import type { Result, ResultCallback } from '../../src/model/result.js';
-import type { Shape } from './shape.js';
-import type { Net, Sim } from './sim.js';
+import type { ClusterConfig } from './cluster-config.js';
+import type { SimulatedNetwork } from './simulated-network.js';
+import type { Simulator } from './simulated-time.js';
 
 const DEADLINE_MS = 3000;
 /** The list is so old, taken once a second, and so many are kept. */
@@ -13,30 +14,30 @@
 const NEVER_UP = 0.1;
 const FAULTY = 0.05;
 
-export interface CloudWorld {
-  sim: Sim;
-  net: Net;
-  shape: Shape;
+export interface CloudEnvironment {
+  simulator: Simulator;
+  network: SimulatedNetwork;
+  config: ClusterConfig;
   /** A machine is up. */
-  started(machine: ListedMachine): void;
+  onMachineStarted(machine: ListedMachine): void;
   /** A machine is gone with all that is on it. */
-  stopped(name: string): void;
+  onMachineDeleted(name: string): void;
   /** Everything that this machine runs will fail. */
-  isFaulty(name: string): void;
+  onFaultyMachine(name: string): void;
 }
 
 /** Stand-in for the cloud, from its protocol: rents machines that boot for a while, deletes them and lists them late. */
-export class CloudStandin {
+export class FakeCloud {
   /** Refuses every request. */
-  down = false;
+  isDown = false;
   capacity: number;
   private machines = 0;
   private readonly claims = new Map<string, string[]>();
   private readonly rented = new Map<string, { machine: ListedMachine; at: number }>();
   private readonly snapshots: { at: number; machines: ListedMachine[] }[] = [];
 
-  constructor(private readonly world: CloudWorld) {
-    this.capacity = world.shape.capacity;
+  constructor(private readonly environment: CloudEnvironment) {
+    this.capacity = environment.config.machineCapacity;
   }
 
   /** The name of the next machine. */
@@ -50,25 +51,25 @@
 
   /** The cloud as a controller reaches it. */
   port(host: string, enter: (handle: () => void) => void): CloudProvider {
-    const { net, shape: kind } = this.world;
+    const { network: net, config: kind } = this.environment;
     const ask = <T>(serve: () => Result<T>, then: ResultCallback<T>) =>
       net.call<Result<T>>(
         host,
         'cloud',
         DEADLINE_MS,
-        (reply) => reply(this.down ? { ok: false, kind: 'refused' } : serve()),
+        (reply) => reply(this.isDown ? { ok: false, kind: 'refused' } : serve()),
         (answer) =>
           enter(() =>
             then(answer.got ? answer.value : { ok: false, kind: answer.sent ? 'unknown' : 'refused' }),
           ),
       );
     return {
-      listMachineTypes: (then) => ask(() => ({ ok: true, value: kind.types }), then),
+      listMachineTypes: (then) => ask(() => ({ ok: true, value: kind.machineTypes }), then),
       rentMachines: (claim, type, zone, spot, count, then) =>
         ask(() => this.claim(claim, type, zone, spot, count), then),
       deleteMachines: (names, then) =>
         ask(() => {
-          for (const name of names) this.world.stopped(name);
+          for (const name of names) this.environment.onMachineDeleted(name);
           return { ok: true, value: null };
         }, then),
       listMachines: (since, then) => ask(() => ({ ok: true, value: this.list(since) }), then),
@@ -80,7 +81,7 @@
     const before = this.claims.get(claim);
     if (before) return { ok: true, value: before };
     const names: string[] = [];
-    const { empty } = this.world.shape;
+    const { zonesWithoutCapacity: empty } = this.environment.config;
     while (names.length < count && this.rented.size < this.capacity && !empty.includes(zone))
       names.push(this.rent(type, zone, spot));
     if (names.length === 0) return { ok: false, kind: 'gone' };
@@ -89,7 +90,7 @@
   }
 
   private rent(type: string, zone: string, spot: boolean): string {
-    const { sim, shape: kind } = this.world;
+    const { simulator: sim, config: kind } = this.environment;
     const name = this.nextName();
     const machine: ListedMachine = {
       name,
@@ -102,30 +103,32 @@
     };
     this.rented.set(name, { machine, at: sim.now });
     if (sim.chance(NEVER_UP)) return name;
-    const { bootSeconds: bootS } = kind.types.find((known) => known.name === type)!;
-    if (sim.chance(FAULTY)) this.world.isFaulty(name);
-    sim.after(sim.between(0.3, 1.5) * bootS * 1000, () => {
+    const { bootSeconds: bootS } = kind.machineTypes.find((known) => known.name === type)!;
+    if (sim.chance(FAULTY)) this.environment.onFaultyMachine(name);
+    sim.scheduleAfter(sim.between(0.3, 1.5) * bootS * 1000, () => {
       if (!this.rented.has(name)) return;
       machine.phase = 'running';
-      this.world.started(machine);
+      this.environment.onMachineStarted(machine);
     });
     return name;
   }
 
   private list(since: string): { machines: ListedMachine[]; more: boolean } {
-    const shown = this.snapshots.filter(({ at }) => at <= this.world.sim.now - LIST_LAG_MS).at(-1);
+    const shown = this.snapshots
+      .filter(({ at }) => at <= this.environment.simulator.now - LIST_LAG_MS)
+      .at(-1);
     return { machines: (shown?.machines ?? []).filter(({ name }) => name > since), more: false };
   }
 
   /** Takes the first of the snapshots that the list shows late. */
-  snapshot(): void {
-    const { sim } = this.world;
+  takeSnapshots(): void {
+    const { simulator: sim } = this.environment;
     const machines = [...this.rented.values()].map(({ machine, at }) => ({
       ...machine,
       ageSeconds: (sim.now - at) / 1000,
     }));
     this.snapshots.push({ at: sim.now, machines });
     if (this.snapshots.length > SNAPSHOTS_KEPT) this.snapshots.shift();
-    sim.after(SNAPSHOT_MS, () => this.snapshot());
+    sim.scheduleAfter(SNAPSHOT_MS, () => this.takeSnapshots());
   }
 }
--- a/test/standin/odd-job.ts
+++ b/test/simulation/job-spec.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 
 /** A job for odd requests as long as there is none. */
-export const ODD_JOB: JobSpec = {
+export const DEFAULT_JOB_SPEC: JobSpec = {
   id: '',
   jobClass: 'c',
   team: 'red',
--- a/test/standin/admission.ts
+++ b/test/simulation/quota-checker.ts
@@ -1,5 +1,5 @@
 import type { Transaction } from '../../src/model/key-value-store.js';
-import type { World } from './world.js';
+import type { ClusterSimulation } from './cluster-simulation.js';
 
 /** `place/<id>/<chunk>` as stored: an attempt of a task by its index, with its machine, epoch and zone until it is settled. */
 type StoredPlacement =
@@ -16,14 +16,14 @@
  * Checks each transaction as it is carried out, at once or late: what it newly places must fit into the limits of the teams
  * beside all that their tasks take on machines. A fault is seen here before any of it has started.
  */
-export class Admission {
+export class QuotaChecker {
   constructor(
-    private readonly world: World,
-    private readonly fault: (text: string) => void,
+    private readonly simulation: ClusterSimulation,
+    private readonly reportViolation: (text: string) => void,
   ) {}
 
   /** Carries out a transaction, and looks at what it has placed. */
-  watch<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
+  checkTransaction<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
     const records = transaction.operations.filter((op) => 'put' in op && op.put.startsWith('place/'));
     const before = new Map(
       records.map((op) => ['put' in op ? op.put : '', this.tasksOf('put' in op ? op.put : '')]),
@@ -34,29 +34,31 @@
   }
 
   private tasksOf(key: string): Record<string, StoredPlacement> {
-    const stored = this.world.state.keys.get(key);
+    const stored = this.simulation.store.records.get(key);
     return stored ? (JSON.parse(stored.value) as StoredPlacements).t : {};
   }
 
   private check(key: string, old: Record<string, StoredPlacement>): void {
     const id = key.split('/')[1] ?? '';
-    const spec = this.world.jobs.get(id)?.spec;
-    const limit = this.world.shape.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
+    const spec = this.simulation.jobs.get(id)?.spec;
+    const limit = this.simulation.config.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
     if (!spec || limit === 0) return;
     const added = Object.entries(this.tasksOf(key)).filter(
       ([index, placed]) => placed.length === 4 && placed[0] !== old[index]?.[0],
     );
     const used = this.cpusOnMachines(spec.team) + added.length * spec.cpus;
     if (added.length > 0 && used > limit + EPSILON)
-      this.fault(`quota: ${added.length} tasks of ${id} stored, ${spec.team} would use ${used} of ${limit}`);
+      this.reportViolation(
+        `quota: ${added.length} tasks of ${id} stored, ${spec.team} would use ${used} of ${limit}`,
+      );
   }
 
   private cpusOnMachines(team: string): number {
     let cpus = 0;
-    for (const worker of this.world.workers.values()) {
+    for (const worker of this.simulation.workers.values()) {
       for (const task of worker.tasks) {
-        const spec = this.world.jobs.get(task.job)?.spec;
-        if (worker.onMachine(task) && spec?.team === team) cpus += spec.cpus;
+        const spec = this.simulation.jobs.get(task.jobId)?.spec;
+        if (worker.occupies(task) && spec?.team === team) cpus += spec.cpus;
       }
     }
     return cpus;
--- /dev/null
+++ b/test/simulation/scheduler-harness.ts
@@ -0,0 +1,276 @@
+import type { CloudProvider } from '../../src/model/cloud-provider.js';
+import type { ListedMachine } from '../../src/model/machine-type.js';
+import type { PlacementSpec, ResourceRequest } from '../../src/model/placement.js';
+import type { Policy } from '../../src/model/policy.js';
+import type { Result } from '../../src/model/result.js';
+import type { LeaderMessage } from '../../src/model/shard-messages.js';
+import type { ServiceLevelObjective } from '../../src/model/team.js';
+import type { Heartbeat, TaskStatus, WorkerCommand } from '../../src/model/worker-messages.js';
+import { ImageLocations } from '../../src/scheduler/image-locations.js';
+import { Scheduler } from '../../src/scheduler/scheduler.js';
+import { CLUSTER_CONFIG } from './cluster-config.js';
+
+type DirectCall = { commands: WorkerCommand[]; callback: (result: Result<Heartbeat>) => void };
+
+const SHARD_EPOCHS = { red: 1, blue: 1, free: 1 };
+const POLICY: Policy = {
+  reserve_replicas: 0,
+  reserve_batch: 0,
+  idle_s: 60,
+  amortize_s: 60,
+  amortize_service_s: 60,
+  boot_patience: 3,
+  silent_s: 60,
+  silent_share: 0.5,
+  batch_tasks: 10,
+  parting_s: 30,
+  patience_s: 10,
+};
+
+/** A scheduler alone, with heartbeats made by the test and a worker whose answers the test decides on. */
+export class SchedulerHarness {
+  readonly scheduler: Scheduler;
+  readonly sentMessages: LeaderMessage[] = [];
+  readonly directCalls: DirectCall[] = [];
+  readonly tokenRaiseReasons: string[] = [];
+  readonly deletedMachines: string[] = [];
+  readonly resignationReasons: string[] = [];
+  readonly peers = { n: 0 };
+  /** Jobs known to be stored as cancelled, whatever their owner has read. */
+  readonly cancelledJobs = new Set<string>();
+  /** Machines rented and deleted: the cloud answers only if a test says so; none rented comes up by itself. */
+  readonly rentals = { served: false, n: 0 };
+  readonly listedMachines: ListedMachine[] = [];
+  /** The owner acknowledges the leader's timestamps, unless a test says that it does not. */
+  readonly owner = { follows: true, told: 0 };
+  private now = 0;
+  private sequence = 0;
+
+  constructor(
+    private readonly fencingToken: number,
+    private readonly policy: Partial<Policy> = {},
+    private readonly objectives: ServiceLevelObjective[] = [],
+  ) {
+    this.scheduler = new Scheduler(this.options());
+    this.scheduler.setOwners(
+      new Map(CLUSTER_CONFIG.teams.map((team) => [team.name, { instanceId: 'o', shardEpoch: 1 }])),
+    );
+    this.scheduler.onShardMessage({
+      type: 'fullSync',
+      fencingToken: fencingToken,
+      instanceId: 'o',
+      syncNumber: 1,
+      chunkCount: 1,
+      chunkIndex: 0,
+      shardEpochs: SHARD_EPOCHS,
+      placements: [],
+      requests: [],
+    });
+    this.acknowledgeTimestamps();
+  }
+
+  private options(): ConstructorParameters<typeof Scheduler>[0] {
+    return {
+      instanceId: 'a',
+      fencingToken: this.fencingToken,
+      teams: new Map(CLUSTER_CONFIG.teams.map((team) => [team.name, team])),
+      workerTiming: { heartbeatIntervalSeconds: 2, leaseSeconds: 20, cancellationSeconds: 40 },
+      machineListLagSeconds: 3,
+      cloudCallsPerSecond: 5,
+      images: new ImageLocations(),
+      objectives: this.objectives,
+      isFirstEver: true,
+      clock: {
+        now: () => this.now,
+        wall: () => this.now,
+        after: () => () => {},
+        soon: () => {},
+        random: () => 0,
+      },
+      log: { debug: () => {}, info: () => {}, error: () => {} },
+      cloud: this.cloud(),
+      workers: {
+        sendCommands: (_a, _t, _s, commands, callback) =>
+          this.directCalls.push({ commands: commands, callback: callback }),
+      },
+      machineTypes: () => CLUSTER_CONFIG.machineTypes,
+      policy: () => ({ ...POLICY, ...this.policy }),
+      holdsLeadership: () => true,
+      send: (_i, message) => this.sentMessages.push(message),
+      wake: () => {},
+      onHigherToken: () => {},
+      inheritedCoverage: () => null,
+      isCancelled: (id) => this.cancelledJobs.has(id),
+      cancellationsKnown: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
+      reachablePeers: () => this.peers.n,
+      resign: (reason) => this.resignationReasons.push(reason),
+      raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
+    };
+  }
+
+  private cloud(): CloudProvider {
+    return {
+      listMachineTypes: () => {},
+      rentMachines: (claim, _type, _zone, _spot, count, callback) => {
+        if (!this.rentals.served) return;
+        this.rentals.n += count;
+        callback({ ok: true, value: Array.from({ length: count }, (_, i) => `${claim}-${i}`) });
+      },
+      deleteMachines: (names, callback) => {
+        this.deletedMachines.push(...names);
+        if (this.rentals.served) callback({ ok: true, value: null });
+      },
+      listMachines: (_since, callback) =>
+        callback({ ok: true, value: { machines: this.listedMachines, more: false } }),
+    };
+  }
+
+  private acknowledgeTimestamps(): void {
+    if (!this.owner.follows) return;
+    this.scheduler.onShardMessage({
+      type: 'cancellationCoverage',
+      fencingToken: this.fencingToken,
+      instanceId: 'o',
+      syncNumber: 1,
+      placementMessages: this.owner.told,
+      shardEpochs: SHARD_EPOCHS,
+      leaderTimestamp: this.now,
+    });
+  }
+
+  /** A heartbeat of machine `m`, unless a test says otherwise; null if it is to be answered later. */
+  heartbeat(tasks: TaskStatus[], fencingToken = this.fencingToken, over: Partial<Heartbeat> = {}) {
+    this.acknowledgeTimestamps();
+    const answer = this.scheduler.handleHeartbeat({
+      machine: 'm',
+      address: 'm',
+      machineType: 'small',
+      zone: 'a',
+      isSpot: false,
+      agentEpoch: 1,
+      sequence: ++this.sequence,
+      fencingToken,
+      evictionNoticeSeconds: null,
+      tasks,
+      ...over,
+    });
+    return answer === 'later' ? null : answer;
+  }
+
+  /** Task 0 of job `wk-1` on machine `m`. */
+  placementSpec(desiredState: PlacementSpec['desiredState']): PlacementSpec {
+    return {
+      jobId: 'wk-1',
+      taskIndex: 0,
+      attempt: 1,
+      machine: 'm',
+      agentEpoch: 1,
+      desiredState,
+      gracePeriodSeconds: 0,
+      team: 'red',
+      priority: 2,
+      isGang: false,
+      isService: false,
+      cpus: 1,
+      gpus: 0,
+      memoryGb: 1,
+      image: 'i',
+      imageGb: 1,
+      estimatedRunSeconds: 5,
+      machineTypes: null,
+      spreadOverZones: false,
+      grantId: 0,
+    };
+  }
+
+  /** The owner sends the leader a placement. */
+  sendPlacement(placement: PlacementSpec): void {
+    this.scheduler.onShardMessage({
+      type: 'placements',
+      fencingToken: this.fencingToken,
+      instanceId: 'o',
+      placements: [placement],
+    });
+    this.owner.told++;
+    this.scheduler.flush();
+  }
+
+  /** The owner sends task 0 of job `wk-1` in this desired state. */
+  sendDesiredState(desiredState: PlacementSpec['desiredState']): void {
+    this.sendPlacement(this.placementSpec(desiredState));
+  }
+
+  /** The owner sends its pending resource requests. */
+  sendRequests(requests: ResourceRequest[]): void {
+    this.scheduler.onShardMessage({
+      type: 'resourceRequests',
+      fencingToken: this.fencingToken,
+      instanceId: 'o',
+      requests,
+    });
+  }
+
+  /** Whether an allocation was reported to the owner as finalized. */
+  hasFinalized(): boolean {
+    this.scheduler.flush();
+    return this.sentMessages.some(
+      (message) =>
+        message.type === 'allocationEvents' && message.events.some((event) => event.type === 'finalized'),
+    );
+  }
+
+  /** Lets time pass, with one tick of the scheduler at its end. */
+  advance(milliseconds: number): void {
+    this.now += milliseconds;
+    this.acknowledgeTimestamps();
+    this.scheduler.tick();
+  }
+
+  /** The jobs of all grants sent so far, one entry a grant. */
+  grantedJobs(): string[] {
+    this.scheduler.flush();
+    return this.sentMessages.flatMap((message) =>
+      message.type === 'grants' ? message.grants.map((grant) => grant.jobId) : [],
+    );
+  }
+}
+
+export const taskStatus = (phase: 'running' | 'exited'): TaskStatus => ({
+  jobId: 'wk-1',
+  taskIndex: 0,
+  attempt: 1,
+  phase,
+  exitReason: phase === 'exited' ? 'done' : null,
+  checkpointSaved: false,
+});
+
+export const makeResourceRequest = (id: string, over: Partial<ResourceRequest> = {}): ResourceRequest => ({
+  jobId: id,
+  team: 'red',
+  jobClass: 'c',
+  priority: 2,
+  queuePosition: 1,
+  missedObjectives: 0,
+  taskCount: 1,
+  allOrNothing: false,
+  isService: false,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  image: 'i',
+  imageGb: 1,
+  estimatedRunSeconds: 5,
+  machineTypes: null,
+  spotAllowed: true,
+  zone: null,
+  zoneAffinity: false,
+  zoneAllowance: null,
+  maxTasksPerZone: 1,
+  avoidedMachines: [],
+  preferredMachine: '',
+  maxWaitSeconds: null,
+  objectiveSeconds: null,
+  slackSeconds: null,
+  lastGrantTaken: 0,
+  ...over,
+});
--- a/test/standin/service-level.ts
+++ b/test/simulation/service-level-checker.ts
@@ -21,7 +21,7 @@
  * admits at a time. A day fails if less than half of a class, of a team or of the largest jobs of a class is served, the
  * largest within four minutes.
  */
-export class ServiceLevel {
+export class ServiceLevelChecker {
   /** Starts of tasks after the user was told that the job is cancelled: commands that were under way by then. */
   startsAfterCancellation = 0;
   private readonly jobs = new Map<string, TrackedJob>();
--- a/test/standin/owner.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -7,21 +7,21 @@
 import type { Team } from '../../src/model/team.js';
 import { ShardOwner, type ShardOwnerOptions } from '../../src/shard/shard-owner.js';
 import { jobRecord } from '../../src/store/record-codec.js';
-import { Sim } from './sim.js';
-import { StateStandin } from './state.js';
+import { FakeStore } from './fake-store.js';
+import { Simulator } from './simulated-time.js';
 
-const LIMITS = { ops: 16, valueKb: 4 };
+const LIMITS = { maxTransactionOperations: 16, maxValueKb: 4 };
 const HOST = 'o';
 const DEADLINE_MS = 1500;
 
 /** Options of an owner that talks to nobody; each can be replaced. */
-export function ownerOptions(over: Partial<ShardOwnerOptions>): ShardOwnerOptions {
+export function shardOwnerOptions(over: Partial<ShardOwnerOptions>): ShardOwnerOptions {
   return {
     nodeName: HOST,
     instanceId: HOST,
     teams: new Map(),
-    maxValueKb: LIMITS.valueKb,
-    maxTransactionOperations: LIMITS.ops,
+    maxValueKb: LIMITS.maxValueKb,
+    maxTransactionOperations: LIMITS.maxTransactionOperations,
     writesPerSecond: 100,
     maxTasksPerRequest: 64,
     noticeGraceSeconds: 1,
@@ -39,51 +39,53 @@
 }
 
 /** What becomes of a transaction whose answer is lost. */
-export type Loss = 'carried out at once' | 'carried out late';
+export type LostAnswer = 'carried out at once' | 'carried out late';
 
 /** The owner of one team against the stand-in of the state service; answers can be lost and reads held back. */
-export class OwnerStandin {
-  readonly sim = new Sim(1);
-  readonly state = new StateStandin(this.sim);
-  readonly said: ShardMessage[] = [];
+export class ShardOwnerHarness {
+  readonly simulator = new Simulator(1);
+  readonly store = new FakeStore(this.simulator);
+  readonly sentMessages: ShardMessage[] = [];
   readonly logged: { fields: LogFields; message: string }[] = [];
   readonly owner: ShardOwner;
   /** How the next transactions are lost, in order; null: answered. */
-  readonly losses: (Loss | null)[] = [];
+  readonly lostAnswers: (LostAnswer | null)[] = [];
   /** Transactions without an answer that are not carried out yet. */
-  readonly late: Transaction[] = [];
+  readonly lateTransactions: Transaction[] = [];
   /** Reads of keys that begin so wait until `release`. */
-  heldReads = '';
-  private readonly waiting: (() => void)[] = [];
+  heldReadPrefix = '';
+  private readonly heldReads: (() => void)[] = [];
   private nextGrant = 1;
 
   constructor(
     private readonly team: Team,
     specs: JobSpec[],
   ) {
-    for (const spec of specs) this.put(`open/${spec.id}/a`, jobRecord.encode({ spec }));
-    this.put(`sys/team/${team.name}`, { inst: HOST });
+    for (const spec of specs) this.writeRecord(`open/${spec.id}/a`, jobRecord.encode({ spec }));
+    this.writeRecord(`sys/team/${team.name}`, { inst: HOST });
     this.owner = new ShardOwner(
-      ownerOptions({
+      shardOwnerOptions({
         teams: new Map([[team.name, team]]),
-        store: this.statePort(),
+        store: this.storePort(),
         clock: {
-          now: () => this.sim.now,
-          wall: () => this.sim.now,
+          now: () => this.simulator.now,
+          wall: () => this.simulator.now,
           after: (ms, run) => {
-            this.sim.after(ms, run);
+            this.simulator.scheduleAfter(ms, run);
             return () => {};
           },
-          soon: (run) => this.sim.after(0, run),
+          soon: (run) => this.simulator.scheduleAfter(0, run),
           random: () => 0.5,
         },
         log: this.logger(),
-        send: (message) => this.said.push(message),
-        wake: () => this.sim.after(0, () => this.owner.flush()),
+        send: (message) => this.sentMessages.push(message),
+        wake: () => this.simulator.scheduleAfter(0, () => this.owner.flush()),
       }),
     );
     this.owner.setLeader(1);
-    this.owner.setShards(new Map([[team.name, this.state.keys.get(`sys/team/${team.name}`)!.version]]));
+    this.owner.setShards(
+      new Map([[team.name, this.store.records.get(`sys/team/${team.name}`)!.modRevision]]),
+    );
     this.run(100);
     this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
     this.run(100);
@@ -91,7 +93,7 @@
 
   /** Lets simulated time pass. */
   run(ms: number): void {
-    this.sim.run(this.sim.now + ms);
+    this.simulator.run(this.simulator.now + ms);
   }
 
   /** Grants places for tasks of a job, as a leader would. */
@@ -105,23 +107,23 @@
   }
 
   /** The reads held back are answered. */
-  release(): void {
-    this.heldReads = '';
-    for (const serve of this.waiting.splice(0)) serve();
+  releaseReads(): void {
+    this.heldReadPrefix = '';
+    for (const serve of this.heldReads.splice(0)) serve();
   }
 
   /** Carries out the transactions that are late; returns how many of them were. */
   carryOutLate(): number {
-    const done = this.late
+    const done = this.lateTransactions
       .splice(0)
-      .filter((transaction) => this.state.txn(HOST, transaction, LIMITS).status === 200);
+      .filter((transaction) => this.store.compareAndSwap(HOST, transaction, LIMITS).status === 200);
     return done.length;
   }
 
   /** Tasks by job that the stored records have on a machine. */
-  storedPlacements(): Record<string, number> {
+  storedPlacementCounts(): Record<string, number> {
     const stored: Record<string, number> = {};
-    for (const [key, { value }] of this.state.keys) {
+    for (const [key, { value }] of this.store.records) {
       const [kind, job] = key.split('/');
       if (kind !== 'place' || !job) continue;
       const tasks = Object.values((JSON.parse(value) as { t: Record<string, unknown[]> }).t).filter(
@@ -134,17 +136,17 @@
 
   /** CPUs of the team's stored placements. */
   storedCpus(cpusOf: (job: string) => number): number {
-    return Object.entries(this.storedPlacements()).reduce((sum, [job, n]) => sum + n * cpusOf(job), 0);
+    return Object.entries(this.storedPlacementCounts()).reduce((sum, [job, n]) => sum + n * cpusOf(job), 0);
   }
 
   /** What was logged with this message. */
-  linesOf(message: string): { fields: LogFields; message: string }[] {
+  logLines(message: string): { fields: LogFields; message: string }[] {
     return this.logged.filter((line) => line.message === message);
   }
 
   /** Another's write, carried out at once. */
-  put(key: string, value: unknown): void {
-    this.state.txn(HOST, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
+  writeRecord(key: string, value: unknown): void {
+    this.store.compareAndSwap(HOST, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
   }
 
   private logger(): Logger {
@@ -152,7 +154,7 @@
     return { debug: take, info: take, error: take };
   }
 
-  private statePort(): KeyValueStore {
+  private storePort(): KeyValueStore {
     const answer = <T>(serve: () => { status: number; value?: T; failed?: string[] }): Result<T> => {
       const { status, value, failed } = serve();
       if (status === 200) return { ok: true, value: value as T };
@@ -161,21 +163,24 @@
         : { ok: false, kind: 'refused' };
     };
     const port: Partial<KeyValueStore> = {
-      get: (key, _urgency, then) => this.sim.after(1, () => then(answer(() => this.state.get(HOST, key)))),
+      get: (key, _urgency, then) =>
+        this.simulator.scheduleAfter(1, () => then(answer(() => this.store.get(HOST, key)))),
       list: (prefix, since, _urgency, then) => {
         const serve = () =>
-          this.sim.after(1, () => then(answer(() => this.state.list(HOST, prefix, since, 50))));
-        if (this.heldReads !== '' && prefix.startsWith(this.heldReads)) this.waiting.push(serve);
+          this.simulator.scheduleAfter(1, () => then(answer(() => this.store.list(HOST, prefix, since, 50))));
+        if (this.heldReadPrefix !== '' && prefix.startsWith(this.heldReadPrefix)) this.heldReads.push(serve);
         else serve();
       },
       compareAndSwap: (transaction, _urgency, then) => {
-        const loss = this.losses.shift() ?? null;
+        const loss = this.lostAnswers.shift() ?? null;
         const copy = structuredClone(transaction);
         if (loss === null)
-          return this.sim.after(1, () => then(answer(() => this.state.txn(HOST, copy, LIMITS))));
-        if (loss === 'carried out at once') this.state.txn(HOST, copy, LIMITS);
-        else this.late.push(copy);
-        this.sim.after(DEADLINE_MS, () => then({ ok: false, kind: 'unknown' }));
+          return this.simulator.scheduleAfter(1, () =>
+            then(answer(() => this.store.compareAndSwap(HOST, copy, LIMITS))),
+          );
+        if (loss === 'carried out at once') this.store.compareAndSwap(HOST, copy, LIMITS);
+        else this.lateTransactions.push(copy);
+        this.simulator.scheduleAfter(DEADLINE_MS, () => then({ ok: false, kind: 'unknown' }));
       },
     };
     return port as KeyValueStore;
