--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -15,154 +15,169 @@
 import { SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
-const leads = (w: ClusterSimulation, h: string) =>
-  w.controllers.get(h)?.controller.status().scheduler !== null;
-const leaderOf = (w: ClusterSimulation) => w.nodeNames.find((h) => leads(w, h))!;
+const leads = (simulation: ClusterSimulation, nodeName: string) =>
+  simulation.controllers.get(nodeName)?.controller.status().scheduler !== null;
+const leaderOf = (simulation: ClusterSimulation) =>
+  simulation.nodeNames.find((nodeName) => leads(simulation, nodeName))!;
 
 /** A world with one long array of each team running on machines that stay. */
 function running(seed: number): { w: ClusterSimulation; ids: string[]; on: (id: string) => FakeWorker[] } {
-  const w = new ClusterSimulation(seed);
-  w.runDurationMs = () => 1e9;
+  const simulation = new ClusterSimulation(seed);
+  simulation.runDurationMs = () => 1e9;
   const ids = ['red', 'blue', 'free'].map((team) => {
-    const j = makeJobSpec(w, { team, taskCount: 3, spotAllowed: false });
-    w.submitJob(j);
-    return j.id;
+    const spec = makeJobSpec(simulation, { team, taskCount: 3, spotAllowed: false });
+    simulation.submitJob(spec);
+    return spec.id;
   });
-  w.simulator.run(60000);
+  simulation.simulator.run(60000);
   const on = (id: string) =>
-    [...w.workers.values()].filter((m) => m.tasks.some((t) => t.jobId === id && m.occupies(t)));
+    [...simulation.workers.values()].filter((worker) =>
+      worker.tasks.some((task) => task.jobId === id && worker.occupies(task)),
+    );
   for (const id of ids) expect(on(id).length).toBeGreaterThan(0);
-  return { w, ids, on };
+  return { w: simulation, ids, on };
 }
 
 /** Cancels through one controller; the answer counts as the confirmation. */
-function cancelAt(w: ClusterSimulation, host: string, id: string): void {
-  const job = w.jobs.get(id)!;
+function cancelAt(simulation: ClusterSimulation, nodeName: string, id: string): void {
+  const job = simulation.jobs.get(id)!;
   job.cancelRequested = true;
-  w.controllers.get(host)!.controller.api.cancelJob(id, (answer) => {
-    if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt ??= w.simulator.now;
+  simulation.controllers.get(nodeName)!.controller.api.cancelJob(id, (answer) => {
+    if (answer.type === 'job' && answer.state === 'cancelled') job.cancelledAt ??= simulation.simulator.now;
   });
 }
 
 test.each([1, 2, 3, 4])(
   'the leader alone is refused, others confirm cancellations, then nobody has the state service (%i)',
   (seed) => {
-    const { w, ids, on } = running(seed);
+    const { w: simulation, ids, on } = running(seed);
     for (let spell = 0; spell < 2; spell++) {
-      const leader = leaderOf(w);
-      const other = w.nodeNames.find((h) => h !== leader)!;
-      w.store.refusedNodes.add(leader);
+      const leader = leaderOf(simulation);
+      const other = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
+      simulation.store.refusedNodes.add(leader);
       // Neither its siblings' word nor the owner's stops reach the leader: only the bound on renewals is left.
-      for (const h of w.nodeNames) if (h !== leader) w.network.cut(h, leader, 'hold');
-      w.simulator.run(w.simulator.now + 200);
-      cancelAt(w, other, ids[spell]!);
-      w.simulator.run(w.simulator.now + 300);
-      expect(w.jobs.get(ids[spell]!)!.cancelledAt).not.toBeNull();
-      w.store.setDown(true);
-      w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1200);
+      for (const h of simulation.nodeNames) if (h !== leader) simulation.network.cut(h, leader, 'hold');
+      simulation.simulator.run(simulation.simulator.now + 200);
+      cancelAt(simulation, other, ids[spell]!);
+      simulation.simulator.run(simulation.simulator.now + 300);
+      expect(simulation.jobs.get(ids[spell]!)!.cancelledAt).not.toBeNull();
+      simulation.store.setDown(true);
+      simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1200);
       expect(on(ids[spell]!)).toEqual([]);
-      for (const h of w.nodeNames) if (h !== leader) w.network.heal(h, leader);
-      w.store.readmit(leader);
-      w.store.setDown(false);
-      w.simulator.run(w.simulator.now + 12000);
+      for (const h of simulation.nodeNames) if (h !== leader) simulation.network.heal(h, leader);
+      simulation.store.readmit(leader);
+      simulation.store.setDown(false);
+      simulation.simulator.run(simulation.simulator.now + 12000);
     }
-    expect(w.violations).toEqual([]);
+    expect(simulation.violations).toEqual([]);
   },
 );
 
 test('a cancellation told by a sibling becomes stops at once, without the state service', () => {
-  const { w, ids, on } = running(5);
-  const leader = leaderOf(w);
-  w.store.refusedNodes.add(leader);
-  w.simulator.run(w.simulator.now + 500);
-  cancelAt(w, w.nodeNames.find((h) => h !== leader)!, ids[0]!);
-  w.simulator.run(w.simulator.now + 200);
-  w.store.setDown(true);
-  w.simulator.run(w.simulator.now + 3 * w.config.heartbeatIntervalSeconds * 1000);
+  const { w: simulation, ids, on } = running(5);
+  const leader = leaderOf(simulation);
+  simulation.store.refusedNodes.add(leader);
+  simulation.simulator.run(simulation.simulator.now + 500);
+  cancelAt(simulation, simulation.nodeNames.find((nodeName) => nodeName !== leader)!, ids[0]!);
+  simulation.simulator.run(simulation.simulator.now + 200);
+  simulation.store.setDown(true);
+  simulation.simulator.run(simulation.simulator.now + 3 * simulation.config.heartbeatIntervalSeconds * 1000);
   expect(on(ids[0]!)).toEqual([]);
-  expect(w.violations).toEqual([]);
+  expect(simulation.violations).toEqual([]);
 });
 
 test.each([1, 2])(
   'while all controllers are in touch an outage of any length ends no task but cancelled ones (%i)',
   (seed) => {
-    const { w, ids, on } = running(seed);
-    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`));
-    const leader = leaderOf(w);
-    cancelAt(w, w.nodeNames.find((h) => h !== leader)!, ids[0]!);
-    w.simulator.run(w.simulator.now + 12);
-    w.store.setDown(true);
-    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 3000);
-    expect(w.jobs.get(ids[0]!)!.cancelledAt).not.toBeNull();
+    const { w: simulation, ids, on } = running(seed);
+    const before = ids
+      .slice(1)
+      .flatMap((id) => on(id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+    const leader = leaderOf(simulation);
+    cancelAt(simulation, simulation.nodeNames.find((nodeName) => nodeName !== leader)!, ids[0]!);
+    simulation.simulator.run(simulation.simulator.now + 12);
+    simulation.store.setDown(true);
+    simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 3000);
+    expect(simulation.jobs.get(ids[0]!)!.cancelledAt).not.toBeNull();
     expect(on(ids[0]!)).toEqual([]);
-    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`))).toEqual(before);
+    expect(
+      ids.slice(1).flatMap((id) => on(id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+    ).toEqual(before);
     // One that ends may have told a user last of all what it told nobody else.
-    w.crashController(w.nodeNames.find((h) => h !== leader)!, 500);
-    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1000);
+    simulation.crashController(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
+    simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1000);
     expect(ids.flatMap((id) => on(id))).toEqual([]);
-    w.store.setDown(false);
-    w.simulator.run(w.simulator.now + 30000);
-    expect(w.violations).toEqual([]);
+    simulation.store.setDown(false);
+    simulation.simulator.run(simulation.simulator.now + 30000);
+    expect(simulation.violations).toEqual([]);
   },
 );
 
 test.each([1, 2, 3])(
   'a leader elected as an outage begins, before any owner has told what it holds, keeps what runs and stops what is cancelled (%i)',
   (seed) => {
-    const { w, ids, on } = running(seed);
-    const before = ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`));
-    const old = leaderOf(w);
-    w.store.refusedNodes.add(old);
-    const next = () => w.nodeNames.find((h) => h !== old && leads(w, h));
-    while (!next()) w.simulator.run(w.simulator.now + 1);
-    w.store.setDown(true);
+    const { w: simulation, ids, on } = running(seed);
+    const before = ids
+      .slice(1)
+      .flatMap((id) => on(id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+    const old = leaderOf(simulation);
+    simulation.store.refusedNodes.add(old);
+    const next = () =>
+      simulation.nodeNames.find((nodeName) => nodeName !== old && leads(simulation, nodeName));
+    while (!next()) simulation.simulator.run(simulation.simulator.now + 1);
+    simulation.store.setDown(true);
     // Told to its user just before, by a controller that had it stored.
-    const c = w.controllers.get(w.nodeNames.find((h) => h !== old && h !== next())!)!
-      .controller as unknown as {
+    const c = simulation.controllers.get(
+      simulation.nodeNames.find((nodeName) => nodeName !== old && nodeName !== next())!,
+    )!.controller as unknown as {
       announceCancellation(id: string): void;
     };
     c.announceCancellation(ids[0]!);
-    w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 2500);
+    simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 2500);
     expect(on(ids[0]!)).toEqual([]);
-    expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.agentEpoch}`))).toEqual(before);
-    w.store.readmit(old);
-    w.store.setDown(false);
-    w.simulator.run(w.simulator.now + 20000);
-    expect(w.violations).toEqual([]);
+    expect(
+      ids.slice(1).flatMap((id) => on(id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+    ).toEqual(before);
+    simulation.store.readmit(old);
+    simulation.store.setDown(false);
+    simulation.simulator.run(simulation.simulator.now + 20000);
+    expect(simulation.violations).toEqual([]);
   },
 );
 
 test('what runs of a cancelled job is stopped where a report lists it, also before its owner has told what it holds', () => {
-  const t = new SchedulerHarness(5);
-  t.heartbeat([]);
-  t.scheduler.requestSync('o');
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.scheduler.requestSync('o');
   const other = { ...taskStatus('running'), jobId: 'wk-2' };
-  t.heartbeat([taskStatus('running'), other]);
-  t.cancelledJobs.add('wk-1');
-  expect(t.heartbeat([taskStatus('running'), other])).toEqual([
+  harness.heartbeat([taskStatus('running'), other]);
+  harness.cancelledJobs.add('wk-1');
+  expect(harness.heartbeat([taskStatus('running'), other])).toEqual([
     { type: 'stop', jobId: 'wk-1', taskIndex: 0, attempt: 1, gracePeriodSeconds: 0 },
   ]);
 });
 
 test('an owner that is heard but hears nothing loses its teams', () => {
-  const w = new ClusterSimulation(12);
-  w.simulator.run(8000);
-  const leader = leaderOf(w);
-  const owner = w.nodeNames.find(
-    (h) => h !== leader && (w.controllers.get(h)!.controller.status().teams as string[]).length > 0,
+  const simulation = new ClusterSimulation(12);
+  simulation.simulator.run(8000);
+  const leader = leaderOf(simulation);
+  const owner = simulation.nodeNames.find(
+    (nodeName) =>
+      nodeName !== leader &&
+      (simulation.controllers.get(nodeName)!.controller.status().teams as string[]).length > 0,
   )!;
-  const [team] = w.controllers.get(owner)!.controller.status().teams as string[];
-  const send = w.network.send.bind(w.network);
-  w.network.send = (from, to, fn, lost) => {
-    if (from !== leader || to !== owner) send(from, to, fn, lost);
+  const [team] = simulation.controllers.get(owner)!.controller.status().teams as string[];
+  const send = simulation.network.send.bind(simulation.network);
+  simulation.network.send = (from, to, callback, lost) => {
+    if (from !== leader || to !== owner) send(from, to, callback, lost);
   };
-  w.simulator.run(w.simulator.now + 20000);
-  expect(leaderOf(w)).toBe(leader);
-  expect(w.controllers.get(owner)!.controller.status().teams).toEqual([]);
-  const j = makeJobSpec(w, { team: team as string, taskCount: 2 });
-  w.submitJob(j);
-  w.simulator.run(w.simulator.now + 60000);
-  expect([w.jobs.get(j.id)!.reportedState, w.violations]).toEqual(['done', []]);
+  simulation.simulator.run(simulation.simulator.now + 20000);
+  expect(leaderOf(simulation)).toBe(leader);
+  expect(simulation.controllers.get(owner)!.controller.status().teams).toEqual([]);
+  const spec = makeJobSpec(simulation, { team: team as string, taskCount: 2 });
+  simulation.submitJob(spec);
+  simulation.simulator.run(simulation.simulator.now + 60000);
+  expect([simulation.jobs.get(spec.id)!.reportedState, simulation.violations]).toEqual(['done', []]);
 });
 
 test('what siblings told counts from when nothing of it is missing, and only up to the mark they had', () => {
@@ -187,48 +202,54 @@
 });
 
 test('a worker that lost the leader long before its zone did is not kept alive from inside with what was cancelled', () => {
-  const { w, ids, on } = running(7);
-  const leader = leaderOf(w);
-  const inside = w.nodeNames.find((h) => h !== leader)!;
-  const m = on(ids[0]!)[0]!;
-  w.cloud.isDown = true;
+  const { w: simulation, ids, on } = running(7);
+  const leader = leaderOf(simulation);
+  const inside = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
+  const worker = on(ids[0]!)[0]!;
+  simulation.cloud.isDown = true;
   // Its last renewal; from here on it reaches the controller inside alone, which sends it to the leader.
-  for (const h of w.nodeNames) if (h !== inside) w.network.cut(m.name, h, 'reset');
-  w.simulator.run(w.simulator.now + 1000);
-  cancelAt(w, leader, ids[0]!);
-  w.simulator.run(w.simulator.now + 9000);
-  expect([m.isAlive, m.agentEpoch]).toEqual([true, 1]);
-  for (const x of [...w.nodeNames.filter((h) => h !== inside), 'state', 'cloud', 'users'])
-    w.network.cut(inside, x, 'hold');
-  w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1500);
-  expect(w.violations).toEqual([]);
+  for (const h of simulation.nodeNames) if (h !== inside) simulation.network.cut(worker.name, h, 'reset');
+  simulation.simulator.run(simulation.simulator.now + 1000);
+  cancelAt(simulation, leader, ids[0]!);
+  simulation.simulator.run(simulation.simulator.now + 9000);
+  expect([worker.isAlive, worker.agentEpoch]).toEqual([true, 1]);
+  for (const x of [
+    ...simulation.nodeNames.filter((nodeName) => nodeName !== inside),
+    'state',
+    'cloud',
+    'users',
+  ])
+    simulation.network.cut(inside, x, 'hold');
+  simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1500);
+  expect(simulation.violations).toEqual([]);
 });
 
 test('leaders that follow one another within moments renew no longer than one would', () => {
-  const { w, ids, on } = running(9);
-  const leader = leaderOf(w);
-  const owner = w.nodeNames.find((h) => h !== leader)!;
-  const team = (w.controllers.get(owner)!.controller.status().teams as string[])[0]!;
+  const { w: simulation, ids, on } = running(9);
+  const leader = leaderOf(simulation);
+  const owner = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
+  const team = (simulation.controllers.get(owner)!.controller.status().teams as string[])[0]!;
   const id = ids[['red', 'blue', 'free'].indexOf(team)]!;
   // The owner is out of touch with the leaders: none of them learns what it holds, nor leads long enough to move its team.
-  for (const a of w.nodeNames) for (const b of w.nodeNames) if (a < b) w.network.cut(a, b, 'hold');
-  w.simulator.run(w.simulator.now + 100);
-  cancelAt(w, owner, id);
+  for (const a of simulation.nodeNames)
+    for (const b of simulation.nodeNames) if (a < b) simulation.network.cut(a, b, 'hold');
+  simulation.simulator.run(simulation.simulator.now + 100);
+  cancelAt(simulation, owner, id);
   const raise = () => {
-    const ctl = w.controllers.get(leader)!.controller as unknown as {
+    const controller = simulation.controllers.get(leader)!.controller as unknown as {
       leaderTerm: number;
       nextTokenRaiseAt: number;
       raiseFencingToken(token: number, reason: string): void;
     };
-    ctl.nextTokenRaiseAt = 0;
-    ctl.raiseFencingToken(ctl.leaderTerm, 'a test');
-    w.simulator.scheduleAfter(1500, raise);
+    controller.nextTokenRaiseAt = 0;
+    controller.raiseFencingToken(controller.leaderTerm, 'a test');
+    simulation.simulator.scheduleAfter(1500, raise);
   };
   raise();
-  w.simulator.run(w.simulator.now + w.config.cancellationSeconds * 1200);
-  expect(leads(w, leader)).toBe(true);
+  simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1200);
+  expect(leads(simulation, leader)).toBe(true);
   expect(on(id)).toEqual([]);
-  expect(w.violations).toEqual([]);
+  expect(simulation.violations).toEqual([]);
 });
 
 test('a cancellation of a job that is being read again is heeded at once and not taken back by that read', () => {
@@ -287,41 +308,41 @@
 });
 
 test('a lease is renewed only as long as the owners of what runs there have lately read of cancellations', () => {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   const w = renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 });
-  t.heartbeat([]);
-  t.sendDesiredState('run');
-  t.heartbeat([taskStatus('running')]);
-  t.owner.follows = false;
-  t.advance(w - 100);
-  expect(t.heartbeat([taskStatus('running')])).not.toBeNull();
-  t.advance(200);
-  expect(t.heartbeat([taskStatus('running')])).toBeNull();
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
+  harness.owner.acknowledgesTimestamps = false;
+  harness.advance(w - 100);
+  expect(harness.heartbeat([taskStatus('running')])).not.toBeNull();
+  harness.advance(200);
+  expect(harness.heartbeat([taskStatus('running')])).toBeNull();
   // Nothing starts by what was told before.
-  t.sendPlacement({ ...t.placementSpec('run'), taskIndex: 1, machine: 'n' });
-  t.heartbeat([], 5, { machine: 'n', address: 'n' });
-  expect(t.hasFinalized()).toBe(false);
+  harness.sendPlacement({ ...harness.placementSpec('run'), taskIndex: 1, machine: 'n' });
+  harness.heartbeat([], 5, { machine: 'n', address: 'n' });
+  expect(harness.hasFinalized()).toBe(false);
   expect(
-    t.directCalls
-      .flatMap((c) => c.commands)
+    harness.directCalls
+      .flatMap((call) => call.commands)
       .some((command) => command.type === 'start' && command.taskIndex === 1),
   ).toBe(false);
   // The answer that renews again carries the stop.
-  t.sendDesiredState('stop');
-  t.owner.follows = true;
-  expect(t.heartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
+  harness.sendDesiredState('stop');
+  harness.owner.acknowledgesTimestamps = true;
+  expect(harness.heartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
 });
 
 test('a lost message with a stop holds the horizon back, and all is asked for again', () => {
-  const t = new SchedulerHarness(5);
-  t.heartbeat([]);
-  t.sendDesiredState('run');
-  t.heartbeat([taskStatus('running')]);
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
   // The owner counts one more message than came.
-  t.owner.told++;
-  t.advance(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
-  expect(t.heartbeat([taskStatus('running')])).toBeNull();
-  expect(t.sentMessages.some((message) => message.type === 'syncRequested')).toBe(true);
+  harness.owner.placementMessages++;
+  harness.advance(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
+  expect(harness.heartbeat([taskStatus('running')])).toBeNull();
+  expect(harness.sentMessages.some((message) => message.type === 'syncRequested')).toBe(true);
 });
 
 test('a mark that came after a read was sent is not covered by it, and a cover ends with its window', () => {
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -7,65 +7,65 @@
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 test('a machine that is heard but does not hear is given nothing, then deleted, and one that hears is kept', () => {
-  const t = new SchedulerHarness(5);
-  t.heartbeat([]);
-  t.sendDesiredState('run');
-  for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
-  t.heartbeat([]);
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
+  harness.heartbeat([]);
   for (let i = 0; i < 8; i++) {
     // The report that follows the answer with the start does not list it: the answer never arrived.
-    t.heartbeat([]);
-    t.advance(1000);
-    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+    harness.heartbeat([]);
+    harness.advance(1000);
+    for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
-  t.sendRequests([makeResourceRequest('wk-2')]);
-  expect(t.grantedJobs()).toEqual([]);
+  harness.sendRequests([makeResourceRequest('wk-2')]);
+  expect(harness.grantedJobs()).toEqual([]);
   for (let i = 0; i < 80; i++) {
-    t.heartbeat([]);
-    t.advance(1000);
-    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+    harness.heartbeat([]);
+    harness.advance(1000);
+    for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
-  expect(t.deletedMachines).toEqual(['m']);
+  expect(harness.deletedMachines).toEqual(['m']);
 
-  const u = new SchedulerHarness(5);
+  const secondHarness = new SchedulerHarness(5);
   for (let i = 0; i < 90; i++) {
-    u.heartbeat([taskStatus('running')]);
-    u.advance(1000);
+    secondHarness.heartbeat([taskStatus('running')]);
+    secondHarness.advance(1000);
   }
-  expect(u.deletedMachines).toEqual([]);
+  expect(secondHarness.deletedMachines).toEqual([]);
 });
 
 test('late copies prove no life, take nothing back and settle nothing', () => {
-  const t = new SchedulerHarness(5);
-  t.heartbeat([]);
-  t.heartbeat([]);
-  t.sendDesiredState('run');
-  t.directCalls[0]!.callback({ ok: false, kind: 'refused' });
-  t.heartbeat([], 5, { sequence: 10 });
-  t.heartbeat([taskStatus('running')], 5, { sequence: 11 });
-  t.sendDesiredState('stop');
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.directCalls[0]!.callback({ ok: false, kind: 'refused' });
+  harness.heartbeat([], 5, { sequence: 10 });
+  harness.heartbeat([taskStatus('running')], 5, { sequence: 11 });
+  harness.sendDesiredState('stop');
   // With the current token, from before the start: it does not list the task, which runs.
-  expect(t.heartbeat([], 5, { sequence: 9 })).toEqual([]);
-  expect(t.hasFinalized()).toBe(false);
-  t.heartbeat([], 5, { agentEpoch: 2, sequence: 12 });
-  expect(t.heartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
+  expect(harness.heartbeat([], 5, { sequence: 9 })).toEqual([]);
+  expect(harness.hasFinalized()).toBe(false);
+  harness.heartbeat([], 5, { agentEpoch: 2, sequence: 12 });
+  expect(harness.heartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
   // Nothing but copies is heard from here on.
   for (let i = 0; i < 80; i++) {
-    t.heartbeat([], 5, { agentEpoch: 1, sequence: 9 });
-    t.advance(1000);
-    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+    harness.heartbeat([], 5, { agentEpoch: 1, sequence: 9 });
+    harness.advance(1000);
+    for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
-  expect(t.deletedMachines).toEqual(['m']);
+  expect(harness.deletedMachines).toEqual(['m']);
 });
 
 test('a copy from before its election is no ground for a new scheduler to place work', () => {
-  const t = new SchedulerHarness(5);
-  t.sendRequests([makeResourceRequest('wk-2')]);
-  t.heartbeat([], 4);
-  expect(t.grantedJobs()).toEqual([]);
-  t.advance(100);
-  t.heartbeat([], 5);
-  expect(t.grantedJobs()).toEqual(['wk-2']);
+  const harness = new SchedulerHarness(5);
+  harness.sendRequests([makeResourceRequest('wk-2')]);
+  harness.heartbeat([], 4);
+  expect(harness.grantedJobs()).toEqual([]);
+  harness.advance(100);
+  harness.heartbeat([], 5);
+  expect(harness.grantedJobs()).toEqual(['wk-2']);
 });
 
 test('one read answers all questions that waited for it, and none older than a question', () => {
@@ -76,7 +76,10 @@
     wait: number;
     cb: ResultCallback<{ storeRevision: number; events: WatchEvent[] }>;
   }[] = [];
-  const clock = { now: () => now, after: (ms: number, fn: () => void) => timers.push({ at: now + ms, fn }) };
+  const clock = {
+    now: () => now,
+    after: (ms: number, callback: () => void) => timers.push({ at: now + ms, fn: callback }),
+  };
   const state = {
     list: (_p: string, _s: string, _u: number, callback: ResultCallback<unknown>) =>
       callback({ ok: true, value: { items: [], more: false, storeRevision: 5 } }),
@@ -151,32 +154,33 @@
 });
 
 test('a leader whose resignation was lost does not keep others from being elected', () => {
-  const w = new ClusterSimulation(5);
-  w.simulator.run(5000);
-  const leads = (h: string) => w.controllers.get(h)!.controller.status().scheduler !== null;
-  const host = w.nodeNames.find(leads)!;
-  const ctl = w.controllers.get(host)!.controller as unknown as {
+  const simulation = new ClusterSimulation(5);
+  simulation.simulator.run(5000);
+  const leads = (nodeName: string) =>
+    simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
+  const host = simulation.nodeNames.find(leads)!;
+  const controller = simulation.controllers.get(host)!.controller as unknown as {
     leaderTerm: number;
     resign(token: number, reason: string): void;
   };
-  w.store.refusedNodes.add(host);
-  ctl.resign(ctl.leaderTerm, 'a test');
-  w.simulator.run(w.simulator.now + 300);
-  w.store.readmit(host);
-  expect(w.nodeNames.some(leads)).toBe(false);
-  w.simulator.run(w.simulator.now + 10000);
-  expect(w.nodeNames.filter(leads).length).toBe(1);
+  simulation.store.refusedNodes.add(host);
+  controller.resign(controller.leaderTerm, 'a test');
+  simulation.simulator.run(simulation.simulator.now + 300);
+  simulation.store.readmit(host);
+  expect(simulation.nodeNames.some(leads)).toBe(false);
+  simulation.simulator.run(simulation.simulator.now + 10000);
+  expect(simulation.nodeNames.filter(leads).length).toBe(1);
 });
 
 test('a full sync of which a part was lost is not taken for the whole: the owner is asked again', () => {
-  const t = new SchedulerHarness(5);
-  const running = [0, 1, 2].map((taskIndex) => ({ ...t.placementSpec('run'), taskIndex }));
+  const harness = new SchedulerHarness(5);
+  const running = [0, 1, 2].map((taskIndex) => ({ ...harness.placementSpec('run'), taskIndex }));
   const tasks = running.map((h) => ({ ...taskStatus('running'), taskIndex: h.taskIndex }));
-  for (const h of running) t.sendPlacement(h);
-  t.heartbeat(tasks);
+  for (const h of running) harness.sendPlacement(h);
+  harness.heartbeat(tasks);
   const shardEpochs = { red: 1, blue: 1, free: 1 };
   const part = (n: number, h: (typeof running)[number]) =>
-    t.scheduler.onShardMessage({
+    harness.scheduler.onShardMessage({
       type: 'fullSync',
       fencingToken: 5,
       instanceId: 'o',
@@ -188,27 +192,27 @@
       requests: [],
     });
   part(0, running[0]!);
-  t.sentMessages.length = 0;
+  harness.sentMessages.length = 0;
   part(2, running[2]!);
-  expect(t.sentMessages).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
-  expect(t.sentMessages.some((message) => message.type === 'syncAccepted')).toBe(false);
-  t.advance(5000);
-  expect(t.heartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
+  expect(harness.sentMessages).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
+  expect(harness.sentMessages.some((message) => message.type === 'syncAccepted')).toBe(false);
+  harness.advance(5000);
+  expect(harness.heartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
 });
 
 test('an attempt that was listed as ended and removed is not started again when its owner claims it late', () => {
-  const t = new SchedulerHarness(5);
-  t.heartbeat([taskStatus('exited')]);
-  t.sendDesiredState('run');
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([taskStatus('exited')]);
+  harness.sendDesiredState('run');
   expect(
-    t.sentMessages.some(
+    harness.sentMessages.some(
       (message) =>
         message.type === 'allocationEvents' && message.events.some((event) => event.type === 'phase'),
     ),
   ).toBe(true);
-  expect(t.heartbeat([])?.filter((command) => command.type === 'start')).toEqual([]);
+  expect(harness.heartbeat([])?.filter((command) => command.type === 'start')).toEqual([]);
   expect(
-    t.directCalls.flatMap((call) => call.commands).filter((command) => command.type === 'start'),
+    harness.directCalls.flatMap((call) => call.commands).filter((command) => command.type === 'start'),
   ).toEqual([]);
-  expect(t.hasFinalized()).toBe(true);
+  expect(harness.hasFinalized()).toBe(true);
 });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -6,124 +6,138 @@
 type Scheduler = SchedulerHarness;
 
 /** Every machine of `names` reports, one second passes, and what was asked directly is not answered. */
-function second(t: Scheduler, names: string[], over: (name: string) => object = () => ({})): void {
-  for (const machine of names) t.heartbeat([], 5, { machine, address: machine, ...over(machine) });
-  t.advance(1000);
-  t.scheduler.flush();
-  for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+function second(harness: Scheduler, names: string[], over: (name: string) => object = () => ({})): void {
+  for (const machine of names) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  harness.advance(1000);
+  harness.scheduler.flush();
+  for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
 }
 const names = (n: number, from = 0) => Array.from({ length: n }, (_, i) => `vm-${from + i}`);
 
 test('a new scheduler takes no machine for slow because it saw others half way through their tasks', () => {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   const all = names(30);
   const done = (id: string) => [{ ...taskStatus('exited'), jobId: id }];
   // Each runs a task that began before this scheduler led: first seen running, ended a moment later.
   for (let round = 0; round < 5; round++) {
     for (const m of all)
-      t.sendPlacement({ ...t.placementSpec('run'), jobId: `wk-${m}-${round}`, machine: m });
+      harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${m}-${round}`, machine: m });
     for (const m of all)
-      t.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}-${round}` }], 5, { machine: m, address: m });
-    t.advance(100);
-    for (const m of all.slice(0, 20)) t.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
-    t.advance(3000);
-    for (const m of all.slice(20)) t.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
+      harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}-${round}` }], 5, {
+        machine: m,
+        address: m,
+      });
+    harness.advance(100);
+    for (const m of all.slice(0, 20))
+      harness.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
+    harness.advance(3000);
+    for (const m of all.slice(20)) harness.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
   }
-  for (let i = 0; i < 5; i++) second(t, all);
-  const retired = [...(t.scheduler as unknown as { state: ClusterState }).state.machines.values()];
+  for (let i = 0; i < 5; i++) second(harness, all);
+  const retired = [...(harness.scheduler as unknown as { state: ClusterState }).state.machines.values()];
   expect(retired.filter((m) => m.isQuarantined)).toEqual([]);
 });
 
 test('a scheduler whose workers reach its siblings only resigns and deletes nothing', () => {
-  const t = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
-  t.peers.n = 2;
+  const harness = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
+  harness.peers.count = 2;
   const all = names(20);
-  for (let i = 0; i < 30; i++) second(t, all);
-  for (let i = 0; i < 20 && t.resignationReasons.length === 0; i++) {
-    second(t, []);
+  for (let i = 0; i < 30; i++) second(harness, all);
+  for (let i = 0; i < 20 && harness.resignationReasons.length === 0; i++) {
+    second(harness, []);
     // What siblings tell of them, some seconds after the first report went unanswered.
-    if (i >= 4) t.scheduler.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
+    if (i >= 4) harness.scheduler.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
   }
-  expect(t.resignationReasons).toEqual(['workers reach siblings only']);
-  expect(t.deletedMachines).toEqual([]);
+  expect(harness.resignationReasons).toEqual(['workers reach siblings only']);
+  expect(harness.deletedMachines).toEqual([]);
 });
 
 test('half the fleet silent: deleted when siblings bear it out, held back when nobody does', () => {
   for (const siblings of [2, 0]) {
-    const t = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
-    t.peers.n = siblings;
-    t.rentals.served = true;
-    for (let i = 0; i < 30; i++) second(t, names(20));
+    const harness = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
+    harness.peers.count = siblings;
+    harness.rentals.isAnswered = true;
+    for (let i = 0; i < 30; i++) second(harness, names(20));
     // Fall silent one after the other, as their reports are due.
-    for (let i = 0; i < 14; i++) second(t, names(6).concat(names(Math.max(0, 14 - 4 * i), 6)));
-    expect(t.deletedMachines.length).toBe(siblings > 0 ? 14 : 0);
-    expect(t.resignationReasons).toEqual([]);
+    for (let i = 0; i < 14; i++) second(harness, names(6).concat(names(Math.max(0, 14 - 4 * i), 6)));
+    expect(harness.deletedMachines.length).toBe(siblings > 0 ? 14 : 0);
+    expect(harness.resignationReasons).toEqual([]);
   }
 });
 
 test('a zone that is cut off is waited for while its replicas may live, and nothing is rented there', () => {
-  const t = new SchedulerHarness(5, { silent_s: 6, idle_s: 1e6 });
-  t.peers.n = 1;
-  t.rentals.served = true;
+  const harness = new SchedulerHarness(5, { silent_s: 6, idle_s: 1e6 });
+  harness.peers.count = 1;
+  harness.rentals.isAnswered = true;
   const near = names(8);
   const far = names(4, 8);
   const at = (m: string) => ({ zone: far.includes(m) ? 'b' : 'a' });
-  for (let i = 0; i < 30; i++) second(t, [...near, ...far], at);
+  for (let i = 0; i < 30; i++) second(harness, [...near, ...far], at);
   for (const m of far.slice(1))
-    t.sendPlacement({
-      ...t.placementSpec('run'),
+    harness.sendPlacement({
+      ...harness.placementSpec('run'),
       priority: 0,
       isService: true,
       jobId: `wk-${m}`,
       machine: m,
     });
   for (const m of far.slice(1))
-    t.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m, zone: 'b' });
-  for (let i = 0; i < 35; i++) second(t, near, at);
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, {
+      machine: m,
+      address: m,
+      zone: 'b',
+    });
+  for (let i = 0; i < 35; i++) second(harness, near, at);
   // Only the one without replicas; the others until `cancel_s` (40 s here) has passed.
-  expect(t.deletedMachines).toEqual([far[0]]);
-  for (let i = 0; i < 10; i++) second(t, near, at);
-  expect(t.deletedMachines.sort()).toEqual([...far].sort());
+  expect(harness.deletedMachines).toEqual([far[0]]);
+  for (let i = 0; i < 10; i++) second(harness, near, at);
+  expect(harness.deletedMachines.sort()).toEqual([...far].sort());
 });
 
 test('a controller cut off with its zone keeps leases for the last leader, for a bounded time', () => {
-  const w = new ClusterSimulation(21);
-  w.simulator.run(25000);
-  const leads = (h: string) => w.controllers.get(h)!.controller.status().scheduler !== null;
-  const host = w.nodeNames.find((h) => !leads(h))!;
-  const m = w.addMachine('small', 'a', false);
-  w.cloud.isDown = true;
-  w.simulator.run(w.simulator.now + 8000);
-  expect(m.fencingToken).toBeGreaterThan(0);
-  for (const inside of [host, m.name])
-    for (const outside of [...w.nodeNames.filter((h) => h !== host), 'state', 'cloud', 'users'])
-      w.network.cut(inside, outside, 'hold');
-  const cut = w.simulator.now;
-  w.simulator.run(cut + 28000);
+  const simulation = new ClusterSimulation(21);
+  simulation.simulator.run(25000);
+  const leads = (nodeName: string) =>
+    simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
+  const host = simulation.nodeNames.find((nodeName) => !leads(nodeName))!;
+  const worker = simulation.addMachine('small', 'a', false);
+  simulation.cloud.isDown = true;
+  simulation.simulator.run(simulation.simulator.now + 8000);
+  expect(worker.fencingToken).toBeGreaterThan(0);
+  for (const inside of [host, worker.name])
+    for (const outside of [
+      ...simulation.nodeNames.filter((nodeName) => nodeName !== host),
+      'state',
+      'cloud',
+      'users',
+    ])
+      simulation.network.cut(inside, outside, 'hold');
+  const cut = simulation.simulator.now;
+  simulation.simulator.run(cut + 28000);
   // Its lease (20 s) is over by now but for the controller inside.
-  expect([m.isAlive, m.agentEpoch]).toEqual([true, 1]);
+  expect([worker.isAlive, worker.agentEpoch]).toEqual([true, 1]);
   // `cancel_s` (40 s) after the cut nothing may run any more that was cancelled outside meanwhile.
-  w.simulator.run(cut + 39900);
-  expect(m.agentEpoch).toBeGreaterThan(1);
+  simulation.simulator.run(cut + 39900);
+  expect(worker.agentEpoch).toBeGreaterThan(1);
 });
 
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
   const run = (reason: 'stopped' | 'done') => {
-    const t = new SchedulerHarness(5, { idle_s: 1e6 });
-    t.heartbeat([]);
-    t.sendDesiredState('run');
-    expect(t.directCalls[0]?.commands[0]?.type).toBe('start');
-    t.heartbeat([taskStatus('running')]);
-    t.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
+    const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+    harness.heartbeat([]);
+    harness.sendDesiredState('run');
+    expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
+    harness.heartbeat([taskStatus('running')]);
+    harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
     const ended = [{ ...taskStatus('exited'), exitReason: reason }];
-    t.heartbeat(ended);
-    t.sendDesiredState('reap');
+    harness.heartbeat(ended);
+    harness.sendDesiredState('reap');
     const ops = [];
     for (let i = 0; i < 40; i++) {
-      ops.push(...(t.heartbeat(ended) ?? []).map((command) => command.type));
-      t.advance(1000);
-      ops.push(...t.directCalls.flatMap((c) => c.commands.map((x) => x.type)));
-      for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+      ops.push(...(harness.heartbeat(ended) ?? []).map((command) => command.type));
+      harness.advance(1000);
+      ops.push(...harness.directCalls.flatMap((call) => call.commands.map((x) => x.type)));
+      for (const c of harness.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
     }
     return ops;
   };
@@ -132,32 +146,32 @@
 });
 
 test('a machine that lists nothing but what has ended is empty', () => {
-  const t = new SchedulerHarness(5, { idle_s: 10 });
-  t.heartbeat([]);
-  t.sendDesiredState('run');
-  t.heartbeat([taskStatus('running')]);
-  t.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
+  const harness = new SchedulerHarness(5, { idle_s: 10 });
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
+  harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
   const ended = [{ ...taskStatus('exited'), exitReason: 'stopped' as const }];
-  t.heartbeat(ended);
-  t.sendDesiredState('reap');
+  harness.heartbeat(ended);
+  harness.sendDesiredState('reap');
   for (let i = 0; i < 30; i++) {
-    t.heartbeat(ended);
-    t.advance(1000);
-    t.scheduler.flush();
+    harness.heartbeat(ended);
+    harness.advance(1000);
+    harness.scheduler.flush();
   }
-  expect(t.deletedMachines).toEqual(['m']);
+  expect(harness.deletedMachines).toEqual(['m']);
 });
 
 test('a machine that is back at once with a worker that knows nothing is deleted, not believed', () => {
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
-  for (let i = 0; i < 10; i++) t.heartbeat([]);
-  t.sendDesiredState('run');
-  t.heartbeat([taskStatus('running')]);
-  t.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  for (let i = 0; i < 10; i++) harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
+  harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
   for (let i = 1; i < 20; i++) {
-    t.heartbeat([], 0, { sequence: Math.min(i, 8) });
-    t.advance(1000);
-    t.scheduler.flush();
+    harness.heartbeat([], 0, { sequence: Math.min(i, 8) });
+    harness.advance(1000);
+    harness.scheduler.flush();
     const r = {
       address: 'm',
       machineType: 'small',
@@ -168,23 +182,23 @@
       evictionNoticeSeconds: null,
       tasks: [],
     };
-    for (const c of t.directCalls.splice(0))
-      c.callback({ ok: true, value: { machine: 'm', sequence: 3, ...r } });
+    for (const call of harness.directCalls.splice(0))
+      call.callback({ ok: true, value: { machine: 'm', sequence: 3, ...r } });
   }
-  expect(t.deletedMachines).toEqual(['m']);
-  expect(t.hasFinalized()).toBe(false);
+  expect(harness.deletedMachines).toEqual(['m']);
+  expect(harness.hasFinalized()).toBe(false);
 });
 
 test('a pass looks at each machine once for wants of one kind, and a report at its own machine only', () => {
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const all = names(1900);
   for (const m of all) {
-    t.sendPlacement({ ...t.placementSpec('run'), jobId: `wk-${m}`, machine: m });
-    t.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+    harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${m}`, machine: m });
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
-  t.advance(1000);
-  t.scheduler.flush();
-  const inside = t.scheduler as unknown as {
+  harness.advance(1000);
+  harness.scheduler.flush();
+  const inside = harness.scheduler as unknown as {
     placement: { preemption: { offer: (...a: unknown[]) => unknown } };
     state: { changedMachines: Set<unknown>; capacityOf: (...a: unknown[]) => unknown };
   };
@@ -202,9 +216,9 @@
     cpus: 4,
     machineTypes: ['big'],
   };
-  t.sendRequests(Array.from({ length: 300 }, (_, i) => makeResourceRequest(`wk-s${i}`, replica)));
-  t.advance(1000);
-  t.scheduler.flush();
+  harness.sendRequests(Array.from({ length: 300 }, (_, i) => makeResourceRequest(`wk-s${i}`, replica)));
+  harness.advance(1000);
+  harness.scheduler.flush();
   expect(offers).toBeGreaterThan(0);
   expect(offers).toBeLessThanOrEqual(2 * all.length);
   // A second before the next pass: nothing but the machine that reported is looked at again.
@@ -216,21 +230,27 @@
     return roomOf(...a);
   };
   const m = all[7] as string;
-  t.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+  harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   expect([inside.state.changedMachines.size, capacities]).toEqual([1, 0]);
-  expect(t.directCalls.splice(0).length).toBe(0);
+  expect(harness.directCalls.splice(0).length).toBe(0);
 });
 
 test('a look for work to stop that found none is not repeated by each pass', () => {
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const all = names(100);
   for (const m of all) {
-    t.sendPlacement({ ...t.placementSpec('run'), jobId: `wk-${m}`, machine: m, cpus: 3, memoryGb: 1 });
-    t.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+    harness.sendPlacement({
+      ...harness.placementSpec('run'),
+      jobId: `wk-${m}`,
+      machine: m,
+      cpus: 3,
+      memoryGb: 1,
+    });
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
-  t.advance(1000);
-  t.scheduler.flush();
-  const inside = t.scheduler as unknown as {
+  harness.advance(1000);
+  harness.scheduler.flush();
+  const inside = harness.scheduler as unknown as {
     placement: { preemption: { offer: (...a: unknown[]) => unknown } };
   };
   let offers = 0;
@@ -250,9 +270,9 @@
   const requests = Array.from({ length: 20 }, (_, i) => want(i));
   const pass = (ms: number) => {
     offers = 0;
-    t.sendRequests(requests);
-    t.advance(ms);
-    t.scheduler.flush();
+    harness.sendRequests(requests);
+    harness.advance(ms);
+    harness.scheduler.flush();
     return offers;
   };
   const looks = Array.from({ length: 8 }, () => pass(600));
--- a/test/gang-attempts.test.ts
+++ b/test/gang-attempts.test.ts
@@ -46,8 +46,8 @@
     });
     // No machine on which everything fails.
     this.world.faultyMachines.add = () => this.world.faultyMachines;
-    const { simulator: sim } = this.world;
-    const tasks = sim.pick([2, 5, 20, 40, 80, 80]);
+    const { simulator } = this.world;
+    const tasks = simulator.pick([2, 5, 20, 40, 80, 80]);
     const spec = makeJobSpec(this.world, {
       kind: 'gang',
       priority: 2,
@@ -55,8 +55,8 @@
       cpus: tasks <= 5 ? 4 : 1,
       memoryGb: 0.5,
       spotAllowed: false,
-      zoneAffinity: sim.chance(0.3),
-      imageGb: sim.pick([0.1, 2, 8]),
+      zoneAffinity: simulator.chance(0.3),
+      imageGb: simulator.pick([0.1, 2, 8]),
       checkpointIntervalSeconds: 1,
       checkpointSaveSeconds: 2,
     });
@@ -80,11 +80,11 @@
 
   /** Runs until this holds, or the gang is done. */
   until(holds: () => boolean, ms = 90_000): boolean {
-    const { simulator: sim, jobs } = this.world;
-    const end = sim.now + ms;
-    while (sim.now < end && jobs.get(this.gang)?.reportedState !== 'done') {
+    const { simulator, jobs } = this.world;
+    const end = simulator.now + ms;
+    while (simulator.now < end && jobs.get(this.gang)?.reportedState !== 'done') {
       if (holds()) return true;
-      sim.run(sim.now + 1);
+      simulator.run(simulator.now + 1);
     }
     return false;
   }
@@ -94,15 +94,18 @@
   }
 
   leader(): string {
-    const { nodeNames: hosts, controllers: procs } = this.world;
-    return hosts.find((host) => procs.get(host)?.controller.status().scheduler) ?? hosts[0]!;
+    const { nodeNames, controllers } = this.world;
+    return (
+      nodeNames.find((nodeName) => controllers.get(nodeName)?.controller.status().scheduler) ?? nodeNames[0]!
+    );
   }
 
   owner(): string {
-    const { nodeNames: hosts, controllers: procs } = this.world;
+    const { nodeNames, controllers } = this.world;
     return (
-      hosts.find((host) => (procs.get(host)!.controller.status().teams as string[]).includes('red')) ??
-      hosts[0]!
+      nodeNames.find((nodeName) =>
+        (controllers.get(nodeName)!.controller.status().teams as string[]).includes('red'),
+      ) ?? nodeNames[0]!
     );
   }
 
@@ -112,18 +115,18 @@
   }
 
   killAll(): void {
-    for (const host of this.world.nodeNames) this.world.crashController(host, 2000);
+    for (const nodeName of this.world.nodeNames) this.world.crashController(nodeName, 2000);
   }
 
   /** A machine of the gang goes for good, or hangs for a while. */
   loseIn(phase: Phase): void {
     if (!this.until(() => this.machinesIn(phase).length > 0)) return;
-    const { simulator: sim, workers } = this.world;
-    const name = sim.pick(this.machinesIn(phase));
-    if (sim.chance(0.5)) return this.world.destroyMachine(name);
+    const { simulator, workers } = this.world;
+    const name = simulator.pick(this.machinesIn(phase));
+    if (simulator.chance(0.5)) return this.world.destroyMachine(name);
     const worker = workers.get(name)!;
     worker.isHung = true;
-    sim.scheduleAfter(15_000, () => {
+    simulator.scheduleAfter(15_000, () => {
       worker.isHung = false;
     });
   }
@@ -187,18 +190,18 @@
   'gang %i begins beside free machines however often its attempts ended: %s',
   (seed, trouble) => {
     const day = new GangDay(seed);
-    const { world } = day;
-    for (let times = world.simulator.pick([1, 1, 2, 3]); times > 0; times--) {
+    const { world: simulation } = day;
+    for (let times = simulation.simulator.pick([1, 1, 2, 3]); times > 0; times--) {
       TROUBLES[trouble]!(day);
-      world.simulator.run(world.simulator.now + 5000);
+      simulation.simulator.run(simulation.simulator.now + 5000);
     }
-    world.faultsEndAt = world.simulator.now;
+    simulation.faultsEndAt = simulation.simulator.now;
     const before = day.token();
-    world.simulator.run(world.simulator.now + STARTS_WITHIN_MS);
-    expect(world.violations).toEqual([]);
-    expect(world.unfinishedJobs()).toEqual([]);
+    simulation.simulator.run(simulation.simulator.now + STARTS_WITHIN_MS);
+    expect(simulation.violations).toEqual([]);
+    expect(simulation.unfinishedJobs()).toEqual([]);
     // Each refusal ends an attempt and stops all its tasks; each token costs a new leader's beginning.
-    expect(world.refusals.busy).toBe(0);
+    expect(simulation.refusals.busy).toBe(0);
     expect(day.token() - before).toBeLessThanOrEqual(MOST_TOKENS);
   },
   120_000,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -34,116 +34,120 @@
   makeResourceRequest(id, { priority: 3, cpus: 1, taskCount: 20, queuePosition: 2, ...over });
 
 /** All of these machines report, and one second passes. */
-function second(t: SchedulerStandin, machines: string[], over: (name: string) => object = () => ({})): void {
-  for (const machine of machines) t.heartbeat([], 5, { machine, address: machine, ...over(machine) });
-  t.advance(1000);
-  t.scheduler.flush();
-  for (const call of t.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
+function second(
+  harness: SchedulerStandin,
+  machines: string[],
+  over: (name: string) => object = () => ({}),
+): void {
+  for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  harness.advance(1000);
+  harness.scheduler.flush();
+  for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
 }
 
-const grantsOf = (t: SchedulerStandin, id: string) =>
-  t.grantedJobs().filter((granted) => granted === id).length;
-const evicted = (t: SchedulerStandin) =>
-  t.sentMessages.flatMap((message) => (message.type === 'evict' ? message.tasks : []));
+const grantsOf = (harness: SchedulerStandin, id: string) =>
+  harness.grantedJobs().filter((granted) => granted === id).length;
+const evicted = (harness: SchedulerStandin) =>
+  harness.sentMessages.flatMap((message) => (message.type === 'evict' ? message.tasks : []));
 
 test('a gang that waits keeps the machines it has gathered from lower work, and begins with the last one', () => {
-  const t = new SchedulerHarness(5);
-  t.sendRequests([gangWant('wk-gang'), lowWant('wk-low')]);
-  for (let i = 0; i < 5; i++) second(t, ['a', 'b']);
-  expect(grantsOf(t, 'wk-low')).toBe(0);
-  expect(grantsOf(t, 'wk-gang')).toBe(0);
-  second(t, ['a', 'b', 'c']);
-  second(t, ['a', 'b', 'c']);
-  expect(grantsOf(t, 'wk-gang')).toBe(3);
+  const harness = new SchedulerHarness(5);
+  harness.sendRequests([gangWant('wk-gang'), lowWant('wk-low')]);
+  for (let i = 0; i < 5; i++) second(harness, ['a', 'b']);
+  expect(grantsOf(harness, 'wk-low')).toBe(0);
+  expect(grantsOf(harness, 'wk-gang')).toBe(0);
+  second(harness, ['a', 'b', 'c']);
+  second(harness, ['a', 'b', 'c']);
+  expect(grantsOf(harness, 'wk-gang')).toBe(3);
 });
 
 test('machines that a gang gathers are not returned as idle, and only what it lacks is rented', () => {
-  const t = new SchedulerHarness(5, { idle_s: 2 });
-  t.rentals.served = true;
-  t.sendRequests([gangWant('wk-gang')]);
-  for (let i = 0; i < 12; i++) second(t, ['a', 'b']);
-  expect(t.deletedMachines).toEqual([]);
-  expect(t.rentals.n).toBe(1);
+  const harness = new SchedulerHarness(5, { idle_s: 2 });
+  harness.rentals.isAnswered = true;
+  harness.sendRequests([gangWant('wk-gang')]);
+  for (let i = 0; i < 12; i++) second(harness, ['a', 'b']);
+  expect(harness.deletedMachines).toEqual([]);
+  expect(harness.rentals.count).toBe(1);
 });
 
 test('machines of a gang are kept while the last room that it lacks is being freed', () => {
-  const t = new SchedulerHarness(5, { idle_s: 2 });
-  t.rentals.served = true;
+  const harness = new SchedulerHarness(5, { idle_s: 2 });
+  harness.rentals.isAnswered = true;
   const runs = (machine: string) => ({
     tasks: machine === 'c' ? [{ ...taskStatus('running'), jobId: 'wk-low' }] : [],
   });
-  for (const machine of ['a', 'b', 'c']) t.heartbeat([], 5, { machine, address: machine });
-  t.sendPlacement({
-    ...t.placementSpec('run'),
+  for (const machine of ['a', 'b', 'c']) harness.heartbeat([], 5, { machine, address: machine });
+  harness.sendPlacement({
+    ...harness.placementSpec('run'),
     jobId: 'wk-low',
     machine: 'c',
     priority: 3,
     cpus: 3,
     memoryGb: 1,
   });
-  t.sendRequests([gangWant('wk-gang')]);
-  for (let i = 0; i < 4; i++) second(t, ['a', 'b', 'c'], runs);
-  expect(evicted(t).length).toBe(1);
-  t.sendDesiredState('stop');
-  for (let i = 0; i < 6; i++) second(t, ['a', 'b', 'c'], runs);
-  expect(t.deletedMachines).toEqual([]);
+  harness.sendRequests([gangWant('wk-gang')]);
+  for (let i = 0; i < 4; i++) second(harness, ['a', 'b', 'c'], runs);
+  expect(evicted(harness).length).toBe(1);
+  harness.sendDesiredState('stop');
+  for (let i = 0; i < 6; i++) second(harness, ['a', 'b', 'c'], runs);
+  expect(harness.deletedMachines).toEqual([]);
 });
 
 test('of two gangs without room the first in the queue gathers: neither holds half of what both need', () => {
-  const t = new SchedulerHarness(5);
-  t.sendRequests([
+  const harness = new SchedulerHarness(5);
+  harness.sendRequests([
     gangWant('wk-first', { queuePosition: 1 }),
     gangWant('wk-second', { queuePosition: 2, taskCount: 2 }),
   ]);
-  for (let i = 0; i < 5; i++) second(t, ['a', 'b']);
-  expect(t.grantedJobs()).toEqual([]);
-  for (let i = 0; i < 2; i++) second(t, ['a', 'b', 'c']);
-  expect(t.grantedJobs()).toEqual(['wk-first', 'wk-first', 'wk-first']);
+  for (let i = 0; i < 5; i++) second(harness, ['a', 'b']);
+  expect(harness.grantedJobs()).toEqual([]);
+  for (let i = 0; i < 2; i++) second(harness, ['a', 'b', 'c']);
+  expect(harness.grantedJobs()).toEqual(['wk-first', 'wk-first', 'wk-first']);
 });
 
 test('lower work is stopped for a gang in one zone only', () => {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   const machines = ['a1', 'a2', 'b1'];
   const zone = (name: string) => ({ zone: name.slice(0, 1) });
-  for (const machine of machines) t.heartbeat([], 5, { machine, address: machine, ...zone(machine) });
+  for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine, ...zone(machine) });
   const runs = (machine: string) => ({
     ...zone(machine),
     tasks: [{ ...taskStatus('running'), jobId: `wk-${machine}` }],
   });
   for (const machine of machines)
-    t.sendPlacement({
-      ...t.placementSpec('run'),
+    harness.sendPlacement({
+      ...harness.placementSpec('run'),
       jobId: `wk-${machine}`,
       machine,
       priority: 3,
       cpus: 2,
       memoryGb: 1,
     });
-  t.sendRequests([gangWant('wk-gang', { taskCount: 2 })]);
-  for (let i = 0; i < 4; i++) second(t, machines, runs);
-  expect([...new Set(evicted(t).map((task) => task.jobId))].sort()).toEqual(['wk-a1', 'wk-a2']);
+  harness.sendRequests([gangWant('wk-gang', { taskCount: 2 })]);
+  for (let i = 0; i < 4; i++) second(harness, machines, runs);
+  expect([...new Set(evicted(harness).map((task) => task.jobId))].sort()).toEqual(['wk-a1', 'wk-a2']);
 });
 
 test('no work is stopped for a guarantee while the fleet starts, and no gang before the claim has waited', () => {
   const machines = ['a', 'b', 'c'];
   /** Blue (8 guaranteed) runs 12 CPUs on three machines; red is within its guarantee and waits. */
   const evictions = (gang: boolean, booting: number, seconds: number): number => {
-    const t = new SchedulerHarness(5);
-    for (const machine of machines) t.heartbeat([], 5, { machine, address: machine });
+    const harness = new SchedulerHarness(5);
+    for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine });
     const blue = {
-      ...t.placementSpec('run'),
+      ...harness.placementSpec('run'),
       jobId: 'wk-blue',
       team: 'blue',
       isGang: gang,
       cpus: 4,
       memoryGb: 1,
     };
-    machines.forEach((machine, taskIndex) => t.sendPlacement({ ...blue, taskIndex, machine }));
+    machines.forEach((machine, taskIndex) => harness.sendPlacement({ ...blue, taskIndex, machine }));
     const runs = (machine: string) => ({
       tasks: [{ ...taskStatus('running'), jobId: 'wk-blue', taskIndex: machines.indexOf(machine) }],
     });
     for (let i = 0; i < booting; i++)
-      t.listedMachines.push({
+      harness.listedMachines.push({
         name: `boots-${i}`,
         address: '',
         machineType: 'big',
@@ -152,11 +156,11 @@
         phase: 'booting',
         ageSeconds: 0,
       });
-    t.sendRequests([
+    harness.sendRequests([
       makeResourceRequest('wk-red', { priority: 2, cpus: 4, spotAllowed: false, machineTypes: ['small'] }),
     ]);
-    for (let i = 0; i < seconds; i++) second(t, machines, runs);
-    return evicted(t).length;
+    for (let i = 0; i < seconds; i++) second(harness, machines, runs);
+    return evicted(harness).length;
   };
   // A machine of this type counts as booting for 8 s.
   expect(evictions(false, 2, 6)).toBe(0);
@@ -166,33 +170,33 @@
 });
 
 test('run times of gangs say nothing about the speed of single machines', () => {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   const all = Array.from({ length: 12 }, (_, i) => `vm-${i}`);
   for (let round = 0; round < 6; round++) {
     // Two machines are shared by gangs that run four times as long as estimated.
     const slow = (name: string) => name === 'vm-0' || name === 'vm-1';
     const id = (name: string) => (slow(name) ? `wk-gang-${round}` : `wk-${name}-${round}`);
     for (const machine of all)
-      t.sendPlacement({
-        ...t.placementSpec('run'),
+      harness.sendPlacement({
+        ...harness.placementSpec('run'),
         jobId: id(machine),
         taskIndex: all.indexOf(machine),
         machine,
         isGang: slow(machine),
       });
     const report = (machine: string, phase: 'running' | 'exited') =>
-      t.heartbeat([{ ...taskStatus(phase), jobId: id(machine), taskIndex: all.indexOf(machine) }], 5, {
+      harness.heartbeat([{ ...taskStatus(phase), jobId: id(machine), taskIndex: all.indexOf(machine) }], 5, {
         machine,
         address: machine,
       });
-    for (const machine of all) t.heartbeat([], 5, { machine, address: machine });
+    for (const machine of all) harness.heartbeat([], 5, { machine, address: machine });
     for (const machine of all) report(machine, 'running');
-    t.advance(5000);
+    harness.advance(5000);
     for (const machine of all) report(machine, slow(machine) ? 'running' : 'exited');
-    t.advance(15000);
+    harness.advance(15000);
     for (const machine of all) report(machine, 'exited');
   }
-  const { machines } = (t.scheduler as unknown as { state: ClusterState }).state;
+  const { machines } = (harness.scheduler as unknown as { state: ClusterState }).state;
   expect([...machines.values()].filter((m) => m.isQuarantined).map((m) => m.name)).toEqual([]);
 });
 
@@ -242,9 +246,9 @@
 /** An owner of team red that has loaded these jobs, with a state service that never answers a write. */
 function ownerOf(specs: JobSpec[]): { owner: ShardOwner; said: ShardMessage[] } {
   const said: ShardMessage[] = [];
-  const items = specs.map((j, i) => ({
-    key: `open/${j.id}/a`,
-    value: jobRecord.encode({ spec: j }),
+  const items = specs.map((spec, i) => ({
+    key: `open/${spec.id}/a`,
+    value: jobRecord.encode({ spec }),
     modRevision: i + 1,
   }));
   const state = {
@@ -307,44 +311,50 @@
 // ---- whole worlds, with the rules checked after each step ----------------------------------------------
 
 function world(seed: number, shape: Partial<ClusterConfig>): ClusterSimulation {
-  const w = new ClusterSimulation(seed, { ...CLUSTER_CONFIG, ...shape });
+  const simulation = new ClusterSimulation(seed, { ...CLUSTER_CONFIG, ...shape });
   // No machine on which everything fails, unless a test says so.
-  w.faultyMachines.add = () => w.faultyMachines;
-  return w;
+  simulation.faultyMachines.add = () => simulation.faultyMachines;
+  return simulation;
 }
 
-function until(w: ClusterSimulation, ms: number, holds: () => boolean): void {
-  const end = w.simulator.now + ms;
-  while (!holds() && w.simulator.now < end) w.simulator.run(w.simulator.now + 1);
+function until(simulation: ClusterSimulation, ms: number, holds: () => boolean): void {
+  const end = simulation.simulator.now + ms;
+  while (!holds() && simulation.simulator.now < end) simulation.simulator.run(simulation.simulator.now + 1);
   expect(holds()).toBe(true);
 }
 
-function finish(w: ClusterSimulation, ms = 200_000): void {
-  w.faultsEndAt = w.simulator.now;
-  w.simulator.run(w.simulator.now + ms);
-  expect(w.violations).toEqual([]);
-  expect(w.unfinishedJobs()).toEqual([]);
-  expect(w.serviceLevel.startsAfterCancellation).toBe(0);
+function finish(simulation: ClusterSimulation, ms = 200_000): void {
+  simulation.faultsEndAt = simulation.simulator.now;
+  simulation.simulator.run(simulation.simulator.now + ms);
+  expect(simulation.violations).toEqual([]);
+  expect(simulation.unfinishedJobs()).toEqual([]);
+  expect(simulation.serviceLevel.startsAfterCancellation).toBe(0);
 }
 
-const onMachines = (w: ClusterSimulation, id: string) =>
-  [...w.workers.values()].flatMap((m) => m.tasks.filter((task) => task.jobId === id && m.occupies(task)));
-const running = (w: ClusterSimulation, id: string) =>
-  onMachines(w, id).filter((task) => task.phase === 'running').length;
-const leader = (w: ClusterSimulation) =>
-  w.nodeNames.find((h) => w.controllers.get(h)?.controller.status().scheduler) ?? '';
-const ownerHost = (w: ClusterSimulation, team: string) =>
-  w.nodeNames.find((h) => (w.controllers.get(h)!.controller.status().teams as string[]).includes(team)) ?? '';
-
-const TROUBLES: Record<string, (w: ClusterSimulation) => void> = {
-  'the owner goes': (w) => w.crashController(ownerHost(w, 'red'), 3000),
-  'the leader goes': (w) => w.crashController(leader(w), 3000),
-  'all controllers go': (w) => {
-    for (const host of w.nodeNames) w.crashController(host, 2000);
+const onMachines = (simulation: ClusterSimulation, id: string) =>
+  [...simulation.workers.values()].flatMap((worker) =>
+    worker.tasks.filter((task) => task.jobId === id && worker.occupies(task)),
+  );
+const running = (simulation: ClusterSimulation, id: string) =>
+  onMachines(simulation, id).filter((task) => task.phase === 'running').length;
+const leader = (simulation: ClusterSimulation) =>
+  simulation.nodeNames.find(
+    (nodeName) => simulation.controllers.get(nodeName)?.controller.status().scheduler,
+  ) ?? '';
+const ownerHost = (simulation: ClusterSimulation, team: string) =>
+  simulation.nodeNames.find((nodeName) =>
+    (simulation.controllers.get(nodeName)!.controller.status().teams as string[]).includes(team),
+  ) ?? '';
+
+const TROUBLES: Record<string, (simulation: ClusterSimulation) => void> = {
+  'the owner goes': (simulation) => simulation.crashController(ownerHost(simulation, 'red'), 3000),
+  'the leader goes': (simulation) => simulation.crashController(leader(simulation), 3000),
+  'all controllers go': (simulation) => {
+    for (const nodeName of simulation.nodeNames) simulation.crashController(nodeName, 2000);
   },
-  'the state service goes': (w) => {
-    w.store.setDown(true);
-    w.simulator.scheduleAfter(12_000, () => w.store.setDown(false));
+  'the state service goes': (simulation) => {
+    simulation.store.setDown(true);
+    simulation.simulator.scheduleAfter(12_000, () => simulation.store.setDown(false));
   },
 };
 
@@ -358,28 +368,34 @@
       machineCapacity: 40,
       teams: [{ ...TEAM, maxCpus: 0 }],
     };
-    const w = world(seed, config);
-    const gang = makeJobSpec(w, { kind: 'gang', taskCount: 80, cpus: 1, memoryGb: 0.5, spotAllowed: false });
-    w.submitJob(gang);
+    const simulation = world(seed, config);
+    const gang = makeJobSpec(simulation, {
+      kind: 'gang',
+      taskCount: 80,
+      cpus: 1,
+      memoryGb: 0.5,
+      spotAllowed: false,
+    });
+    simulation.submitJob(gang);
     const stored = () =>
-      [...w.store.records.keys()].filter((key) => key.startsWith(`place/${gang.id}/`)).length;
-    until(w, 90_000, () => stored() > 0);
+      [...simulation.store.records.keys()].filter((key) => key.startsWith(`place/${gang.id}/`)).length;
+    until(simulation, 90_000, () => stored() > 0);
     expect(stored()).toBeLessThan(5);
-    TROUBLES[name]!(w);
-    finish(w);
+    TROUBLES[name]!(simulation);
+    finish(simulation);
   },
 );
 
 test.each([1, 2, 3, 4])(
   'a gang in one zone never begins in the other while its last attempt is unsettled (%i)',
   (seed) => {
-    const w = world(seed, {
+    const simulation = world(seed, {
       machineCapacity: 16,
       machineTypes: [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 3 }],
     });
-    w.runDurationMs = () => 40_000;
+    simulation.runDurationMs = () => 40_000;
     const gangs = [4, 3].map((tasks) => {
-      const gang = makeJobSpec(w, {
+      const gang = makeJobSpec(simulation, {
         kind: 'gang',
         taskCount: tasks,
         cpus: 4,
@@ -387,28 +403,33 @@
         spotAllowed: false,
         zoneAffinity: true,
       });
-      w.submitJob(gang);
+      simulation.submitJob(gang);
       return gang.id;
     });
-    until(w, 90_000, () => gangs.every((id) => running(w, id) > 0));
+    until(simulation, 90_000, () => gangs.every((id) => running(simulation, id) > 0));
     // The zone of the first gang is cut off from everything else, and the leader changes meanwhile.
-    const zone = [...w.workers.values()].find((m) => m.tasks.some((task) => task.jobId === gangs[0]))!.zone;
-    const inside = [...w.workers.values()].filter((m) => m.zone === zone).map((m) => m.name);
-    const outside = [...w.nodeNames, 'state', 'cloud'];
-    for (const a of inside) for (const b of outside) w.network.cut(a, b, seed % 2 === 0 ? 'hold' : 'reset');
-    w.simulator.run(w.simulator.now + 5000);
-    w.crashController(leader(w), 3000);
-    w.simulator.run(w.simulator.now + 30_000);
-    for (const a of inside) for (const b of outside) w.network.heal(a, b);
-    finish(w, 300_000);
+    const zone = [...simulation.workers.values()].find((worker) =>
+      worker.tasks.some((task) => task.jobId === gangs[0]),
+    )!.zone;
+    const inside = [...simulation.workers.values()]
+      .filter((worker) => worker.zone === zone)
+      .map((worker) => worker.name);
+    const outside = [...simulation.nodeNames, 'state', 'cloud'];
+    for (const a of inside)
+      for (const b of outside) simulation.network.cut(a, b, seed % 2 === 0 ? 'hold' : 'reset');
+    simulation.simulator.run(simulation.simulator.now + 5000);
+    simulation.crashController(leader(simulation), 3000);
+    simulation.simulator.run(simulation.simulator.now + 30_000);
+    for (const a of inside) for (const b of outside) simulation.network.heal(a, b);
+    finish(simulation, 300_000);
   },
 );
 
 test.each([1, 2, 3])(
   'a task of a running gang disappears or its machine hangs: the next attempt completes it (%i)',
   (seed) => {
-    const w = world(seed, { machineCapacity: 20 });
-    const gang = makeJobSpec(w, {
+    const simulation = world(seed, { machineCapacity: 20 });
+    const gang = makeJobSpec(simulation, {
       kind: 'gang',
       taskCount: 5,
       cpus: 4,
@@ -417,22 +438,24 @@
       checkpointIntervalSeconds: 2,
       checkpointSaveSeconds: 1,
     });
-    w.submitJob(gang);
-    w.runDurationMs = () => 20_000;
-    until(w, 90_000, () => running(w, gang.id) === 5);
-    const machine = [...w.workers.values()].find((m) => m.tasks.some((task) => task.jobId === gang.id))!;
+    simulation.submitJob(gang);
+    simulation.runDurationMs = () => 20_000;
+    until(simulation, 90_000, () => running(simulation, gang.id) === 5);
+    const machine = [...simulation.workers.values()].find((worker) =>
+      worker.tasks.some((task) => task.jobId === gang.id),
+    )!;
     if (seed === 1) machine.isHung = true;
-    else w.destroyMachine(machine.name);
-    w.simulator.scheduleAfter(15_000, () => {
+    else simulation.destroyMachine(machine.name);
+    simulation.simulator.scheduleAfter(15_000, () => {
       machine.isHung = false;
     });
-    finish(w);
+    finish(simulation);
   },
 );
 
 test.each([1, 2, 3])('a gang that loses a task before it has begun is not held up for good (%i)', (seed) => {
-  const w = world(seed, { machineCapacity: 20 });
-  const gang = makeJobSpec(w, {
+  const simulation = world(seed, { machineCapacity: 20 });
+  const gang = makeJobSpec(simulation, {
     kind: 'gang',
     taskCount: 5,
     cpus: 4,
@@ -440,20 +463,20 @@
     spotAllowed: false,
     imageGb: 8,
   });
-  w.submitJob(gang);
+  simulation.submitJob(gang);
   const fetching = () =>
-    [...w.workers.values()].filter((m) => m.tasks.some((task) => task.jobId === gang.id));
-  until(w, 90_000, () => fetching().length === 5);
-  w.destroyMachine(fetching()[seed]!.name);
-  finish(w);
+    [...simulation.workers.values()].filter((worker) => worker.tasks.some((task) => task.jobId === gang.id));
+  until(simulation, 90_000, () => fetching().length === 5);
+  simulation.destroyMachine(fetching()[seed]!.name);
+  finish(simulation);
 });
 
 test.each([1, 2, 3])('a gang stopped for higher work is told as a whole in time, and saves (%i)', (seed) => {
-  const w = world(seed, {
+  const simulation = world(seed, {
     machineCapacity: 5,
     machineTypes: [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 3 }],
   });
-  const gang = makeJobSpec(w, {
+  const gang = makeJobSpec(simulation, {
     kind: 'gang',
     priority: 3,
     taskCount: 4,
@@ -463,22 +486,24 @@
     checkpointIntervalSeconds: 30,
     checkpointSaveSeconds: 2,
   });
-  w.runDurationMs = (id) => (id === gang.id ? 60_000 : 5000);
-  w.submitJob(gang);
-  until(w, 90_000, () => running(w, gang.id) === 4);
-  w.submitJob(makeJobSpec(w, { priority: 1, taskCount: 8, cpus: 4, memoryGb: 1, spotAllowed: false }));
-  until(w, 60_000, () => w.gangStops.told > 0);
-  expect(onMachines(w, gang.id).some((task) => task.phase === 'saving')).toBe(true);
-  w.simulator.run(w.simulator.now + 10_000);
-  expect(w.gangStops.late).toBe(0);
-  finish(w, 300_000);
+  simulation.runDurationMs = (id) => (id === gang.id ? 60_000 : 5000);
+  simulation.submitJob(gang);
+  until(simulation, 90_000, () => running(simulation, gang.id) === 4);
+  simulation.submitJob(
+    makeJobSpec(simulation, { priority: 1, taskCount: 8, cpus: 4, memoryGb: 1, spotAllowed: false }),
+  );
+  until(simulation, 60_000, () => simulation.gangStops.signalled > 0);
+  expect(onMachines(simulation, gang.id).some((task) => task.phase === 'saving')).toBe(true);
+  simulation.simulator.run(simulation.simulator.now + 10_000);
+  expect(simulation.gangStops.late).toBe(0);
+  finish(simulation, 300_000);
 });
 
 test.each([1, 2, 3])(
   'a cancelled gang is gone in time although a machine of it can not be reached (%i)',
   (seed) => {
-    const w = world(seed, { machineCapacity: 20 });
-    const gang = makeJobSpec(w, {
+    const simulation = world(seed, { machineCapacity: 20 });
+    const gang = makeJobSpec(simulation, {
       kind: 'gang',
       taskCount: 5,
       cpus: 4,
@@ -486,26 +511,28 @@
       spotAllowed: false,
       zoneAffinity: true,
     });
-    w.submitJob(gang);
-    w.runDurationMs = () => 100_000;
-    until(w, 90_000, () => running(w, gang.id) === 5);
-    const machine = [...w.workers.values()].find((m) => m.tasks.some((task) => task.jobId === gang.id))!;
-    for (const host of w.nodeNames) w.network.cut(machine.name, host, 'hold');
-    w.cancelJob(gang.id);
-    w.simulator.run(w.simulator.now + CLUSTER_CONFIG.cancellationSeconds * 1000 + 5000);
-    expect(onMachines(w, gang.id)).toEqual([]);
-    for (const host of w.nodeNames) w.network.heal(machine.name, host);
-    finish(w);
+    simulation.submitJob(gang);
+    simulation.runDurationMs = () => 100_000;
+    until(simulation, 90_000, () => running(simulation, gang.id) === 5);
+    const machine = [...simulation.workers.values()].find((worker) =>
+      worker.tasks.some((task) => task.jobId === gang.id),
+    )!;
+    for (const nodeName of simulation.nodeNames) simulation.network.cut(machine.name, nodeName, 'hold');
+    simulation.cancelJob(gang.id);
+    simulation.simulator.run(simulation.simulator.now + CLUSTER_CONFIG.cancellationSeconds * 1000 + 5000);
+    expect(onMachines(simulation, gang.id)).toEqual([]);
+    for (const nodeName of simulation.nodeNames) simulation.network.heal(machine.name, nodeName);
+    finish(simulation);
   },
 );
 
 test.each([1, 2, 3])('a gang gets round a machine on which every task fails (%i)', (seed) => {
-  const w = world(seed, {
+  const simulation = world(seed, {
     machineCapacity: 12,
     machineTypes: [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 3 }],
   });
   const gangs = [4, 3].map((tasks) =>
-    makeJobSpec(w, {
+    makeJobSpec(simulation, {
       id: `wk-gang-${tasks}`,
       kind: 'gang',
       taskCount: tasks,
@@ -515,11 +542,13 @@
       estimatedRunSeconds: 10,
     }),
   );
-  w.runDurationMs = () => 10_000;
-  w.submitJob(gangs[0]!);
-  until(w, 90_000, () => onMachines(w, gangs[0]!.id).length > 0);
-  const bad = [...w.workers.values()].find((m) => m.tasks.some((task) => task.jobId === gangs[0]!.id))!;
-  Set.prototype.add.call(w.faultyMachines, bad.name);
-  w.submitJob(gangs[1]!);
-  finish(w);
+  simulation.runDurationMs = () => 10_000;
+  simulation.submitJob(gangs[0]!);
+  until(simulation, 90_000, () => onMachines(simulation, gangs[0]!.id).length > 0);
+  const bad = [...simulation.workers.values()].find((worker) =>
+    worker.tasks.some((task) => task.jobId === gangs[0]!.id),
+  )!;
+  Set.prototype.add.call(simulation.faultyMachines, bad.name);
+  simulation.submitJob(gangs[1]!);
+  finish(simulation);
 });
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -5,15 +5,18 @@
 import { createUserApi } from '../src/transport/user-api.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 
-let world: ClusterSimulation;
+let simulation: ClusterSimulation;
 let handle: RequestHandler;
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
 beforeAll(() => {
-  world = new ClusterSimulation(7);
-  world.simulator.run(3000);
-  const clock = { now: () => world.simulator.now, wall: () => world.simulator.now } as unknown as Clock;
-  const controller = world.controllers.get('c0')!.controller;
+  simulation = new ClusterSimulation(7);
+  simulation.simulator.run(3000);
+  const clock = {
+    now: () => simulation.simulator.now,
+    wall: () => simulation.simulator.now,
+  } as unknown as Clock;
+  const controller = simulation.controllers.get('c0')!.controller;
   const userApi = createUserApi({ controller, clock, log });
   handle = createRequestHandler({ userApi, controller, log });
 });
@@ -34,7 +37,7 @@
   });
   for (let i = 0; i < 400 && !response; i++) {
     await new Promise((resolve) => setImmediate(resolve));
-    world.simulator.run(world.simulator.now + 20);
+    simulation.simulator.run(simulation.simulator.now + 20);
   }
   if (!response) throw new Error('no answer');
   return {
@@ -49,7 +52,7 @@
 const poll = (id: string) => ask('GET', `/v2/runs/${id}`);
 const cancel = (id: string) => ask('POST', `/v2/runs/${id}/abort`);
 const checkReadiness = () => ask('GET', '/ready');
-const advance = (ms: number) => world.simulator.run(world.simulator.now + ms);
+const advance = (ms: number) => simulation.simulator.run(simulation.simulator.now + ms);
 
 const JOB = {
   name_id: 'wk-000412',
@@ -112,10 +115,10 @@
 });
 
 test('in an outage users are told when to come back, and workers of a node that does not lead are sent on', async () => {
-  world.store.setDown(true);
+  simulation.store.setDown(true);
   const reply = await submit({ ...JOB, name_id: 'wk-000700' });
   expect([reply.status, reply.retryAfter]).toEqual([503, expect.stringMatching(/^[123]$/)]);
-  world.store.setDown(false);
+  simulation.store.setDown(false);
 
   expect((await ask('POST', '/hello', { trunk: 'vm-1' })).status).toBe(400);
   const heartbeat = {
@@ -138,7 +141,7 @@
   advance(10000);
   expect((await checkReadiness()).status).toBe(200);
 
-  world.store.refusedNodes.add('c0');
+  simulation.store.refusedNodes.add('c0');
   advance(4000);
   expect((await checkReadiness()).status).toBe(503);
   const reply = await poll('wk-000412');
@@ -148,13 +151,13 @@
     'close',
   ]);
 
-  world.store.readmit('c0');
+  simulation.store.readmit('c0');
   advance(5000);
   expect((await checkReadiness()).status).toBe(200);
 
-  world.store.setDown(true);
+  simulation.store.setDown(true);
   advance(8000);
   expect((await checkReadiness()).status).toBe(200);
   expect((await poll('wk-000412')).connection).toBe(null);
-  world.store.setDown(false);
+  simulation.store.setDown(false);
 });
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -21,39 +21,39 @@
   guaranteedGpus: 0,
   maxGpus: 0,
 };
-const world = new ClusterSimulation(1);
+const simulation = new ClusterSimulation(1);
 const specs = ['wk-000001', 'wk-000002', 'wk-000003'].map((id) =>
-  makeJobSpec(world, { id, taskCount: LIMIT_TASKS, cpus: CPUS }),
+  makeJobSpec(simulation, { id, taskCount: LIMIT_TASKS, cpus: CPUS }),
 );
 const cpus = () => CPUS;
 
 test('what a write in doubt places counts against the limit while other jobs of that write are read again', () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.lostAnswers.push('carried out at once');
-  standin.grant('wk-000001', 5);
-  standin.grant('wk-000002', 5);
-  standin.heldReadPrefix = 'open/wk-000002';
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.lostAnswers.push('carried out at once');
+  harness.grant('wk-000001', 5);
+  harness.grant('wk-000002', 5);
+  harness.heldReadPrefix = 'open/wk-000002';
   // The first job has been read again, which makes the owner tell all it holds; the second has not.
-  standin.run(3000);
-  expect(standin.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
-  standin.grant('wk-000003', 5);
-  standin.run(1000);
-  standin.releaseReads();
-  standin.run(3000);
-  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': 5, 'wk-000002': 5 });
+  harness.run(3000);
+  expect(harness.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
+  harness.grant('wk-000003', 5);
+  harness.run(1000);
+  harness.releaseReads();
+  harness.run(3000);
+  expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': 5, 'wk-000002': 5 });
 });
 
 test('a write that was not found when its jobs were read again is never carried out later', () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.lostAnswers.push('carried out late');
-  standin.grant('wk-000001', 5);
-  standin.grant('wk-000002', 5);
-  standin.run(3000);
-  standin.grant('wk-000003', LIMIT_TASKS);
-  standin.run(3000);
-  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000003': LIMIT_TASKS });
-  standin.carryOutLate();
-  expect(standin.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.lostAnswers.push('carried out late');
+  harness.grant('wk-000001', 5);
+  harness.grant('wk-000002', 5);
+  harness.run(3000);
+  harness.grant('wk-000003', LIMIT_TASKS);
+  harness.run(3000);
+  expect(harness.storedPlacementCounts()).toEqual({ 'wk-000003': LIMIT_TASKS });
+  harness.carryOutLate();
+  expect(harness.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
 
 // What happens: two tasks are given the same place of a machine, both are stored, and the worker refuses the second start.
@@ -72,28 +72,28 @@
 // stored, and the leader, which no longer knew that it had ended, started it. What showed it: day 19, wk-000063/4 ended at
 // 71.262 s, its outcome in flight from 71.954 s, a full telling at 72.278 s, read again at 76.482 s, started at 76.49 s.
 test('an attempt that ended is told as held while its outcome is in flight or in doubt', () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.grant('wk-000001', 1);
-  standin.run(100);
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.grant('wk-000001', 1);
+  harness.run(100);
   const ended = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
-  standin.lostAnswers.push('carried out late');
-  standin.owner.onLeaderMessage({
+  harness.lostAnswers.push('carried out late');
+  harness.owner.onLeaderMessage({
     type: 'allocationEvents',
     fencingToken: 1,
     events: [{ type: 'phase', ...ended, phase: 'exited', exitReason: 'done', checkpointSaved: false }],
   });
   const told: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
-    standin.run(400);
-    standin.sentMessages.length = 0;
-    standin.owner.resync();
-    standin.run(1);
-    const placements = standin.sentMessages.flatMap((message) =>
+    harness.run(400);
+    harness.sentMessages.length = 0;
+    harness.owner.resync();
+    harness.run(1);
+    const placements = harness.sentMessages.flatMap((message) =>
       message.type === 'fullSync' ? message.placements : [],
     );
     told.push(placements.find(({ taskIndex, machine }) => taskIndex === 0 && machine === 'm1')?.desiredState);
   }
-  expect(standin.lateTransactions.length).toBe(1);
+  expect(harness.lateTransactions.length).toBe(1);
   expect(told.slice(0, 3)).toEqual(['keep', 'keep', 'keep']);
   expect(told).not.toContain(undefined);
 });
@@ -101,71 +101,71 @@
 test.each(Array.from({ length: seeds }, (_, i) => from + i))(
   'day %i with teams at their limits and transactions without an answer keeps the rules and finishes its work',
   (seed) => {
-    const w = runIndeterminateWritesScenario(seed);
-    expect(w.violations.slice(0, 5)).toEqual([]);
-    expect(w.unfinishedJobs()).toEqual([]);
-    expect(w.serviceLevel.startsAfterCancellation).toBe(0);
-    expect(w.taskStarts).toBeGreaterThan(0);
+    const simulation = runIndeterminateWritesScenario(seed);
+    expect(simulation.violations.slice(0, 5)).toEqual([]);
+    expect(simulation.unfinishedJobs()).toEqual([]);
+    expect(simulation.serviceLevel.startsAfterCancellation).toBe(0);
+    expect(simulation.taskStarts).toBeGreaterThan(0);
   },
   120000,
 );
 
 test('the fence is seen to have moved although the answer to its own write is lost', () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.lostAnswers.push('carried out late', 'carried out at once');
-  standin.grant('wk-000001', 5);
-  standin.run(4000);
-  expect(standin.logLines('write in doubt resolved').length).toBe(1);
-  expect(standin.carryOutLate()).toBe(0);
-  standin.grant('wk-000001', LIMIT_TASKS);
-  standin.run(1000);
-  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': LIMIT_TASKS });
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.lostAnswers.push('carried out late', 'carried out at once');
+  harness.grant('wk-000001', 5);
+  harness.run(4000);
+  expect(harness.logLines('write in doubt resolved').length).toBe(1);
+  expect(harness.carryOutLate()).toBe(0);
+  harness.grant('wk-000001', LIMIT_TASKS);
+  harness.run(1000);
+  expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': LIMIT_TASKS });
 });
 
 test('a write and its fence that are both late: carried out before the fence has moved it is found, after it never', () => {
   for (const early of [true, false]) {
-    const standin = new ShardOwnerHarness(TEAM, specs);
-    standin.lostAnswers.push('carried out late', 'carried out late');
-    standin.grant('wk-000001', 5);
-    standin.run(2000);
-    if (early) expect(standin.carryOutLate()).toBe(2);
-    standin.run(3000);
-    expect(standin.carryOutLate()).toBe(0);
-    expect(standin.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
-    expect(standin.owner.stats().placed).toBe(early ? 5 : 0);
+    const harness = new ShardOwnerHarness(TEAM, specs);
+    harness.lostAnswers.push('carried out late', 'carried out late');
+    harness.grant('wk-000001', 5);
+    harness.run(2000);
+    if (early) expect(harness.carryOutLate()).toBe(2);
+    harness.run(3000);
+    expect(harness.carryOutLate()).toBe(0);
+    expect(harness.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
+    expect(harness.owner.stats().placed).toBe(early ? 5 : 0);
   }
 });
 
 test('a write that fails by its fence alone is sent again, and its jobs are not read for it', () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.grant('wk-000001', 1);
-  standin.run(100);
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.grant('wk-000001', 1);
+  harness.run(100);
   // A write of the process before this one on the same host, carried out late.
-  standin.writeRecord('fence/o', { inst: 'earlier' });
-  standin.grant('wk-000002', 5);
-  standin.run(1000);
-  expect(standin.storedPlacementCounts()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
-  expect(standin.logLines('job read again')).toEqual([]);
+  harness.writeRecord('fence/o', { inst: 'earlier' });
+  harness.grant('wk-000002', 5);
+  harness.run(1000);
+  expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
+  expect(harness.logLines('job read again')).toEqual([]);
 });
 
 test("what a write in doubt, its end and a team's use look like in the log", () => {
-  const standin = new ShardOwnerHarness(TEAM, specs);
-  standin.lostAnswers.push('carried out at once');
-  standin.grant('wk-000001', 5);
-  standin.run(3000);
-  expect(standin.logLines('write in doubt')[0]?.fields).toMatchObject({
+  const harness = new ShardOwnerHarness(TEAM, specs);
+  harness.lostAnswers.push('carried out at once');
+  harness.grant('wk-000001', 5);
+  harness.run(3000);
+  expect(harness.logLines('write in doubt')[0]?.fields).toMatchObject({
     jobs: ['wk-000001'],
     of: 1,
     placements: 5,
   });
-  expect(standin.logLines('write in doubt resolved')[0]?.fields).toMatchObject({
+  expect(harness.logLines('write in doubt resolved')[0]?.fields).toMatchObject({
     job: 'wk-000001',
     found: 5,
   });
-  expect(standin.logLines('team usage changed').map((line) => line.fields)).toContainEqual(
+  expect(harness.logLines('team usage changed').map((line) => line.fields)).toContainEqual(
     expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, cpus_max: TEAM.maxCpus }),
   );
-  expect(standin.logLines('team counted over its limit')).toEqual([]);
+  expect(harness.logLines('team counted over its limit')).toEqual([]);
 });
 
 test('a line that a trouble repeats is bounded, and says how many were left out', () => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -27,7 +27,7 @@
     capacityOf: (...args: unknown[]) => unknown;
   };
 }
-const insideOf = (t: SchedulerStandin) => t.scheduler as unknown as Inside;
+const insideOf = (harness: SchedulerStandin) => harness.scheduler as unknown as Inside;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
@@ -39,9 +39,9 @@
 /** A state service that carries out every write at once and holds these jobs. */
 function stateWith(specs: JobSpec[]): KeyValueStore {
   let revision = 10;
-  const items = specs.map((j, i) => ({
-    key: `open/${j.id}/a`,
-    value: jobRecord.encode({ spec: j }),
+  const items = specs.map((spec, i) => ({
+    key: `open/${spec.id}/a`,
+    value: jobRecord.encode({ spec: spec }),
     modRevision: i + 1,
   }));
   return {
@@ -91,7 +91,7 @@
   constructor(specs: JobSpec[]) {
     this.owner = ownerWith(specs, (message) => {
       this.messages++;
-      this.leader.owner.told += message.type === 'placements' ? 1 : 0;
+      this.leader.owner.placementMessages += message.type === 'placements' ? 1 : 0;
       this.leader.scheduler.onShardMessage(JSON.parse(JSON.stringify(message)));
     });
     this.owner.setLeader(5);
@@ -108,9 +108,9 @@
     for (const command of commands) this.execute(name, command);
   }
 
-  private execute(name: string, { type: op, jobId: id, taskIndex, attempt }: WorkerCommand): void {
+  private execute(name: string, { type: operation, jobId: id, taskIndex, attempt }: WorkerCommand): void {
     const tasks = this.tasks.get(name)!;
-    if (op === 'start')
+    if (operation === 'start')
       tasks.set(id + taskIndex, {
         jobId: id,
         taskIndex,
@@ -210,7 +210,13 @@
     objectives: [],
     leaseTtlMs: 3500,
     policy: () => ({}) as ReturnType<ConstructorParameters<typeof Controller>[0]['policy']>,
-    clock: { now: () => 1e7, wall: () => 1e7, after: () => never, soon: (fn) => fn(), random: () => 0 },
+    clock: {
+      now: () => 1e7,
+      wall: () => 1e7,
+      after: () => never,
+      soon: (callback) => callback(),
+      random: () => 0,
+    },
     log: { debug: never, info: never, error: never },
     store: port as KeyValueStore,
     cloud: port as ConstructorParameters<typeof Controller>[0]['cloud'],
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -15,63 +15,72 @@
 };
 const DAY_MS = 600_000;
 
-function submitAt(w: ClusterSimulation, ms: number, over: Partial<JobSpec>): void {
-  w.simulator.scheduleAt(ms, () => w.submitJob(makeJobSpec(w, { acceptedAtMs: ms, ...over })));
+function submitAt(simulation: ClusterSimulation, ms: number, over: Partial<JobSpec>): void {
+  simulation.simulator.scheduleAt(ms, () =>
+    simulation.submitJob(makeJobSpec(simulation, { acceptedAtMs: ms, ...over })),
+  );
 }
 
 test('under overload an old large array does not hold up the jobs behind it', () => {
-  const w = new ClusterSimulation(21, LIMITED);
-  w.runDurationMs = (id) => (w.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * 1000;
+  const simulation = new ClusterSimulation(21, LIMITED);
+  simulation.runDurationMs = (id) => (simulation.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * 1000;
   // 60 tasks of 60 s take all eight places for 450 s; behind it comes twice what those places can do.
-  submitAt(w, 1000, { taskCount: 60, estimatedRunSeconds: 60 });
+  submitAt(simulation, 1000, { taskCount: 60, estimatedRunSeconds: 60 });
   for (let i = 0; i < 40; i++)
-    submitAt(w, 5000 + i * 10_000, { taskCount: 3 + (i % 3), estimatedRunSeconds: 25 });
-  w.simulator.run(DAY_MS);
-  expect(w.violations).toEqual([]);
-  expect(w.underServed()).toEqual([]);
+    submitAt(simulation, 5000 + i * 10_000, { taskCount: 3 + (i % 3), estimatedRunSeconds: 25 });
+  simulation.simulator.run(DAY_MS);
+  expect(simulation.violations).toEqual([]);
+  expect(simulation.underServed()).toEqual([]);
 });
 
 test('under overload at least half of the largest jobs of a class begin within four minutes', () => {
   const teams = [{ name: 'red', guaranteedCpus: 24, maxCpus: 24, guaranteedGpus: 0, maxGpus: 0 }];
-  const w = new ClusterSimulation(25, { ...LIMITED, teams });
-  w.runDurationMs = (id, index) =>
-    (w.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * (600 + ((index * 7919) % 900));
+  const simulation = new ClusterSimulation(25, { ...LIMITED, teams });
+  simulation.runDurationMs = (id, index) =>
+    (simulation.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * (600 + ((index * 7919) % 900));
   // Sizes and run times spread as those of real classes are: a few jobs have most of the work.
   for (let i = 0; i < 30; i++) {
-    const tasks = Math.min(90, Math.round(12 / (1 - w.simulator.random()) ** 0.9));
-    submitAt(w, 1000 + i * 14_000, {
+    const tasks = Math.min(90, Math.round(12 / (1 - simulation.simulator.random()) ** 0.9));
+    submitAt(simulation, 1000 + i * 14_000, {
       taskCount: tasks,
-      estimatedRunSeconds: 12 / (1 - w.simulator.random()) ** 0.6,
+      estimatedRunSeconds: 12 / (1 - simulation.simulator.random()) ** 0.6,
     });
   }
-  w.simulator.run(700_000);
-  expect(w.violations).toEqual([]);
-  expect(w.underServed()).toEqual([]);
+  simulation.simulator.run(700_000);
+  expect(simulation.violations).toEqual([]);
+  expect(simulation.underServed()).toEqual([]);
 });
 
 test('the many small jobs of a team begin beside its one huge array', () => {
-  const w = new ClusterSimulation(23, { ...LIMITED, machineCapacity: 2 });
-  w.runDurationMs = () => 4000;
-  submitAt(w, 1000, { team: 'free', jobClass: 'huge', priority: 3, taskCount: 6000, estimatedRunSeconds: 4 });
+  const simulation = new ClusterSimulation(23, { ...LIMITED, machineCapacity: 2 });
+  simulation.runDurationMs = () => 4000;
+  submitAt(simulation, 1000, {
+    team: 'free',
+    jobClass: 'huge',
+    priority: 3,
+    taskCount: 6000,
+    estimatedRunSeconds: 4,
+  });
   for (let i = 0; i < 150; i++)
-    submitAt(w, 10_000 + i * 1000, {
+    submitAt(simulation, 10_000 + i * 1000, {
       team: 'free',
       jobClass: 'small',
       priority: 3,
       taskCount: 1,
       estimatedRunSeconds: 4,
     });
-  w.simulator.run(250_000);
-  expect(w.violations).toEqual([]);
-  const small = w.underServed().filter((text) => text.includes('small'));
+  simulation.simulator.run(250_000);
+  expect(simulation.violations).toEqual([]);
+  const small = simulation.underServed().filter((text) => text.includes('small'));
   expect(small).toEqual([]);
 });
 
 test('the checker sees a class, a team and the largest jobs of a class of which under half is served', () => {
   const teams = LIMITED.teams;
   const level = new ServiceLevelChecker(teams);
-  const w = new ClusterSimulation(24, LIMITED);
-  const add = (id: string, over: Partial<JobSpec>) => level.submitted(makeJobSpec(w, { id, ...over }), 0);
+  const simulation = new ClusterSimulation(24, LIMITED);
+  const add = (id: string, over: Partial<JobSpec>) =>
+    level.submitted(makeJobSpec(simulation, { id, ...over }), 0);
   add('a', { jobClass: 'half', taskCount: 1 });
   add('b', { jobClass: 'half', taskCount: 1 });
   add('c', { jobClass: 'none', taskCount: 2, team: 'free' });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -7,14 +7,20 @@
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 test('a guarantee claims no more than what another team has beyond its own', () => {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   // Blue (8 guaranteed) runs 9 CPUs: only one of them may be stopped, and one is not enough.
-  t.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
-  t.heartbeat([]);
-  const blue = { ...t.placementSpec('run'), team: 'blue', priority: 3 as const, cpus: 1, memoryGb: 0.5 };
-  for (let i = 0; i < 4; i++) t.sendPlacement({ ...blue, jobId: `wk-b${i}` });
-  t.sendPlacement({ ...blue, jobId: 'wk-b9', machine: 'n', cpus: 5, priority: 0, isService: true });
-  t.sendPlacement({
+  harness.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+  harness.heartbeat([]);
+  const blue = {
+    ...harness.placementSpec('run'),
+    team: 'blue',
+    priority: 3 as const,
+    cpus: 1,
+    memoryGb: 0.5,
+  };
+  for (let i = 0; i < 4; i++) harness.sendPlacement({ ...blue, jobId: `wk-b${i}` });
+  harness.sendPlacement({ ...blue, jobId: 'wk-b9', machine: 'n', cpus: 5, priority: 0, isService: true });
+  harness.sendPlacement({
     ...blue,
     jobId: 'wk-f',
     team: 'red',
@@ -23,14 +29,14 @@
     priority: 0,
     isService: true,
   });
-  t.sendRequests([makeResourceRequest('wk-2', { team: 'free', priority: 1, cpus: 4, memoryGb: 1 })]);
+  harness.sendRequests([makeResourceRequest('wk-2', { team: 'free', priority: 1, cpus: 4, memoryGb: 1 })]);
   for (let i = 0; i < 10; i++) {
-    t.heartbeat([]);
-    t.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
-    t.advance(1000);
-    t.scheduler.flush();
+    harness.heartbeat([]);
+    harness.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+    harness.advance(1000);
+    harness.scheduler.flush();
   }
-  expect(t.sentMessages.filter((message) => message.type === 'evict')).toEqual([]);
+  expect(harness.sentMessages.filter((message) => message.type === 'evict')).toEqual([]);
 });
 
 test('machines for spread replicas are not rented again and again where they may not go', () => {
@@ -55,7 +61,7 @@
     scarceZone: 'b',
     maxCalls: 4,
   };
-  const first = planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: [] });
+  const first = planRentals({ ...input, unplaced: [{ request, count: 8 }], expectedCapacities: [] });
   const slots = first.reduce(
     (n, rental) =>
       n +
@@ -85,48 +91,51 @@
       };
     }),
   );
-  expect(
-    planRentals({ ...input, unplaced: [{ request: request, count: 8 }], expectedCapacities: coming }),
-  ).toEqual([]);
+  expect(planRentals({ ...input, unplaced: [{ request, count: 8 }], expectedCapacities: coming })).toEqual(
+    [],
+  );
 });
 
 test('a large array begins within its bound while small ones keep coming', () => {
-  const w = new ClusterSimulation(11);
-  w.cloud.capacity = 2;
+  const simulation = new ClusterSimulation(11);
+  simulation.cloud.capacity = 2;
   let n = 0;
   const small = () => {
-    w.submitJob(makeJobSpec(w, { id: `wk-s${++n}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }));
-    w.simulator.scheduleAfter(1500, small);
+    simulation.submitJob(
+      makeJobSpec(simulation, { id: `wk-s${++n}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }),
+    );
+    simulation.simulator.scheduleAfter(1500, small);
   };
   small();
-  w.simulator.run(20000);
-  const large = makeJobSpec(w, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
-  w.submitJob(large);
-  const at = w.simulator.now;
+  simulation.simulator.run(20000);
+  const large = makeJobSpec(simulation, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
+  simulation.submitJob(large);
+  const at = simulation.simulator.now;
   const begun = () =>
-    [...w.workers.values()].some((x) => x.tasks.some((t) => t.jobId === large.id)) ||
-    w.completedTasks.has('wk-large/0');
-  while (!begun() && w.simulator.now < at + 240000) w.simulator.run(w.simulator.now + 500);
-  expect((w.simulator.now - at) / 1000).toBeLessThan(180);
-  expect(w.violations).toEqual([]);
+    [...simulation.workers.values()].some((worker) => worker.tasks.some((task) => task.jobId === large.id)) ||
+    simulation.completedTasks.has('wk-large/0');
+  while (!begun() && simulation.simulator.now < at + 240000)
+    simulation.simulator.run(simulation.simulator.now + 500);
+  expect((simulation.simulator.now - at) / 1000).toBeLessThan(180);
+  expect(simulation.violations).toEqual([]);
 }, 60000);
 
 test('work does not wait for machines that are overdue', () => {
-  const t = new SchedulerHarness(5);
-  t.rentals.served = true;
-  t.sendRequests([
+  const harness = new SchedulerHarness(5);
+  harness.rentals.isAnswered = true;
+  harness.sendRequests([
     makeResourceRequest('wk-1', { isService: true, priority: 0, spotAllowed: false, cpus: 4, taskCount: 1 }),
   ]);
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
-      t.advance(1000);
-      t.scheduler.flush();
+      harness.advance(1000);
+      harness.scheduler.flush();
     }
   };
   run(7);
-  expect(t.rentals.n).toBe(1);
+  expect(harness.rentals.count).toBe(1);
   run(13);
-  expect(t.rentals.n).toBeGreaterThan(1);
+  expect(harness.rentals.count).toBeGreaterThan(1);
 });
 
 test('what one scheduler learnt of images the next one knows', () => {
@@ -147,62 +156,68 @@
 });
 
 test('a machine kept for the image of a service is the reserve as well', () => {
-  const t = new SchedulerHarness(5, { reserve_replicas: 1, idle_s: 10 });
+  const harness = new SchedulerHarness(5, { reserve_replicas: 1, idle_s: 10 });
   const n = { machine: 'n', address: 'n' };
-  const replica = { ...t.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
-  t.heartbeat([], 5, n);
-  t.sendPlacement(replica);
-  t.heartbeat([taskStatus('running')], 5, n);
-  t.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, n);
-  t.sendPlacement({ ...replica, desiredState: 'reap' });
+  const replica = { ...harness.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
+  harness.heartbeat([], 5, n);
+  harness.sendPlacement(replica);
+  harness.heartbeat([taskStatus('running')], 5, n);
+  harness.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, n);
+  harness.sendPlacement({ ...replica, desiredState: 'reap' });
   for (let i = 0; i < 30; i++) {
-    t.heartbeat([], 5, n);
-    t.heartbeat([]);
-    t.advance(1000);
-    t.scheduler.flush();
-    for (const c of t.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
+    harness.heartbeat([], 5, n);
+    harness.heartbeat([]);
+    harness.advance(1000);
+    harness.scheduler.flush();
+    for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
-  expect(t.deletedMachines).toEqual(['m']);
+  expect(harness.deletedMachines).toEqual(['m']);
 });
 
 test('room kept for urgent work is given to lower work that found none for long', () => {
-  const t = new SchedulerHarness(5, { reserve_batch: 4, idle_s: 1e6 }, [
+  const harness = new SchedulerHarness(5, { reserve_batch: 4, idle_s: 1e6 }, [
     { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
   ]);
-  t.heartbeat([]);
-  t.sendRequests([makeResourceRequest('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
-  t.grantedJobs();
+  harness.heartbeat([]);
+  harness.sendRequests([makeResourceRequest('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
+  harness.grantedJobs();
   const low = makeResourceRequest('wk-low', { priority: 3, cpus: 4 });
-  t.sendRequests([low]);
-  t.scheduler.onShardMessage({ type: 'release', fencingToken: 5, instanceId: 'o', tasks: [], grants: [1] });
+  harness.sendRequests([low]);
+  harness.scheduler.onShardMessage({
+    type: 'release',
+    fencingToken: 5,
+    instanceId: 'o',
+    tasks: [],
+    grants: [1],
+  });
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
-      t.heartbeat([]);
-      t.advance(1000);
-      t.scheduler.flush();
+      harness.heartbeat([]);
+      harness.advance(1000);
+      harness.scheduler.flush();
     }
   };
   run(40);
-  expect(t.grantedJobs()).toEqual(['wk-u']);
+  expect(harness.grantedJobs()).toEqual(['wk-u']);
   run(20);
-  expect(t.grantedJobs()).toEqual(['wk-u', 'wk-low']);
+  expect(harness.grantedJobs()).toEqual(['wk-u', 'wk-low']);
 });
 
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
-  t.heartbeat([]);
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  harness.heartbeat([]);
   const ended = { ...taskStatus('exited'), exitReason: 'busy' as const };
-  t.heartbeat([ended]);
-  t.sendRequests([makeResourceRequest('wk-1'), makeResourceRequest('wk-2')]);
-  expect(t.grantedJobs()).toEqual(['wk-2']);
+  harness.heartbeat([ended]);
+  harness.sendRequests([makeResourceRequest('wk-1'), makeResourceRequest('wk-2')]);
+  expect(harness.grantedJobs()).toEqual(['wk-2']);
   for (let i = 0; i < 20; i++) {
-    t.heartbeat([ended]);
-    t.advance(1000);
-    t.scheduler.flush();
+    harness.heartbeat([ended]);
+    harness.advance(1000);
+    harness.scheduler.flush();
   }
-  expect(t.grantedJobs()).toEqual(['wk-2']);
-  expect(t.tokenRaiseReasons.length).toBeGreaterThan(0);
-  t.heartbeat([]);
-  t.advance(1000);
-  expect(t.grantedJobs()).toEqual(['wk-2', 'wk-1']);
+  expect(harness.grantedJobs()).toEqual(['wk-2']);
+  expect(harness.tokenRaiseReasons.length).toBeGreaterThan(0);
+  harness.heartbeat([]);
+  harness.advance(1000);
+  expect(harness.grantedJobs()).toEqual(['wk-2', 'wk-1']);
 });
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -9,16 +9,23 @@
 
 type SchedulerStandin = SchedulerHarness;
 
-const stopsFor = (t: SchedulerStandin) => t.sentMessages.filter((message) => message.type === 'evict').length;
+const stopsFor = (harness: SchedulerStandin) =>
+  harness.sentMessages.filter((message) => message.type === 'evict').length;
 
 /** Low work fills one ordinary machine in this zone; zone b has the fewest types. One service must be spread. */
 function fullMachineIn(zone: string): SchedulerStandin {
-  const t = new SchedulerHarness(5);
+  const harness = new SchedulerHarness(5);
   const over = { zone };
-  t.heartbeat([], 5, over);
-  t.sendPlacement({ ...t.placementSpec('run'), jobId: 'wk-low', priority: 3, cpus: 4, memoryGb: 1 });
-  t.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, over);
-  return t;
+  harness.heartbeat([], 5, over);
+  harness.sendPlacement({
+    ...harness.placementSpec('run'),
+    jobId: 'wk-low',
+    priority: 3,
+    cpus: 4,
+    memoryGb: 1,
+  });
+  harness.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, over);
+  return harness;
 }
 
 const service = (id: string, over: object) =>
@@ -31,13 +38,13 @@
 ])(
   'work in zone %s is stopped for a service that need not be spread only where it may then go (%i)',
   (zone, stops) => {
-    const t = fullMachineIn(zone);
-    t.sendRequests([spread, service('wk-alone', {})]);
+    const harness = fullMachineIn(zone);
+    harness.sendRequests([spread, service('wk-alone', {})]);
     for (let i = 0; i < 3; i++) {
-      t.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, { zone });
-      t.advance(1000);
-      t.scheduler.flush();
+      harness.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, { zone });
+      harness.advance(1000);
+      harness.scheduler.flush();
     }
-    expect(stopsFor(t)).toBe(stops);
+    expect(stopsFor(harness)).toBe(stops);
   },
 );
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -26,7 +26,8 @@
   ...over,
 });
 const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
-const isGranted = (t: SchedulerHarness, id: string) => t.grantedJobs().filter((job) => job === id).length;
+const isGranted = (harness: SchedulerHarness, id: string) =>
+  harness.grantedJobs().filter((job) => job === id).length;
 
 // ---- matching ----------------------------------------------------------------------------------------
 
@@ -98,32 +99,32 @@
   });
 
 function fleet(lists: Record<string, TaskStatus[]>): { t: SchedulerHarness; second: () => void } {
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const second = () => {
     for (const [machine, tasks] of Object.entries(lists))
-      t.heartbeat(tasks, 5, { machine, address: machine });
-    t.advance(1000);
-    t.scheduler.flush();
+      harness.heartbeat(tasks, 5, { machine, address: machine });
+    harness.advance(1000);
+    harness.scheduler.flush();
   };
   second();
-  return { t, second };
+  return { t: harness, second };
 }
 
 test('a gang begins on machines that list its ended attempts if its tasks can be given out otherwise', () => {
-  const { t, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 1)] });
-  t.sendRequests([gang()]);
+  const { t: harness, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 1)] });
+  harness.sendRequests([gang()]);
   second();
-  expect(isGranted(t, 'wk-gang')).toBe(2);
-  expect(t.tokenRaiseReasons).toEqual([]);
+  expect(isGranted(harness, 'wk-gang')).toBe(2);
+  expect(harness.tokenRaiseReasons).toEqual([]);
 });
 
 test('a machine is passed over for a gang if no task can be given to it, and others are chosen', () => {
   // Whatever a and b get, task 0 is left; c takes it.
-  const { t, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)], c: [] });
-  t.sendRequests([gang()]);
+  const { t: harness, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)], c: [] });
+  harness.sendRequests([gang()]);
   second();
-  expect(isGranted(t, 'wk-gang')).toBe(2);
-  const machines = t.sentMessages.flatMap((message) =>
+  expect(isGranted(harness, 'wk-gang')).toBe(2);
+  const machines = harness.sentMessages.flatMap((message) =>
     message.type === 'grants' ? message.grants.map((grant) => grant.machine) : [],
   );
   expect(machines).toContain('c');
@@ -147,29 +148,31 @@
 test('an array or service passes a machine over that lists all tasks it has left, and no other', () => {
   for (const service of [false, true]) {
     const over = { cpus: 4, spotAllowed: false, isService: service };
-    const { t, second } = fleet({ a: [ended('wk-1', 0), ended('wk-1', 2)] });
-    t.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
+    const { t: harness, second } = fleet({ a: [ended('wk-1', 0), ended('wk-1', 2)] });
+    harness.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
     second();
-    expect(isGranted(t, 'wk-1')).toBe(0);
-    t.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
+    expect(isGranted(harness, 'wk-1')).toBe(0);
+    harness.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
     second();
-    expect(isGranted(t, 'wk-1')).toBe(1);
-    const [grant] = t.sentMessages.flatMap((message) => (message.type === 'grants' ? message.grants : []));
+    expect(isGranted(harness, 'wk-1')).toBe(1);
+    const [grant] = harness.sentMessages.flatMap((message) =>
+      message.type === 'grants' ? message.grants : [],
+    );
     expect(grant?.endedTasks).toEqual([0, 2]);
   }
 });
 
 test('ended attempts that alone keep work waiting are removed at once, others together or after 20 s', () => {
   const lists = { a: [ended('wk-1', 0)] };
-  const { t, second } = fleet(lists);
+  const { t: harness, second } = fleet(lists);
   const reaps = () => {
-    const answer = t.heartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
+    const answer = harness.heartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
     return answer.filter((command) => command.type === 'reap').length;
   };
-  t.sendPlacement({ ...t.placementSpec('reap'), jobId: 'wk-1', machine: 'a' });
+  harness.sendPlacement({ ...harness.placementSpec('reap'), jobId: 'wk-1', machine: 'a' });
   second();
   expect(reaps()).toBe(0);
-  t.sendRequests([makeResourceRequest('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
+  harness.sendRequests([makeResourceRequest('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
   second();
   expect(reaps()).toBe(1);
 });
@@ -177,9 +180,9 @@
 test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
   const MACHINES = 4000;
   const JOBS = 200;
-  const t = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const report = (i: number, over: Partial<Heartbeat> = {}) =>
-    t.heartbeat([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, {
+    harness.heartbeat([ended(`wk-${i}`, 0), ended(`wk-${i + 1}`, 1)], 5, {
       machine: `m${i}`,
       address: `m${i}`,
       ...over,
@@ -187,13 +190,13 @@
   for (let i = 0; i < MACHINES; i++) report(i);
   const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
   const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
-  t.sendRequests(
+  harness.sendRequests(
     Array.from({ length: JOBS }, (_, i) =>
       makeResourceRequest(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
     ),
   );
-  t.advance(1000);
-  t.scheduler.flush();
+  harness.advance(1000);
+  harness.scheduler.flush();
   const seen = looks.mock.results.reduce(
     (sum, { value }) => sum + [...(value as Iterable<unknown>)].length,
     0,
@@ -266,9 +269,9 @@
 // ---- reports that nobody expects ------------------------------------------------------------------------
 
 test('lists of unknown, ended and future attempts, in two phases at once, late or twice hold no gang up for good', () => {
-  const w = new ClusterSimulation(3, { ...new ClusterSimulation(1).config, machineCapacity: 20 });
-  w.faultyMachines.add = () => w.faultyMachines;
-  const spec = makeJobSpec(w, {
+  const simulation = new ClusterSimulation(3, { ...new ClusterSimulation(1).config, machineCapacity: 20 });
+  simulation.faultyMachines.add = () => simulation.faultyMachines;
+  const spec = makeJobSpec(simulation, {
     id: 'wk-gang',
     kind: 'gang',
     taskCount: 4,
@@ -281,31 +284,33 @@
     ended('wk-gang', 0, { attempt: 90, phase: 'saving', exitReason: null }),
     ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
   ];
-  w.duplicatesMessages = true;
-  w.submitJob(spec);
+  simulation.duplicatesMessages = true;
+  simulation.submitJob(spec);
   for (let second = 0; second < 20; second++) {
-    w.simulator.run(w.simulator.now + 1000);
-    for (const m of w.workers.values()) {
+    simulation.simulator.run(simulation.simulator.now + 1000);
+    for (const worker of simulation.workers.values()) {
       const r = {
-        machine: m.name,
-        address: m.name,
-        machineType: m.machineType,
-        zone: m.zone,
-        isSpot: m.isSpot,
+        machine: worker.name,
+        address: worker.name,
+        machineType: worker.machineType,
+        zone: worker.zone,
+        isSpot: worker.isSpot,
         agentEpoch: 1,
-        fencingToken: m.fencingToken,
+        fencingToken: worker.fencingToken,
       };
-      const ctl = w.controllers.get(w.simulator.pick(w.nodeNames))!.controller;
-      ctl.handleHeartbeat({
+      const controller = simulation.controllers.get(
+        simulation.simulator.pick(simulation.nodeNames),
+      )!.controller;
+      controller.handleHeartbeat({
         ...r,
-        sequence: m.heartbeatSequence + w.simulator.pick([-3, 0, 1]),
+        sequence: worker.heartbeatSequence + simulation.simulator.pick([-3, 0, 1]),
         evictionNoticeSeconds: null,
-        tasks: odd(m.name),
+        tasks: odd(worker.name),
       });
     }
   }
-  w.faultsEndAt = w.simulator.now;
-  w.simulator.run(w.simulator.now + 240_000);
-  expect(w.violations).toEqual([]);
-  expect(w.unfinishedJobs()).toEqual([]);
+  simulation.faultsEndAt = simulation.simulator.now;
+  simulation.simulator.run(simulation.simulator.now + 240_000);
+  expect(simulation.violations).toEqual([]);
+  expect(simulation.unfinishedJobs()).toEqual([]);
 });
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -4,7 +4,7 @@
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeJobSpec } from './simulation/scenario.js';
 
-const world = new ClusterSimulation(31);
+const simulation = new ClusterSimulation(31);
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
   maxParallel: () => limit,
@@ -17,7 +17,7 @@
   over: Partial<JobSpec> = {},
   state: Partial<QueuedJob> = {},
 ): QueuedJob {
-  const spec = makeJobSpec(world, { id, acceptedAtMs: atS * 1000, ...over });
+  const spec = makeJobSpec(simulation, { id, acceptedAtMs: atS * 1000, ...over });
   return { spec, acceptedRevision: atS, finishedTasks: 0, placedTasks: 0, failures: 0, ...state };
 }
 
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -10,12 +10,12 @@
 test.each(Array.from({ length: seeds }, (_, i) => from + i))(
   'day %i keeps the rules and finishes its work',
   (seed) => {
-    const w = runScenario(seed, seed % 6);
-    expect(w.violations.slice(0, 5)).toEqual([]);
-    expect(w.unfinishedJobs()).toEqual([]);
-    expect(w.underServed()).toEqual([]);
-    expect(w.serviceLevel.startsAfterCancellation).toBe(0);
-    expect(w.taskStarts).toBeGreaterThan(0);
+    const simulation = runScenario(seed, seed % 6);
+    expect(simulation.violations.slice(0, 5)).toEqual([]);
+    expect(simulation.unfinishedJobs()).toEqual([]);
+    expect(simulation.underServed()).toEqual([]);
+    expect(simulation.serviceLevel.startsAfterCancellation).toBe(0);
+    expect(simulation.taskStarts).toBeGreaterThan(0);
   },
   120000,
 );
@@ -23,12 +23,12 @@
 test.each(Array.from({ length: Math.ceil(seeds / 2) }, (_, i) => from + i))(
   'day %i on a deployment drawn by its seed keeps the rules and finishes its work',
   (seed) => {
-    const w = runScenario(seed, seed % 5, drawClusterConfig(new Simulator(seed)));
-    expect(w.violations.slice(0, 5)).toEqual([]);
-    expect(w.unfinishedJobs()).toEqual([]);
-    expect(w.underServed()).toEqual([]);
-    expect(w.serviceLevel.startsAfterCancellation).toBe(0);
-    expect(w.taskStarts).toBeGreaterThan(0);
+    const simulation = runScenario(seed, seed % 5, drawClusterConfig(new Simulator(seed)));
+    expect(simulation.violations.slice(0, 5)).toEqual([]);
+    expect(simulation.unfinishedJobs()).toEqual([]);
+    expect(simulation.underServed()).toEqual([]);
+    expect(simulation.serviceLevel.startsAfterCancellation).toBe(0);
+    expect(simulation.taskStarts).toBeGreaterThan(0);
   },
   120000,
 );
--- a/test/simulation/cluster-config.ts
+++ b/test/simulation/cluster-config.ts
@@ -73,39 +73,39 @@
 };
 
 /** A deployment drawn by the seed: controllers, zones, one of them perhaps without capacity, teams, types and times. */
-export function drawClusterConfig(sim: Simulator): ClusterConfig {
-  const all = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(sim.random() * 4));
-  const empty = all.length > 1 && sim.chance(0.4) ? [all.at(-1) as string] : [];
-  const reportS = sim.pick([1, 2, 4]);
-  const leaseS = reportS * sim.pick([6, 10]);
-  const teams = Array.from({ length: 1 + Math.floor(sim.random() * 8) }, (_, i) =>
-    makeTeam(`t${i}`, sim.pick([0, 8, 12]), sim.pick([0, 16, 24, 40])),
+export function drawClusterConfig(simulator: Simulator): ClusterConfig {
+  const all = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(simulator.random() * 4));
+  const empty = all.length > 1 && simulator.chance(0.4) ? [all.at(-1) as string] : [];
+  const reportS = simulator.pick([1, 2, 4]);
+  const leaseS = reportS * simulator.pick([6, 10]);
+  const teams = Array.from({ length: 1 + Math.floor(simulator.random() * 8) }, (_, i) =>
+    makeTeam(`t${i}`, simulator.pick([0, 8, 12]), simulator.pick([0, 16, 24, 40])),
   );
   const types = [makeMachineType({ zones: all })];
-  for (let i = 0; i < Math.floor(sim.random() * 5); i++)
+  for (let i = 0; i < Math.floor(simulator.random() * 5); i++)
     types.push(
       makeMachineType({
         name: `big${i}`,
-        cpus: sim.pick([8, 16, 32]),
-        memoryGb: sim.pick([16, 64]),
-        hourlyPrice: sim.between(0.4, 1.8),
-        hourlySpotPrice: sim.between(0.1, 0.7),
-        bootSeconds: sim.between(3, 15),
-        zones: [sim.pick(all)],
+        cpus: simulator.pick([8, 16, 32]),
+        memoryGb: simulator.pick([16, 64]),
+        hourlyPrice: simulator.between(0.4, 1.8),
+        hourlySpotPrice: simulator.between(0.1, 0.7),
+        bootSeconds: simulator.between(3, 15),
+        zones: [simulator.pick(all)],
       }),
     );
   return {
     ...CLUSTER_CONFIG,
-    nodeNames: Array.from({ length: 1 + Math.floor(sim.random() * 7) }, (_, i) => `c${i}`),
+    nodeNames: Array.from({ length: 1 + Math.floor(simulator.random() * 7) }, (_, i) => `c${i}`),
     heartbeatIntervalSeconds: reportS,
     leaseSeconds: leaseS,
     cancellationSeconds: leaseS * 2,
-    maxTransactionOperations: sim.pick([8, 16, 32]),
-    maxValueKb: sim.pick([4, 8, 16]),
-    writesPerSecond: sim.pick([50, 150]),
+    maxTransactionOperations: simulator.pick([8, 16, 32]),
+    maxValueKb: simulator.pick([4, 8, 16]),
+    writesPerSecond: simulator.pick([50, 150]),
     machineTypes: types,
     teams,
-    machineCapacity: sim.pick([8, 12, 30]),
+    machineCapacity: simulator.pick([8, 12, 30]),
     zonesWithoutCapacity: empty,
   };
 }
--- a/test/simulation/cluster-simulation.ts
+++ b/test/simulation/cluster-simulation.ts
@@ -106,35 +106,35 @@
     this.quotaChecker = new QuotaChecker(this, (text) => this.reportViolation(text));
     const rules = new InvariantChecker(this, (text) => this.reportViolation(text));
     this.simulator.afterEvent = () => rules.check();
-    for (const h of this.nodeNames) this.startController(h);
+    for (const nodeName of this.nodeNames) this.startController(nodeName);
     this.cloud.takeSnapshots();
     new StarvationChecker(this, (text) => this.reportViolation(text));
   }
 
   // ---- controllers ------------------------------------------------------------------------------------
 
-  startController(host: string): void {
+  startController(nodeName: string): void {
     const process: ControllerProcess = {
       controller: undefined as unknown as Controller,
       isAlive: true,
       isPaused: false,
       backlog: [],
     };
-    const instanceId = `${host}.${++this.instances}`;
+    const instanceId = `${nodeName}.${++this.instances}`;
     const clock: Clock = {
       now: () => this.simulator.now,
       wall: () => this.simulator.now,
-      after: (ms, fn) => {
-        this.simulator.scheduleAfter(ms, () => this.deliver(process, fn));
+      after: (ms, callback) => {
+        this.simulator.scheduleAfter(ms, () => this.deliver(process, callback));
         return noop;
       },
-      soon: (fn) => this.simulator.scheduleAfter(0.2, () => this.deliver(process, fn)),
+      soon: (callback) => this.simulator.scheduleAfter(0.2, () => this.deliver(process, callback)),
       random: () => this.simulator.random(),
     };
     process.controller = new Controller({
-      nodeName: host,
+      nodeName,
       instanceId,
-      peerNames: this.nodeNames.filter((h) => h !== host),
+      peerNames: this.nodeNames.filter((h) => h !== nodeName),
       teams: this.config.teams,
       workerTiming: {
         heartbeatIntervalSeconds: this.config.heartbeatIntervalSeconds,
@@ -152,73 +152,76 @@
       leaseTtlMs: this.config.leaseTtlMs,
       policy: POLICY,
       clock,
-      log: this.logger(host),
+      log: this.logger(nodeName),
       store: this.digest.store(
-        host,
-        storePort(this, host, (handle) => this.deliver(process, handle)),
+        nodeName,
+        storePort(this, nodeName, (handle) => this.deliver(process, handle)),
       ),
       cloud: this.digest.cloud(
-        host,
-        this.cloud.port(host, (handle) => this.deliver(process, handle)),
+        nodeName,
+        this.cloud.port(nodeName, (handle) => this.deliver(process, handle)),
       ),
       workers: this.digest.workers(
-        host,
-        workerPort(this, host, (handle) => this.deliver(process, handle)),
+        nodeName,
+        workerPort(this, nodeName, (handle) => this.deliver(process, handle)),
       ),
       peers: {
         send: (to, message: PeerMessage) => {
-          this.digest.peerMessage(host, to, message);
+          this.digest.peerMessage(nodeName, to, message);
           const text = JSON.stringify(encodePeerMessage(message));
-          this.network.send(host, to, () => {
-            const q = this.controllers.get(to);
+          this.network.send(nodeName, to, () => {
+            const peer = this.controllers.get(to);
             const received = decodePeerMessage(JSON.parse(text));
             if (!received) throw new Error(`not a peer message: ${text}`);
-            if (q) this.deliver(q, () => q.controller.push({ type: 'peerMessage', message: received }));
+            if (peer)
+              this.deliver(peer, () => peer.controller.push({ type: 'peerMessage', message: received }));
           });
         },
       },
     });
-    this.controllers.set(host, process);
+    this.controllers.set(nodeName, process);
     process.controller.start();
     for (const other of this.nodeNames) {
       const q = this.controllers.get(other);
-      if (other === host || !q?.isAlive) continue;
-      q.controller.push({ type: 'peerConnection', nodeName: host, isUp: true });
+      if (other === nodeName || !q?.isAlive) continue;
+      q.controller.push({ type: 'peerConnection', nodeName, isUp: true });
       process.controller.push({ type: 'peerConnection', nodeName: other, isUp: true });
     }
   }
 
   /** Whatever comes to a process: handled at once, after its pause, or never. */
-  private deliver(process: ControllerProcess, fn: () => void): void {
+  private deliver(process: ControllerProcess, callback: () => void): void {
     if (!process.isAlive) return;
-    if (process.isPaused) process.backlog.push(fn);
-    else fn();
+    if (process.isPaused) process.backlog.push(callback);
+    else callback();
   }
 
   /** A controller stands still while its clocks run on. */
-  pauseController(host: string, forMs: number): void {
-    const process = this.controllers.get(host);
+  pauseController(nodeName: string, forMs: number): void {
+    const process = this.controllers.get(nodeName);
     if (!process?.isAlive || process.isPaused) return;
     process.isPaused = true;
     this.simulator.scheduleAfter(forMs, () => {
       process.isPaused = false;
-      for (const fn of process.backlog.splice(0)) this.deliver(process, fn);
+      for (const callback of process.backlog.splice(0)) this.deliver(process, callback);
     });
   }
 
   /** SIMLOG=1 prints what the controllers decide, with simulated time. */
-  private logger(host: string): Logger {
+  private logger(nodeName: string): Logger {
     if (!process.env.SIMLOG) return { debug: noop, info: noop, error: noop };
     const out = (fields: LogFields, message: string) =>
-      console.log(`${(this.simulator.now / 1000).toFixed(3)} ${host} ${message} ${JSON.stringify(fields)}`);
+      console.log(
+        `${(this.simulator.now / 1000).toFixed(3)} ${nodeName} ${message} ${JSON.stringify(fields)}`,
+      );
     return { debug: out, info: out, error: out };
   }
 
-  crashController(host: string, backMs: number): void {
-    const process = this.controllers.get(host);
+  crashController(nodeName: string, backMs: number): void {
+    const process = this.controllers.get(nodeName);
     if (!process?.isAlive) return;
     process.isAlive = false;
-    this.simulator.scheduleAfter(backMs, () => this.startController(host));
+    this.simulator.scheduleAfter(backMs, () => this.startController(nodeName));
   }
 
   // ---- machines ---------------------------------------------------------------------------------------
@@ -255,13 +258,13 @@
       runDurationMs: (job: string, taskIndex: number) => this.runDurationMs(job, taskIndex),
       fails: (job: string, machine: string) => this.failingJobs.has(job) || this.faultyMachines.has(machine),
       nodeNames: () => this.nodeNames,
-      sendHeartbeat: (host: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void) => {
-        const process = this.controllers.get(host);
+      sendHeartbeat: (nodeName: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void) => {
+        const process = this.controllers.get(nodeName);
         const text = JSON.stringify(heartbeat);
         if (!process) return;
         this.deliver(process, () => {
           const answer = process.controller.handleHeartbeat(JSON.parse(text));
-          this.digest.heartbeatAnswer(host, answer);
+          this.digest.heartbeatAnswer(nodeName, answer);
           reply(JSON.parse(JSON.stringify(answer)));
         });
       },
@@ -275,8 +278,8 @@
       },
       gangTasks: (job: string, attempt: number) =>
         [...this.workers.values()]
-          .filter((x) => x.isAlive && !x.isHung)
-          .flatMap((x) => x.tasks.filter((t) => t.jobId === job && t.attempt === attempt)),
+          .filter((worker) => worker.isAlive && !worker.isHung)
+          .flatMap((worker) => worker.tasks.filter((task) => task.jobId === job && task.attempt === attempt)),
       onGangStop: (task: FakeTask) => this.onGangStop(task),
       onStart: (job: string, taskIndex: number, attempt: number) => {
         const key = taskKey(job, taskIndex, attempt);
@@ -296,11 +299,11 @@
   }
 
   /** Running tasks of gangs that were told to stop, and those that were not within the time for it. */
-  readonly gangStops = { told: 0, late: 0 };
+  readonly gangStops = { signalled: 0, late: 0 };
   private readonly gangStopsBegun = new Set<string>();
 
   private onGangStop({ jobId: job, attempt }: FakeTask): void {
-    this.gangStops.told++;
+    this.gangStops.signalled++;
     const gang = `${job}#${attempt}`;
     if (this.gangStopsBegun.has(gang)) return;
     this.gangStopsBegun.add(gang);
@@ -316,9 +319,9 @@
 
   /** How long a task runs; tests may say otherwise. */
   runDurationMs = (job: string, taskIndex: number): number => {
-    const s = this.jobs.get(job)?.spec;
-    if (!s || s.kind === 'service') return Number.POSITIVE_INFINITY;
-    return s.kind === 'gang' ? 6000 : 2000 + ((taskIndex * 7919 + job.length * 104729) % 9000);
+    const spec = this.jobs.get(job)?.spec;
+    if (!spec || spec.kind === 'service') return Number.POSITIVE_INFINITY;
+    return spec.kind === 'gang' ? 6000 : 2000 + ((taskIndex * 7919 + job.length * 104729) % 9000);
   };
 
   // ---- users ------------------------------------------------------------------------------------------
@@ -328,21 +331,21 @@
   }
 
   private sendRequest(
-    run: (ctl: Controller, reply: (answer: ApiAnswer) => void) => void,
+    run: (controller: Controller, reply: (answer: ApiAnswer) => void) => void,
     callback: (answer: ApiAnswer | null) => void,
   ): void {
-    const host = this.pickNode();
-    const process = this.controllers.get(host);
+    const nodeName = this.pickNode();
+    const process = this.controllers.get(nodeName);
     if (!process?.isAlive) return this.simulator.scheduleAfter(5, () => callback(null));
     this.network.call<ApiAnswer>(
       'users',
-      host,
+      nodeName,
       5000,
       (reply) =>
         this.deliver(process, () =>
           run(process.controller, (answer) => {
             if (!process.isAlive) return;
-            this.digest.userAnswer(host, answer);
+            this.digest.userAnswer(nodeName, answer);
             reply(answer);
           }),
         ),
@@ -365,7 +368,7 @@
     const go = (left: number) => {
       const asked = this.simulator.now;
       this.sendRequest(
-        (c, r) => c.api.submitJob(spec, r),
+        (controller, reply) => controller.api.submitJob(spec, reply),
         (answer) => {
           if (answer?.type === 'job') this.recordAnswer(job, answer.state, answer.done, asked);
           else if (answer && (answer.type === 'rejected' || answer.type === 'notFound') && job.accepted)
@@ -389,7 +392,7 @@
     const accepted = job.accepted;
     const asked = this.simulator.now;
     this.sendRequest(
-      (c, r) => c.api.getJob(job.spec.id, r),
+      (controller, reply) => controller.api.getJob(job.spec.id, reply),
       (answer) => {
         if (answer?.type === 'job') this.recordAnswer(job, answer.state, answer.done, asked);
         else if (answer?.type === 'notFound' && accepted) this.reportViolation(`forgotten: ${job.spec.id}`);
@@ -399,7 +402,7 @@
 
   queryUnknownJob(): void {
     this.sendRequest(
-      (c, r) => c.api.getJob('wk-nobody', r),
+      (controller, reply) => controller.api.getJob('wk-nobody', reply),
       (answer) => answer?.type === 'job' && this.reportViolation('invented'),
     );
   }
@@ -411,7 +414,7 @@
     const go = (left: number) => {
       const asked = this.simulator.now;
       this.sendRequest(
-        (c, r) => c.api.cancelJob(id, r),
+        (controller, reply) => controller.api.cancelJob(id, reply),
         (answer) => {
           if (answer?.type === 'job') this.recordAnswer(job, answer.state, answer.done, asked);
           else if (left > 0) this.simulator.scheduleAfter(1000, () => go(left - 1));
@@ -428,7 +431,7 @@
     if (cancel) this.cancelJob(id);
     const asked = this.simulator.now;
     this.sendRequest(
-      (c, r) => c.api.submitJob(job.spec, r),
+      (controller, reply) => controller.api.submitJob(job.spec, reply),
       (answer) => {
         if (answer?.type === 'job') this.recordAnswer(job, answer.state, answer.done, asked);
         else if (answer && answer.type !== 'unavailable')
@@ -440,15 +443,16 @@
   /** Users call off that many jobs that run, at once; some of their machines hang. */
   cancelRunningJobs(n: number, hangMs: number): void {
     const runs = new Map<string, FakeWorker[]>();
-    for (const m of this.workers.values())
-      for (const t of m.tasks) if (m.occupies(t)) runs.set(t.jobId, [...(runs.get(t.jobId) ?? []), m]);
+    for (const worker of this.workers.values())
+      for (const task of worker.tasks)
+        if (worker.occupies(task)) runs.set(task.jobId, [...(runs.get(task.jobId) ?? []), worker]);
     for (const [id, on] of [...runs].slice(0, n)) {
       this.simulator.scheduleAfter(this.simulator.between(0, 200), () => this.cancelJob(id));
-      const m = on[0];
-      if (hangMs === 0 || !m || m.isHung) continue;
-      m.isHung = true;
+      const worker = on[0];
+      if (hangMs === 0 || !worker || worker.isHung) continue;
+      worker.isHung = true;
       this.simulator.scheduleAfter(hangMs, () => {
-        m.isHung = false;
+        worker.isHung = false;
       });
     }
   }
@@ -463,19 +467,19 @@
     if (!j || this.simulator.chance(0.3)) {
       const spec = { ...(j?.spec ?? DEFAULT_JOB_SPEC), id: `wk-odd${++this.unusualRequests}`, cpus: 1e6 };
       return this.sendRequest(
-        (c, r) => c.api.submitJob(spec, r),
+        (controller, reply) => controller.api.submitJob(spec, reply),
         (answer) => answer?.type === 'job' && this.reportViolation(`accepted: ${spec.id} fits no machine`),
       );
     }
     const asked = this.simulator.now;
     if (j.reportedState === 'done') {
       return this.sendRequest(
-        (c, r) => c.api.cancelJob(j.spec.id, r),
+        (controller, reply) => controller.api.cancelJob(j.spec.id, reply),
         (answer) => answer?.type === 'job' && this.recordAnswer(j, answer.state, answer.done, asked),
       );
     }
     this.sendRequest(
-      (c, r) => c.api.submitJob({ ...j.spec, cpus: 1e6, team: 'nobody' }, r),
+      (controller, reply) => controller.api.submitJob({ ...j.spec, cpus: 1e6, team: 'nobody' }, reply),
       (answer) => {
         if (answer?.type === 'job') this.recordAnswer(j, answer.state, answer.done, asked);
         else if (answer && answer.type !== 'unavailable')
--- a/test/simulation/controller-ports.ts
+++ b/test/simulation/controller-ports.ts
@@ -21,63 +21,67 @@
 }
 
 /** The state service as a controller of this world reaches it, with the troubles of the day. */
-export function storePort(simulation: ClusterSimulation, host: string, deliver: Deliver): KeyValueStore {
-  const { store: state, simulator: sim, network: net, config: kind } = simulation;
+export function storePort(simulation: ClusterSimulation, nodeName: string, deliver: Deliver): KeyValueStore {
+  const { store: state, simulator, network: net, config: kind } = simulation;
   const ask = <T>(
     serve: (reply: (r: StoreReply<T>) => void) => void,
     then: ResultCallback<T>,
     deadlineMs = DEADLINE_MS,
   ) =>
-    net.call<StoreReply<T>>(host, 'state', deadlineMs, serve, (answer) =>
+    net.call<StoreReply<T>>(nodeName, 'state', deadlineMs, serve, (answer) =>
       deliver(() => then(result(answer))),
     );
   return {
-    get: (key, _urgency, then) => ask((reply) => reply(state.get(host, key)), then),
+    get: (key, _urgency, then) => ask((reply) => reply(state.get(nodeName, key)), then),
     list: (prefix, since, _urgency, then) =>
       ask((reply) => {
-        const serve = () => reply(state.list(host, prefix, since, ITEMS_PER_PAGE));
+        const serve = () => reply(state.list(nodeName, prefix, since, ITEMS_PER_PAGE));
         if (simulation.maxReadDelayMs > 0)
-          sim.scheduleAfter(sim.between(0, simulation.maxReadDelayMs), serve);
+          simulator.scheduleAfter(simulator.between(0, simulation.maxReadDelayMs), serve);
         else serve();
       }, then),
     compareAndSwap: (transaction, _urgency, then) => {
       const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
       const carryOut = () =>
-        simulation.quotaChecker.checkTransaction(copy, () => state.compareAndSwap(host, copy, kind));
+        simulation.quotaChecker.checkTransaction(copy, () => state.compareAndSwap(nodeName, copy, kind));
       const noAnswer = () =>
-        sim.scheduleAfter(DEADLINE_MS, () => deliver(() => then({ ok: false, kind: 'unknown' })));
-      if (sim.chance(simulation.lateWriteShare)) {
+        simulator.scheduleAfter(DEADLINE_MS, () => deliver(() => then({ ok: false, kind: 'unknown' })));
+      if (simulator.chance(simulation.lateWriteShare)) {
         // After newer ones.
-        sim.scheduleAfter(sim.between(2000, 12000), carryOut);
+        simulator.scheduleAfter(simulator.between(2000, 12000), carryOut);
         return noAnswer();
       }
-      if (simulation.lostAnswerShare > 0 && sim.chance(simulation.lostAnswerShare)) {
-        net.send(host, 'state', carryOut);
+      if (simulation.lostAnswerShare > 0 && simulator.chance(simulation.lostAnswerShare)) {
+        net.send(nodeName, 'state', carryOut);
         return noAnswer();
       }
       ask((reply) => reply(carryOut()), then);
     },
-    grantLease: (ttlMs, then) => ask((reply) => reply(state.grantLease(host, ttlMs)), then),
-    keepLeaseAlive: (lease, then) => ask((reply) => reply(state.keepLeaseAlive(host, lease)), then),
-    revokeLease: (lease, then) => ask((reply) => reply(state.revokeLease(host, lease)), then),
+    grantLease: (ttlMs, then) => ask((reply) => reply(state.grantLease(nodeName, ttlMs)), then),
+    keepLeaseAlive: (lease, then) => ask((reply) => reply(state.keepLeaseAlive(nodeName, lease)), then),
+    revokeLease: (lease, then) => ask((reply) => reply(state.revokeLease(nodeName, lease)), then),
     watch: (prefix, since, waitMs, then) =>
-      ask((reply) => state.watch(host, prefix, since, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
+      ask((reply) => state.watch(nodeName, prefix, since, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
   };
 }
 
 /** The workers as a controller of this world reaches them directly. */
-export function workerPort(simulation: ClusterSimulation, host: string, deliver: Deliver): WorkerCommandPort {
-  const { simulator: sim, network: net, config: kind, workers } = simulation;
+export function workerPort(
+  simulation: ClusterSimulation,
+  nodeName: string,
+  deliver: Deliver,
+): WorkerCommandPort {
+  const { simulator, network: net, config: kind, workers } = simulation;
   return {
     sendCommands: (addr, token, agentEpoch, commands, then) => {
       const copy = JSON.parse(JSON.stringify(commands)) as typeof commands;
       // What was executed may be executed once more, long after.
-      if (simulation.duplicatesMessages && sim.chance(0.3))
-        sim.scheduleAfter(sim.between(500, kind.leaseSeconds * 2500), () =>
+      if (simulation.duplicatesMessages && simulator.chance(0.3))
+        simulator.scheduleAfter(simulator.between(500, kind.leaseSeconds * 2500), () =>
           workers.get(addr)?.handleCommands(token, agentEpoch, copy, () => {}),
         );
       net.call<{ ok: boolean; heartbeat: Heartbeat }>(
-        host,
+        nodeName,
         addr,
         DEADLINE_MS,
         (reply) => workers.get(addr)?.handleCommands(token, agentEpoch, copy, reply),
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -50,11 +50,11 @@
   }
 
   /** The cloud as a controller reaches it. */
-  port(host: string, enter: (handle: () => void) => void): CloudProvider {
+  port(nodeName: string, enter: (handle: () => void) => void): CloudProvider {
     const { network: net, config: kind } = this.environment;
     const ask = <T>(serve: () => Result<T>, then: ResultCallback<T>) =>
       net.call<Result<T>>(
-        host,
+        nodeName,
         'cloud',
         DEADLINE_MS,
         (reply) => reply(this.isDown ? { ok: false, kind: 'refused' } : serve()),
@@ -90,7 +90,7 @@
   }
 
   private rent(type: string, zone: string, spot: boolean): string {
-    const { simulator: sim, config: kind } = this.environment;
+    const { simulator, config: kind } = this.environment;
     const name = this.nextName();
     const machine: ListedMachine = {
       name,
@@ -101,11 +101,11 @@
       phase: 'booting',
       ageSeconds: 0,
     };
-    this.rented.set(name, { machine, at: sim.now });
-    if (sim.chance(NEVER_UP)) return name;
+    this.rented.set(name, { machine, at: simulator.now });
+    if (simulator.chance(NEVER_UP)) return name;
     const { bootSeconds: bootS } = kind.machineTypes.find((known) => known.name === type)!;
-    if (sim.chance(FAULTY)) this.environment.onFaultyMachine(name);
-    sim.scheduleAfter(sim.between(0.3, 1.5) * bootS * 1000, () => {
+    if (simulator.chance(FAULTY)) this.environment.onFaultyMachine(name);
+    simulator.scheduleAfter(simulator.between(0.3, 1.5) * bootS * 1000, () => {
       if (!this.rented.has(name)) return;
       machine.phase = 'running';
       this.environment.onMachineStarted(machine);
@@ -122,13 +122,13 @@
 
   /** Takes the first of the snapshots that the list shows late. */
   takeSnapshots(): void {
-    const { simulator: sim } = this.environment;
+    const { simulator } = this.environment;
     const machines = [...this.rented.values()].map(({ machine, at }) => ({
       ...machine,
-      ageSeconds: (sim.now - at) / 1000,
+      ageSeconds: (simulator.now - at) / 1000,
     }));
-    this.snapshots.push({ at: sim.now, machines });
+    this.snapshots.push({ at: simulator.now, machines });
     if (this.snapshots.length > SNAPSHOTS_KEPT) this.snapshots.shift();
-    sim.scheduleAfter(SNAPSHOT_MS, () => this.takeSnapshots());
+    simulator.scheduleAfter(SNAPSHOT_MS, () => this.takeSnapshots());
   }
 }
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -37,8 +37,8 @@
     sweep();
   }
 
-  private refuses(host: string): boolean {
-    return this.isDown || this.refusedNodes.has(host);
+  private refuses(nodeName: string): boolean {
+    return this.isDown || this.refusedNodes.has(nodeName);
   }
 
   setDown(down: boolean): void {
@@ -46,8 +46,8 @@
     this.isDown = down;
     if (!down) this.wakeWatches();
   }
-  readmit(host: string): void {
-    this.refusedNodes.delete(host);
+  readmit(nodeName: string): void {
+    this.refusedNodes.delete(nodeName);
     this.wakeWatches();
   }
   loseHistory(): void {
@@ -55,36 +55,38 @@
     this.log = [];
   }
 
-  get(host: string, key: string): StoreReply<StoredItem | null> {
-    if (this.refuses(host)) return { status: 503 };
-    const k = this.records.get(key);
+  get(nodeName: string, key: string): StoreReply<StoredItem | null> {
+    if (this.refuses(nodeName)) return { status: 503 };
+    const record = this.records.get(key);
     return {
       status: 200,
-      value: k ? { key, value: JSON.parse(k.value), modRevision: k.modRevision, leaseId: k.leaseId } : null,
+      value: record
+        ? { key, value: JSON.parse(record.value), modRevision: record.modRevision, leaseId: record.leaseId }
+        : null,
     };
   }
 
   list(
-    host: string,
+    nodeName: string,
     prefix: string,
     since: string,
     page: number,
   ): StoreReply<{ items: StoredItem[]; more: boolean; storeRevision: number }> {
-    if (this.refuses(host)) return { status: 503 };
+    if (this.refuses(nodeName)) return { status: 503 };
     const names = [...this.records.keys()].filter((k) => k.startsWith(prefix) && k > since).sort();
     const items = names.slice(0, page).map((key) => {
-      const k = this.records.get(key)!;
-      return { key, value: JSON.parse(k.value), modRevision: k.modRevision };
+      const record = this.records.get(key)!;
+      return { key, value: JSON.parse(record.value), modRevision: record.modRevision };
     });
     return { status: 200, value: { items, more: names.length > page, storeRevision: this.storeRevision } };
   }
 
   compareAndSwap(
-    host: string,
+    nodeName: string,
     transaction: Transaction,
     limits: { maxTransactionOperations: number; maxValueKb: number },
   ): StoreReply<number> {
-    if (this.refuses(host)) return { status: 503 };
+    if (this.refuses(nodeName)) return { status: 503 };
     if (
       transaction.operations.length > limits.maxTransactionOperations ||
       transaction.preconditions.length > limits.maxTransactionOperations * 4
@@ -94,26 +96,32 @@
       .filter((w) => (this.records.get(w.key)?.modRevision ?? 0) !== w.modRevision)
       .map((w) => w.key);
     if (failed.length > 0) return { status: 409, failed };
-    for (const op of transaction.operations) {
-      if ('put' in op && op.lease !== undefined && !this.leases.has(op.lease)) return { status: 400 };
-      if ('put' in op && JSON.stringify(op.value).length > limits.maxValueKb * 1024)
-        throw new Error(`value too large: ${op.put}`);
+    for (const operation of transaction.operations) {
+      if ('put' in operation && operation.lease !== undefined && !this.leases.has(operation.lease))
+        return { status: 400 };
+      if ('put' in operation && JSON.stringify(operation.value).length > limits.maxValueKb * 1024)
+        throw new Error(`value too large: ${operation.put}`);
     }
     if (transaction.operations.length === 0) return { status: 200, value: this.storeRevision };
     this.storeRevision++;
     this.writes += transaction.operations.length;
-    for (const op of transaction.operations) {
-      if ('del' in op) this.deleteKey(op.del);
+    for (const operation of transaction.operations) {
+      if ('del' in operation) this.deleteKey(operation.del);
       else {
-        const old = this.records.get(op.put);
-        if (old?.leaseId) this.leases.get(old.leaseId)?.records.delete(op.put);
-        this.records.set(op.put, {
-          value: JSON.stringify(op.value),
+        const previous = this.records.get(operation.put);
+        if (previous?.leaseId) this.leases.get(previous.leaseId)?.records.delete(operation.put);
+        this.records.set(operation.put, {
+          value: JSON.stringify(operation.value),
           modRevision: this.storeRevision,
-          leaseId: op.lease ?? 0,
+          leaseId: operation.lease ?? 0,
+        });
+        if (operation.lease !== undefined) this.leases.get(operation.lease)!.records.add(operation.put);
+        this.log.push({
+          key: operation.put,
+          modRevision: this.storeRevision,
+          value: operation.value,
+          deleted: false,
         });
-        if (op.lease !== undefined) this.leases.get(op.lease)!.records.add(op.put);
-        this.log.push({ key: op.put, modRevision: this.storeRevision, value: op.value, deleted: false });
       }
     }
     this.wakeWatches();
@@ -121,28 +129,28 @@
   }
 
   private deleteKey(key: string): void {
-    const k = this.records.get(key);
-    if (!k) return;
-    if (k.leaseId) this.leases.get(k.leaseId)?.records.delete(key);
+    const record = this.records.get(key);
+    if (!record) return;
+    if (record.leaseId) this.leases.get(record.leaseId)?.records.delete(key);
     this.records.delete(key);
     this.log.push({ key, modRevision: this.storeRevision, value: undefined, deleted: true });
   }
 
-  grantLease(host: string, ttl: number): StoreReply<number> {
-    if (this.refuses(host)) return { status: 503 };
+  grantLease(nodeName: string, ttl: number): StoreReply<number> {
+    if (this.refuses(nodeName)) return { status: 503 };
     const id = this.nextLease++;
     this.leases.set(id, { ttl, revokeLease: this.sim.now + ttl, records: new Set() });
     return { status: 200, value: id };
   }
-  keepLeaseAlive(host: string, id: number): StoreReply<null> {
-    if (this.refuses(host)) return { status: 503 };
+  keepLeaseAlive(nodeName: string, id: number): StoreReply<null> {
+    if (this.refuses(nodeName)) return { status: 503 };
     const l = this.leases.get(id);
     if (!l) return { status: 404 };
     l.revokeLease = this.sim.now + l.ttl;
     return { status: 200, value: null };
   }
-  revokeLease(host: string, id: number): StoreReply<null> {
-    if (this.refuses(host)) return { status: 503 };
+  revokeLease(nodeName: string, id: number): StoreReply<null> {
+    if (this.refuses(nodeName)) return { status: 503 };
     if (!this.leases.has(id)) return { status: 404 };
     this.endLease(id);
     return { status: 200, value: null };
@@ -157,21 +165,21 @@
   }
 
   watch(
-    host: string,
+    nodeName: string,
     prefix: string,
     since: number,
     waitMs: number,
     reply: (reply: StoreReply<{ storeRevision: number; events: WatchEvent[] }>) => void,
   ): void {
-    if (this.refuses(host)) return reply({ status: 503 });
+    if (this.refuses(nodeName)) return reply({ status: 503 });
     if (since < this.oldestRevision) return reply({ status: 410 });
-    const w = { prefix, since, host, reply };
+    const w = { prefix, since, host: nodeName, reply };
     this.pendingWatches.push(w);
     this.wakeWatches();
     const end = () => {
       const i = this.pendingWatches.indexOf(w);
       if (i < 0) return;
-      if (this.refuses(host)) return this.sim.scheduleAfter(500, end);
+      if (this.refuses(nodeName)) return this.sim.scheduleAfter(500, end);
       this.pendingWatches.splice(i, 1);
       reply({ status: 200, value: { storeRevision: this.storeRevision, events: [] } });
     };
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -21,7 +21,7 @@
   runDurationMs(job: string, taskIndex: number): number;
   fails(job: string, machine: string): boolean;
   nodeNames(): string[];
-  sendHeartbeat(host: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void): void;
+  sendHeartbeat(nodeName: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void): void;
   /** Sends a copy of a report later, if copies come late today. */
   duplicateHeartbeat(heartbeat: Heartbeat): void;
   gangTasks(job: string, attempt: number): FakeTask[];
@@ -74,8 +74,8 @@
   }
 
   /** On the machine, as the rules count it: has its image, not ended. */
-  occupies(t: FakeTask): boolean {
-    return this.isAlive && t.phase !== 'fetching' && t.phase !== 'exited';
+  occupies(task: FakeTask): boolean {
+    return this.isAlive && task.phase !== 'fetching' && task.phase !== 'exited';
   }
 
   private makeHeartbeat(): Heartbeat {
@@ -92,69 +92,69 @@
         this.evictionAt === null
           ? null
           : Math.max(0, (this.evictionAt - this.environment.simulator.now) / 1000),
-      tasks: this.tasks.map((t) => ({
-        jobId: t.jobId,
-        taskIndex: t.taskIndex,
-        attempt: t.attempt,
-        phase: t.phase,
-        exitReason: t.exitReason,
-        checkpointSaved: t.checkpointSaved,
+      tasks: this.tasks.map((task) => ({
+        jobId: task.jobId,
+        taskIndex: task.taskIndex,
+        attempt: task.attempt,
+        phase: task.phase,
+        exitReason: task.exitReason,
+        checkpointSaved: task.checkpointSaved,
       })),
     };
   }
 
   private loop(): void {
     if (!this.isAlive) return;
-    const sim = this.environment.simulator;
+    const simulator = this.environment.simulator;
     if (!this.isHung) {
-      if (sim.now - this.lastAnswered > this.timing.leaseMs) {
+      if (simulator.now - this.lastAnswered > this.timing.leaseMs) {
         this.tasks = [];
         this.agentEpoch++;
         this.incarnation++;
-        this.lastAnswered = sim.now;
+        this.lastAnswered = simulator.now;
         this.changed = true;
       }
       if (
         !this.heartbeatInFlight &&
-        (sim.now >= this.nextAt ||
-          (this.changed && sim.now >= this.nextAt - this.timing.reportMs * 1.25 + 500))
+        (simulator.now >= this.nextAt ||
+          (this.changed && simulator.now >= this.nextAt - this.timing.reportMs * 1.25 + 500))
       )
         this.sendHeartbeat();
     }
-    sim.scheduleAfter(50, () => this.loop());
+    simulator.scheduleAfter(50, () => this.loop());
   }
 
   private sendHeartbeat(): void {
-    const sim = this.environment.simulator;
-    const sent = sim.now;
+    const simulator = this.environment.simulator;
+    const sent = simulator.now;
     const agentEpoch = this.agentEpoch;
     const body = this.makeHeartbeat();
     this.environment.duplicateHeartbeat(body);
     this.heartbeatInFlight = true;
     this.changed = false;
-    this.nextAt = sim.now + this.timing.reportMs * sim.between(0.75, 1.25);
-    const host = this.target;
+    this.nextAt = simulator.now + this.timing.reportMs * simulator.between(0.75, 1.25);
+    const nodeName = this.target;
     this.environment.network.call<HeartbeatResult>(
       this.name,
-      host,
+      nodeName,
       4000,
-      (reply) => this.environment.sendHeartbeat(host, body, reply),
+      (reply) => this.environment.sendHeartbeat(nodeName, body, reply),
       (a) => {
         const handle = () => {
-          if (this.isHung) return sim.scheduleAfter(100, handle);
+          if (this.isHung) return simulator.scheduleAfter(100, handle);
           this.heartbeatInFlight = false;
           if (!this.isAlive) return;
           // Answers are dropped after 4 s, also by a machine that hung meanwhile.
-          if (!a.got || a.value.type === 'unavailable' || sim.now - sent > 4000)
+          if (!a.got || a.value.type === 'unavailable' || simulator.now - sent > 4000)
             return this.tryNextController(1000);
           if (a.value.type === 'redirected') {
             if (
               a.value.leaderName &&
-              a.value.leaderName !== host &&
+              a.value.leaderName !== nodeName &&
               this.environment.nodeNames().includes(a.value.leaderName)
             ) {
               this.target = a.value.leaderName;
-              this.nextAt = sim.now + sim.between(0, 500);
+              this.nextAt = simulator.now + simulator.between(0, 500);
             } else this.tryNextController(1000);
             return;
           }
@@ -199,24 +199,24 @@
 
   private execute(commands: WorkerCommand[]): void {
     for (const command of commands) {
-      const t = this.tasks.find(
+      const task = this.tasks.find(
         (x) =>
           x.jobId === command.jobId && x.taskIndex === command.taskIndex && x.attempt === command.attempt,
       );
       if (command.type === 'start') {
-        if (!t) this.start(command.jobId, command.taskIndex, command.attempt);
+        if (!task) this.start(command.jobId, command.taskIndex, command.attempt);
       } else if (command.type === 'stop') {
-        if (t && t.phase !== 'exited') this.stop(t, command.gracePeriodSeconds);
-      } else if (t?.phase === 'exited') this.tasks = this.tasks.filter((x) => x !== t);
+        if (task && task.phase !== 'exited') this.stop(task, command.gracePeriodSeconds);
+      } else if (task?.phase === 'exited') this.tasks = this.tasks.filter((x) => x !== task);
     }
     this.changed ||= commands.length > 0;
   }
 
   private start(job: string, taskIndex: number, attempt: number): void {
-    const s = this.environment.jobSpec(job);
-    const t: FakeTask = {
+    const spec = this.environment.jobSpec(job);
+    const task: FakeTask = {
       jobId: job,
-      taskIndex: taskIndex,
+      taskIndex,
       attempt,
       phase: 'fetching',
       exitReason: null,
@@ -224,130 +224,134 @@
       incarnation: this.incarnation,
     };
     const live = this.tasks.filter((x) => x.phase !== 'exited');
-    if (!s) Object.assign(t, { phase: 'exited', exitReason: 'unknown' });
+    if (!spec) Object.assign(task, { phase: 'exited', exitReason: 'unknown' });
     else if (this.tasks.some((x) => x.jobId === job && x.taskIndex === taskIndex)) {
       this.environment.onRefusal(job, this.name, 'busy');
-      Object.assign(t, { phase: 'exited', exitReason: 'busy' });
+      Object.assign(task, { phase: 'exited', exitReason: 'busy' });
     } else {
-      let cpus = s.cpus;
-      let mem = s.memoryGb;
+      let cpus = spec.cpus;
+      let mem = spec.memoryGb;
       for (const x of live) {
         cpus += this.environment.jobSpec(x.jobId)?.cpus ?? 0;
         mem += this.environment.jobSpec(x.jobId)?.memoryGb ?? 0;
       }
       if (cpus > this.size.cpus + 1e-9 || mem > this.size.memoryGb + 1e-9) {
         this.environment.onRefusal(job, this.name, 'no_room');
-        Object.assign(t, { phase: 'exited', exitReason: 'no_room' });
+        Object.assign(task, { phase: 'exited', exitReason: 'no_room' });
       }
     }
-    this.tasks.push(t);
+    this.tasks.push(task);
     this.changed = true;
-    if (t.phase === 'exited' || !s) return;
+    if (task.phase === 'exited' || !spec) return;
     this.environment.onStart(job, taskIndex, attempt);
-    const fetch = this.images.has(s.image) ? 1 : (s.imageGb / this.size.imageFetchGbPerSecond) * 1000;
-    this.runLater(t, fetch, () => {
-      this.images.add(s.image);
+    const fetch = this.images.has(spec.image) ? 1 : (spec.imageGb / this.size.imageFetchGbPerSecond) * 1000;
+    this.runLater(task, fetch, () => {
+      this.images.add(spec.image);
       // "If the task is started again, it exits with `done` as soon as it has its image."
-      if (this.environment.isComplete(job, taskIndex)) this.exit(t, 'done');
-      else if (s.kind === 'gang') {
-        t.phase = 'waiting';
-        this.awaitGang(t, s);
-      } else this.begin(t);
+      if (this.environment.isComplete(job, taskIndex)) this.exit(task, 'done');
+      else if (spec.kind === 'gang') {
+        task.phase = 'waiting';
+        this.awaitGang(task, spec);
+      } else this.begin(task);
       this.changed = true;
     });
   }
 
-  private runLater(t: FakeTask, ms: number, fn: () => void): void {
+  private runLater(task: FakeTask, ms: number, callback: () => void): void {
     const go = () => {
       if (
         !this.isAlive ||
-        t.incarnation !== this.incarnation ||
-        !this.tasks.includes(t) ||
-        t.phase === 'exited'
+        task.incarnation !== this.incarnation ||
+        !this.tasks.includes(task) ||
+        task.phase === 'exited'
       )
         return;
       if (this.isHung) return this.environment.simulator.scheduleAfter(100, go);
-      fn();
+      callback();
     };
     this.environment.simulator.scheduleAfter(ms, go);
   }
 
-  private begin(t: FakeTask): void {
-    t.phase = 'running';
+  private begin(task: FakeTask): void {
+    task.phase = 'running';
     this.changed = true;
-    if (this.environment.fails(t.jobId, this.name)) return this.runLater(t, 300, () => this.exit(t, 'error'));
-    const ms = this.environment.runDurationMs(t.jobId, t.taskIndex);
+    if (this.environment.fails(task.jobId, this.name))
+      return this.runLater(task, 300, () => this.exit(task, 'error'));
+    const ms = this.environment.runDurationMs(task.jobId, task.taskIndex);
     if (Number.isFinite(ms))
-      this.runLater(t, ms, () => {
-        if (t.phase !== 'running') return;
-        this.finish(t);
+      this.runLater(task, ms, () => {
+        if (task.phase !== 'running') return;
+        this.finish(task);
       });
   }
 
   /** A gang completes together: when one task is done, all are. */
-  private finish(t: FakeTask): void {
-    const s = this.environment.jobSpec(t.jobId);
-    if (s?.kind !== 'gang') {
-      this.environment.complete(t.jobId, t.taskIndex);
-      return this.exit(t, 'done');
+  private finish(task: FakeTask): void {
+    const spec = this.environment.jobSpec(task.jobId);
+    if (spec?.kind !== 'gang') {
+      this.environment.complete(task.jobId, task.taskIndex);
+      return this.exit(task, 'done');
     }
-    for (let i = 0; i < s.taskCount; i++) this.environment.complete(t.jobId, i);
-    for (const m of this.environment.gangTasks(t.jobId, t.attempt))
+    for (let i = 0; i < spec.taskCount; i++) this.environment.complete(task.jobId, i);
+    for (const m of this.environment.gangTasks(task.jobId, task.attempt))
       if (m.phase === 'running') Object.assign(m, { phase: 'exited', exitReason: 'done' });
     this.changed = true;
   }
 
-  private awaitGang(t: FakeTask, s: JobSpec): void {
+  private awaitGang(task: FakeTask, spec: JobSpec): void {
     const check = () => {
-      if (t.phase !== 'waiting') return;
-      const mates = this.environment.gangTasks(t.jobId, t.attempt);
-      if (mates.length === s.taskCount && mates.every((m) => m.phase === 'waiting' || m.phase === 'running'))
-        return this.begin(t);
-      this.runLater(t, 200, check);
+      if (task.phase !== 'waiting') return;
+      const mates = this.environment.gangTasks(task.jobId, task.attempt);
+      if (
+        mates.length === spec.taskCount &&
+        mates.every((m) => m.phase === 'waiting' || m.phase === 'running')
+      )
+        return this.begin(task);
+      this.runLater(task, 200, check);
     };
-    this.runLater(t, 1, check);
-    this.runLater(t, 15000, () => t.phase === 'waiting' && this.exit(t, 'alone'));
+    this.runLater(task, 1, check);
+    this.runLater(task, 15000, () => task.phase === 'waiting' && this.exit(task, 'alone'));
     const mates = () => {
-      if (t.phase !== 'running') {
-        this.runLater(t, 500, mates);
+      if (task.phase !== 'running') {
+        this.runLater(task, 500, mates);
         return;
       }
-      const all = this.environment.gangTasks(t.jobId, t.attempt);
+      const all = this.environment.gangTasks(task.jobId, task.attempt);
       const ended = all.filter((m) => m.exitReason === 'done').length;
-      if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < s.taskCount)
-        return this.exit(t, 'peers');
-      this.runLater(t, 500, mates);
+      if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < spec.taskCount)
+        return this.exit(task, 'peers');
+      this.runLater(task, 500, mates);
     };
-    this.runLater(t, 500, mates);
+    this.runLater(task, 500, mates);
   }
 
-  private stop(t: FakeTask, graceS: number): void {
-    const s = this.environment.jobSpec(t.jobId);
-    if (t.phase === 'running' && s?.kind === 'gang') this.environment.onGangStop(t);
+  private stop(task: FakeTask, graceS: number): void {
+    const spec = this.environment.jobSpec(task.jobId);
+    if (task.phase === 'running' && spec?.kind === 'gang') this.environment.onGangStop(task);
     if (
-      t.phase === 'running' &&
-      s &&
-      s.checkpointIntervalSeconds > 0 &&
-      graceS >= s.checkpointSaveSeconds &&
+      task.phase === 'running' &&
+      spec &&
+      spec.checkpointIntervalSeconds > 0 &&
+      graceS >= spec.checkpointSaveSeconds &&
       graceS > 0
     ) {
-      t.phase = 'saving';
-      this.runLater(t, s.checkpointSaveSeconds * 1000, () => {
-        t.checkpointSaved = true;
-        this.exit(t, 'stopped');
+      task.phase = 'saving';
+      this.runLater(task, spec.checkpointSaveSeconds * 1000, () => {
+        task.checkpointSaved = true;
+        this.exit(task, 'stopped');
       });
-    } else this.exit(t, 'stopped');
+    } else this.exit(task, 'stopped');
     this.changed = true;
   }
 
   /** Its gang is being stopped and it was not told in time. */
-  exitWithGang(t: FakeTask): void {
-    if (this.isAlive && this.tasks.includes(t) && t.phase === 'running') this.exit(t, 'peers');
+  exitWithGang(task: FakeTask): void {
+    if (this.isAlive && this.tasks.includes(task) && task.phase === 'running') this.exit(task, 'peers');
   }
 
-  private exit(t: FakeTask, reason: ExitReason): void {
-    t.phase = 'exited';
-    t.exitReason = reason;
+  private exit(task: FakeTask, reason: ExitReason): void {
+    task.phase = 'exited';
+    task.exitReason = reason;
     this.changed = true;
   }
 
--- a/test/simulation/invariant-checker.ts
+++ b/test/simulation/invariant-checker.ts
@@ -18,13 +18,13 @@
   ) {}
 
   check(): void {
-    const { simulation: world } = this;
+    const { simulation } = this;
     const now = new Map<string, string>();
     const used = new Map<string, number>();
-    for (const worker of world.workers.values()) {
+    for (const worker of simulation.workers.values()) {
       if (!worker.isAlive) continue;
       for (const task of worker.tasks) {
-        const job = world.jobs.get(task.jobId);
+        const job = simulation.jobs.get(task.jobId);
         if (!job || !worker.occupies(task)) continue;
         used.set(job.spec.team, (used.get(job.spec.team) ?? 0) + job.spec.cpus);
         this.checkTask(worker, task, job, now);
@@ -36,20 +36,20 @@
   }
 
   private checkTask(worker: FakeWorker, task: FakeTask, job: UserJob, now: Map<string, string>): void {
-    const { simulation: world } = this;
+    const { simulation } = this;
     const key = `${task.jobId}/${task.taskIndex}`;
     const place = `${worker.name}#${task.attempt}#${task.incarnation}`;
     if (now.has(key)) this.reportViolation(`ran_twice: ${key} on ${now.get(key)} and ${place}`);
     now.set(key, place);
     if (
       job.cancelledAt !== null &&
-      world.simulator.now - job.cancelledAt > world.config.cancellationSeconds * 1000
+      simulation.simulator.now - job.cancelledAt > simulation.config.cancellationSeconds * 1000
     )
       this.reportViolation(`ran_cancelled: ${key} on ${place}`);
     if (this.before.get(key) === place) return;
-    world.taskStarts++;
-    world.serviceLevel.started(task.jobId, task.taskIndex, world.simulator.now);
-    if (job.cancelledAt !== null) world.serviceLevel.startsAfterCancellation++;
+    simulation.taskStarts++;
+    simulation.serviceLevel.started(task.jobId, task.taskIndex, simulation.simulator.now);
+    if (job.cancelledAt !== null) simulation.serviceLevel.startsAfterCancellation++;
     this.checkPlace(worker, key, job.spec);
   }
 
@@ -80,11 +80,11 @@
   }
 
   private checkForgotten(): void {
-    const { jobs, simulator: sim, faultsEndAt: quietFrom } = this.simulation;
+    const { jobs, simulator, faultsEndAt: quietFrom } = this.simulation;
     for (const job of jobs.values()) {
-      if (!job.accepted || sim.now - Math.max(job.answeredAt, quietFrom) <= FORGOTTEN_MS) continue;
+      if (!job.accepted || simulator.now - Math.max(job.answeredAt, quietFrom) <= FORGOTTEN_MS) continue;
       this.reportViolation(`forgotten: no question about ${job.spec.id} is answered`);
-      job.answeredAt = sim.now;
+      job.answeredAt = simulator.now;
     }
   }
 }
--- a/test/simulation/output-digest.ts
+++ b/test/simulation/output-digest.ts
@@ -39,18 +39,18 @@
     return `${this.hash.digest('hex').slice(0, 16)} seed ${this.seed} outputs ${this.outputs}`;
   }
 
-  private add(host: string, channel: string, encoded: () => unknown): void {
+  private add(nodeName: string, channel: string, encoded: () => unknown): void {
     if (!enabled) return;
     this.outputs++;
-    this.hash.update(`${this.now().toFixed(6)} ${host} ${channel} ${JSON.stringify(encoded())}\n`);
+    this.hash.update(`${this.now().toFixed(6)} ${nodeName} ${channel} ${JSON.stringify(encoded())}\n`);
   }
 
-  peerMessage(host: string, to: string, message: PeerMessage): void {
-    this.add(host, `peer ${to}`, () => encodePeerMessage(message));
+  peerMessage(nodeName: string, to: string, message: PeerMessage): void {
+    this.add(nodeName, `peer ${to}`, () => encodePeerMessage(message));
   }
 
-  heartbeatAnswer(host: string, answer: HeartbeatResult): void {
-    this.add(host, 'heartbeat answer', () => {
+  heartbeatAnswer(nodeName: string, answer: HeartbeatResult): void {
+    this.add(nodeName, 'heartbeat answer', () => {
       switch (answer.type) {
         case 'accepted':
           return [200, writeAnswer(answer.fencingToken, answer.commands)];
@@ -62,8 +62,8 @@
     });
   }
 
-  userAnswer(host: string, answer: ApiAnswer): void {
-    this.add(host, 'user answer', () => {
+  userAnswer(nodeName: string, answer: ApiAnswer): void {
+    this.add(nodeName, 'user answer', () => {
       switch (answer.type) {
         case 'job':
           return [answer.created ? 201 : 200, writeState('', answer)];
@@ -77,8 +77,8 @@
     });
   }
 
-  store(host: string, port: KeyValueStore): KeyValueStore {
-    const add = (call: string, encoded: unknown) => this.add(host, `store ${call}`, () => encoded);
+  store(nodeName: string, port: KeyValueStore): KeyValueStore {
+    const add = (call: string, encoded: unknown) => this.add(nodeName, `store ${call}`, () => encoded);
     return {
       get: (key, urgency, then) => {
         add('get', [key, urgency]);
@@ -111,8 +111,8 @@
     };
   }
 
-  cloud(host: string, port: CloudProvider): CloudProvider {
-    const add = (call: string, encoded: unknown) => this.add(host, `cloud ${call}`, () => encoded);
+  cloud(nodeName: string, port: CloudProvider): CloudProvider {
+    const add = (call: string, encoded: unknown) => this.add(nodeName, `cloud ${call}`, () => encoded);
     return {
       listMachineTypes: (then) => {
         add('types', null);
@@ -133,10 +133,10 @@
     };
   }
 
-  workers(host: string, port: WorkerCommandPort): WorkerCommandPort {
+  workers(nodeName: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
       sendCommands: (address, token, agentEpoch, commands, then) => {
-        this.add(host, `worker ${address}`, () => writeDirect(token, agentEpoch, commands));
+        this.add(nodeName, `worker ${address}`, () => writeDirect(token, agentEpoch, commands));
         port.sendCommands(address, token, agentEpoch, commands, then);
       },
     };
--- a/test/simulation/quota-checker.ts
+++ b/test/simulation/quota-checker.ts
@@ -24,9 +24,14 @@
 
   /** Carries out a transaction, and looks at what it has placed. */
   checkTransaction<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
-    const records = transaction.operations.filter((op) => 'put' in op && op.put.startsWith('place/'));
+    const records = transaction.operations.filter(
+      (operation) => 'put' in operation && operation.put.startsWith('place/'),
+    );
     const before = new Map(
-      records.map((op) => ['put' in op ? op.put : '', this.tasksOf('put' in op ? op.put : '')]),
+      records.map((operation) => [
+        'put' in operation ? operation.put : '',
+        this.tasksOf('put' in operation ? operation.put : ''),
+      ]),
     );
     const reply = carryOut();
     if (reply.status === 200) for (const [key, old] of before) this.check(key, old);
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -35,14 +35,14 @@
   readonly tokenRaiseReasons: string[] = [];
   readonly deletedMachines: string[] = [];
   readonly resignationReasons: string[] = [];
-  readonly peers = { n: 0 };
+  readonly peers = { count: 0 };
   /** Jobs known to be stored as cancelled, whatever their owner has read. */
   readonly cancelledJobs = new Set<string>();
   /** Machines rented and deleted: the cloud answers only if a test says so; none rented comes up by itself. */
-  readonly rentals = { served: false, n: 0 };
+  readonly rentals = { isAnswered: false, count: 0 };
   readonly listedMachines: ListedMachine[] = [];
   /** The owner acknowledges the leader's timestamps, unless a test says that it does not. */
-  readonly owner = { follows: true, told: 0 };
+  readonly owner = { acknowledgesTimestamps: true, placementMessages: 0 };
   private now = 0;
   private sequence = 0;
 
@@ -90,8 +90,7 @@
       log: { debug: () => {}, info: () => {}, error: () => {} },
       cloud: this.cloud(),
       workers: {
-        sendCommands: (_a, _t, _s, commands, callback) =>
-          this.directCalls.push({ commands: commands, callback: callback }),
+        sendCommands: (_a, _t, _s, commands, callback) => this.directCalls.push({ commands, callback }),
       },
       machineTypes: () => CLUSTER_CONFIG.machineTypes,
       policy: () => ({ ...POLICY, ...this.policy }),
@@ -102,7 +101,7 @@
       inheritedCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       cancellationsKnown: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
-      reachablePeers: () => this.peers.n,
+      reachablePeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
@@ -112,13 +111,13 @@
     return {
       listMachineTypes: () => {},
       rentMachines: (claim, _type, _zone, _spot, count, callback) => {
-        if (!this.rentals.served) return;
-        this.rentals.n += count;
+        if (!this.rentals.isAnswered) return;
+        this.rentals.count += count;
         callback({ ok: true, value: Array.from({ length: count }, (_, i) => `${claim}-${i}`) });
       },
       deleteMachines: (names, callback) => {
         this.deletedMachines.push(...names);
-        if (this.rentals.served) callback({ ok: true, value: null });
+        if (this.rentals.isAnswered) callback({ ok: true, value: null });
       },
       listMachines: (_since, callback) =>
         callback({ ok: true, value: { machines: this.listedMachines, more: false } }),
@@ -126,13 +125,13 @@
   }
 
   private acknowledgeTimestamps(): void {
-    if (!this.owner.follows) return;
+    if (!this.owner.acknowledgesTimestamps) return;
     this.scheduler.onShardMessage({
       type: 'cancellationCoverage',
       fencingToken: this.fencingToken,
       instanceId: 'o',
       syncNumber: 1,
-      placementMessages: this.owner.told,
+      placementMessages: this.owner.placementMessages,
       shardEpochs: SHARD_EPOCHS,
       leaderTimestamp: this.now,
     });
@@ -191,7 +190,7 @@
       instanceId: 'o',
       placements: [placement],
     });
-    this.owner.told++;
+    this.owner.placementMessages++;
     this.scheduler.flush();
   }
 
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -18,7 +18,7 @@
   heal(a: string, b: string): void {
     const c = this.cuts.get(this.key(a, b));
     this.cuts.delete(this.key(a, b));
-    for (const fn of c?.held ?? []) fn();
+    for (const callback of c?.held ?? []) callback();
   }
   isCut(a: string, b: string): CutMode | null {
     return this.cuts.get(this.key(a, b))?.mode ?? null;
@@ -33,19 +33,19 @@
 
   /** One way, in order per pair of hosts. */
   private last = new Map<string, number>();
-  send(from: string, to: string, fn: () => void, lost: () => void = () => {}): void {
+  send(from: string, to: string, callback: () => void, lost: () => void = () => {}): void {
     const c = this.cuts.get(this.key(from, to));
     if (this.unreachableInbound.has(to)) return;
     if (c?.mode === 'reset') return lost();
     if (c) {
-      c.held.push(() => this.send(from, to, fn, lost));
+      c.held.push(() => this.send(from, to, callback, lost));
       return;
     }
     const k = `${from}>${to}`;
     const delay = this.sim.between(0.3, 4) * (this.slowdowns.get(from) ?? 1);
     const at = Math.max(this.sim.now + delay, (this.last.get(k) ?? 0) + 0.001);
     this.last.set(k, at);
-    this.sim.scheduleAt(at, fn);
+    this.sim.scheduleAt(at, callback);
   }
 
   /** A call with a deadline. What was sent may be executed long after the caller gave up. */
--- a/test/simulation/simulated-time.ts
+++ b/test/simulation/simulated-time.ts
@@ -25,9 +25,9 @@
     return this.random() < p;
   }
 
-  scheduleAt(ms: number, fn: () => void): void {
+  scheduleAt(ms: number, callback: () => void): void {
     const h = this.heap;
-    h.push({ at: Math.max(this.now, ms), n: this.n++, fn });
+    h.push({ at: Math.max(this.now, ms), n: this.n++, fn: callback });
     let i = h.length - 1;
     while (i > 0) {
       const p = (i - 1) >> 1;
@@ -36,8 +36,8 @@
       i = p;
     }
   }
-  scheduleAfter(ms: number, fn: () => void): void {
-    this.scheduleAt(this.now + ms, fn);
+  scheduleAfter(ms: number, callback: () => void): void {
+    this.scheduleAt(this.now + ms, callback);
   }
 
   run(until: number): void {
--- a/test/simulation/starvation-checker.ts
+++ b/test/simulation/starvation-checker.ts
@@ -21,81 +21,95 @@
   }
 
   private check(): void {
-    const { simulation: w } = this;
-    const now = w.simulator.now;
+    const { simulation } = this;
+    const now = simulation.simulator.now;
     const used = new Map<string, number>();
     const zones = new Map<string, Map<string, number>>();
     const listed = new Set<string>();
-    for (const m of w.workers.values())
-      for (const t of m.tasks) {
-        if (t.phase === 'exited') continue;
-        const s = w.jobs.get(t.jobId)?.spec;
-        if (!s) continue;
-        listed.add(`${t.jobId}/${t.taskIndex}`);
-        used.set(s.team, (used.get(s.team) ?? 0) + s.cpus);
-        const z = zones.get(t.jobId) ?? new Map<string, number>();
-        z.set(m.zone, (z.get(m.zone) ?? 0) + 1);
-        zones.set(t.jobId, z);
+    for (const worker of simulation.workers.values())
+      for (const task of worker.tasks) {
+        if (task.phase === 'exited') continue;
+        const spec = simulation.jobs.get(task.jobId)?.spec;
+        if (!spec) continue;
+        listed.add(`${task.jobId}/${task.taskIndex}`);
+        used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus);
+        const z = zones.get(task.jobId) ?? new Map<string, number>();
+        z.set(worker.zone, (z.get(worker.zone) ?? 0) + 1);
+        zones.set(task.jobId, z);
       }
-    for (const job of w.jobs.values()) {
-      const s = job.spec;
+    for (const job of simulation.jobs.values()) {
+      const spec = job.spec;
       const over = job.reportedState === 'done' || job.reportedState === 'cancelled';
       let open = 0;
-      for (let i = 0; i < s.taskCount; i++)
-        if (!w.completedTasks.has(`${s.id}/${i}`) && !listed.has(`${s.id}/${i}`)) open++;
-      const needed = s.kind === 'gang' ? s.taskCount : 1;
-      const limit = w.config.teams.find((team) => team.name === s.team)?.maxCpus ?? 0;
-      const allowed = limit === 0 || (used.get(s.team) ?? 0) + s.cpus * needed <= limit + 1e-9;
+      for (let i = 0; i < spec.taskCount; i++)
+        if (!simulation.completedTasks.has(`${spec.id}/${i}`) && !listed.has(`${spec.id}/${i}`)) open++;
+      const needed = spec.kind === 'gang' ? spec.taskCount : 1;
+      const limit = simulation.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
+      const allowed = limit === 0 || (used.get(spec.team) ?? 0) + spec.cpus * needed <= limit + 1e-9;
       const waits =
         job.accepted &&
         !over &&
         !job.cancelRequested &&
-        !w.failingJobs.has(s.id) &&
+        !simulation.failingJobs.has(spec.id) &&
         open >= needed &&
         allowed;
-      if (!waits || this.freeTaskSlots(s.id, zones.get(s.id)) < needed) {
-        this.since.delete(s.id);
+      if (!waits || this.freeTaskSlots(spec.id, zones.get(spec.id)) < needed) {
+        this.since.delete(spec.id);
         continue;
       }
-      const from = this.since.get(s.id) ?? now;
-      this.since.set(s.id, from);
-      if (now - Math.max(from, w.faultsEndAt) <= MAX_WAIT_MS) continue;
-      this.reportViolation(`left waiting: ${s.id} of ${s.team}, ${open} of ${s.taskCount} tasks`);
-      this.since.delete(s.id);
+      const from = this.since.get(spec.id) ?? now;
+      this.since.set(spec.id, from);
+      if (now - Math.max(from, simulation.faultsEndAt) <= MAX_WAIT_MS) continue;
+      this.reportViolation(`left waiting: ${spec.id} of ${spec.team}, ${open} of ${spec.taskCount} tasks`);
+      this.since.delete(spec.id);
     }
   }
 
   /** Tasks of a job that machines in reach could take now. */
   private freeTaskSlots(id: string, zones: Map<string, number> | undefined): number {
-    const s = this.simulation.jobs.get(id)!.spec;
+    const spec = this.simulation.jobs.get(id)!.spec;
     let n = 0;
-    for (const m of this.simulation.workers.values()) {
+    for (const worker of this.simulation.workers.values()) {
       if (
-        !this.isReachable(m) ||
-        (m.isSpot && !s.spotAllowed) ||
-        (s.machineTypes && !s.machineTypes.includes(m.machineType))
+        !this.isReachable(worker) ||
+        (worker.isSpot && !spec.spotAllowed) ||
+        (spec.machineTypes && !spec.machineTypes.includes(worker.machineType))
       )
         continue;
-      if (s.zone !== null && s.zone !== m.zone) continue;
-      if (s.zoneAntiAffinity && s.taskCount > 1 && (zones?.get(m.zone) ?? 0) >= Math.ceil(s.taskCount / 2))
+      if (spec.zone !== null && spec.zone !== worker.zone) continue;
+      if (
+        spec.zoneAntiAffinity &&
+        spec.taskCount > 1 &&
+        (zones?.get(worker.zone) ?? 0) >= Math.ceil(spec.taskCount / 2)
+      )
         continue;
-      if (s.zoneAffinity && zones && zones.size > 0 && !zones.has(m.zone)) continue;
-      let cpus = m.size.cpus;
-      let memoryGb = m.size.memoryGb;
-      for (const t of m.tasks) {
-        if (t.phase === 'exited') continue;
-        cpus -= this.simulation.jobs.get(t.jobId)?.spec.cpus ?? 0;
-        memoryGb -= this.simulation.jobs.get(t.jobId)?.spec.memoryGb ?? 0;
+      if (spec.zoneAffinity && zones && zones.size > 0 && !zones.has(worker.zone)) continue;
+      let cpus = worker.size.cpus;
+      let memoryGb = worker.size.memoryGb;
+      for (const task of worker.tasks) {
+        if (task.phase === 'exited') continue;
+        cpus -= this.simulation.jobs.get(task.jobId)?.spec.cpus ?? 0;
+        memoryGb -= this.simulation.jobs.get(task.jobId)?.spec.memoryGb ?? 0;
       }
-      n += Math.max(0, Math.floor(Math.min(cpus / s.cpus, memoryGb / s.memoryGb) + 1e-9));
+      n += Math.max(0, Math.floor(Math.min(cpus / spec.cpus, memoryGb / spec.memoryGb) + 1e-9));
     }
     return n;
   }
 
-  private isReachable(m: FakeWorker): boolean {
-    const { simulation: w } = this;
-    if (!m.isAlive || m.isHung || m.evictionAt !== null || w.faultyMachines.has(m.name)) return false;
-    if (w.network.unreachableOutbound.has(m.name) || w.network.unreachableInbound.has(m.name)) return false;
-    return w.nodeNames.every((h) => w.network.isCut(h, m.name) === null);
+  private isReachable(worker: FakeWorker): boolean {
+    const { simulation } = this;
+    if (
+      !worker.isAlive ||
+      worker.isHung ||
+      worker.evictionAt !== null ||
+      simulation.faultyMachines.has(worker.name)
+    )
+      return false;
+    if (
+      simulation.network.unreachableOutbound.has(worker.name) ||
+      simulation.network.unreachableInbound.has(worker.name)
+    )
+      return false;
+    return simulation.nodeNames.every((nodeName) => simulation.network.isCut(nodeName, worker.name) === null);
   }
 }
