--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -157,7 +157,7 @@
   private storePort(): KeyValueStore {
     const answer = <T>(serve: () => { status: number; value?: T; failed?: string[] }): Result<T> => {
       const { status, value, failed } = serve();
-      if (status === 200) return { ok: true, value as T };
+      if (status === 200) return { ok: true, value: value as T };
       return status === 409
         ? { ok: false, kind: 'conflict', failedKeys: failed ?? [] }
         : { ok: false, kind: 'refused' };
