--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -11,7 +11,7 @@
 import { jobRecord } from '../src/store/record-codec.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import type { FakeWorker } from './simulation/fake-worker.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
@@ -26,7 +26,7 @@
   simulation.runDurationMs = () => 1e9;
   const ids = ['red', 'blue', 'free'].map((team) => {
     const spec = makeJobSpec(simulation, { team, taskCount: 3, spotAllowed: false });
-    simulation.submitJob(spec);
+    simulation.users.submitJob(spec);
     return spec.id;
   });
   simulation.simulator.run(60000);
@@ -104,7 +104,7 @@
       ids.slice(1).flatMap((id) => on(id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
     ).toEqual(before);
     // One that ends may have told a user last of all what it told nobody else.
-    simulation.crashController(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
+    simulation.controllers.crash(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
     simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1000);
     expect(ids.flatMap((id) => on(id))).toEqual([]);
     simulation.store.setDown(false);
@@ -168,14 +168,14 @@
   )!;
   const [team] = simulation.controllers.get(owner)!.controller.status().teams as string[];
   const send = simulation.network.send.bind(simulation.network);
-  simulation.network.send = (from, to, callback, lost) => {
-    if (from !== leader || to !== owner) send(from, to, callback, lost);
+  simulation.network.send = (message) => {
+    if (message.from !== leader || message.to !== owner) send(message);
   };
   simulation.simulator.run(simulation.simulator.now + 20000);
   expect(leaderOf(simulation)).toBe(leader);
   expect(simulation.controllers.get(owner)!.controller.status().teams).toEqual([]);
   const spec = makeJobSpec(simulation, { team: team as string, taskCount: 2 });
-  simulation.submitJob(spec);
+  simulation.users.submitJob(spec);
   simulation.simulator.run(simulation.simulator.now + 60000);
   expect([simulation.jobs.get(spec.id)!.reportedState, simulation.violations]).toEqual(['done', []]);
 });
--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import type { FakeWorker } from './simulation/fake-worker.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 // One test for each meeting of troubles in docs/meetings.md; the stand-ins check the rules after each step.
@@ -38,7 +38,7 @@
     simulation.jobs.get(id)?.spec.kind === 'service' ? Number.POSITIVE_INFINITY : runS(taskIndex) * 1000;
   const ids = specs.map((s) => {
     const spec = makeJobSpec(simulation, { spotAllowed: false, ...s });
-    simulation.submitJob(spec);
+    simulation.users.submitJob(spec);
     return spec.id;
   });
   until(simulation, 90000, () => ids.every((id) => on(simulation, id).length > 0));
@@ -63,7 +63,7 @@
     ]);
     for (let i = 0; i < 3; i++) {
       simulation.simulator.run(simulation.simulator.now + 11000);
-      simulation.crashController(leaderOf(simulation), i === 1 ? 300 : 4000);
+      simulation.controllers.crash(leaderOf(simulation), i === 1 ? 300 : 4000);
     }
     finish(simulation, 90000);
     expect(ids.map((id) => simulation.jobs.get(id)!.reportedState)).toEqual(['done', 'done']);
@@ -79,7 +79,7 @@
   );
   // So that a read and the write that rests on it lie apart.
   simulation.network.slowdowns.set('state', 60);
-  for (const spec of specs) simulation.submitJob(spec);
+  for (const spec of specs) simulation.users.submitJob(spec);
   const ended = new Map<string, number>();
   const watch = () => {
     for (const [i, s] of specs.entries()) {
@@ -88,7 +88,7 @@
       // From the end of the task until its report, its count and its final record have been written.
       for (let k = 0; k < 6; k++)
         simulation.simulator.scheduleAfter(simulation.simulator.between(0, 2500), () =>
-          simulation.queryAndResubmit(s.id, i % 3 !== 0),
+          simulation.users.queryAndResubmit(s.id, i % 3 !== 0),
         );
     }
     simulation.simulator.scheduleAfter(5, watch);
@@ -110,7 +110,7 @@
     for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
     if (otherWorker) simulation.network.unreachableInbound.add(otherWorker.name);
     const before = simulation.taskStarts;
-    simulation.crashController(leaderOf(simulation), 3000);
+    simulation.controllers.crash(leaderOf(simulation), 3000);
     simulation.simulator.run(simulation.simulator.now + 9000);
     for (const nodeName of simulation.nodeNames) simulation.network.heal(worker.name, nodeName);
     if (otherWorker) simulation.network.unreachableInbound.delete(otherWorker.name);
@@ -132,20 +132,20 @@
     if (i === 4) simulation.store.setDown(true);
     if (i === 6) simulation.store.setDown(false);
     const leaderName = leaderOf(simulation);
-    if (leaderName) simulation.crashController(leaderName, simulation.simulator.between(50, 3000));
+    if (leaderName) simulation.controllers.crash(leaderName, simulation.simulator.between(50, 3000));
     else
       for (const nodeName of simulation.nodeNames)
-        simulation.crashController(nodeName, simulation.simulator.between(50, 3000));
+        simulation.controllers.crash(nodeName, simulation.simulator.between(50, 3000));
   }
   finish(simulation);
 });
 
 test.each(seeds)('all controllers are away for longer than a lease (%i)', (seed) => {
   const { w: simulation, ids } = world(seed, () => 30, [{ taskCount: 4 }, { team: 'blue', taskCount: 2 }]);
-  simulation.cancelJob(ids[1]!);
+  simulation.users.cancelJob(ids[1]!);
   simulation.simulator.run(simulation.simulator.now + 100);
   for (const nodeName of simulation.nodeNames)
-    simulation.crashController(nodeName, simulation.config.leaseSeconds * 1300);
+    simulation.controllers.crash(nodeName, simulation.config.leaseSeconds * 1300);
   simulation.simulator.run(simulation.simulator.now + simulation.config.leaseSeconds * 1200);
   expect(ids.flatMap((id) => on(simulation, id))).toEqual([]);
   finish(simulation);
@@ -159,7 +159,7 @@
     const leaderName = leaderOf(simulation);
     for (const worker of on(simulation, ids[0]!)) simulation.network.cut(worker.name, leaderName, 'hold');
     simulation.simulator.run(simulation.simulator.now + 4000);
-    simulation.crashController(leaderName, 200);
+    simulation.controllers.crash(leaderName, 200);
     simulation.simulator.run(simulation.simulator.now + 9000);
     for (const m of simulation.workers.keys()) simulation.network.heal(m, leaderName);
     simulation.simulator.run(simulation.simulator.now + simulation.config.leaseSeconds * 3000);
@@ -178,8 +178,8 @@
         worker.isHung = false;
       });
     }
-    simulation.submitJob(makeJobSpec(simulation, { taskCount: 3, priority: 1 }));
-    if (i === 3) simulation.cancelJob(ids[1]!);
+    simulation.users.submitJob(makeJobSpec(simulation, { taskCount: 3, priority: 1 }));
+    if (i === 3) simulation.users.cancelJob(ids[1]!);
     simulation.simulator.run(simulation.simulator.now + 8000);
   }
   finish(simulation);
@@ -188,12 +188,12 @@
 test.each(seeds)('controllers hand over and back, all end, and one returns within a second (%i)', (seed) => {
   const { w: simulation } = world(seed, () => 25, [{ taskCount: 5 }, { team: 'blue', taskCount: 3 }]);
   for (const nodeName of simulation.nodeNames) {
-    simulation.crashController(nodeName, 150);
+    simulation.controllers.crash(nodeName, 150);
     simulation.simulator.run(simulation.simulator.now + 700);
   }
-  simulation.nodeNames.forEach((h, i) => simulation.crashController(h, i === 1 ? 400 : 9000));
+  simulation.nodeNames.forEach((h, i) => simulation.controllers.crash(h, i === 1 ? 400 : 9000));
   simulation.simulator.run(simulation.simulator.now + 3000);
-  simulation.crashController(simulation.nodeNames[1]!, 100);
+  simulation.controllers.crash(simulation.nodeNames[1]!, 100);
   simulation.simulator.run(simulation.simulator.now + 8000);
   expect(leaderOf(simulation)).not.toBe('');
   finish(simulation);
@@ -207,10 +207,10 @@
   ]);
   simulation.lateWriteShare = 0.35;
   for (let i = 0; i < 5; i++) {
-    simulation.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
-    if (i === 2) simulation.cancelJob(ids[2]!);
+    simulation.users.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
+    if (i === 2) simulation.users.cancelJob(ids[2]!);
     simulation.simulator.run(simulation.simulator.now + 9000);
-    simulation.crashController(leaderOf(simulation) || simulation.nodeNames[0]!, 300);
+    simulation.controllers.crash(leaderOf(simulation) || simulation.nodeNames[0]!, 300);
   }
   simulation.lateWriteShare = 0;
   finish(simulation);
@@ -235,7 +235,7 @@
     }
     return txn(h, transaction, limits);
   };
-  simulation.crashController(nodeName, 50);
+  simulation.controllers.crash(nodeName, 50);
   simulation.simulator.run(simulation.simulator.now + 3000);
   const lease = JSON.parse(simulation.store.records.get(key)!.value).lease;
   for (const callback of late) callback();
@@ -277,7 +277,7 @@
   simulation.cloud.capacity = 3;
   for (const nodeName of [...simulation.nodeNames, 'state']) simulation.network.slowdowns.set(nodeName, 60);
   for (let i = 0; i < 10; i++)
-    simulation.submitJob(
+    simulation.users.submitJob(
       makeJobSpec(simulation, {
         team: ['red', 'blue', 'free'][i % 3]!,
         priority: i % 3 === 0 ? 1 : 3,
@@ -339,12 +339,12 @@
     const cut = on(simulation, ids[0]!).slice(0, 2);
     for (const worker of cut)
       for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
-    simulation.crashController(leaderOf(simulation), 2000);
-    simulation.submitJob(
+    simulation.controllers.crash(leaderOf(simulation), 2000);
+    simulation.users.submitJob(
       makeJobSpec(simulation, { id: 'wk-next', taskCount: 10, cpus: 4, spotAllowed: false }),
     );
     simulation.simulator.run(simulation.simulator.now + 3000);
-    simulation.cancelJob(ids[0]!);
+    simulation.users.cancelJob(ids[0]!);
     simulation.simulator.run(simulation.simulator.now + 12000);
     // What could be asked is stopped, and its part of the limit is used again; the rest counts until it is settled.
     expect(on(simulation, 'wk-next').length).toBeGreaterThan(0);
@@ -360,7 +360,7 @@
     { team: 'blue', taskCount: 3, zone: 'b' },
   ]);
   for (const worker of [...simulation.workers.values()])
-    if (worker.zone === 'b') simulation.destroyMachine(worker.name);
+    if (worker.zone === 'b') simulation.machines.destroy(worker.name);
   simulation.config.zonesWithoutCapacity.push('b');
   simulation.simulator.run(simulation.simulator.now + 30000);
   simulation.config.zonesWithoutCapacity.pop();
@@ -374,9 +374,9 @@
     { team: 'blue', taskCount: 3 },
     { team: 'free', taskCount: 3 },
   ]);
-  simulation.cancelRunningJobs(3, simulation.config.leaseSeconds * 1400);
+  simulation.users.cancelRunningJobs(3, simulation.config.leaseSeconds * 1400);
   simulation.simulator.run(simulation.simulator.now + 250);
-  simulation.crashController(leaderOf(simulation), 100);
+  simulation.controllers.crash(leaderOf(simulation), 100);
   simulation.simulator.run(simulation.simulator.now + simulation.config.cancellationSeconds * 1500);
   expect(simulation.violations).toEqual([]);
   expect(
@@ -392,12 +392,12 @@
     { team: 'blue', taskCount: 4 },
   ]);
   for (const ms of [1500, 6000, 15000]) {
-    simulation.pauseController(leaderOf(simulation), ms);
-    simulation.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
+    simulation.controllers.pause(leaderOf(simulation), ms);
+    simulation.users.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
     simulation.simulator.run(simulation.simulator.now + ms + 4000);
-    simulation.pauseController(others(simulation, leaderOf(simulation))[0]!, ms);
+    simulation.controllers.pause(others(simulation, leaderOf(simulation))[0]!, ms);
     simulation.simulator.run(simulation.simulator.now + ms);
   }
-  simulation.cancelJob(ids[1]!);
+  simulation.users.cancelJob(ids[1]!);
   finish(simulation);
 });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -100,7 +100,7 @@
   const leads = (nodeName: string) =>
     simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
   const host = simulation.nodeNames.find((nodeName) => !leads(nodeName))!;
-  const worker = simulation.addMachine('small', 'a', false);
+  const worker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: false });
   simulation.cloud.isDown = true;
   simulation.simulator.run(simulation.simulator.now + 8000);
   expect(worker.fencingToken).toBeGreaterThan(0);
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -1,7 +1,7 @@
 import { Unpackr } from 'msgpackr';
 import { expect, test } from 'vitest';
 import { ClusterSimulation } from '../simulation/cluster-simulation.js';
-import { makeJobSpec } from '../simulation/scenario.js';
+import { makeJobSpec } from '../simulation/job-spec.js';
 import { encode } from './peer-codec.js';
 
 type Fields = Record<string, unknown>;
@@ -22,7 +22,7 @@
 function fieldsSent(): Record<string, string[]> {
   const world = new ClusterSimulation(7);
   const sent = new Map<string, Set<string>>();
-  for (const { controller: ctl } of world.controllers.values()) {
+  for (const { controller: ctl } of world.controllers.processes.values()) {
     const push = ctl.push.bind(ctl);
     ctl.push = (command) => {
       if (command.type === 'peerMessage') {
@@ -38,11 +38,11 @@
   }
   const tasks = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
   for (let i = 0; i < 4; i++) {
-    world.submitJob(
+    world.users.submitJob(
       makeJobSpec(world, { ...tasks, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }),
     );
-    world.submitJob(makeJobSpec(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
-    world.submitJob(
+    world.users.submitJob(makeJobSpec(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
+    world.users.submitJob(
       makeJobSpec(world, {
         ...tasks,
         kind: 'service',
@@ -56,11 +56,11 @@
   world.simulator.run(20000);
   const [array, gang, service] = [...world.jobs.keys()];
   world.failingJobs.add(array!);
-  world.cancelJob(gang!);
-  world.cancelJob(service!);
+  world.users.cancelJob(gang!);
+  world.users.cancelJob(service!);
   world.simulator.run(25000);
-  for (const machine of [...world.workers.keys()].slice(0, 2)) world.destroyMachine(machine);
-  for (let i = 0; i < 4; i++) world.submitJob(makeJobSpec(world, { ...tasks, priority: 1, cpus: 4 }));
+  for (const machine of [...world.workers.keys()].slice(0, 2)) world.machines.destroy(machine);
+  for (let i = 0; i < 4; i++) world.users.submitJob(makeJobSpec(world, { ...tasks, priority: 1, cpus: 4 }));
   world.simulator.run(50000);
   return Object.fromEntries([...sent].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
 }
--- a/test/gang-attempts.test.ts
+++ b/test/gang-attempts.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 
 // What happens: a gang's attempt ends before it has begun. Its tasks were started by direct commands, so their machines go on
 // listing them as ended until a higher token (a late repeat of the command must find them). The next attempt gives the tasks
@@ -63,7 +63,7 @@
     this.gang = spec.id;
     this.records = Math.ceil(tasks / 16);
     this.world.runDurationMs = (id) => (id === spec.id ? RUN_MS : 4000);
-    this.world.submitJob(spec);
+    this.world.users.submitJob(spec);
   }
 
   stored(): number {
@@ -115,7 +115,7 @@
   }
 
   killAll(): void {
-    for (const nodeName of this.world.nodeNames) this.world.crashController(nodeName, 2000);
+    for (const nodeName of this.world.nodeNames) this.world.controllers.crash(nodeName, 2000);
   }
 
   /** A machine of the gang goes for good, or hangs for a while. */
@@ -123,7 +123,7 @@
     if (!this.until(() => this.machinesIn(phase).length > 0)) return;
     const { simulator, workers } = this.world;
     const name = simulator.pick(this.machinesIn(phase));
-    if (simulator.chance(0.5)) return this.world.destroyMachine(name);
+    if (simulator.chance(0.5)) return this.world.machines.destroy(name);
     const worker = workers.get(name)!;
     worker.isHung = true;
     simulator.scheduleAfter(15_000, () => {
@@ -135,7 +135,7 @@
   loseSaving(): void {
     this.world.runDurationMs = (id) => (id === this.gang ? 30_000 : 4000);
     if (!this.until(() => this.machinesIn('running').length > 0)) return;
-    this.world.submitJob(
+    this.world.users.submitJob(
       makeJobSpec(this.world, { priority: 1, taskCount: 200, cpus: 4, memoryGb: 1, spotAllowed: false }),
     );
     this.loseIn('saving');
@@ -146,11 +146,11 @@
 const TROUBLES: Record<string, (day: GangDay) => void> = {
   'the owner goes between two transactions': (day) => {
     day.untilStored(1);
-    day.world.crashController(day.owner(), 3000);
+    day.world.controllers.crash(day.owner(), 3000);
   },
   'the leader goes between two transactions': (day) => {
     day.untilStored(1);
-    day.world.crashController(day.leader(), 3000);
+    day.world.controllers.crash(day.leader(), 3000);
   },
   'the state service goes between two transactions': (day) => {
     day.untilStored(1);
@@ -175,7 +175,7 @@
   },
   'the leader stands still': (day) => {
     day.untilStored(1);
-    day.world.pauseController(day.leader(), 8000);
+    day.world.controllers.pause(day.leader(), 8000);
   },
   'it loses a machine while it fetches': (day) => day.loseIn('fetching'),
   'it loses a machine while it waits': (day) => day.loseIn('waiting'),
@@ -201,7 +201,7 @@
     expect(simulation.violations).toEqual([]);
     expect(simulation.unfinishedJobs()).toEqual([]);
     // Each refusal ends an attempt and stops all its tasks; each token costs a new leader's beginning.
-    expect(simulation.refusals.busy).toBe(0);
+    expect(simulation.machines.refusals.busy).toBe(0);
     expect(day.token() - before).toBeLessThanOrEqual(MOST_TOKENS);
   },
   120_000,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -12,7 +12,7 @@
 import { jobRecord } from '../src/store/record-codec.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './simulation/cluster-config.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
@@ -347,10 +347,10 @@
   ) ?? '';
 
 const TROUBLES: Record<string, (simulation: ClusterSimulation) => void> = {
-  'the owner goes': (simulation) => simulation.crashController(ownerHost(simulation, 'red'), 3000),
-  'the leader goes': (simulation) => simulation.crashController(leader(simulation), 3000),
+  'the owner goes': (simulation) => simulation.controllers.crash(ownerHost(simulation, 'red'), 3000),
+  'the leader goes': (simulation) => simulation.controllers.crash(leader(simulation), 3000),
   'all controllers go': (simulation) => {
-    for (const nodeName of simulation.nodeNames) simulation.crashController(nodeName, 2000);
+    for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 2000);
   },
   'the state service goes': (simulation) => {
     simulation.store.setDown(true);
@@ -376,7 +376,7 @@
       memoryGb: 0.5,
       spotAllowed: false,
     });
-    simulation.submitJob(gang);
+    simulation.users.submitJob(gang);
     const stored = () =>
       [...simulation.store.records.keys()].filter((key) => key.startsWith(`place/${gang.id}/`)).length;
     until(simulation, 90_000, () => stored() > 0);
@@ -403,7 +403,7 @@
         spotAllowed: false,
         zoneAffinity: true,
       });
-      simulation.submitJob(gang);
+      simulation.users.submitJob(gang);
       return gang.id;
     });
     until(simulation, 90_000, () => gangs.every((id) => running(simulation, id) > 0));
@@ -418,7 +418,7 @@
     for (const a of inside)
       for (const b of outside) simulation.network.cut(a, b, seed % 2 === 0 ? 'hold' : 'reset');
     simulation.simulator.run(simulation.simulator.now + 5000);
-    simulation.crashController(leader(simulation), 3000);
+    simulation.controllers.crash(leader(simulation), 3000);
     simulation.simulator.run(simulation.simulator.now + 30_000);
     for (const a of inside) for (const b of outside) simulation.network.heal(a, b);
     finish(simulation, 300_000);
@@ -438,14 +438,14 @@
       checkpointIntervalSeconds: 2,
       checkpointSaveSeconds: 1,
     });
-    simulation.submitJob(gang);
+    simulation.users.submitJob(gang);
     simulation.runDurationMs = () => 20_000;
     until(simulation, 90_000, () => running(simulation, gang.id) === 5);
     const machine = [...simulation.workers.values()].find((worker) =>
       worker.tasks.some((task) => task.jobId === gang.id),
     )!;
     if (seed === 1) machine.isHung = true;
-    else simulation.destroyMachine(machine.name);
+    else simulation.machines.destroy(machine.name);
     simulation.simulator.scheduleAfter(15_000, () => {
       machine.isHung = false;
     });
@@ -463,11 +463,11 @@
     spotAllowed: false,
     imageGb: 8,
   });
-  simulation.submitJob(gang);
+  simulation.users.submitJob(gang);
   const fetching = () =>
     [...simulation.workers.values()].filter((worker) => worker.tasks.some((task) => task.jobId === gang.id));
   until(simulation, 90_000, () => fetching().length === 5);
-  simulation.destroyMachine(fetching()[seed]!.name);
+  simulation.machines.destroy(fetching()[seed]!.name);
   finish(simulation);
 });
 
@@ -487,15 +487,15 @@
     checkpointSaveSeconds: 2,
   });
   simulation.runDurationMs = (id) => (id === gang.id ? 60_000 : 5000);
-  simulation.submitJob(gang);
+  simulation.users.submitJob(gang);
   until(simulation, 90_000, () => running(simulation, gang.id) === 4);
-  simulation.submitJob(
+  simulation.users.submitJob(
     makeJobSpec(simulation, { priority: 1, taskCount: 8, cpus: 4, memoryGb: 1, spotAllowed: false }),
   );
-  until(simulation, 60_000, () => simulation.gangStops.signalled > 0);
+  until(simulation, 60_000, () => simulation.machines.gangStops.signalled > 0);
   expect(onMachines(simulation, gang.id).some((task) => task.phase === 'saving')).toBe(true);
   simulation.simulator.run(simulation.simulator.now + 10_000);
-  expect(simulation.gangStops.late).toBe(0);
+  expect(simulation.machines.gangStops.late).toBe(0);
   finish(simulation, 300_000);
 });
 
@@ -511,14 +511,14 @@
       spotAllowed: false,
       zoneAffinity: true,
     });
-    simulation.submitJob(gang);
+    simulation.users.submitJob(gang);
     simulation.runDurationMs = () => 100_000;
     until(simulation, 90_000, () => running(simulation, gang.id) === 5);
     const machine = [...simulation.workers.values()].find((worker) =>
       worker.tasks.some((task) => task.jobId === gang.id),
     )!;
     for (const nodeName of simulation.nodeNames) simulation.network.cut(machine.name, nodeName, 'hold');
-    simulation.cancelJob(gang.id);
+    simulation.users.cancelJob(gang.id);
     simulation.simulator.run(simulation.simulator.now + CLUSTER_CONFIG.cancellationSeconds * 1000 + 5000);
     expect(onMachines(simulation, gang.id)).toEqual([]);
     for (const nodeName of simulation.nodeNames) simulation.network.heal(machine.name, nodeName);
@@ -543,12 +543,12 @@
     }),
   );
   simulation.runDurationMs = () => 10_000;
-  simulation.submitJob(gangs[0]!);
+  simulation.users.submitJob(gangs[0]!);
   until(simulation, 90_000, () => onMachines(simulation, gangs[0]!.id).length > 0);
   const bad = [...simulation.workers.values()].find((worker) =>
     worker.tasks.some((task) => task.jobId === gangs[0]!.id),
   )!;
   Set.prototype.add.call(simulation.faultyMachines, bad.name);
-  simulation.submitJob(gangs[1]!);
+  simulation.users.submitJob(gangs[1]!);
   finish(simulation);
 });
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -4,7 +4,8 @@
 import type { LogFields } from '../src/model/logger.js';
 import type { Team } from '../src/model/team.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec, runIndeterminateWritesScenario } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
+import { runIndeterminateWritesScenario } from './simulation/scenario.js';
 import { ShardOwnerHarness } from './simulation/shard-owner-harness.js';
 
 // Transactions of an owner that get no answer: they may have been carried out, or may yet be.
@@ -63,7 +64,7 @@
 // transaction, with a full telling between the two grants; 23 of 24 days had 3 to 69 refusals.
 test('no place of a machine is given twice at a full telling while placements are in flight or in doubt', () => {
   for (const seed of [1, 2, 19])
-    expect([seed, runIndeterminateWritesScenario(seed).refusals.no_room]).toEqual([seed, 0]);
+    expect([seed, runIndeterminateWritesScenario(seed).machines.refusals.no_room]).toEqual([seed, 0]);
 });
 
 // What happens: the leader starts an attempt once more that has ended. Why: an owner that tells it all it holds left out the ended
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -2,14 +2,14 @@
 import type { ResourceRequest } from '../src/model/placement.js';
 import type { Heartbeat } from '../src/model/worker-messages.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 test('the checker sees each kind of broken rule', () => {
   const simulation = new ClusterSimulation(3);
   simulation.simulator.run(2000);
   // No controller hears of these: the stand-ins are told directly what no rule allows.
-  for (const nodeName of simulation.nodeNames) simulation.crashController(nodeName, 1e9);
+  for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
   const put = (spec: ReturnType<typeof makeJobSpec>) =>
     simulation.jobs.set(spec.id, {
       spec,
@@ -20,10 +20,17 @@
       answeredAt: 0,
       finalStateAt: 0,
     });
-  const a = simulation.addMachine('small', 'a', true);
-  const b = simulation.addMachine('big', 'a', false);
+  const a = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
+  const b = simulation.machines.add({ machineType: 'big', zone: 'a', isSpot: false });
   const run = (worker: typeof a, id: string, taskIndex: number) =>
-    worker.handleCommands(99, 1, [{ type: 'start', jobId: id, taskIndex, attempt: taskIndex + 1 }], () => {});
+    worker.handleCommands(
+      {
+        fencingToken: 99,
+        agentEpoch: 1,
+        commands: [{ type: 'start', jobId: id, taskIndex, attempt: taskIndex + 1 }],
+      },
+      () => {},
+    );
   const twice = makeJobSpec(simulation, { kind: 'service' });
   put(twice);
   run(a, twice.id, 0);
@@ -57,7 +64,7 @@
 test('the checker sees a job that is left waiting while a machine has room, and none where its team has no more', () => {
   const simulation = new ClusterSimulation(4);
   simulation.simulator.run(2000);
-  for (const nodeName of simulation.nodeNames) simulation.crashController(nodeName, 1e9);
+  for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
   const put = (spec: ReturnType<typeof makeJobSpec>) =>
     simulation.jobs.set(spec.id, {
       spec,
@@ -68,7 +75,7 @@
       answeredAt: 1e12,
       finalStateAt: 0,
     });
-  simulation.addMachine('small', 'a', true);
+  simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
   put(makeJobSpec(simulation, { team: 'red' }));
   put(makeJobSpec(simulation, { team: 'blue', kind: 'gang', taskCount: 30 }));
   put(makeJobSpec(simulation, { team: 'free', zone: 'b' }));
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -10,7 +10,7 @@
 import { jobRecord } from '../src/store/record-codec.js';
 import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { SchedulerHarness } from './simulation/scheduler-harness.js';
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './simulation/cluster-config.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { ServiceLevelChecker } from './simulation/service-level-checker.js';
 
 /** A team that may use eight CPUs, and machines enough for all of them. */
@@ -17,7 +17,7 @@
 
 function submitAt(simulation: ClusterSimulation, ms: number, over: Partial<JobSpec>): void {
   simulation.simulator.scheduleAt(ms, () =>
-    simulation.submitJob(makeJobSpec(simulation, { acceptedAtMs: ms, ...over })),
+    simulation.users.submitJob(makeJobSpec(simulation, { acceptedAtMs: ms, ...over })),
   );
 }
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,7 +3,7 @@
 import { ImageLocations } from '../src/scheduler/image-locations.js';
 import { CLUSTER_CONFIG } from './simulation/cluster-config.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
 test('a guarantee claims no more than what another team has beyond its own', () => {
@@ -101,7 +101,7 @@
   simulation.cloud.capacity = 2;
   let n = 0;
   const small = () => {
-    simulation.submitJob(
+    simulation.users.submitJob(
       makeJobSpec(simulation, { id: `wk-s${++n}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }),
     );
     simulation.simulator.scheduleAfter(1500, small);
@@ -109,7 +109,7 @@
   small();
   simulation.simulator.run(20000);
   const large = makeJobSpec(simulation, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
-  simulation.submitJob(large);
+  simulation.users.submitJob(large);
   const at = simulation.simulator.now;
   const begun = () =>
     [...simulation.workers.values()].some((worker) => worker.tasks.some((task) => task.jobId === large.id)) ||
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -11,7 +11,7 @@
 import { createOwnedJob, type OwnedJob } from '../src/shard/owned-job.js';
 import { TeamUsage } from '../src/shard/team-usage.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness } from './simulation/scheduler-harness.js';
 
 // Which machines would refuse which tasks, and what is placed where; the story is told in gang-attempts.test.ts.
@@ -285,7 +285,7 @@
     ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
   ];
   simulation.duplicatesMessages = true;
-  simulation.submitJob(spec);
+  simulation.users.submitJob(spec);
   for (let second = 0; second < 20; second++) {
     simulation.simulator.run(simulation.simulator.now + 1000);
     for (const worker of simulation.workers.values()) {
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { type QueuedJob, ReleaseQueue, type TeamLoad } from '../src/shard/release-queue.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
-import { makeJobSpec } from './simulation/scenario.js';
+import { makeJobSpec } from './simulation/job-spec.js';
 
 const simulation = new ClusterSimulation(31);
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
--- a/test/simulation/controller-ports.ts
+++ b/test/simulation/controller-ports.ts
@@ -1,9 +1,12 @@
+/** The ports through which a controller of a simulated cluster reaches the state service and the workers. */
+
 import type { KeyValueStore, Transaction } from '../../src/model/key-value-store.js';
 import type { Failure, Result, ResultCallback } from '../../src/model/result.js';
 import type { WorkerCommandPort } from '../../src/model/worker-command-port.js';
-import type { Heartbeat } from '../../src/model/worker-messages.js';
-import type { ClusterSimulation } from './cluster-simulation.js';
+import type { QuotaChecker } from './quota-checker.js';
+import type { SimulatedCluster } from './simulated-cluster.js';
 import type { CallResult } from './simulated-network.js';
+import type { CommandReply, CommandRequest } from './worker-environment.js';
 
 /** A call to the state service or to a worker waits so long for its answer. */
 const DEADLINE_MS = 1500;
@@ -20,83 +23,101 @@
   failed?: string[];
 }
 
-/** The state service as a controller of this world reaches it, with the troubles of the day. */
-export function storePort(simulation: ClusterSimulation, nodeName: string, deliver: Deliver): KeyValueStore {
-  const { store: state, simulator, network: net, config: kind } = simulation;
+/** What the store port of one process needs. */
+export interface StorePortOptions {
+  cluster: SimulatedCluster;
+  quotaChecker: QuotaChecker;
+  nodeName: string;
+  deliver: Deliver;
+}
+
+/** The state service as a controller of the cluster reaches it, with the faults in force. */
+export function storePort(options: StorePortOptions): KeyValueStore {
+  const { cluster, nodeName, deliver } = options;
+  const { store, simulator, network } = cluster;
   const ask = <T>(
-    serve: (reply: (r: StoreReply<T>) => void) => void,
+    serve: (reply: (storeReply: StoreReply<T>) => void) => void,
     then: ResultCallback<T>,
     deadlineMs = DEADLINE_MS,
   ) =>
-    net.call<StoreReply<T>>(nodeName, 'state', deadlineMs, serve, (answer) =>
-      deliver(() => then(result(answer))),
-    );
+    network.call<StoreReply<T>>({
+      from: nodeName,
+      to: 'state',
+      deadlineMs,
+      serve,
+      onResult: (answer) => deliver(() => then(resultOf(answer))),
+    });
   return {
-    get: (key, _urgency, then) => ask((reply) => reply(state.get(nodeName, key)), then),
+    get: (key, _urgency, then) => ask((reply) => reply(store.get(nodeName, key)), then),
     list: (prefix, since, _urgency, then) =>
       ask((reply) => {
-        const serve = () => reply(state.list(nodeName, prefix, since, ITEMS_PER_PAGE));
-        if (simulation.maxReadDelayMs > 0)
-          simulator.scheduleAfter(simulator.between(0, simulation.maxReadDelayMs), serve);
+        const serve = () => reply(store.list(nodeName, { prefix, since, pageSize: ITEMS_PER_PAGE }));
+        if (cluster.maxReadDelayMs > 0)
+          simulator.scheduleAfter(simulator.between(0, cluster.maxReadDelayMs), serve);
         else serve();
       }, then),
     compareAndSwap: (transaction, _urgency, then) => {
-      const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
-      const carryOut = () =>
-        simulation.quotaChecker.checkTransaction(copy, () => state.compareAndSwap(nodeName, copy, kind));
+      const carryOut = carryOutLater(options, transaction);
       const noAnswer = () =>
         simulator.scheduleAfter(DEADLINE_MS, () => deliver(() => then({ ok: false, kind: 'unknown' })));
-      if (simulator.chance(simulation.lateWriteShare)) {
+      if (simulator.chance(cluster.lateWriteShare)) {
         // After newer ones.
         simulator.scheduleAfter(simulator.between(2000, 12000), carryOut);
         return noAnswer();
       }
-      if (simulation.lostAnswerShare > 0 && simulator.chance(simulation.lostAnswerShare)) {
-        net.send(nodeName, 'state', carryOut);
+      if (cluster.lostAnswerShare > 0 && simulator.chance(cluster.lostAnswerShare)) {
+        network.send({ from: nodeName, to: 'state', deliver: carryOut });
         return noAnswer();
       }
       ask((reply) => reply(carryOut()), then);
     },
-    grantLease: (ttlMs, then) => ask((reply) => reply(state.grantLease(nodeName, ttlMs)), then),
-    keepLeaseAlive: (lease, then) => ask((reply) => reply(state.keepLeaseAlive(nodeName, lease)), then),
-    revokeLease: (lease, then) => ask((reply) => reply(state.revokeLease(nodeName, lease)), then),
+    grantLease: (ttlMs, then) => ask((reply) => reply(store.grantLease(nodeName, ttlMs)), then),
+    keepLeaseAlive: (lease, then) => ask((reply) => reply(store.keepLeaseAlive(nodeName, lease)), then),
+    revokeLease: (lease, then) => ask((reply) => reply(store.revokeLease(nodeName, lease)), then),
     watch: (prefix, since, waitMs, then) =>
-      ask((reply) => state.watch(nodeName, prefix, since, waitMs, reply), then, waitMs + WATCH_GRACE_MS),
+      ask((reply) => store.watch(nodeName, { prefix, since, waitMs }, reply), then, waitMs + WATCH_GRACE_MS),
   };
 }
 
-/** The workers as a controller of this world reaches them directly. */
-export function workerPort(
-  simulation: ClusterSimulation,
-  nodeName: string,
-  deliver: Deliver,
-): WorkerCommandPort {
-  const { simulator, network: net, config: kind, workers } = simulation;
+/** A transaction as it is now, to be carried out once and checked against the quotas then. */
+function carryOutLater({ cluster, quotaChecker, nodeName }: StorePortOptions, transaction: Transaction) {
+  const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
+  return () =>
+    quotaChecker.checkTransaction(copy, () => cluster.store.compareAndSwap(nodeName, copy, cluster.config));
+}
+
+/** The workers as a controller of the cluster reaches them directly. */
+export function workerPort(cluster: SimulatedCluster, nodeName: string, deliver: Deliver): WorkerCommandPort {
+  const { simulator, network, config, workers } = cluster;
   return {
-    sendCommands: (addr, token, agentEpoch, commands, then) => {
-      const copy = JSON.parse(JSON.stringify(commands)) as typeof commands;
+    sendCommands: (address, fencingToken, agentEpoch, commands, then) => {
+      const request: CommandRequest = {
+        fencingToken,
+        agentEpoch,
+        commands: JSON.parse(JSON.stringify(commands)),
+      };
       // What was executed may be executed once more, long after.
-      if (simulation.duplicatesMessages && simulator.chance(0.3))
-        simulator.scheduleAfter(simulator.between(500, kind.leaseSeconds * 2500), () =>
-          workers.get(addr)?.handleCommands(token, agentEpoch, copy, () => {}),
+      if (cluster.duplicatesMessages && simulator.chance(0.3))
+        simulator.scheduleAfter(simulator.between(500, config.leaseSeconds * 2500), () =>
+          workers.get(address)?.handleCommands(request, () => {}),
         );
-      net.call<{ ok: boolean; heartbeat: Heartbeat }>(
-        nodeName,
-        addr,
-        DEADLINE_MS,
-        (reply) => workers.get(addr)?.handleCommands(token, agentEpoch, copy, reply),
-        (answer) =>
+      network.call<CommandReply>({
+        from: nodeName,
+        to: address,
+        deadlineMs: DEADLINE_MS,
+        serve: (reply) => workers.get(address)?.handleCommands(request, reply),
+        onResult: (answer) =>
           deliver(() => {
             if (!answer.got) return then({ ok: false, kind: answer.sent ? 'unknown' : 'refused' });
             const { ok, heartbeat } = answer.value;
             then(ok ? { ok: true, value: heartbeat } : { ok: false, kind: 'conflict', heartbeat });
           }),
-      );
+      });
     },
   };
 }
 
-function result<T>(answer: CallResult<StoreReply<T>>): Result<T> {
+function resultOf<T>(answer: CallResult<StoreReply<T>>): Result<T> {
   if (!answer.got) return { ok: false, kind: answer.sent ? 'unknown' : 'refused' } satisfies Failure;
   const { status, value, failed } = answer.value;
   if (status === 200) return { ok: true, value: JSON.parse(JSON.stringify(value ?? null)) as T };
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,3 +1,5 @@
+/** The cloud of a simulated cluster. */
+
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { ListedMachine } from '../../src/model/machine-type.js';
 import type { Result, ResultCallback } from '../../src/model/result.js';
@@ -8,12 +10,20 @@
 const DEADLINE_MS = 3000;
 /** The list is so old, taken once a second, and so many are kept. */
 const LIST_LAG_MS = 3000;
-const SNAPSHOT_MS = 1000;
-const SNAPSHOTS_KEPT = 30;
+const SNAPSHOT_INTERVAL_MS = 1000;
+const MAX_SNAPSHOTS = 30;
 /** Machines that never come up, and machines on which everything fails. */
-const NEVER_UP = 0.1;
-const FAULTY = 0.05;
+const NEVER_BOOTS_SHARE = 0.1;
+const FAULTY_SHARE = 0.05;
+
+/** What a machine is and where. */
+export interface MachineDescription {
+  machineType: string;
+  zone: string;
+  isSpot: boolean;
+}
 
+/** What the fake cloud works on, and whom it tells. */
 export interface CloudEnvironment {
   simulator: Simulator;
   network: SimulatedNetwork;
@@ -26,12 +36,13 @@
   onFaultyMachine(name: string): void;
 }
 
-/** Stand-in for the cloud, from its protocol: rents machines that boot for a while, deletes them and lists them late. */
+/** The cloud as its protocol says: rents machines that boot for a while, deletes them and lists them late. */
 export class FakeCloud {
   /** Refuses every request. */
   isDown = false;
+  /** Machines that it has. */
   capacity: number;
-  private machines = 0;
+  private namedMachines = 0;
   private readonly claims = new Map<string, string[]>();
   private readonly rented = new Map<string, { machine: ListedMachine; at: number }>();
   private readonly snapshots: { at: number; machines: ListedMachine[] }[] = [];
@@ -42,31 +53,32 @@
 
   /** The name of the next machine. */
   nextName(): string {
-    return `vm-${String(++this.machines).padStart(6, '0')}`;
+    return `vm-${String(++this.namedMachines).padStart(6, '0')}`;
   }
 
+  /** A machine that is gone is not listed any more. */
   forget(name: string): void {
     this.rented.delete(name);
   }
 
   /** The cloud as a controller reaches it. */
-  port(nodeName: string, enter: (handle: () => void) => void): CloudProvider {
-    const { network: net, config: kind } = this.environment;
+  port(nodeName: string, deliver: (handle: () => void) => void): CloudProvider {
+    const { network, config } = this.environment;
     const ask = <T>(serve: () => Result<T>, then: ResultCallback<T>) =>
-      net.call<Result<T>>(
-        nodeName,
-        'cloud',
-        DEADLINE_MS,
-        (reply) => reply(this.isDown ? { ok: false, kind: 'refused' } : serve()),
-        (answer) =>
-          enter(() =>
+      network.call<Result<T>>({
+        from: nodeName,
+        to: 'cloud',
+        deadlineMs: DEADLINE_MS,
+        serve: (reply) => reply(this.isDown ? { ok: false, kind: 'refused' } : serve()),
+        onResult: (answer) =>
+          deliver(() =>
             then(answer.got ? answer.value : { ok: false, kind: answer.sent ? 'unknown' : 'refused' }),
           ),
-      );
+      });
     return {
-      listMachineTypes: (then) => ask(() => ({ ok: true, value: kind.machineTypes }), then),
+      listMachineTypes: (then) => ask(() => ({ ok: true, value: config.machineTypes }), then),
       rentMachines: (claim, type, zone, spot, count, then) =>
-        ask(() => this.claim(claim, type, zone, spot, count), then),
+        ask(() => this.claim(claim, count, { machineType: type, zone, isSpot: spot }), then),
       deleteMachines: (names, then) =>
         ask(() => {
           for (const name of names) this.environment.onMachineDeleted(name);
@@ -77,35 +89,34 @@
   }
 
   /** Rents up to `count` machines; a repeated claim gets the same answer and rents nothing. */
-  private claim(claim: string, type: string, zone: string, spot: boolean, count: number): Result<string[]> {
+  private claim(claim: string, count: number, description: MachineDescription): Result<string[]> {
     const before = this.claims.get(claim);
     if (before) return { ok: true, value: before };
     const names: string[] = [];
-    const { zonesWithoutCapacity: empty } = this.environment.config;
-    while (names.length < count && this.rented.size < this.capacity && !empty.includes(zone))
-      names.push(this.rent(type, zone, spot));
+    const { zonesWithoutCapacity } = this.environment.config;
+    const hasCapacity = !zonesWithoutCapacity.includes(description.zone);
+    while (names.length < count && this.rented.size < this.capacity && hasCapacity)
+      names.push(this.rent(description));
     if (names.length === 0) return { ok: false, kind: 'gone' };
     this.claims.set(claim, names);
     return { ok: true, value: names };
   }
 
-  private rent(type: string, zone: string, spot: boolean): string {
-    const { simulator, config: kind } = this.environment;
+  private rent(description: MachineDescription): string {
+    const { simulator, config } = this.environment;
     const name = this.nextName();
     const machine: ListedMachine = {
       name,
       address: name,
-      machineType: type,
-      zone,
-      isSpot: spot,
+      ...description,
       phase: 'booting',
       ageSeconds: 0,
     };
     this.rented.set(name, { machine, at: simulator.now });
-    if (simulator.chance(NEVER_UP)) return name;
-    const { bootSeconds: bootS } = kind.machineTypes.find((known) => known.name === type)!;
-    if (simulator.chance(FAULTY)) this.environment.onFaultyMachine(name);
-    simulator.scheduleAfter(simulator.between(0.3, 1.5) * bootS * 1000, () => {
+    if (simulator.chance(NEVER_BOOTS_SHARE)) return name;
+    const { bootSeconds } = config.machineTypes.find((known) => known.name === description.machineType)!;
+    if (simulator.chance(FAULTY_SHARE)) this.environment.onFaultyMachine(name);
+    simulator.scheduleAfter(simulator.between(0.3, 1.5) * bootSeconds * 1000, () => {
       if (!this.rented.has(name)) return;
       machine.phase = 'running';
       this.environment.onMachineStarted(machine);
@@ -128,7 +139,7 @@
       ageSeconds: (simulator.now - at) / 1000,
     }));
     this.snapshots.push({ at: simulator.now, machines });
-    if (this.snapshots.length > SNAPSHOTS_KEPT) this.snapshots.shift();
-    simulator.scheduleAfter(SNAPSHOT_MS, () => this.takeSnapshots());
+    if (this.snapshots.length > MAX_SNAPSHOTS) this.snapshots.shift();
+    simulator.scheduleAfter(SNAPSHOT_INTERVAL_MS, () => this.takeSnapshots());
   }
 }
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -1,7 +1,17 @@
+/** The state service of a simulated cluster. */
+
 import type { StoredItem, Transaction, WatchEvent } from '../../src/model/key-value-store.js';
 import type { Simulator } from './simulated-time.js';
 
-type StoreReply<T> = { status: number; value?: T; failed?: string[] };
+/** An answer with the status that the state service would give. */
+interface StoreReply<T> {
+  status: number;
+  value?: T;
+  /** Keys whose precondition did not hold. */
+  failed?: string[];
+}
+
+type WatchReply = StoreReply<{ storeRevision: number; events: WatchEvent[] }>;
 
 interface StoredRecord {
   value: string;
@@ -9,30 +19,46 @@
   leaseId: number;
 }
 
-/** Stand-in for the state service, from its protocol. */
+interface Lease {
+  ttlMs: number;
+  expiresAt: number;
+  keys: Set<string>;
+}
+
+interface PendingWatch {
+  prefix: string;
+  since: number;
+  nodeName: string;
+  reply: (reply: WatchReply) => void;
+}
+
+/** Leases that have run out end within this time. */
+const LEASE_SWEEP_MS = 50;
+/** A watch that ends while its node is refused is answered once it is served, looked at this often. */
+const REFUSED_WATCH_MS = 500;
+/** So many events are kept for watches, and this many are left when the oldest are dropped. */
+const MAX_EVENTS = 20_000;
+const KEPT_EVENTS = 10_000;
+
+/** The state service as its protocol says, with the statuses that it answers. */
 export class FakeStore {
   readonly records = new Map<string, StoredRecord>();
   storeRevision = 1;
   isDown = false;
-  /** Hosts refused with 503 although the others are served. */
+  /** Nodes refused with 503 although the others are served. */
   readonly refusedNodes = new Set<string>();
-  private readonly leases = new Map<number, { ttl: number; revokeLease: number; records: Set<string> }>();
+  private readonly leases = new Map<number, Lease>();
   private nextLease = 1;
   private log: (WatchEvent & { value: unknown })[] = [];
-  private pendingWatches: {
-    prefix: string;
-    since: number;
-    host: string;
-    reply: (reply: StoreReply<{ storeRevision: number; events: WatchEvent[] }>) => void;
-  }[] = [];
+  private pendingWatches: PendingWatch[] = [];
+  /** A watch from before this revision can't be answered. */
   oldestRevision = 0;
-  writes = 0;
 
-  constructor(private readonly sim: Simulator) {
+  constructor(private readonly simulator: Simulator) {
     const sweep = () => {
       if (!this.isDown)
-        for (const [id, l] of this.leases) if (l.revokeLease < this.sim.now) this.endLease(id);
-      sim.scheduleAfter(50, sweep);
+        for (const [id, lease] of this.leases) if (lease.expiresAt < this.simulator.now) this.endLease(id);
+      simulator.scheduleAfter(LEASE_SWEEP_MS, sweep);
     };
     sweep();
   }
@@ -41,15 +67,21 @@
     return this.isDown || this.refusedNodes.has(nodeName);
   }
 
+  /** An outage for all begins or ends; after it every lease has its full time again. */
   setDown(down: boolean): void {
-    if (this.isDown && !down) for (const l of this.leases.values()) l.revokeLease = this.sim.now + l.ttl;
+    if (this.isDown && !down)
+      for (const lease of this.leases.values()) lease.expiresAt = this.simulator.now + lease.ttlMs;
     this.isDown = down;
     if (!down) this.wakeWatches();
   }
+
+  /** A node that was refused alone is served again. */
   readmit(nodeName: string): void {
     this.refusedNodes.delete(nodeName);
     this.wakeWatches();
   }
+
+  /** Watches that go on from before now can't be answered. */
   loseHistory(): void {
     this.oldestRevision = this.storeRevision;
     this.log = [];
@@ -68,17 +100,18 @@
 
   list(
     nodeName: string,
-    prefix: string,
-    since: string,
-    page: number,
+    { prefix, since, pageSize }: { prefix: string; since: string; pageSize: number },
   ): StoreReply<{ items: StoredItem[]; more: boolean; storeRevision: number }> {
     if (this.refuses(nodeName)) return { status: 503 };
-    const names = [...this.records.keys()].filter((k) => k.startsWith(prefix) && k > since).sort();
-    const items = names.slice(0, page).map((key) => {
+    const names = [...this.records.keys()].filter((key) => key.startsWith(prefix) && key > since).sort();
+    const items = names.slice(0, pageSize).map((key) => {
       const record = this.records.get(key)!;
       return { key, value: JSON.parse(record.value), modRevision: record.modRevision };
     });
-    return { status: 200, value: { items, more: names.length > page, storeRevision: this.storeRevision } };
+    return {
+      status: 200,
+      value: { items, more: names.length > pageSize, storeRevision: this.storeRevision },
+    };
   }
 
   compareAndSwap(
@@ -93,8 +126,8 @@
     )
       throw new Error('transaction over its limits');
     const failed = transaction.preconditions
-      .filter((w) => (this.records.get(w.key)?.modRevision ?? 0) !== w.modRevision)
-      .map((w) => w.key);
+      .filter(({ key, modRevision }) => (this.records.get(key)?.modRevision ?? 0) !== modRevision)
+      .map(({ key }) => key);
     if (failed.length > 0) return { status: 409, failed };
     for (const operation of transaction.operations) {
       if ('put' in operation && operation.lease !== undefined && !this.leases.has(operation.lease))
@@ -104,108 +137,106 @@
     }
     if (transaction.operations.length === 0) return { status: 200, value: this.storeRevision };
     this.storeRevision++;
-    this.writes += transaction.operations.length;
-    for (const operation of transaction.operations) {
-      if ('del' in operation) this.deleteKey(operation.del);
-      else {
-        const previous = this.records.get(operation.put);
-        if (previous?.leaseId) this.leases.get(previous.leaseId)?.records.delete(operation.put);
-        this.records.set(operation.put, {
-          value: JSON.stringify(operation.value),
-          modRevision: this.storeRevision,
-          leaseId: operation.lease ?? 0,
-        });
-        if (operation.lease !== undefined) this.leases.get(operation.lease)!.records.add(operation.put);
-        this.log.push({
-          key: operation.put,
-          modRevision: this.storeRevision,
-          value: operation.value,
-          deleted: false,
-        });
-      }
-    }
+    for (const operation of transaction.operations) this.apply(operation);
     this.wakeWatches();
     return { status: 200, value: this.storeRevision };
   }
 
+  private apply(operation: Transaction['operations'][number]): void {
+    if ('del' in operation) return this.deleteKey(operation.del);
+    const { put: key, value, lease } = operation;
+    const previous = this.records.get(key);
+    if (previous?.leaseId) this.leases.get(previous.leaseId)?.keys.delete(key);
+    this.records.set(key, {
+      value: JSON.stringify(value),
+      modRevision: this.storeRevision,
+      leaseId: lease ?? 0,
+    });
+    if (lease !== undefined) this.leases.get(lease)!.keys.add(key);
+    this.log.push({ key, modRevision: this.storeRevision, value, deleted: false });
+  }
+
   private deleteKey(key: string): void {
     const record = this.records.get(key);
     if (!record) return;
-    if (record.leaseId) this.leases.get(record.leaseId)?.records.delete(key);
+    if (record.leaseId) this.leases.get(record.leaseId)?.keys.delete(key);
     this.records.delete(key);
     this.log.push({ key, modRevision: this.storeRevision, value: undefined, deleted: true });
   }
 
-  grantLease(nodeName: string, ttl: number): StoreReply<number> {
+  grantLease(nodeName: string, ttlMs: number): StoreReply<number> {
     if (this.refuses(nodeName)) return { status: 503 };
     const id = this.nextLease++;
-    this.leases.set(id, { ttl, revokeLease: this.sim.now + ttl, records: new Set() });
+    this.leases.set(id, { ttlMs, expiresAt: this.simulator.now + ttlMs, keys: new Set() });
     return { status: 200, value: id };
   }
+
   keepLeaseAlive(nodeName: string, id: number): StoreReply<null> {
     if (this.refuses(nodeName)) return { status: 503 };
-    const l = this.leases.get(id);
-    if (!l) return { status: 404 };
-    l.revokeLease = this.sim.now + l.ttl;
+    const lease = this.leases.get(id);
+    if (!lease) return { status: 404 };
+    lease.expiresAt = this.simulator.now + lease.ttlMs;
     return { status: 200, value: null };
   }
+
   revokeLease(nodeName: string, id: number): StoreReply<null> {
     if (this.refuses(nodeName)) return { status: 503 };
     if (!this.leases.has(id)) return { status: 404 };
     this.endLease(id);
     return { status: 200, value: null };
   }
+
   private endLease(id: number): void {
-    const l = this.leases.get(id);
+    const lease = this.leases.get(id);
     this.leases.delete(id);
-    if (!l || l.records.size === 0) return;
+    if (!lease || lease.keys.size === 0) return;
     this.storeRevision++;
-    for (const k of [...l.records]) this.deleteKey(k);
+    for (const key of [...lease.keys]) this.deleteKey(key);
     this.wakeWatches();
   }
 
   watch(
     nodeName: string,
-    prefix: string,
-    since: number,
-    waitMs: number,
-    reply: (reply: StoreReply<{ storeRevision: number; events: WatchEvent[] }>) => void,
+    { prefix, since, waitMs }: { prefix: string; since: number; waitMs: number },
+    reply: (reply: WatchReply) => void,
   ): void {
     if (this.refuses(nodeName)) return reply({ status: 503 });
     if (since < this.oldestRevision) return reply({ status: 410 });
-    const w = { prefix, since, host: nodeName, reply };
-    this.pendingWatches.push(w);
+    const watch = { prefix, since, nodeName, reply };
+    this.pendingWatches.push(watch);
     this.wakeWatches();
     const end = () => {
-      const i = this.pendingWatches.indexOf(w);
-      if (i < 0) return;
-      if (this.refuses(nodeName)) return this.sim.scheduleAfter(500, end);
-      this.pendingWatches.splice(i, 1);
+      const index = this.pendingWatches.indexOf(watch);
+      if (index < 0) return;
+      if (this.refuses(nodeName)) return this.simulator.scheduleAfter(REFUSED_WATCH_MS, end);
+      this.pendingWatches.splice(index, 1);
       reply({ status: 200, value: { storeRevision: this.storeRevision, events: [] } });
     };
-    this.sim.scheduleAfter(waitMs, end);
+    this.simulator.scheduleAfter(waitMs, end);
   }
 
   private wakeWatches(): void {
-    for (const w of [...this.pendingWatches]) {
-      if (this.refuses(w.host)) continue;
+    for (const watch of [...this.pendingWatches]) {
+      if (this.refuses(watch.nodeName)) continue;
       // A response holds every change: a watch held back while its history was lost can't be answered.
-      if (w.since < this.oldestRevision) {
-        this.pendingWatches.splice(this.pendingWatches.indexOf(w), 1);
-        w.reply({ status: 410 });
+      if (watch.since < this.oldestRevision) {
+        this.pendingWatches.splice(this.pendingWatches.indexOf(watch), 1);
+        watch.reply({ status: 410 });
         continue;
       }
-      const events = this.log.filter((e) => e.modRevision > w.since && e.key.startsWith(w.prefix));
+      const events = this.log.filter(
+        (event) => event.modRevision > watch.since && event.key.startsWith(watch.prefix),
+      );
       if (events.length === 0) continue;
-      this.pendingWatches.splice(this.pendingWatches.indexOf(w), 1);
-      const copy = events.map((e) => ({
-        ...e,
-        value: e.value === undefined ? undefined : JSON.parse(JSON.stringify(e.value)),
+      this.pendingWatches.splice(this.pendingWatches.indexOf(watch), 1);
+      const copy = events.map((event) => ({
+        ...event,
+        value: event.value === undefined ? undefined : JSON.parse(JSON.stringify(event.value)),
       }));
-      w.reply({ status: 200, value: { storeRevision: this.storeRevision, events: copy } });
+      watch.reply({ status: 200, value: { storeRevision: this.storeRevision, events: copy } });
     }
-    if (this.log.length > 20000) {
-      this.log = this.log.slice(-10000);
+    if (this.log.length > MAX_EVENTS) {
+      this.log = this.log.slice(-KEPT_EVENTS);
       this.oldestRevision = this.log[0]!.modRevision;
     }
   }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -1,48 +1,44 @@
+/** The workers of a simulated cluster. */
+
 import type { HeartbeatResult } from '../../src/model/heartbeat-result.js';
-import type { ExitReason, JobSpec, TaskPhase } from '../../src/model/job.js';
+import type { ExitReason, JobSpec } from '../../src/model/job.js';
 import type { Heartbeat, WorkerCommand } from '../../src/model/worker-messages.js';
-import type { SimulatedNetwork } from './simulated-network.js';
 import type { Simulator } from './simulated-time.js';
+import type {
+  CommandReply,
+  CommandRequest,
+  FakeTask,
+  FakeWorkerOptions,
+  MachineSize,
+  RefusalReason,
+  WorkerEnvironment,
+} from './worker-environment.js';
 
-export interface FakeTask {
-  jobId: string;
-  taskIndex: number;
-  attempt: number;
-  phase: TaskPhase;
-  exitReason: ExitReason | null;
-  checkpointSaved: boolean;
-  incarnation: number;
-}
+/** How often a worker looks whether something is due. */
+const POLL_INTERVAL_MS = 50;
+const HEARTBEAT_DEADLINE_MS = 4000;
+/** After an answer without a leader the next controller is asked so much later. */
+const NEXT_CONTROLLER_MS = 1000;
+/** Changes are sent at the earliest so long after the last heartbeat. */
+const MIN_HEARTBEAT_GAP_MS = 500;
+/** What comes to a hanging machine is looked at again after so long. */
+const HANG_RETRY_MS = 100;
+const HANG_COMMAND_RETRY_MS = 200;
+const GANG_WAIT_POLL_MS = 200;
+const GANG_LOSS_POLL_MS = 500;
+/** A task of a gang ends if it has waited so long for the others. */
+const GANG_WAIT_MS = 15_000;
+const FAILURE_AFTER_MS = 300;
+/** Sums of decimal amounts are compared with this tolerance. */
+const EPSILON = 1e-9;
 
-export interface WorkerEnvironment {
-  simulator: Simulator;
-  network: SimulatedNetwork;
-  jobSpec(job: string): JobSpec | undefined;
-  runDurationMs(job: string, taskIndex: number): number;
-  fails(job: string, machine: string): boolean;
-  nodeNames(): string[];
-  sendHeartbeat(nodeName: string, heartbeat: Heartbeat, reply: (a: HeartbeatResult) => void): void;
-  /** Sends a copy of a report later, if copies come late today. */
-  duplicateHeartbeat(heartbeat: Heartbeat): void;
-  gangTasks(job: string, attempt: number): FakeTask[];
-  /** A running task of a gang was told to stop. */
-  onGangStop(task: FakeTask): void;
-  /** An attempt was started. */
-  onStart(job: string, taskIndex: number, attempt: number): void;
-  /** A start was refused. */
-  onRefusal(job: string, machine: string, reason: 'busy' | 'no_room'): void;
-  isComplete(job: string, taskIndex: number): boolean;
-  complete(job: string, taskIndex: number): void;
-}
-
-export interface MachineSize {
-  cpus: number;
-  memoryGb: number;
-  imageFetchGbPerSecond: number;
-}
-
-/** Stand-in for a worker, from its protocol. */
+/** A worker as its protocol says, with the machine that it runs on. */
 export class FakeWorker {
+  readonly name: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly isSpot: boolean;
+  readonly size: MachineSize;
   tasks: FakeTask[] = [];
   agentEpoch = 1;
   heartbeatSequence = 0;
@@ -50,30 +46,36 @@
   isAlive = true;
   /** A hanging machine does nothing, but may resume. */
   isHung = false;
+  /** When the cloud takes the machine back, if it has said so. */
   evictionAt: number | null = null;
-  private lastAnswered: number;
-  private target: string;
+  private readonly environment: WorkerEnvironment;
+  private readonly simulator: Simulator;
+  private readonly heartbeatIntervalMs: number;
+  private readonly leaseMs: number;
+  private lastAnsweredAt: number;
+  private targetNode: string;
   private heartbeatInFlight = false;
-  private nextAt = 0;
-  private changed = false;
+  private nextHeartbeatAt = 0;
+  private hasChanged = false;
   private incarnation = 0;
   private readonly images = new Set<string>();
 
-  constructor(
-    readonly name: string,
-    readonly machineType: string,
-    readonly zone: string,
-    readonly isSpot: boolean,
-    readonly size: MachineSize,
-    private readonly environment: WorkerEnvironment,
-    private readonly timing: { reportMs: number; leaseMs: number },
-  ) {
-    this.lastAnswered = environment.simulator.now;
-    this.target = environment.simulator.pick(environment.nodeNames());
+  constructor(options: FakeWorkerOptions) {
+    this.name = options.name;
+    this.machineType = options.machineType;
+    this.zone = options.zone;
+    this.isSpot = options.isSpot;
+    this.size = options.size;
+    this.environment = options.environment;
+    this.simulator = options.environment.simulator;
+    this.heartbeatIntervalMs = options.heartbeatIntervalMs;
+    this.leaseMs = options.leaseMs;
+    this.lastAnsweredAt = this.simulator.now;
+    this.targetNode = this.simulator.pick(this.environment.nodeNames());
     this.loop();
   }
 
-  /** On the machine, as the rules count it: has its image, not ended. */
+  /** On the machine, as the invariants count it: has its image, not ended. */
   occupies(task: FakeTask): boolean {
     return this.isAlive && task.phase !== 'fetching' && task.phase !== 'exited';
   }
@@ -89,9 +91,7 @@
       sequence: ++this.heartbeatSequence,
       fencingToken: this.fencingToken,
       evictionNoticeSeconds:
-        this.evictionAt === null
-          ? null
-          : Math.max(0, (this.evictionAt - this.environment.simulator.now) / 1000),
+        this.evictionAt === null ? null : Math.max(0, (this.evictionAt - this.simulator.now) / 1000),
       tasks: this.tasks.map((task) => ({
         jobId: task.jobId,
         taskIndex: task.taskIndex,
@@ -105,160 +105,160 @@
 
   private loop(): void {
     if (!this.isAlive) return;
-    const simulator = this.environment.simulator;
     if (!this.isHung) {
-      if (simulator.now - this.lastAnswered > this.timing.leaseMs) {
-        this.tasks = [];
-        this.agentEpoch++;
-        this.incarnation++;
-        this.lastAnswered = simulator.now;
-        this.changed = true;
-      }
-      if (
-        !this.heartbeatInFlight &&
-        (simulator.now >= this.nextAt ||
-          (this.changed && simulator.now >= this.nextAt - this.timing.reportMs * 1.25 + 500))
-      )
-        this.sendHeartbeat();
+      if (this.simulator.now - this.lastAnsweredAt > this.leaseMs) this.restart();
+      if (!this.heartbeatInFlight && this.isHeartbeatDue()) this.sendHeartbeat();
     }
-    simulator.scheduleAfter(50, () => this.loop());
+    this.simulator.scheduleAfter(POLL_INTERVAL_MS, () => this.loop());
+  }
+
+  /** Its lease has run out: it ends all tasks and begins anew. */
+  private restart(): void {
+    this.tasks = [];
+    this.agentEpoch++;
+    this.incarnation++;
+    this.lastAnsweredAt = this.simulator.now;
+    this.hasChanged = true;
+  }
+
+  private isHeartbeatDue(): boolean {
+    const { now } = this.simulator;
+    if (now >= this.nextHeartbeatAt) return true;
+    const earliest = this.nextHeartbeatAt - this.heartbeatIntervalMs * 1.25 + MIN_HEARTBEAT_GAP_MS;
+    return this.hasChanged && now >= earliest;
   }
 
   private sendHeartbeat(): void {
-    const simulator = this.environment.simulator;
-    const sent = simulator.now;
-    const agentEpoch = this.agentEpoch;
-    const body = this.makeHeartbeat();
-    this.environment.duplicateHeartbeat(body);
+    const { simulator } = this;
+    const sentAt = simulator.now;
+    const { agentEpoch, targetNode } = this;
+    const heartbeat = this.makeHeartbeat();
+    this.environment.duplicateHeartbeat(heartbeat);
     this.heartbeatInFlight = true;
-    this.changed = false;
-    this.nextAt = simulator.now + this.timing.reportMs * simulator.between(0.75, 1.25);
-    const nodeName = this.target;
-    this.environment.network.call<HeartbeatResult>(
-      this.name,
-      nodeName,
-      4000,
-      (reply) => this.environment.sendHeartbeat(nodeName, body, reply),
-      (a) => {
+    this.hasChanged = false;
+    this.nextHeartbeatAt = simulator.now + this.heartbeatIntervalMs * simulator.between(0.75, 1.25);
+    this.environment.network.call<HeartbeatResult>({
+      from: this.name,
+      to: targetNode,
+      deadlineMs: HEARTBEAT_DEADLINE_MS,
+      serve: (reply) => this.environment.sendHeartbeat(targetNode, heartbeat, reply),
+      onResult: (result) => {
         const handle = () => {
-          if (this.isHung) return simulator.scheduleAfter(100, handle);
+          if (this.isHung) return simulator.scheduleAfter(HANG_RETRY_MS, handle);
           this.heartbeatInFlight = false;
           if (!this.isAlive) return;
-          // Answers are dropped after 4 s, also by a machine that hung meanwhile.
-          if (!a.got || a.value.type === 'unavailable' || simulator.now - sent > 4000)
-            return this.tryNextController(1000);
-          if (a.value.type === 'redirected') {
-            if (
-              a.value.leaderName &&
-              a.value.leaderName !== nodeName &&
-              this.environment.nodeNames().includes(a.value.leaderName)
-            ) {
-              this.target = a.value.leaderName;
-              this.nextAt = simulator.now + simulator.between(0, 500);
-            } else this.tryNextController(1000);
-            return;
-          }
-          if (agentEpoch !== this.agentEpoch || a.value.fencingToken < this.fencingToken) return;
-          this.noteFencingToken(a.value.fencingToken);
-          this.lastAnswered = sent;
-          this.execute(a.value.commands);
+          // Answers are dropped after their deadline, also by a machine that hung meanwhile.
+          const isLate = simulator.now - sentAt > HEARTBEAT_DEADLINE_MS;
+          if (!result.got || result.value.type === 'unavailable' || isLate) this.tryNextController();
+          else this.onAnswer(result.value, { sentAt, agentEpoch, targetNode });
         };
         handle();
       },
-    );
+    });
+  }
+
+  private onAnswer(
+    answer: Exclude<HeartbeatResult, { type: 'unavailable' }>,
+    sent: { sentAt: number; agentEpoch: number; targetNode: string },
+  ): void {
+    if (answer.type === 'redirected') {
+      const { leaderName } = answer;
+      if (leaderName && leaderName !== sent.targetNode && this.environment.nodeNames().includes(leaderName)) {
+        this.targetNode = leaderName;
+        this.nextHeartbeatAt = this.simulator.now + this.simulator.between(0, 500);
+      } else this.tryNextController();
+      return;
+    }
+    if (sent.agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
+    this.noteFencingToken(answer.fencingToken);
+    this.lastAnsweredAt = sent.sentAt;
+    this.execute(answer.commands);
   }
 
-  private tryNextController(ms: number): void {
-    const all = this.environment.nodeNames();
-    this.target = all[(all.indexOf(this.target) + 1) % all.length] as string;
-    this.nextAt = this.environment.simulator.now + ms;
+  private tryNextController(): void {
+    const nodeNames = this.environment.nodeNames();
+    this.targetNode = nodeNames[(nodeNames.indexOf(this.targetNode) + 1) % nodeNames.length] as string;
+    this.nextHeartbeatAt = this.simulator.now + NEXT_CONTROLLER_MS;
   }
 
   private noteFencingToken(token: number): void {
-    if (token > this.fencingToken) this.changed = true;
+    if (token > this.fencingToken) this.hasChanged = true;
     this.fencingToken = Math.max(this.fencingToken, token);
   }
 
-  handleCommands(
-    token: number,
-    agentEpoch: number,
-    commands: WorkerCommand[],
-    reply: (r: { ok: boolean; heartbeat: Heartbeat }) => void,
-  ): void {
+  /** Commands that a leader sent directly: refused with a lower token than it knows or for another epoch. */
+  handleCommands(request: CommandRequest, reply: (commandReply: CommandReply) => void): void {
     if (!this.isAlive) return;
     if (this.isHung)
-      return this.environment.simulator.scheduleAfter(200, () =>
-        this.handleCommands(token, agentEpoch, commands, reply),
-      );
-    if (token < this.fencingToken || agentEpoch !== this.agentEpoch)
+      return this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, reply));
+    if (request.fencingToken < this.fencingToken || request.agentEpoch !== this.agentEpoch)
       return reply({ ok: false, heartbeat: this.makeHeartbeat() });
-    this.noteFencingToken(token);
-    this.execute(commands);
+    this.noteFencingToken(request.fencingToken);
+    this.execute(request.commands);
     reply({ ok: true, heartbeat: this.makeHeartbeat() });
   }
 
   private execute(commands: WorkerCommand[]): void {
     for (const command of commands) {
+      const { jobId, taskIndex, attempt } = command;
       const task = this.tasks.find(
-        (x) =>
-          x.jobId === command.jobId && x.taskIndex === command.taskIndex && x.attempt === command.attempt,
+        (listed) => listed.jobId === jobId && listed.taskIndex === taskIndex && listed.attempt === attempt,
       );
       if (command.type === 'start') {
-        if (!task) this.start(command.jobId, command.taskIndex, command.attempt);
+        if (!task) this.start(jobId, taskIndex, attempt);
       } else if (command.type === 'stop') {
         if (task && task.phase !== 'exited') this.stop(task, command.gracePeriodSeconds);
-      } else if (task?.phase === 'exited') this.tasks = this.tasks.filter((x) => x !== task);
+      } else if (task?.phase === 'exited') this.tasks = this.tasks.filter((listed) => listed !== task);
     }
-    this.changed ||= commands.length > 0;
+    this.hasChanged ||= commands.length > 0;
   }
 
-  private start(job: string, taskIndex: number, attempt: number): void {
-    const spec = this.environment.jobSpec(job);
+  private start(jobId: string, taskIndex: number, attempt: number): void {
+    const spec = this.environment.jobSpec(jobId);
+    const exitReason = spec ? this.reasonToRefuse(spec, taskIndex) : 'unknown';
+    if (exitReason !== null && exitReason !== 'unknown') this.environment.onRefusal(exitReason);
     const task: FakeTask = {
-      jobId: job,
+      jobId,
       taskIndex,
       attempt,
-      phase: 'fetching',
-      exitReason: null,
+      phase: exitReason === null ? 'fetching' : 'exited',
+      exitReason,
       checkpointSaved: false,
       incarnation: this.incarnation,
     };
-    const live = this.tasks.filter((x) => x.phase !== 'exited');
-    if (!spec) Object.assign(task, { phase: 'exited', exitReason: 'unknown' });
-    else if (this.tasks.some((x) => x.jobId === job && x.taskIndex === taskIndex)) {
-      this.environment.onRefusal(job, this.name, 'busy');
-      Object.assign(task, { phase: 'exited', exitReason: 'busy' });
-    } else {
-      let cpus = spec.cpus;
-      let mem = spec.memoryGb;
-      for (const x of live) {
-        cpus += this.environment.jobSpec(x.jobId)?.cpus ?? 0;
-        mem += this.environment.jobSpec(x.jobId)?.memoryGb ?? 0;
-      }
-      if (cpus > this.size.cpus + 1e-9 || mem > this.size.memoryGb + 1e-9) {
-        this.environment.onRefusal(job, this.name, 'no_room');
-        Object.assign(task, { phase: 'exited', exitReason: 'no_room' });
-      }
-    }
     this.tasks.push(task);
-    this.changed = true;
+    this.hasChanged = true;
     if (task.phase === 'exited' || !spec) return;
-    this.environment.onStart(job, taskIndex, attempt);
-    const fetch = this.images.has(spec.image) ? 1 : (spec.imageGb / this.size.imageFetchGbPerSecond) * 1000;
-    this.runLater(task, fetch, () => {
-      this.images.add(spec.image);
-      // "If the task is started again, it exits with `done` as soon as it has its image."
-      if (this.environment.isComplete(job, taskIndex)) this.exit(task, 'done');
-      else if (spec.kind === 'gang') {
-        task.phase = 'waiting';
-        this.awaitGang(task, spec);
-      } else this.begin(task);
-      this.changed = true;
-    });
+    this.environment.onStart(jobId, taskIndex, attempt);
+    const fetchMs = this.images.has(spec.image) ? 1 : (spec.imageGb / this.size.imageFetchGbPerSecond) * 1000;
+    this.runLater(task, fetchMs, () => this.onImageFetched(task, spec));
   }
 
-  private runLater(task: FakeTask, ms: number, callback: () => void): void {
-    const go = () => {
+  private reasonToRefuse(spec: JobSpec, taskIndex: number): RefusalReason | null {
+    if (this.tasks.some((task) => task.jobId === spec.id && task.taskIndex === taskIndex)) return 'busy';
+    let { cpus, memoryGb } = spec;
+    for (const task of this.tasks) {
+      if (task.phase === 'exited') continue;
+      cpus += this.environment.jobSpec(task.jobId)?.cpus ?? 0;
+      memoryGb += this.environment.jobSpec(task.jobId)?.memoryGb ?? 0;
+    }
+    const fits = cpus <= this.size.cpus + EPSILON && memoryGb <= this.size.memoryGb + EPSILON;
+    return fits ? null : 'no_room';
+  }
+
+  private onImageFetched(task: FakeTask, spec: JobSpec): void {
+    this.images.add(spec.image);
+    // "If the task is started again, it exits with `done` as soon as it has its image."
+    if (this.environment.isComplete(task.jobId, task.taskIndex)) this.exit(task, 'done');
+    else if (spec.kind === 'gang') {
+      task.phase = 'waiting';
+      this.awaitGang(task, spec);
+    } else this.begin(task);
+    this.hasChanged = true;
+  }
+
+  private runLater(task: FakeTask, delayMs: number, callback: () => void): void {
+    const run = () => {
       if (
         !this.isAlive ||
         task.incarnation !== this.incarnation ||
@@ -266,17 +266,17 @@
         task.phase === 'exited'
       )
         return;
-      if (this.isHung) return this.environment.simulator.scheduleAfter(100, go);
+      if (this.isHung) return this.simulator.scheduleAfter(HANG_RETRY_MS, run);
       callback();
     };
-    this.environment.simulator.scheduleAfter(ms, go);
+    this.simulator.scheduleAfter(delayMs, run);
   }
 
   private begin(task: FakeTask): void {
     task.phase = 'running';
-    this.changed = true;
+    this.hasChanged = true;
     if (this.environment.fails(task.jobId, this.name))
-      return this.runLater(task, 300, () => this.exit(task, 'error'));
+      return this.runLater(task, FAILURE_AFTER_MS, () => this.exit(task, 'error'));
     const ms = this.environment.runDurationMs(task.jobId, task.taskIndex);
     if (Number.isFinite(ms))
       this.runLater(task, ms, () => {
@@ -292,48 +292,47 @@
       this.environment.complete(task.jobId, task.taskIndex);
       return this.exit(task, 'done');
     }
-    for (let i = 0; i < spec.taskCount; i++) this.environment.complete(task.jobId, i);
-    for (const m of this.environment.gangTasks(task.jobId, task.attempt))
-      if (m.phase === 'running') Object.assign(m, { phase: 'exited', exitReason: 'done' });
-    this.changed = true;
+    for (let index = 0; index < spec.taskCount; index++) this.environment.complete(task.jobId, index);
+    for (const other of this.environment.gangTasks(task.jobId, task.attempt))
+      if (other.phase === 'running') Object.assign(other, { phase: 'exited', exitReason: 'done' });
+    this.hasChanged = true;
   }
 
+  /** A waiting task of a gang begins once all others wait or run, and ends with the first that is lost. */
   private awaitGang(task: FakeTask, spec: JobSpec): void {
-    const check = () => {
+    const gang = () => this.environment.gangTasks(task.jobId, task.attempt);
+    const checkComplete = () => {
       if (task.phase !== 'waiting') return;
-      const mates = this.environment.gangTasks(task.jobId, task.attempt);
-      if (
-        mates.length === spec.taskCount &&
-        mates.every((m) => m.phase === 'waiting' || m.phase === 'running')
-      )
-        return this.begin(task);
-      this.runLater(task, 200, check);
+      const tasks = gang();
+      const isReady = tasks.every(({ phase }) => phase === 'waiting' || phase === 'running');
+      if (tasks.length === spec.taskCount && isReady) return this.begin(task);
+      this.runLater(task, GANG_WAIT_POLL_MS, checkComplete);
     };
-    this.runLater(task, 1, check);
-    this.runLater(task, 15000, () => task.phase === 'waiting' && this.exit(task, 'alone'));
-    const mates = () => {
-      if (task.phase !== 'running') {
-        this.runLater(task, 500, mates);
-        return;
+    this.runLater(task, 1, checkComplete);
+    this.runLater(task, GANG_WAIT_MS, () => {
+      if (task.phase === 'waiting') this.exit(task, 'alone');
+    });
+    const checkLoss = () => {
+      if (task.phase === 'running') {
+        const tasks = gang();
+        const isDone = tasks.some(({ exitReason }) => exitReason === 'done');
+        const live = tasks.filter(({ phase }) => phase !== 'exited');
+        if (!isDone && live.length < spec.taskCount) return this.exit(task, 'peers');
       }
-      const all = this.environment.gangTasks(task.jobId, task.attempt);
-      const ended = all.filter((m) => m.exitReason === 'done').length;
-      if (ended === 0 && all.filter((m) => m.phase !== 'exited').length < spec.taskCount)
-        return this.exit(task, 'peers');
-      this.runLater(task, 500, mates);
+      this.runLater(task, GANG_LOSS_POLL_MS, checkLoss);
     };
-    this.runLater(task, 500, mates);
+    this.runLater(task, GANG_LOSS_POLL_MS, checkLoss);
   }
 
-  private stop(task: FakeTask, graceS: number): void {
+  private stop(task: FakeTask, graceSeconds: number): void {
     const spec = this.environment.jobSpec(task.jobId);
     if (task.phase === 'running' && spec?.kind === 'gang') this.environment.onGangStop(task);
     if (
       task.phase === 'running' &&
       spec &&
       spec.checkpointIntervalSeconds > 0 &&
-      graceS >= spec.checkpointSaveSeconds &&
-      graceS > 0
+      graceSeconds >= spec.checkpointSaveSeconds &&
+      graceSeconds > 0
     ) {
       task.phase = 'saving';
       this.runLater(task, spec.checkpointSaveSeconds * 1000, () => {
@@ -341,7 +340,7 @@
         this.exit(task, 'stopped');
       });
     } else this.exit(task, 'stopped');
-    this.changed = true;
+    this.hasChanged = true;
   }
 
   /** Its gang is being stopped and it was not told in time. */
@@ -352,9 +351,10 @@
   private exit(task: FakeTask, reason: ExitReason): void {
     task.phase = 'exited';
     task.exitReason = reason;
-    this.changed = true;
+    this.hasChanged = true;
   }
 
+  /** The machine is gone with all that is on it. */
   die(): void {
     this.isAlive = false;
     this.tasks = [];
--- a/test/simulation/job-spec.ts
+++ b/test/simulation/job-spec.ts
@@ -1,6 +1,8 @@
+/** Job specifications for tests. */
+
 import type { JobSpec } from '../../src/model/job.js';
 
-/** A job for odd requests as long as there is none. */
+/** A small job of team red. */
 export const DEFAULT_JOB_SPEC: JobSpec = {
   id: '',
   jobClass: 'c',
@@ -24,3 +26,18 @@
   deadlineSeconds: null,
   acceptedAtMs: 0,
 };
+
+/** An array of three tasks, numbered after the jobs that its users have submitted; each field can be replaced. */
+export function makeJobSpec(
+  { jobs }: { jobs: ReadonlyMap<string, unknown> },
+  overrides: Partial<JobSpec>,
+): JobSpec {
+  return {
+    ...DEFAULT_JOB_SPEC,
+    id: `wk-${String(jobs.size + 1).padStart(6, '0')}`,
+    taskCount: 3,
+    image: 'img-1',
+    estimatedRunSeconds: 5,
+    ...overrides,
+  };
+}
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -167,7 +167,9 @@
         this.simulator.scheduleAfter(1, () => then(answer(() => this.store.get(HOST, key)))),
       list: (prefix, since, _urgency, then) => {
         const serve = () =>
-          this.simulator.scheduleAfter(1, () => then(answer(() => this.store.list(HOST, prefix, since, 50))));
+          this.simulator.scheduleAfter(1, () =>
+            then(answer(() => this.store.list(HOST, { prefix, since, pageSize: 50 }))),
+          );
         if (this.heldReadPrefix !== '' && prefix.startsWith(this.heldReadPrefix)) this.heldReads.push(serve);
         else serve();
       },
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -1,89 +1,113 @@
+/** The network of a simulated cluster. */
+
 import type { Simulator } from './simulated-time.js';
 
+/** What a cut link does with packets: holds them back until it heals, or resets the connection. */
 export type CutMode = 'hold' | 'reset';
+/** The answer of a call, or that there was none and whether the request may have been sent. */
 export type CallResult<T> = { got: true; value: T } | { got: false; sent: boolean };
 
-/** Links among hosts: small delays, cuts that hold packets back or reset, and messages that come minutes late. */
-export class SimulatedNetwork {
-  private readonly cuts = new Map<string, { mode: CutMode; held: (() => void)[] }>();
+/** One message. */
+export interface NetworkMessage {
+  from: string;
+  to: string;
+  deliver(): void;
+  /** The connection was reset before it arrived. */
+  onLost?(): void;
+}
 
-  constructor(private readonly sim: Simulator) {}
+/** One call that expects an answer. */
+export interface NetworkCall<T> {
+  from: string;
+  to: string;
+  deadlineMs: number;
+  serve(reply: (value: T) => void): void;
+  onResult(result: CallResult<T>): void;
+}
 
-  private key(a: string, b: string): string {
-    return a < b ? `${a}|${b}` : `${b}|${a}`;
-  }
-  cut(a: string, b: string, mode: CutMode): void {
-    if (!this.cuts.has(this.key(a, b))) this.cuts.set(this.key(a, b), { mode, held: [] });
-  }
-  heal(a: string, b: string): void {
-    const c = this.cuts.get(this.key(a, b));
-    this.cuts.delete(this.key(a, b));
-    for (const callback of c?.held ?? []) callback();
-  }
-  isCut(a: string, b: string): CutMode | null {
-    return this.cuts.get(this.key(a, b))?.mode ?? null;
-  }
+interface CutLink {
+  mode: CutMode;
+  waiting: (() => void)[];
+}
 
-  /** Hosts that nothing reaches, although what they send arrives. */
+/** Links between nodes: small delays, cuts that hold packets back or reset, and messages that come minutes late. */
+export class SimulatedNetwork {
+  /** Nodes that nothing reaches, although what they send arrives. */
   readonly unreachableInbound = new Set<string>();
-  /** Hosts that can't open a connection to anybody, although others reach them. */
+  /** Nodes that can't open a connection to anybody, although others reach them. */
   readonly unreachableOutbound = new Set<string>();
-  /** Hosts whose answers take so many times as long. */
+  /** Nodes whose answers take so many times as long. */
   readonly slowdowns = new Map<string, number>();
+  private readonly cuts = new Map<string, CutLink>();
+  /** By direction, when the last message arrives: later ones must not overtake it. */
+  private readonly lastArrivals = new Map<string, number>();
+
+  constructor(private readonly simulator: Simulator) {}
 
-  /** One way, in order per pair of hosts. */
-  private last = new Map<string, number>();
-  send(from: string, to: string, callback: () => void, lost: () => void = () => {}): void {
-    const c = this.cuts.get(this.key(from, to));
+  /** Cuts the link between two nodes, in both directions. */
+  cut(node: string, other: string, mode: CutMode): void {
+    const key = linkKey(node, other);
+    if (!this.cuts.has(key)) this.cuts.set(key, { mode, waiting: [] });
+  }
+
+  /** Ends a cut; what it held back goes out now. */
+  heal(node: string, other: string): void {
+    const key = linkKey(node, other);
+    const link = this.cuts.get(key);
+    this.cuts.delete(key);
+    for (const resend of link?.waiting ?? []) resend();
+  }
+
+  /** How the link between two nodes is cut; null if it is not. */
+  isCut(node: string, other: string): CutMode | null {
+    return this.cuts.get(linkKey(node, other))?.mode ?? null;
+  }
+
+  /** One way, in order per pair of nodes. */
+  send(message: NetworkMessage): void {
+    const { from, to } = message;
+    const link = this.cuts.get(linkKey(from, to));
     if (this.unreachableInbound.has(to)) return;
-    if (c?.mode === 'reset') return lost();
-    if (c) {
-      c.held.push(() => this.send(from, to, callback, lost));
+    if (link?.mode === 'reset') {
+      message.onLost?.();
+      return;
+    }
+    if (link) {
+      link.waiting.push(() => this.send(message));
       return;
     }
-    const k = `${from}>${to}`;
-    const delay = this.sim.between(0.3, 4) * (this.slowdowns.get(from) ?? 1);
-    const at = Math.max(this.sim.now + delay, (this.last.get(k) ?? 0) + 0.001);
-    this.last.set(k, at);
-    this.sim.scheduleAt(at, callback);
+    const direction = `${from}>${to}`;
+    const delayMs = this.simulator.between(0.3, 4) * (this.slowdowns.get(from) ?? 1);
+    const arrival = Math.max(this.simulator.now + delayMs, (this.lastArrivals.get(direction) ?? 0) + 0.001);
+    this.lastArrivals.set(direction, arrival);
+    this.simulator.scheduleAt(arrival, message.deliver);
   }
 
   /** A call with a deadline. What was sent may be executed long after the caller gave up. */
-  call<T>(
-    from: string,
-    to: string,
-    deadlineMs: number,
-    serve: (reply: (v: T) => void) => void,
-    callback: (a: CallResult<T>) => void,
-  ): void {
-    let over = false;
-    const end = (a: CallResult<T>) => {
-      if (over) return;
-      over = true;
-      callback(a);
+  call<T>({ from, to, deadlineMs, serve, onResult }: NetworkCall<T>): void {
+    const { simulator } = this;
+    let isOver = false;
+    const end = (result: CallResult<T>) => {
+      if (isOver) return;
+      isOver = true;
+      onResult(result);
     };
+    const onLost = () => end({ got: false, sent: true });
     if (this.unreachableOutbound.has(from))
-      return this.sim.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
-    const fresh = this.isCut(from, to);
+      return simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+    const cutMode = this.isCut(from, to);
     // Half the calls under a cut go out on a kept connection and are held; the others never connect.
-    if (fresh === 'hold' && this.sim.chance(0.5))
-      return this.sim.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
-    if (fresh === 'reset')
-      return this.sim.scheduleAfter(2, () => end({ got: false, sent: this.sim.chance(0.3) }));
-    this.sim.scheduleAfter(deadlineMs, () => end({ got: false, sent: true }));
-    this.send(
-      from,
-      to,
-      () =>
-        serve((v) =>
-          this.send(
-            to,
-            from,
-            () => end({ got: true, value: v }),
-            () => end({ got: false, sent: true }),
-          ),
-        ),
-      () => end({ got: false, sent: true }),
-    );
+    if (cutMode === 'hold' && simulator.chance(0.5))
+      return simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+    if (cutMode === 'reset')
+      return simulator.scheduleAfter(2, () => end({ got: false, sent: simulator.chance(0.3) }));
+    simulator.scheduleAfter(deadlineMs, onLost);
+    const reply = (value: T) =>
+      this.send({ from: to, to: from, deliver: () => end({ got: true, value }), onLost });
+    this.send({ from, to, deliver: () => serve(reply), onLost });
   }
 }
+
+function linkKey(node: string, other: string): string {
+  return node < other ? `${node}|${other}` : `${other}|${node}`;
+}
--- a/test/simulation/simulated-time.ts
+++ b/test/simulation/simulated-time.ts
@@ -1,70 +1,91 @@
+/** Simulated time and chance. */
+
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Simulated time and chance for the stand-ins: one heap of events, one seeded generator. */
+interface ScheduledEvent {
+  at: number;
+  /** Events of one moment run in the order in which they were scheduled. */
+  order: number;
+  run(): void;
+}
+
+/** One heap of events and one seeded generator: what a seed draws happens again with that seed. Times in milliseconds. */
 export class Simulator {
   now = 0;
-  private readonly heap: { at: number; n: number; fn: () => void }[] = [];
-  private n = 0;
-  private readonly rng: ReturnType<typeof xoroshiro128plus>;
+  /** Called after each event. */
   afterEvent: () => void = () => {};
+  private readonly heap: ScheduledEvent[] = [];
+  private scheduledEvents = 0;
+  private readonly generator: ReturnType<typeof xoroshiro128plus>;
 
   constructor(seed: number) {
-    this.rng = xoroshiro128plus(seed);
+    this.generator = xoroshiro128plus(seed);
   }
 
+  /** A number from 0 up to 1, without 1. */
   random(): number {
-    return (this.rng.next() >>> 0) / 2 ** 32;
+    return (this.generator.next() >>> 0) / 2 ** 32;
   }
-  between(a: number, b: number): number {
-    return a + (b - a) * this.random();
+
+  between(low: number, high: number): number {
+    return low + (high - low) * this.random();
   }
-  pick<T>(l: readonly T[]): T {
-    return l[Math.floor(this.random() * l.length)] as T;
+
+  pick<T>(choices: readonly T[]): T {
+    return choices[Math.floor(this.random() * choices.length)] as T;
   }
-  chance(p: number): boolean {
-    return this.random() < p;
+
+  /** True with this probability. */
+  chance(probability: number): boolean {
+    return this.random() < probability;
   }
 
-  scheduleAt(ms: number, callback: () => void): void {
-    const h = this.heap;
-    h.push({ at: Math.max(this.now, ms), n: this.n++, fn: callback });
-    let i = h.length - 1;
-    while (i > 0) {
-      const p = (i - 1) >> 1;
-      if (!before(h[i]!, h[p]!)) break;
-      [h[i], h[p]] = [h[p]!, h[i]!];
-      i = p;
+  /** Runs a callback at a time, or now if that has passed. */
+  scheduleAt(time: number, run: () => void): void {
+    const { heap } = this;
+    heap.push({ at: Math.max(this.now, time), order: this.scheduledEvents++, run });
+    let index = heap.length - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isBefore(heap[index]!, heap[parent]!)) break;
+      [heap[index], heap[parent]] = [heap[parent]!, heap[index]!];
+      index = parent;
     }
   }
-  scheduleAfter(ms: number, callback: () => void): void {
-    this.scheduleAt(this.now + ms, callback);
+
+  scheduleAfter(delayMs: number, run: () => void): void {
+    this.scheduleAt(this.now + delayMs, run);
   }
 
+  /** Runs all events up to a time, which is then now. */
   run(until: number): void {
-    const h = this.heap;
-    while (h.length > 0 && h[0]!.at <= until) {
-      const top = h[0]!;
-      const last = h.pop()!;
-      if (h.length > 0) {
-        h[0] = last;
-        let i = 0;
-        for (;;) {
-          const l = 2 * i + 1;
-          if (l >= h.length) break;
-          const c = l + 1 < h.length && before(h[l + 1]!, h[l]!) ? l + 1 : l;
-          if (!before(h[c]!, h[i]!)) break;
-          [h[i], h[c]] = [h[c]!, h[i]!];
-          i = c;
-        }
-      }
-      this.now = top.at;
-      top.fn();
+    while (this.heap.length > 0 && this.heap[0]!.at <= until) {
+      const event = this.takeFirst();
+      this.now = event.at;
+      event.run();
       this.afterEvent();
     }
     this.now = until;
   }
+
+  private takeFirst(): ScheduledEvent {
+    const { heap } = this;
+    const first = heap[0]!;
+    const last = heap.pop()!;
+    if (heap.length === 0) return first;
+    heap[0] = last;
+    let index = 0;
+    for (;;) {
+      const left = 2 * index + 1;
+      if (left >= heap.length) return first;
+      const child = left + 1 < heap.length && isBefore(heap[left + 1]!, heap[left]!) ? left + 1 : left;
+      if (!isBefore(heap[child]!, heap[index]!)) return first;
+      [heap[index], heap[child]] = [heap[child]!, heap[index]!];
+      index = child;
+    }
+  }
 }
 
-function before(a: { at: number; n: number }, b: { at: number; n: number }): boolean {
-  return a.at < b.at || (a.at === b.at && a.n < b.n);
+function isBefore(event: ScheduledEvent, other: ScheduledEvent): boolean {
+  return event.at < other.at || (event.at === other.at && event.order < other.order);
 }
--- a/test/simulation/starvation-checker.ts
+++ b/test/simulation/starvation-checker.ts
@@ -1,115 +1,137 @@
-import type { ClusterSimulation } from './cluster-simulation.js';
+/** The check that no accepted job is left waiting while it could run. */
+
+import type { JobSpec } from '../../src/model/job.js';
 import type { FakeWorker } from './fake-worker.js';
+import type { SimulatedCluster, UserJob } from './simulated-cluster.js';
 
-/** So long a job may wait once the troubles are over, while a machine that fits has room and its team may use it. */
-const MAX_WAIT_MS = 90000;
+/** So long a job may wait once the faults are over, while a machine that fits has room and its team may use it. */
+const MAX_WAIT_MS = 90_000;
 const CHECK_INTERVAL_MS = 1000;
+/** Sums of decimal amounts are compared with this tolerance. */
+const EPSILON = 1e-9;
+
+/** What is on the machines, counted anew at each check. */
+class MachineUse {
+  /** Tasks on any machine, as `job/index`. */
+  readonly listedTasks = new Set<string>();
+  /** CPUs by team. */
+  readonly teamCpus = new Map<string, number>();
+  /** By job, its tasks in each zone. */
+  readonly tasksByZone = new Map<string, Map<string, number>>();
+
+  constructor(cluster: SimulatedCluster) {
+    for (const worker of cluster.workers.values())
+      for (const task of worker.tasks) {
+        const spec = cluster.jobs.get(task.jobId)?.spec;
+        if (task.phase !== 'exited' && spec) this.add(spec, task.taskIndex, worker.zone);
+      }
+  }
+
+  private add(spec: JobSpec, taskIndex: number, zone: string): void {
+    this.listedTasks.add(`${spec.id}/${taskIndex}`);
+    this.teamCpus.set(spec.team, (this.teamCpus.get(spec.team) ?? 0) + spec.cpus);
+    const zones = this.tasksByZone.get(spec.id) ?? new Map<string, number>();
+    zones.set(zone, (zones.get(zone) ?? 0) + 1);
+    this.tasksByZone.set(spec.id, zones);
+  }
+}
 
 /** Watches for jobs that are left waiting, and for what is accepted and never begins. */
 export class StarvationChecker {
-  private readonly since = new Map<string, number>();
+  /** By job, since when it has waited although it could run. */
+  private readonly waitingSince = new Map<string, number>();
+
+  constructor(private readonly cluster: SimulatedCluster) {}
 
-  constructor(
-    private readonly simulation: ClusterSimulation,
-    private readonly reportViolation: (text: string) => void,
-  ) {
-    const look = () => {
-      this.check();
-      simulation.simulator.scheduleAfter(CHECK_INTERVAL_MS, look);
-    };
-    look();
+  /** Checks now and once a second from then on. */
+  start(): void {
+    this.check();
+    this.cluster.simulator.scheduleAfter(CHECK_INTERVAL_MS, () => this.start());
   }
 
   private check(): void {
-    const { simulation } = this;
-    const now = simulation.simulator.now;
-    const used = new Map<string, number>();
-    const zones = new Map<string, Map<string, number>>();
-    const listed = new Set<string>();
-    for (const worker of simulation.workers.values())
-      for (const task of worker.tasks) {
-        if (task.phase === 'exited') continue;
-        const spec = simulation.jobs.get(task.jobId)?.spec;
-        if (!spec) continue;
-        listed.add(`${task.jobId}/${task.taskIndex}`);
-        used.set(spec.team, (used.get(spec.team) ?? 0) + spec.cpus);
-        const z = zones.get(task.jobId) ?? new Map<string, number>();
-        z.set(worker.zone, (z.get(worker.zone) ?? 0) + 1);
-        zones.set(task.jobId, z);
-      }
-    for (const job of simulation.jobs.values()) {
-      const spec = job.spec;
-      const over = job.reportedState === 'done' || job.reportedState === 'cancelled';
-      let open = 0;
-      for (let i = 0; i < spec.taskCount; i++)
-        if (!simulation.completedTasks.has(`${spec.id}/${i}`) && !listed.has(`${spec.id}/${i}`)) open++;
-      const needed = spec.kind === 'gang' ? spec.taskCount : 1;
-      const limit = simulation.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
-      const allowed = limit === 0 || (used.get(spec.team) ?? 0) + spec.cpus * needed <= limit + 1e-9;
-      const waits =
-        job.accepted &&
-        !over &&
-        !job.cancelRequested &&
-        !simulation.failingJobs.has(spec.id) &&
-        open >= needed &&
-        allowed;
-      if (!waits || this.freeTaskSlots(spec.id, zones.get(spec.id)) < needed) {
-        this.since.delete(spec.id);
+    const { cluster, waitingSince } = this;
+    const { now } = cluster.simulator;
+    const use = new MachineUse(cluster);
+    for (const job of cluster.jobs.values()) {
+      const { spec } = job;
+      const waitingTasks = this.waitingTasks(spec, use);
+      if (!this.couldRun(job, waitingTasks, use)) {
+        waitingSince.delete(spec.id);
         continue;
       }
-      const from = this.since.get(spec.id) ?? now;
-      this.since.set(spec.id, from);
-      if (now - Math.max(from, simulation.faultsEndAt) <= MAX_WAIT_MS) continue;
-      this.reportViolation(`left waiting: ${spec.id} of ${spec.team}, ${open} of ${spec.taskCount} tasks`);
-      this.since.delete(spec.id);
+      const since = waitingSince.get(spec.id) ?? now;
+      waitingSince.set(spec.id, since);
+      if (now - Math.max(since, cluster.faultsEndAt) <= MAX_WAIT_MS) continue;
+      cluster.reportViolation(
+        `left waiting: ${spec.id} of ${spec.team}, ${waitingTasks} of ${spec.taskCount} tasks`,
+      );
+      waitingSince.delete(spec.id);
     }
   }
 
+  private waitingTasks(spec: JobSpec, { listedTasks }: MachineUse): number {
+    const { completedTasks } = this.cluster;
+    let waiting = 0;
+    for (let index = 0; index < spec.taskCount; index++) {
+      const task = `${spec.id}/${index}`;
+      if (!completedTasks.has(task) && !listedTasks.has(task)) waiting++;
+    }
+    return waiting;
+  }
+
+  /** Whether the job has tasks left to place, its team may run them and machines have room for them. */
+  private couldRun(job: UserJob, waitingTasks: number, use: MachineUse): boolean {
+    const { spec } = job;
+    const isOver = job.reportedState === 'done' || job.reportedState === 'cancelled';
+    if (!job.accepted || isOver || job.cancelRequested || this.cluster.failingJobs.has(spec.id)) return false;
+    const neededTasks = spec.kind === 'gang' ? spec.taskCount : 1;
+    if (waitingTasks < neededTasks) return false;
+    const limit = this.cluster.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
+    const usedCpus = (use.teamCpus.get(spec.team) ?? 0) + spec.cpus * neededTasks;
+    if (limit !== 0 && usedCpus > limit + EPSILON) return false;
+    return this.freeTaskSlots(spec, use.tasksByZone.get(spec.id)) >= neededTasks;
+  }
+
   /** Tasks of a job that machines in reach could take now. */
-  private freeTaskSlots(id: string, zones: Map<string, number> | undefined): number {
-    const spec = this.simulation.jobs.get(id)!.spec;
-    let n = 0;
-    for (const worker of this.simulation.workers.values()) {
-      if (
-        !this.isReachable(worker) ||
-        (worker.isSpot && !spec.spotAllowed) ||
-        (spec.machineTypes && !spec.machineTypes.includes(worker.machineType))
-      )
-        continue;
-      if (spec.zone !== null && spec.zone !== worker.zone) continue;
-      if (
-        spec.zoneAntiAffinity &&
-        spec.taskCount > 1 &&
-        (zones?.get(worker.zone) ?? 0) >= Math.ceil(spec.taskCount / 2)
-      )
-        continue;
-      if (spec.zoneAffinity && zones && zones.size > 0 && !zones.has(worker.zone)) continue;
-      let cpus = worker.size.cpus;
-      let memoryGb = worker.size.memoryGb;
+  private freeTaskSlots(spec: JobSpec, tasksByZone: ReadonlyMap<string, number> | undefined): number {
+    let slots = 0;
+    for (const worker of this.cluster.workers.values()) {
+      if (!this.isReachable(worker) || !isAllowedOn(spec, worker)) continue;
+      if (!isAllowedInZone(spec, worker.zone, tasksByZone)) continue;
+      let { cpus, memoryGb } = worker.size;
       for (const task of worker.tasks) {
         if (task.phase === 'exited') continue;
-        cpus -= this.simulation.jobs.get(task.jobId)?.spec.cpus ?? 0;
-        memoryGb -= this.simulation.jobs.get(task.jobId)?.spec.memoryGb ?? 0;
+        cpus -= this.cluster.jobs.get(task.jobId)?.spec.cpus ?? 0;
+        memoryGb -= this.cluster.jobs.get(task.jobId)?.spec.memoryGb ?? 0;
       }
-      n += Math.max(0, Math.floor(Math.min(cpus / spec.cpus, memoryGb / spec.memoryGb) + 1e-9));
+      slots += Math.max(0, Math.floor(Math.min(cpus / spec.cpus, memoryGb / spec.memoryGb) + EPSILON));
     }
-    return n;
+    return slots;
   }
 
   private isReachable(worker: FakeWorker): boolean {
-    const { simulation } = this;
-    if (
-      !worker.isAlive ||
-      worker.isHung ||
-      worker.evictionAt !== null ||
-      simulation.faultyMachines.has(worker.name)
-    )
-      return false;
-    if (
-      simulation.network.unreachableOutbound.has(worker.name) ||
-      simulation.network.unreachableInbound.has(worker.name)
-    )
+    const { network, nodeNames, faultyMachines } = this.cluster;
+    if (!worker.isAlive || worker.isHung || worker.evictionAt !== null) return false;
+    if (faultyMachines.has(worker.name)) return false;
+    if (network.unreachableOutbound.has(worker.name) || network.unreachableInbound.has(worker.name))
       return false;
-    return simulation.nodeNames.every((nodeName) => simulation.network.isCut(nodeName, worker.name) === null);
+    return nodeNames.every((nodeName) => network.isCut(nodeName, worker.name) === null);
   }
 }
+
+function isAllowedOn(spec: JobSpec, worker: FakeWorker): boolean {
+  if (worker.isSpot && !spec.spotAllowed) return false;
+  return !spec.machineTypes || spec.machineTypes.includes(worker.machineType);
+}
+
+function isAllowedInZone(
+  spec: JobSpec,
+  zone: string,
+  tasksByZone: ReadonlyMap<string, number> | undefined,
+): boolean {
+  if (spec.zone !== null && spec.zone !== zone) return false;
+  const tasksHere = tasksByZone?.get(zone) ?? 0;
+  if (spec.zoneAntiAffinity && spec.taskCount > 1 && tasksHere >= Math.ceil(spec.taskCount / 2)) return false;
+  return !spec.zoneAffinity || !tasksByZone || tasksByZone.size === 0 || tasksByZone.has(zone);
+}
