--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,122 +1,143 @@
 import { expect, test } from 'vitest';
 import type { ClusterState } from '../src/scheduler/cluster-state.js';
-import { listed, makeWant, scheduler } from './standin/scheduler.js';
-import { World } from './standin/world.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
-type Scheduler = ReturnType<typeof scheduler>;
+type Scheduler = SchedulerHarness;
 
 /** Every machine of `names` reports, one second passes, and what was asked directly is not answered. */
-function second(t: Scheduler, names: string[], over: (name: string) => object = () => ({})): void {
-  for (const machine of names) t.report([], 5, { machine, address: machine, ...over(machine) });
-  t.later(1000);
-  t.k.flush();
-  for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
+function second(harness: Scheduler, names: string[], over: (name: string) => object = () => ({})): void {
+  for (const machine of names) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  harness.advance(1000);
+  harness.scheduler.flush();
+  for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
 }
 const names = (n: number, from = 0) => Array.from({ length: n }, (_, i) => `vm-${from + i}`);
 
 test('a new scheduler takes no machine for slow because it saw others half way through their tasks', () => {
-  const t = scheduler(5);
+  const harness = new SchedulerHarness(5);
   const all = names(30);
-  const done = (id: string) => [{ ...listed('exited'), jobId: id }];
+  const done = (id: string) => [{ ...taskStatus('exited'), jobId: id }];
   // Each runs a task that began before this scheduler led: first seen running, ended a moment later.
   for (let round = 0; round < 5; round++) {
-    for (const m of all) t.hold({ ...t.held('run'), jobId: `wk-${m}-${round}`, machine: m });
     for (const m of all)
-      t.report([{ ...listed('running'), jobId: `wk-${m}-${round}` }], 5, { machine: m, address: m });
-    t.later(100);
-    for (const m of all.slice(0, 20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
-    t.later(3000);
-    for (const m of all.slice(20)) t.report(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
+      harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${m}-${round}`, machine: m });
+    for (const m of all)
+      harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}-${round}` }], 5, {
+        machine: m,
+        address: m,
+      });
+    harness.advance(100);
+    for (const m of all.slice(0, 20))
+      harness.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
+    harness.advance(3000);
+    for (const m of all.slice(20)) harness.heartbeat(done(`wk-${m}-${round}`), 5, { machine: m, address: m });
   }
-  for (let i = 0; i < 5; i++) second(t, all);
-  const retired = [...(t.k as unknown as { state: ClusterState }).state.machines.values()];
+  for (let i = 0; i < 5; i++) second(harness, all);
+  const retired = [...(harness.scheduler as unknown as { state: ClusterState }).state.machines.values()];
   expect(retired.filter((m) => m.isQuarantined)).toEqual([]);
 });
 
 test('a scheduler whose workers reach its siblings only resigns and deletes nothing', () => {
-  const t = scheduler(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
-  t.siblings.n = 2;
+  const harness = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
+  harness.peers.count = 2;
   const all = names(20);
-  for (let i = 0; i < 30; i++) second(t, all);
-  for (let i = 0; i < 20 && t.resigned.length === 0; i++) {
-    second(t, []);
+  for (let i = 0; i < 30; i++) second(harness, all);
+  for (let i = 0; i < 20 && harness.resignationReasons.length === 0; i++) {
+    second(harness, []);
     // What siblings tell of them, some seconds after the first report went unanswered.
-    if (i >= 4) t.k.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
+    if (i >= 4) harness.scheduler.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
   }
-  expect(t.resigned).toEqual(['workers reach siblings only']);
-  expect(t.removed).toEqual([]);
+  expect(harness.resignationReasons).toEqual(['workers reach siblings only']);
+  expect(harness.deletedMachines).toEqual([]);
 });
 
 test('half the fleet silent: deleted when siblings bear it out, held back when nobody does', () => {
   for (const siblings of [2, 0]) {
-    const t = scheduler(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
-    t.siblings.n = siblings;
-    t.rents.served = true;
-    for (let i = 0; i < 30; i++) second(t, names(20));
+    const harness = new SchedulerHarness(5, { silent_s: 6, silent_share: 0.4, idle_s: 1e6 });
+    harness.peers.count = siblings;
+    harness.rentals.isAnswered = true;
+    for (let i = 0; i < 30; i++) second(harness, names(20));
     // Fall silent one after the other, as their reports are due.
-    for (let i = 0; i < 14; i++) second(t, names(6).concat(names(Math.max(0, 14 - 4 * i), 6)));
-    expect(t.removed.length).toBe(siblings > 0 ? 14 : 0);
-    expect(t.resigned).toEqual([]);
+    for (let i = 0; i < 14; i++) second(harness, names(6).concat(names(Math.max(0, 14 - 4 * i), 6)));
+    expect(harness.deletedMachines.length).toBe(siblings > 0 ? 14 : 0);
+    expect(harness.resignationReasons).toEqual([]);
   }
 });
 
 test('a zone that is cut off is waited for while its replicas may live, and nothing is rented there', () => {
-  const t = scheduler(5, { silent_s: 6, idle_s: 1e6 });
-  t.siblings.n = 1;
-  t.rents.served = true;
+  const harness = new SchedulerHarness(5, { silent_s: 6, idle_s: 1e6 });
+  harness.peers.count = 1;
+  harness.rentals.isAnswered = true;
   const near = names(8);
   const far = names(4, 8);
   const at = (m: string) => ({ zone: far.includes(m) ? 'b' : 'a' });
-  for (let i = 0; i < 30; i++) second(t, [...near, ...far], at);
+  for (let i = 0; i < 30; i++) second(harness, [...near, ...far], at);
   for (const m of far.slice(1))
-    t.hold({ ...t.held('run'), priority: 0, isService: true, jobId: `wk-${m}`, machine: m });
+    harness.sendPlacement({
+      ...harness.placementSpec('run'),
+      priority: 0,
+      isService: true,
+      jobId: `wk-${m}`,
+      machine: m,
+    });
   for (const m of far.slice(1))
-    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m, zone: 'b' });
-  for (let i = 0; i < 35; i++) second(t, near, at);
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, {
+      machine: m,
+      address: m,
+      zone: 'b',
+    });
+  for (let i = 0; i < 35; i++) second(harness, near, at);
   // Only the one without replicas; the others until `cancel_s` (40 s here) has passed.
-  expect(t.removed).toEqual([far[0]]);
-  for (let i = 0; i < 10; i++) second(t, near, at);
-  expect(t.removed.sort()).toEqual([...far].sort());
+  expect(harness.deletedMachines).toEqual([far[0]]);
+  for (let i = 0; i < 10; i++) second(harness, near, at);
+  expect(harness.deletedMachines.sort()).toEqual([...far].sort());
 });
 
 test('a controller cut off with its zone keeps leases for the last leader, for a bounded time', () => {
-  const w = new World(21);
-  w.sim.run(25000);
-  const leads = (h: string) => w.procs.get(h)!.ctl.status().scheduler !== null;
-  const host = w.hosts.find((h) => !leads(h))!;
-  const m = w.machine('small', 'a', false);
-  w.cloud.down = true;
-  w.sim.run(w.sim.now + 8000);
-  expect(m.token).toBeGreaterThan(0);
-  for (const inside of [host, m.name])
-    for (const outside of [...w.hosts.filter((h) => h !== host), 'state', 'cloud', 'users'])
-      w.net.cut(inside, outside, 'hold');
-  const cut = w.sim.now;
-  w.sim.run(cut + 28000);
+  const simulation = new ClusterSimulation(21);
+  simulation.simulator.run(25000);
+  const leads = (nodeName: string) =>
+    simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
+  const host = simulation.nodeNames.find((nodeName) => !leads(nodeName))!;
+  const worker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: false });
+  simulation.cloud.isDown = true;
+  simulation.simulator.run(simulation.simulator.now + 8000);
+  expect(worker.fencingToken).toBeGreaterThan(0);
+  for (const inside of [host, worker.name])
+    for (const outside of [
+      ...simulation.nodeNames.filter((nodeName) => nodeName !== host),
+      'state',
+      'cloud',
+      'users',
+    ])
+      simulation.network.cut(inside, outside, 'hold');
+  const cut = simulation.simulator.now;
+  simulation.simulator.run(cut + 28000);
   // Its lease (20 s) is over by now but for the controller inside.
-  expect([m.alive, m.season]).toEqual([true, 1]);
+  expect([worker.isAlive, worker.agentEpoch]).toEqual([true, 1]);
   // `cancel_s` (40 s) after the cut nothing may run any more that was cancelled outside meanwhile.
-  w.sim.run(cut + 39900);
-  expect(m.season).toBeGreaterThan(1);
+  simulation.simulator.run(cut + 39900);
+  expect(worker.agentEpoch).toBeGreaterThan(1);
 });
 
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
   const run = (reason: 'stopped' | 'done') => {
-    const t = scheduler(5, { idle_s: 1e6 });
-    t.report([]);
-    t.tell('run');
-    expect(t.calls[0]?.cmds[0]?.type).toBe('start');
-    t.report([listed('running')]);
-    t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
-    const ended = [{ ...listed('exited'), exitReason: reason }];
-    t.report(ended);
-    t.tell('forget');
+    const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+    harness.heartbeat([]);
+    harness.sendDesiredState('run');
+    expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
+    harness.heartbeat([taskStatus('running')]);
+    harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
+    const ended = [{ ...taskStatus('exited'), exitReason: reason }];
+    harness.heartbeat(ended);
+    harness.sendDesiredState('forget');
     const ops = [];
     for (let i = 0; i < 40; i++) {
-      ops.push(...(t.report(ended) ?? []).map((command) => command.type));
-      t.later(1000);
-      ops.push(...t.calls.flatMap((c) => c.cmds.map((x) => x.type)));
-      for (const c of t.calls.splice(0)) c.cb({ ok: false, kind: 'refused' });
+      ops.push(...(harness.heartbeat(ended) ?? []).map((command) => command.type));
+      harness.advance(1000);
+      ops.push(...harness.directCalls.flatMap((call) => call.commands.map((x) => x.type)));
+      for (const c of harness.directCalls.splice(0)) c.callback({ ok: false, kind: 'refused' });
     }
     return ops;
   };
@@ -125,32 +146,32 @@
 });
 
 test('a machine that lists nothing but what has ended is empty', () => {
-  const t = scheduler(5, { idle_s: 10 });
-  t.report([]);
-  t.tell('run');
-  t.report([listed('running')]);
-  t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
-  const ended = [{ ...listed('exited'), exitReason: 'stopped' as const }];
-  t.report(ended);
-  t.tell('forget');
+  const harness = new SchedulerHarness(5, { idle_s: 10 });
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
+  harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
+  const ended = [{ ...taskStatus('exited'), exitReason: 'stopped' as const }];
+  harness.heartbeat(ended);
+  harness.sendDesiredState('forget');
   for (let i = 0; i < 30; i++) {
-    t.report(ended);
-    t.later(1000);
-    t.k.flush();
+    harness.heartbeat(ended);
+    harness.advance(1000);
+    harness.scheduler.flush();
   }
-  expect(t.removed).toEqual(['m']);
+  expect(harness.deletedMachines).toEqual(['m']);
 });
 
 test('a machine that is back at once with a worker that knows nothing is deleted, not believed', () => {
-  const t = scheduler(5, { idle_s: 1e6 });
-  for (let i = 0; i < 10; i++) t.report([]);
-  t.tell('run');
-  t.report([listed('running')]);
-  t.calls.splice(0)[0]!.cb({ ok: false, kind: 'refused' });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  for (let i = 0; i < 10; i++) harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.heartbeat([taskStatus('running')]);
+  harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
   for (let i = 1; i < 20; i++) {
-    t.report([], 0, { sequence: Math.min(i, 8) });
-    t.later(1000);
-    t.k.flush();
+    harness.heartbeat([], 0, { sequence: Math.min(i, 8) });
+    harness.advance(1000);
+    harness.scheduler.flush();
     const r = {
       address: 'm',
       machineType: 'small',
@@ -161,22 +182,23 @@
       evictionNoticeSeconds: null,
       tasks: [],
     };
-    for (const c of t.calls.splice(0)) c.cb({ ok: true, value: { machine: 'm', sequence: 3, ...r } });
+    for (const call of harness.directCalls.splice(0))
+      call.callback({ ok: true, value: { machine: 'm', sequence: 3, ...r } });
   }
-  expect(t.removed).toEqual(['m']);
-  expect(t.settled()).toBe(false);
+  expect(harness.deletedMachines).toEqual(['m']);
+  expect(harness.hasFinalized()).toBe(false);
 });
 
 test('a pass looks at each machine once for wants of one kind, and a report at its own machine only', () => {
-  const t = scheduler(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const all = names(1900);
   for (const m of all) {
-    t.hold({ ...t.held('run'), jobId: `wk-${m}`, machine: m });
-    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+    harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${m}`, machine: m });
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
-  t.later(1000);
-  t.k.flush();
-  const inside = t.k as unknown as {
+  harness.advance(1000);
+  harness.scheduler.flush();
+  const inside = harness.scheduler as unknown as {
     placement: { context: { preemption: { offers: { offerOn: (...a: unknown[]) => unknown } } } };
     state: {
       fleetTotals: { changedMachines: Set<unknown> };
@@ -198,9 +220,9 @@
     cpus: 4,
     machineTypes: ['big'],
   };
-  t.wants(Array.from({ length: 300 }, (_, i) => makeWant(`wk-s${i}`, replica)));
-  t.later(1000);
-  t.k.flush();
+  harness.sendRequests(Array.from({ length: 300 }, (_, i) => makeResourceRequest(`wk-s${i}`, replica)));
+  harness.advance(1000);
+  harness.scheduler.flush();
   expect(offers).toBeGreaterThan(0);
   expect(offers).toBeLessThanOrEqual(2 * all.length);
   // A second before the next pass: nothing but the machine that reported is looked at again.
@@ -212,21 +234,27 @@
     return roomOf(...a);
   };
   const m = all[7] as string;
-  t.report([{ ...listed('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+  harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   expect([inside.state.fleetTotals.changedMachines.size, capacities]).toEqual([1, 0]);
-  expect(t.calls.splice(0).length).toBe(0);
+  expect(harness.directCalls.splice(0).length).toBe(0);
 });
 
 test('a look for work to stop that found none is not repeated by each pass', () => {
-  const t = scheduler(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
   const all = names(100);
   for (const m of all) {
-    t.hold({ ...t.held('run'), jobId: `wk-${m}`, machine: m, cpus: 3, memoryGb: 1 });
-    t.report([{ ...listed('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
+    harness.sendPlacement({
+      ...harness.placementSpec('run'),
+      jobId: `wk-${m}`,
+      machine: m,
+      cpus: 3,
+      memoryGb: 1,
+    });
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, { machine: m, address: m });
   }
-  t.later(1000);
-  t.k.flush();
-  const inside = t.k as unknown as {
+  harness.advance(1000);
+  harness.scheduler.flush();
+  const inside = harness.scheduler as unknown as {
     placement: { context: { preemption: { offers: { offerOn: (...a: unknown[]) => unknown } } } };
   };
   let offers = 0;
@@ -238,13 +266,18 @@
   };
   // Within blue's guarantee, each of a size of its own, and on no machine that is there.
   const want = (i: number) =>
-    makeWant(`wk-b${i}`, { team: 'blue', cpus: 3 + i / 100, machineTypes: ['big'], spotAllowed: false });
+    makeResourceRequest(`wk-b${i}`, {
+      team: 'blue',
+      cpus: 3 + i / 100,
+      machineTypes: ['big'],
+      spotAllowed: false,
+    });
   const requests = Array.from({ length: 20 }, (_, i) => want(i));
   const pass = (ms: number) => {
     offers = 0;
-    t.wants(requests);
-    t.later(ms);
-    t.k.flush();
+    harness.sendRequests(requests);
+    harness.advance(ms);
+    harness.scheduler.flush();
     return offers;
   };
   const looks = Array.from({ length: 8 }, () => pass(600));
