--- /dev/null
+++ b/test/sync-assembly.test.ts
@@ -0,0 +1,69 @@
+import { expect, test } from 'vitest';
+import type { PlacementSpec } from '../src/model/placement.js';
+import { SyncAssembly, type SyncChunk } from '../src/scheduler/owners/sync-assembly.js';
+import { scheduler } from './standin/scheduler.js';
+
+const placement = (jobId: string): PlacementSpec => ({ ...scheduler(5).held('run'), jobId });
+
+function chunk(chunkIndex: number, over: Partial<SyncChunk> = {}): SyncChunk {
+  return {
+    type: 'fullSync',
+    fencingToken: 5,
+    instanceId: 'o',
+    syncNumber: 1,
+    chunkCount: 3,
+    chunkIndex,
+    shardEpochs: { red: 1 },
+    placements: [placement(`wk-${chunkIndex}`)],
+    requests: [],
+    ...over,
+  };
+}
+
+/** What the chunks bring, one after the other: the jobs of a complete sync, or the kind of the result. */
+function assemble(...chunks: SyncChunk[]): (string | string[])[] {
+  const assembly = new SyncAssembly();
+  return chunks.map((each) => {
+    const result = assembly.add(each);
+    return result.kind === 'complete' ? result.placements.map((placement) => placement.jobId) : result.kind;
+  });
+}
+
+test('a full sync in one chunk is complete at once', () => {
+  expect(assemble(chunk(0, { chunkCount: 1 }))).toEqual([['wk-0']]);
+});
+
+test('the placements of all chunks come together in their order', () => {
+  expect(assemble(chunk(0), chunk(1), chunk(2))).toEqual(['partial', 'partial', ['wk-0', 'wk-1', 'wk-2']]);
+});
+
+test('a lost chunk voids the sync, and what follows of it is not taken either', () => {
+  expect(assemble(chunk(0), chunk(2))).toEqual(['partial', 'chunkLost']);
+  expect(assemble(chunk(1), chunk(2))).toEqual(['chunkLost', 'chunkLost']);
+  expect(assemble(chunk(0), chunk(2), chunk(1), chunk(2))).toEqual([
+    'partial',
+    'chunkLost',
+    'chunkLost',
+    'chunkLost',
+  ]);
+});
+
+test('chunks of two syncs are not mixed, and a sync begun anew takes the place of the last one', () => {
+  expect(assemble(chunk(0), chunk(1, { syncNumber: 2 }))).toEqual(['partial', 'chunkLost']);
+  expect(assemble(chunk(0), chunk(0, { syncNumber: 2, chunkCount: 1 }), chunk(1))).toEqual([
+    'partial',
+    ['wk-0'],
+    'chunkLost',
+  ]);
+});
+
+test('the syncs of two owners go on side by side', () => {
+  const other = { instanceId: 'p', chunkCount: 2 };
+  expect(assemble(chunk(0), chunk(0, other), chunk(1), chunk(1, other), chunk(2))).toEqual([
+    'partial',
+    'partial',
+    'partial',
+    ['wk-0', 'wk-1'],
+    ['wk-0', 'wk-1', 'wk-2'],
+  ]);
+});
