--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -189,7 +189,7 @@
   pendingMachines: 'pending',
 });
 
-/** Three values in place of an object: a message may carry thousands of them. */
+/** Encoded as three values in this order. */
 const imageFact: Codec<ImageFact> = {
   encode: ({ machine, image, sizeGb }) => [machine, image, sizeGb],
   decode: (encoded) => {
