--- a/test/sync-assembly.test.ts
+++ b/test/sync-assembly.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from 'vitest';
 import type { PlacementSpec } from '../src/model/placement.js';
 import { SyncAssembly, type SyncChunk } from '../src/scheduler/owners/sync-assembly.js';
-import { scheduler } from './standin/scheduler.js';
+import { SchedulerHarness } from './simulation/scheduler-harness.js';
 
-const placement = (jobId: string): PlacementSpec => ({ ...scheduler(5).held('run'), jobId });
+const placement = (jobId: string): PlacementSpec => ({ ...new SchedulerHarness(5).placementSpec('run'), jobId });
 
 function chunk(chunkIndex: number, over: Partial<SyncChunk> = {}): SyncChunk {
   return {
