--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -1,9 +1,17 @@
-/** Jobs remembered as cancelled: owners read of them within moments unless there is an outage. */
+/** The cancellations that users were told of. */
+
+/** Jobs remembered as cancelled: shard owners read of them within moments unless there is an outage. */
 const MAX_JOBS = 5000;
 
+/** One process of a peer. */
+export interface PeerProcess {
+  nodeName: string;
+  instanceId: string;
+}
+
 interface PeerLog {
   instanceId: string;
-  /** Since when nothing that it told is missing here. */
+  /** Since when nothing that it announced is missing here. */
   completeSinceMs: number;
   /** Cancellations of it that were taken in. */
   received: number;
@@ -12,77 +20,96 @@
 }
 
 /**
- * Cancellations that users were told of, by this controller or by siblings that pass them on. While the state service is
- * out nobody can learn of another one, so what this one knows is all there is as long as every sibling is in touch: the
- * workers keep their leases through an outage of any length. Order, not clocks: a sibling names the newest mark it had
- * from here and how many cancellations it had told by then.
+ * Cancellations that users were told of, by this controller or by peers that announce them. While the store is out nobody
+ * can learn of another one, so what this one knows is all there is as long as every peer is in touch: the workers keep
+ * their leases through an outage of any length. It rests on order, not on clocks: a peer names the newest timestamp it had
+ * from here, and how many cancellations it had announced by then.
  */
 export class CancellationLog {
-  /** Told here, by this process. */
-  toldHere = 0;
+  private ownCount = 0;
   private readonly jobs = new Set<string>();
   private readonly peers = new Map<string, PeerLog>();
 
   constructor(private readonly peerNames: readonly string[]) {}
 
-  has(job: string): boolean {
-    return this.jobs.has(job);
+  /** How many cancellations this process has announced: the number of the latest. */
+  get announcedHere(): number {
+    return this.ownCount;
   }
 
-  private remember(job: string): void {
-    this.jobs.add(job);
-    for (const x of this.jobs) {
-      if (this.jobs.size <= MAX_JOBS) break;
-      this.jobs.delete(x);
-    }
+  /** Whether a job is known to be cancelled. */
+  has(jobId: string): boolean {
+    return this.jobs.has(jobId);
   }
 
-  /** A user is about to be told here. False: it was known. */
-  recordOwn(job: string): boolean {
-    if (this.jobs.has(job)) return false;
-    this.toldHere++;
-    this.remember(job);
+  /** A user is about to be told by this process. False: it was known, and is not announced again. */
+  recordOwn(jobId: string): boolean {
+    if (this.jobs.has(jobId)) return false;
+    this.ownCount++;
+    this.remember(jobId);
     return true;
   }
 
-  /** A sibling's n-th. */
-  recordFromPeer(host: string, instanceId: string, job: string, n: number, now: number): void {
-    this.remember(job);
-    const peer = this.peers.get(host);
-    // One is missing: what it was stays unknown until owners have read of it.
-    if (peer?.instanceId === instanceId && n === peer.received + 1) peer.received = n;
-    else
-      this.peers.set(host, {
-        instanceId,
-        completeSinceMs: now,
-        received: n,
-        completeUntilMs: Number.NEGATIVE_INFINITY,
-      });
+  /** A peer has announced a cancellation; its own are numbered from 1. */
+  recordFromPeer(
+    process: PeerProcess,
+    announcement: { jobId: string; cancellationNumber: number },
+    now: number,
+  ): void {
+    const { cancellationNumber } = announcement;
+    this.remember(announcement.jobId);
+    const peer = this.peers.get(process.nodeName);
+    // If one is missing, what it was stays unknown until shard owners have read of it.
+    if (peer?.instanceId === process.instanceId && cancellationNumber === peer.received + 1)
+      peer.received = cancellationNumber;
+    else this.startOver(process, cancellationNumber, now);
   }
 
-  /** A sibling's regular word: so many it has told, after it had our mark (null: none). */
-  acknowledge(host: string, instanceId: string, n: number, mark: number | null, now: number): void {
-    const peer = this.peers.get(host);
-    if (peer?.instanceId !== instanceId || peer.received !== n)
-      this.peers.set(host, {
-        instanceId,
-        completeSinceMs: now,
-        received: n,
-        completeUntilMs: Number.NEGATIVE_INFINITY,
-      });
-    else if (mark !== null) peer.completeUntilMs = Math.max(peer.completeUntilMs, Math.min(mark, now));
+  /**
+   * A peer's heartbeat: how many cancellations it has announced, and the newest timestamp of this process that it had by
+   * then (null: none).
+   */
+  acknowledge(
+    process: PeerProcess,
+    heartbeat: { announced: number; latestTimestamp: number | null },
+    now: number,
+  ): void {
+    const { announced, latestTimestamp } = heartbeat;
+    const peer = this.peers.get(process.nodeName);
+    if (peer?.instanceId !== process.instanceId || peer.received !== announced)
+      this.startOver(process, announced, now);
+    else if (latestTimestamp !== null)
+      peer.completeUntilMs = Math.max(peer.completeUntilMs, Math.min(latestTimestamp, now));
   }
 
   /** All that anybody was told between `since` and `at` is known here. */
   completeSince(now: number): { since: number; at: number } {
     let since = Number.NEGATIVE_INFINITY;
     let at = now;
-    for (const h of this.peerNames) {
-      const peer = this.peers.get(h);
+    for (const nodeName of this.peerNames) {
+      const peer = this.peers.get(nodeName);
       if (!peer) return { since: now, at: Number.NEGATIVE_INFINITY };
       since = Math.max(since, peer.completeSinceMs);
       at = Math.min(at, peer.completeUntilMs);
     }
     return { since, at };
   }
+
+  /** From now on nothing of this process is missing; what came before may be. */
+  private startOver({ nodeName, instanceId }: PeerProcess, received: number, now: number): void {
+    this.peers.set(nodeName, {
+      instanceId,
+      completeSinceMs: now,
+      received,
+      completeUntilMs: Number.NEGATIVE_INFINITY,
+    });
+  }
+
+  private remember(jobId: string): void {
+    this.jobs.add(jobId);
+    for (const oldest of this.jobs) {
+      if (this.jobs.size <= MAX_JOBS) break;
+      this.jobs.delete(oldest);
+    }
+  }
 }
--- /dev/null
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -0,0 +1,42 @@
+/** The regular message to each peer: that this controller is alive, whom it takes for the leader, what it knows. */
+
+import type { CancellationCoordinator, LeaderCoverage } from './cancellation-coordinator.js';
+import { MAX_MACHINES_PER_MESSAGE } from './cancellation-coordinator.js';
+import type { Leadership } from './leadership.js';
+import type { PeerMessenger } from './peer-messenger.js';
+import type { StoreContact } from './store-contact.js';
+import type { WorkerHeartbeats } from './worker-heartbeats.js';
+
+/** What the sender needs. */
+export interface PeerHeartbeatSenderOptions {
+  peerNames: readonly string[];
+  leadership: Leadership;
+  storeContact: StoreContact;
+  coordinator: CancellationCoordinator;
+  workerHeartbeats: WorkerHeartbeats;
+  messenger: PeerMessenger;
+}
+
+/** Sends heartbeats to peers; it keeps nothing of its own. */
+export class PeerHeartbeatSender {
+  constructor(private readonly options: PeerHeartbeatSenderOptions) {}
+
+  /** Sends one heartbeat to each peer; coverage is what this controller has as the leader. */
+  send(now: number, coverage: LeaderCoverage | null): void {
+    const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this.options;
+    const { leader } = leadership;
+    const redirectedMachines = workerHeartbeats.takeRedirectedMachines(MAX_MACHINES_PER_MESSAGE);
+    for (const nodeName of this.options.peerNames)
+      messenger.send(nodeName, {
+        type: 'heartbeat',
+        leader: leader.nodeName,
+        fencingToken: leader.fencingToken,
+        storeContactAgeMs: Math.max(0, storeContact.ageMs(now)),
+        redirectedMachines: nodeName === leader.nodeName ? redirectedMachines : [],
+        timestamp: now,
+        latestTimestamp: coordinator.latestTimestampFrom(nodeName),
+        cancellationsAnnounced: coordinator.announcedHere,
+        coverage: coordinator.coverageForPeer(nodeName, coverage),
+      });
+  }
+}
--- /dev/null
+++ b/src/controller/peer-message-handler.ts
@@ -0,0 +1,91 @@
+/** Messages of peers, and connections to them. */
+
+import type { Clock } from '../model/clock.js';
+import type { PeerHeartbeat, PeerMessage } from '../model/peer-message.js';
+import type { ShardOwner } from '../shard/shard-owner.js';
+import type { CancellationCoordinator } from './cancellation-coordinator.js';
+import type { ImageReplication } from './image-replication.js';
+import type { Leadership } from './leadership.js';
+import type { Peer, PeerRegistry } from './peer-registry.js';
+import type { SystemRecords } from './system-records.js';
+
+/** What the handling of peers' messages needs. */
+export interface PeerMessageHandlerOptions {
+  nodeName: string;
+  instanceId: string;
+  clock: Clock;
+  records: SystemRecords;
+  leadership: Leadership;
+  peers: PeerRegistry;
+  coordinator: CancellationCoordinator;
+  images: ImageReplication;
+  owner: ShardOwner;
+}
+
+/** Hands each message to the part that it is for; it keeps nothing of its own. */
+export class PeerMessageHandler {
+  constructor(private readonly options: PeerMessageHandlerOptions) {}
+
+  /** Handles a message, unless a later one of the same peer has been handled. */
+  onMessage(message: PeerMessage): void {
+    const { instanceId, leadership, coordinator, images, owner } = this.options;
+    const { body } = message;
+    const now = this.options.clock.now();
+    const peer = this.options.peers.record(message, now);
+    if (!peer) return;
+    switch (body.type) {
+      case 'heartbeat':
+        this.onHeartbeat({ message, heartbeat: body, peer, now });
+        break;
+      case 'images':
+        images.apply(body.added, body.removedMachines);
+        break;
+      case 'cancelled':
+        coordinator.onPeerCancellation(message, body, now);
+        break;
+      case 'toLeader':
+        if (body.recipient === instanceId) leadership.scheduler?.onShardMessage(body.message);
+        break;
+      case 'toShardOwner':
+        if (body.recipient === instanceId) owner.onLeaderMessage(body.message);
+        break;
+    }
+  }
+
+  /** The connection to a peer was made anew: what was under way may be lost, so everything is sent again. */
+  onConnected(nodeName: string): void {
+    const { records, leadership, images, owner } = this.options;
+    if (leadership.leader.nodeName === nodeName) owner.resync();
+    const { scheduler } = leadership;
+    if (!scheduler) return;
+    for (const [instanceId, liveNodeName] of records.liveInstances())
+      if (liveNodeName === nodeName) scheduler.requestSync(instanceId);
+    images.sendAll(nodeName);
+  }
+
+  private onHeartbeat(received: {
+    message: PeerMessage;
+    heartbeat: PeerHeartbeat;
+    peer: Peer;
+    now: number;
+  }): void {
+    const { message, heartbeat, peer, now } = received;
+    const { leadership, peers, coordinator } = this.options;
+    this.stepDownForLaterLeader(heartbeat);
+    peer.timestamps.add(heartbeat.timestamp, now);
+    coordinator.onPeerHeartbeat(message, heartbeat, now);
+    leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
+    peers.addLeaderHint({ nodeName: heartbeat.leader, fencingToken: heartbeat.fencingToken });
+  }
+
+  private stepDownForLaterLeader(heartbeat: PeerHeartbeat): void {
+    const { nodeName, leadership } = this.options;
+    if (
+      leadership.scheduler &&
+      heartbeat.leader !== nodeName &&
+      heartbeat.fencingToken > leadership.leader.fencingToken &&
+      heartbeat.fencingToken > leadership.scheduler.fencingToken
+    )
+      leadership.stepDown('a peer knows a later leader');
+  }
+}
--- /dev/null
+++ b/src/controller/peer-messenger.ts
@@ -0,0 +1,62 @@
+/** Sends messages to peers, and between the shard owner and the leader wherever these are. */
+
+import type { PeerMessageBody, PeerTransport } from '../model/peer-message.js';
+import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
+import type { CommandQueue } from './command-queue.js';
+import type { Leadership } from './leadership.js';
+import type { SystemRecords } from './system-records.js';
+
+/** What the messenger needs. */
+export interface PeerMessengerOptions {
+  nodeName: string;
+  instanceId: string;
+  peerNames: readonly string[];
+  transport: PeerTransport;
+  queue: CommandQueue;
+  records: SystemRecords;
+  leadership: Leadership;
+  deliverToShardOwner(message: LeaderMessage): void;
+}
+
+/** Numbers this controller's messages, so that peers can tell late and repeated ones. */
+export class PeerMessenger {
+  private lastSequence = 0;
+
+  constructor(private readonly options: PeerMessengerOptions) {}
+
+  /** Sends one message. It may be lost or come late. */
+  send(nodeName: string, body: PeerMessageBody): void {
+    this.options.transport.send(nodeName, {
+      nodeName: this.options.nodeName,
+      instanceId: this.options.instanceId,
+      sequence: ++this.lastSequence,
+      body,
+    });
+  }
+
+  /** Sends a message to each peer, with a number of its own. */
+  broadcast(body: PeerMessageBody): void {
+    for (const nodeName of this.options.peerNames) this.send(nodeName, body);
+  }
+
+  /** From this controller's shard owner to the leader; dropped if none is known. */
+  sendToLeader(message: ShardMessage): void {
+    const { instanceId, queue, leadership } = this.options;
+    const { leader } = leadership;
+    if (leader.instanceId === instanceId)
+      queue.push({ type: 'callback', run: () => leadership.scheduler?.onShardMessage(message) });
+    else if (leader.nodeName !== '')
+      this.send(leader.nodeName, { type: 'toLeader', recipient: leader.instanceId, message });
+  }
+
+  /** From this controller as the leader to a shard owner; dropped if it has no node record. */
+  sendToShardOwner(instanceId: string, message: LeaderMessage): void {
+    const { queue, records, deliverToShardOwner } = this.options;
+    if (instanceId === this.options.instanceId) {
+      queue.push({ type: 'callback', run: () => deliverToShardOwner(message) });
+      return;
+    }
+    const nodeName = records.liveInstances().get(instanceId);
+    if (nodeName) this.send(nodeName, { type: 'toShardOwner', recipient: instanceId, message });
+  }
+}
--- /dev/null
+++ b/src/controller/store-contact.ts
@@ -0,0 +1,61 @@
+/** When the key-value store last answered this controller. */
+
+import type { Clock } from '../model/clock.js';
+import type { KeyValueStore } from '../model/key-value-store.js';
+import type { ResultCallback } from '../model/result.js';
+import type { CommandQueue } from './command-queue.js';
+
+/** Long before any time that counts: until the first answer the store counts as out of reach. */
+const BEFORE_START_MS = 1e6;
+
+/** Observes the answers of the store; each that proves it in reach counts from when its request was sent. */
+export class StoreContact {
+  private lastContactAtMs: number;
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly queue: CommandQueue,
+  ) {
+    this.lastContactAtMs = clock.now() - BEFORE_START_MS;
+  }
+
+  /** Sending time, on this controller's clock, of the latest request that the store has answered. */
+  get lastContactAt(): number {
+    return this.lastContactAtMs;
+  }
+
+  /** Milliseconds since the latest request that the store has answered. */
+  ageMs(now: number): number {
+    return now - this.lastContactAtMs;
+  }
+
+  /** The store with answers that run as commands and are observed here. */
+  observe(store: KeyValueStore): KeyValueStore {
+    return {
+      get: (key, urgency, callback) => store.get(key, urgency, this.observed(callback)),
+      list: (prefix, since, urgency, callback) => store.list(prefix, since, urgency, this.observed(callback)),
+      compareAndSwap: (transaction, urgency, callback) =>
+        store.compareAndSwap(transaction, urgency, this.observed(callback)),
+      grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.observed(callback)),
+      keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.observed(callback)),
+      revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.observed(callback)),
+      // A watch that waits may be answered long after it was sent, and so proves nothing about now.
+      watch: (prefix, since, waitMs, callback) =>
+        store.watch(
+          prefix,
+          since,
+          waitMs,
+          waitMs === 0 ? this.observed(callback) : this.queue.enqueued(callback),
+        ),
+    };
+  }
+
+  private observed<T>(callback: ResultCallback<T>): ResultCallback<T> {
+    const sentAt = this.clock.now();
+    return this.queue.enqueued((result) => {
+      if (result.ok || result.kind === 'conflict' || result.kind === 'gone')
+        this.lastContactAtMs = Math.max(this.lastContactAtMs, sentAt);
+      callback(result);
+    });
+  }
+}
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -3,28 +3,37 @@
 import type { ImageFact } from './image-fact.js';
 import type { LeaderMessage, ShardMessage } from './shard-messages.js';
 
-/** What controllers say to one another. */
+/** The regular message of a controller to each of its peers. */
+export interface PeerHeartbeat {
+  type: 'heartbeat';
+  /** Node name of the controller that the sender takes for the leader; empty if it knows none. */
+  leader: string;
+  fencingToken: number;
+  /** Milliseconds since the latest request of the sender that the store has answered. */
+  storeContactAgeMs: number;
+  /** To the leader: machines that turned to the sender since its last heartbeat. */
+  redirectedMachines: string[];
+  /** A time on the sender's clock. */
+  timestamp: number;
+  /** The newest timestamp that the sender had from an instance of the recipient. */
+  latestTimestamp: { instanceId: string; timestamp: number } | null;
+  /** How many cancellations the sender has announced so far. */
+  cancellationsAnnounced: number;
+  /** From the leader: its coverage, as of the newest timestamp of that instance that lies within it. */
+  coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
+}
+
+/** What controllers tell one another. */
 export type PeerMessageBody =
-  | {
-      type: 'heartbeat';
-      leader: string;
-      fencingToken: number;
-      storeContactAgeMs: number;
-      redirectedMachines: string[];
-      /** A time on the sender's clock. */
-      timestamp: number;
-      /** The newest mark that the sender had from an instance, and how many cancellations it has told users of. */
-      latestTimestamp: { instanceId: string; timestamp: number } | null;
-      cancellationsTold: number;
-      /** The leader's `Cover`, as of the newest mark of that instance that it reaches. */
-      coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
-    }
-  /** The n-th cancellation that a user was told of by the sender. */
+  | PeerHeartbeat
+  /** The n-th cancellation that the sender announces: a user is being told of it. */
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
+  /** From the leader: what it has learnt of images, and the machines that are gone with theirs. */
   | { type: 'images'; added: ImageFact[]; removedMachines: string[] }
   | { type: 'toLeader'; recipient: string; message: ShardMessage }
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
+/** A message and its sender: one process, which numbers its messages to all peers together. */
 export interface PeerMessage {
   nodeName: string;
   instanceId: string;
@@ -32,6 +41,7 @@
   body: PeerMessageBody;
 }
 
+/** Sends to peers without waiting: a message may be lost, or come late. */
 export interface PeerTransport {
   send(host: string, message: PeerMessage): void;
 }
--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -1,32 +1,37 @@
-/** Records in the key-value store. */
+/**
+ * Records in the key-value store, which is the only place where controllers keep state:
+ *   open/<id>/a   the job as accepted                         open/<id>/n   its counter
+ *   place/<id>/k  last placements of its k-th chunk of tasks  end/<id>      its final answer
+ *   sys/leader, sys/token, sys/node/<host>, sys/team/<name>, sys/types
+ *   fence/<host>
+ */
 
 import type { JobSpec } from './job.js';
 
+/** `sys/node/<host>`: a controller that is alive; the record hangs on the lease that it names. */
 export interface NodeRecord {
   instanceId: string;
   leaseId: number;
 }
 
+/** `sys/leader`: the elected leader, as long as its lease lives. */
 export interface LeaderRecord {
   instanceId: string;
   nodeName: string;
   fencingToken: number;
 }
 
+/** `sys/token`: the highest fencing token ever given. */
 export interface TokenRecord {
   fencingToken: number;
 }
 
+/** `sys/team/<name>`: the owner of a team's shard. `fence/<host>`: the instance that last moved the fence. */
 export interface OwnerRecord {
   instanceId: string;
 }
 
-/**
- * Records in the state service:
- *   open/<id>/a   the job as accepted, `x` once cancelled     open/<id>/n   its counter
- *   place/<id>/k  last placements of its k-th chunk of tasks  end/<id>      its final answer
- *   sys/leader, sys/token, sys/node/<host>, sys/team/<name>, sys/types
- */
+/** `open/<id>/a`: a job as accepted. */
 export interface JobRecord {
   spec: JobSpec;
   /** Revision of acceptance, known only after it; kept when the record is written again. */
@@ -34,23 +39,26 @@
   cancelled?: true;
 }
 
+/** `open/<id>/n`: how many of a job's tasks are done and running, and which are done. */
 export interface CounterRecord {
   finishedTasks: number;
   runningTasks: number;
   finishedBitmap: string;
 }
 
+/** `end/<id>`: the final answer about a job, done or else cancelled. It replaces all other records of the job. */
 export interface FinalRecord {
   isDone: boolean;
   finishedTasks: number;
 }
 
-/** The last attempt of a task, and where it is; null once it is settled. */
+/** The last attempt of a task, and where it is; null once it is finalized. */
 export interface PlacementEntry {
   attempt: number;
   location: { machine: string; agentEpoch: number; zone: string } | null;
 }
 
+/** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks, by task index. */
 export interface PlacementRecord {
   tasks: Map<number, PlacementEntry>;
 }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -199,7 +199,7 @@
       redirectedMachines: 'strays',
       timestamp: 'mark',
       latestTimestamp: field('had', timestamp),
-      cancellationsTold: 'told',
+      cancellationsAnnounced: 'told',
       coverage: field('cover', coverage),
     },
   },
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -117,9 +117,9 @@
     w.state.setDown(true);
     // Told to its user just before, by a controller that had it stored.
     const c = w.procs.get(w.hosts.find((h) => h !== old && h !== next())!)!.ctl as unknown as {
-      announceCancellation(id: string): void;
+      coordinator: { announce(jobId: string): void };
     };
-    c.announceCancellation(ids[0]!);
+    c.coordinator.announce(ids[0]!);
     w.sim.run(w.sim.now + w.shape.cancelS * 2500);
     expect(on(ids[0]!)).toEqual([]);
     expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`))).toEqual(before);
@@ -166,22 +166,22 @@
 test('what siblings told counts from when nothing of it is missing, and only up to the mark they had', () => {
   const t = new CancellationLog(['b', 'c']);
   expect(t.completeSince(100).at).toBe(Number.NEGATIVE_INFINITY);
-  t.acknowledge('b', 'b1', 4, 90, 100);
-  t.acknowledge('c', 'c1', 0, null, 110);
-  t.acknowledge('b', 'b1', 4, 200, 205);
-  t.acknowledge('c', 'c1', 0, 180, 206);
+  t.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
+  t.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: null }, 110);
+  t.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 200 }, 205);
+  t.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 180 }, 206);
   expect(t.completeSince(210)).toEqual({ since: 110, at: 180 });
-  t.recordFromPeer('b', 'b1', 'wk-1', 5, 215);
-  t.acknowledge('b', 'b1', 5, 212, 216);
-  t.acknowledge('c', 'c1', 0, 213, 217);
+  t.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-1', cancellationNumber: 5 }, 215);
+  t.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
+  t.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
   expect([t.has('wk-1'), t.completeSince(220)]).toEqual([true, { since: 110, at: 212 }]);
   // The sixth was lost: from the seventh on nothing is missing again.
-  t.recordFromPeer('b', 'b1', 'wk-3', 7, 230);
+  t.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-3', cancellationNumber: 7 }, 230);
   expect(t.completeSince(231)).toEqual({ since: 230, at: Number.NEGATIVE_INFINITY });
-  t.acknowledge('b', 'b1', 7, 232, 233);
-  t.acknowledge('c', 'c2', 0, 234, 235);
+  t.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
+  t.acknowledge({ nodeName: 'c', instanceId: 'c2' }, { announced: 0, latestTimestamp: 234 }, 235);
   expect(t.completeSince(236)).toEqual({ since: 235, at: Number.NEGATIVE_INFINITY });
-  expect([t.recordOwn('wk-9'), t.recordOwn('wk-9'), t.toldHere]).toEqual([true, false, 1]);
+  expect([t.recordOwn('wk-9'), t.recordOwn('wk-9'), t.announcedHere]).toEqual([true, false, 1]);
 });
 
 test('a worker that lost the leader long before its zone did is not kept alive from inside with what was cancelled', () => {
@@ -214,12 +214,11 @@
   cancelAt(w, owner, id);
   const raise = () => {
     const ctl = w.procs.get(leader)!.ctl as unknown as {
-      leaderTerm: number;
-      nextTokenRaiseAt: number;
-      raiseFencingToken(token: number, reason: string): void;
+      leadership: { leaderTerm: number };
+      election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
     };
-    ctl.nextTokenRaiseAt = 0;
-    ctl.raiseFencingToken(ctl.leaderTerm, 'a test');
+    ctl.election.nextTokenRaiseAt = 0;
+    ctl.election.raiseFencingToken(ctl.leadership.leaderTerm, 'a test');
     w.sim.after(1500, raise);
   };
   raise();
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -156,11 +156,11 @@
   const leads = (h: string) => w.procs.get(h)!.ctl.status().scheduler !== null;
   const host = w.hosts.find(leads)!;
   const ctl = w.procs.get(host)!.ctl as unknown as {
-    leaderTerm: number;
-    resign(token: number, reason: string): void;
+    leadership: { leaderTerm: number };
+    election: { resign(token: number, reason: string): void };
   };
   w.state.refused.add(host);
-  ctl.resign(ctl.leaderTerm, 'a test');
+  ctl.election.resign(ctl.leadership.leaderTerm, 'a test');
   w.sim.run(w.sim.now + 300);
   w.state.allow(host);
   expect(w.hosts.some(leads)).toBe(false);
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -130,7 +130,7 @@
     redirectedMachines: ['vm-000009'],
     timestamp: 123456.5,
     latestTimestamp: { instanceId: 'stand-2.9f', timestamp: 999 },
-    cancellationsTold: 3,
+    cancellationsAnnounced: 3,
     coverage: { instanceId: 'stand-2.9f', timestamp: 998, pendingMachines: ['vm-000010'] },
   },
   'ping with nulls': {
@@ -141,7 +141,7 @@
     redirectedMachines: [],
     timestamp: 1,
     latestTimestamp: null,
-    cancellationsTold: 0,
+    cancellationsAnnounced: 0,
     coverage: null,
   },
   'ping with a cover of any machine': {
@@ -152,7 +152,7 @@
     redirectedMachines: [],
     timestamp: 1,
     latestTimestamp: null,
-    cancellationsTold: 0,
+    cancellationsAnnounced: 0,
     coverage: { instanceId: 'stand-2.9f', timestamp: 998, pendingMachines: null },
   },
   cancelled: { type: 'cancelled', jobId: 'wk-000412', cancellationNumber: 3 },
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -219,7 +219,7 @@
       send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
     },
   });
-  (controller as unknown as { leader: object }).leader = {
+  (controller as unknown as { leadership: { knownLeader: object } }).leadership.knownLeader = {
     instanceId: 'c1.1',
     nodeName: 'c1',
     fencingToken: 1,
