--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -1,226 +1,298 @@
+/** Users' requests about their jobs: submission, question, cancellation. */
+
 import { DependencyCounter } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
-import type { ApiAnswer } from '../model/job-answer.js';
+import type { ApiAnswer, JobState } from '../model/job-answer.js';
 import { type KeyValueStore, URGENCY, type Urgency } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { MachineType } from '../model/machine-type.js';
 import type { CounterRecord, FinalRecord, JobRecord } from '../model/records.js';
 import { slotsIn } from '../model/resources.js';
+import type { ResultCallback } from '../model/result.js';
 import type { Team } from '../model/team.js';
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
 import { decodeBitmap } from '../store/stored-job.js';
 import type { WatchCache } from '../store/watch-cache.js';
+
+/** Takes the one answer to a request. */
 export type AnswerCallback = (answer: ApiAnswer) => void;
 
-interface StoredAnswer {
-  job: { record: JobRecord; modRevision: number } | null;
-  counter: { record: CounterRecord; modRevision: number } | null;
-  final: FinalRecord | null;
+/** What the API needs. */
+export interface JobApiOptions {
+  store: KeyValueStore;
+  /** A copy of the records under `open/`. */
+  openJobs: WatchCache;
+  teams: ReadonlyMap<string, Team>;
+  /** The machine types that the cloud offers; empty until they are known. */
+  machineTypes(): MachineType[];
+  log: Logger;
+  /** A user is about to be told that a job is cancelled. */
+  onCancelled(jobId: string): void;
+}
+
+interface OpenJob {
+  job: JobRecord;
+  jobRevision: number;
+  /** Null until the first of its tasks is placed. */
+  counter: CounterRecord | null;
+  /** 0 while there is no counter. */
+  counterRevision: number;
 }
 
-/** Answers users from what the state service holds when they ask; only final answers are kept here. */
+/** What the store holds of a job. */
+type JobLookup =
+  | ({ type: 'open' } & OpenJob)
+  | { type: 'final'; final: FinalRecord }
+  | { type: 'missing' }
+  | { type: 'storeUnreachable' };
+
+/** Most final answers kept, and how many of the oldest go at a time. */
+const MAX_FINAL_RECORDS = 20000;
+const EVICTED_FINAL_RECORDS = 5000;
+/** A submission without an answer is sent again so often; the store takes only one of them. */
+const SUBMIT_RETRIES = 1;
+/** A cancellation that other writes came before is tried again so often. */
+const CANCEL_RETRIES = 6;
+/** Sums of resources may be off by rounding. */
+const ROUNDING_TOLERANCE = 1e-9;
+
+const STORE_UNREACHABLE: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
+const TYPES_UNKNOWN: ApiAnswer = { type: 'unavailable', reason: 'machine types not known yet' };
+const STATE_CHANGED: ApiAnswer = { type: 'unavailable', reason: 'state changed meanwhile' };
+
+/**
+ * Answers users from what the store holds when they ask, on any controller. Only final answers are kept here: they never
+ * change. A request that can't be answered truthfully gets `unavailable`, never a guess.
+ */
 export class JobApi {
   private readonly finalRecords = new Map<string, FinalRecord>();
 
-  constructor(
-    private readonly store: KeyValueStore,
-    private readonly openJobs: WatchCache,
-    private readonly teams: Map<string, Team>,
-    private readonly machineTypes: () => MachineType[],
-    private readonly log: Logger,
-    private readonly wallTime: () => number,
-    /** A user is about to be told that a job is cancelled. */
-    private readonly onCancelled: (id: string) => void,
-  ) {}
-
-  /** Null: some allowed type holds a task. */
-  private rejectionReason(s: JobSpec): string | null {
-    const team = this.teams.get(s.team);
-    if (!team) return `unknown team ${s.team}`;
-    const n = s.kind === 'array' ? 1 : s.taskCount;
-    if (team.maxCpus > 0 && s.cpus * n > team.maxCpus + 1e-9) return 'needs more CPUs than its team may use';
-    if (team.maxGpus > 0 && s.gpus * n > team.maxGpus + 1e-9) return 'needs more GPUs than its team may use';
-    const fit = this.machineTypes().some(
-      (machineType) =>
-        (s.machineTypes === null || s.machineTypes.includes(machineType.name)) &&
-        (s.zone === null || machineType.zones.includes(s.zone)) &&
-        slotsIn(machineType, s) >= 1,
-    );
-    return fit ? null : 'no allowed machine type has room for a task';
-  }
+  constructor(private readonly options: JobApiOptions) {}
 
+  /** Accepts a job once its record is stored; a repeat gets the present state of the job accepted first. */
   submitJob(spec: JobSpec, callback: AnswerCallback): void {
-    const known = this.machineTypes().length > 0;
-    const never = known || !this.teams.has(spec.team) ? this.rejectionReason(spec) : null;
-    if (never !== null || !known) {
-      // A job once accepted is never refused, whatever its repeat holds.
-      return this.find(spec.id, URGENCY.read, (found) => {
-        if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
-        const answer = this.answer(spec.id, found, false);
-        if (answer.type !== 'notFound') return callback(answer);
-        callback(
-          never !== null
-            ? { type: 'rejected', reason: never }
-            : { type: 'unavailable', reason: 'machine types not known yet' },
-        );
-      });
+    const { teams, openJobs } = this.options;
+    const areTypesKnown = this.options.machineTypes().length > 0;
+    const rejection = areTypesKnown || !teams.has(spec.team) ? this.rejectionReason(spec) : null;
+    if (rejection !== null) {
+      this.answerUnlessMissing(spec.id, { type: 'rejected', reason: rejection }, callback);
+      return;
     }
-    if (this.openJobs.isFailing) {
-      this.openJobs.requestRead();
-      return callback({ type: 'unavailable', reason: 'state service not reached' });
+    if (!areTypesKnown) {
+      this.answerUnlessMissing(spec.id, TYPES_UNKNOWN, callback);
+      return;
     }
-    const record: JobRecord = { spec: spec };
-    const attempt = (left: number) => {
-      this.store.compareAndSwap(
-        {
-          preconditions: [
-            { key: `open/${spec.id}/a`, modRevision: 0 },
-            { key: `end/${spec.id}`, modRevision: 0 },
-          ],
-          operations: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
-        },
-        URGENCY.user,
-        (result) => {
-          if (result.ok) {
-            this.log.debug({ job: spec.id, team: spec.team, tasks: spec.taskCount }, 'accepted');
-            return callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
-          }
-          if (result.kind === 'unknown' && left > 0) return attempt(left - 1);
-          if (result.kind !== 'conflict')
-            return callback({ type: 'unavailable', reason: 'state service not reached' });
-          this.find(spec.id, URGENCY.read, (found) => {
-            if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
-            const answer = this.answer(spec.id, found, false);
-            callback(
-              answer.type === 'notFound'
-                ? { type: 'unavailable', reason: 'state changed meanwhile' }
-                : answer,
-            );
-          });
-        },
-      );
-    };
-    attempt(1);
+    if (openJobs.isFailing) {
+      openJobs.requestRead();
+      callback(STORE_UNREACHABLE);
+      return;
+    }
+    this.storeJob(spec, SUBMIT_RETRIES, callback);
   }
 
-  /** For a submission that is malformed but names a job. */
-  getJob(id: string, callback: AnswerCallback): void {
-    this.find(id, URGENCY.read, (found) =>
-      callback(
-        found === null
-          ? { type: 'unavailable', reason: 'state service not reached' }
-          : this.answer(id, found, false),
-      ),
+  /** The present state of a job, also for a submission that is malformed but names one. */
+  getJob(jobId: string, callback: AnswerCallback): void {
+    this.lookUp(jobId, URGENCY.read, (lookup) => callback(this.answerFor(jobId, lookup)));
+  }
+
+  /** Cancels a job, unless it is final; the answer tells what it is then. */
+  cancelJob(jobId: string, callback: AnswerCallback): void {
+    this.tryCancel(jobId, CANCEL_RETRIES, callback);
+  }
+
+  /** Why the job can never run; null: some allowed machine type holds a task. */
+  private rejectionReason(spec: JobSpec): string | null {
+    const team = this.options.teams.get(spec.team);
+    if (!team) return `unknown team ${spec.team}`;
+    const tasksAtOnce = spec.kind === 'array' ? 1 : spec.taskCount;
+    if (exceedsQuota(spec.cpus * tasksAtOnce, team.maxCpus)) return 'needs more CPUs than its team may use';
+    if (exceedsQuota(spec.gpus * tasksAtOnce, team.maxGpus)) return 'needs more GPUs than its team may use';
+    const fits = this.options
+      .machineTypes()
+      .some((type) => isAllowedOn(spec, type) && slotsIn(type, spec) >= 1);
+    return fits ? null : 'no allowed machine type has room for a task';
+  }
+
+  private storeJob(spec: JobSpec, retriesLeft: number, callback: AnswerCallback): void {
+    const { store, log } = this.options;
+    store.compareAndSwap(
+      {
+        preconditions: [
+          { key: jobKey(spec.id), modRevision: 0 },
+          { key: finalKey(spec.id), modRevision: 0 },
+        ],
+        operations: [{ put: jobKey(spec.id), value: jobRecord.encode({ spec }) }],
+      },
+      URGENCY.user,
+      (result) => {
+        if (result.ok) {
+          log.debug({ jobId: spec.id, team: spec.team, taskCount: spec.taskCount }, 'job accepted');
+          callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
+        } else if (result.kind === 'unknown' && retriesLeft > 0) {
+          this.storeJob(spec, retriesLeft - 1, callback);
+        } else if (result.kind === 'conflict') {
+          this.answerUnlessMissing(spec.id, STATE_CHANGED, callback);
+        } else callback(STORE_UNREACHABLE);
+      },
     );
   }
 
-  cancelJob(id: string, callback: AnswerCallback): void {
-    const attempt = (left: number) => {
-      this.find(id, URGENCY.user, (found) => {
-        if (found === null) return callback({ type: 'unavailable', reason: 'state service not reached' });
-        const answer = this.answer(id, found, false);
-        if (answer.type !== 'job' || answer.state === 'done' || answer.state === 'cancelled' || !found.job)
-          return callback(answer);
-        const record: JobRecord = {
-          spec: found.job.record.spec,
-          acceptedRevision: found.job.record.acceptedRevision ?? found.job.modRevision,
-          cancelled: true,
-        };
-        this.store.compareAndSwap(
-          {
-            preconditions: [
-              { key: `open/${id}/a`, modRevision: found.job.modRevision },
-              { key: `open/${id}/n`, modRevision: found.counter?.modRevision ?? 0 },
-            ],
-            operations: [{ put: `open/${id}/a`, value: jobRecord.encode(record) }],
-          },
-          URGENCY.lease,
-          (result) => {
-            if (result.ok) {
-              this.log.debug({ job: id }, 'cancelled by its user');
-              this.rememberFinal(id, { isDone: false, finishedTasks: answer.done });
-              return callback({
-                type: 'job',
-                created: false,
-                state: 'cancelled',
-                done: answer.done,
-                running: 0,
-              });
-            }
-            if ((result.kind === 'conflict' || result.kind === 'unknown') && left > 0)
-              return attempt(left - 1);
-            callback({ type: 'unavailable', reason: 'state service not reached' });
-          },
-        );
+  /** The state of a job once accepted, whatever its repeat holds; for a job that was never accepted the given answer. */
+  private answerUnlessMissing(jobId: string, otherwise: ApiAnswer, callback: AnswerCallback): void {
+    this.lookUp(jobId, URGENCY.read, (lookup) =>
+      callback(lookup.type === 'missing' ? otherwise : this.answerFor(jobId, lookup)),
+    );
+  }
+
+  private tryCancel(jobId: string, retriesLeft: number, callback: AnswerCallback): void {
+    this.lookUp(jobId, URGENCY.user, (lookup) => {
+      const answer = this.answerFor(jobId, lookup);
+      if (lookup.type !== 'open' || answer.type !== 'job' || isFinal(answer.state)) {
+        callback(answer);
+        return;
+      }
+      this.storeCancellation(jobId, lookup, (result) => {
+        if (result.ok) {
+          this.options.log.debug({ jobId }, 'job cancelled');
+          callback(this.rememberFinal(jobId, { isDone: false, finishedTasks: answer.done }));
+        } else if ((result.kind === 'conflict' || result.kind === 'unknown') && retriesLeft > 0) {
+          this.tryCancel(jobId, retriesLeft - 1, callback);
+        } else callback(STORE_UNREACHABLE);
       });
+    });
+  }
+
+  /** Fails if the job or its counter has changed since: it may be done by now, and users never see that taken back. */
+  private storeCancellation(jobId: string, open: OpenJob, callback: ResultCallback<number>): void {
+    const cancelled: JobRecord = {
+      spec: open.job.spec,
+      acceptedRevision: open.job.acceptedRevision ?? open.jobRevision,
+      cancelled: true,
     };
-    attempt(6);
+    this.options.store.compareAndSwap(
+      {
+        preconditions: [
+          { key: jobKey(jobId), modRevision: open.jobRevision },
+          { key: counterKey(jobId), modRevision: open.counterRevision },
+        ],
+        operations: [{ put: jobKey(jobId), value: jobRecord.encode(cancelled) }],
+      },
+      URGENCY.lease,
+      callback,
+    );
   }
 
-  private find(id: string, urgency: Urgency, callback: (found: StoredAnswer | null) => void): void {
-    const final = this.finalRecords.get(id);
-    if (final) return callback({ job: null, counter: null, final: final });
+  private lookUp(jobId: string, urgency: Urgency, callback: (lookup: JobLookup) => void): void {
+    const final = this.finalRecords.get(jobId);
+    if (final) {
+      callback({ type: 'final', final });
+      return;
+    }
     // One read of what has changed answers all questions that came before it was sent.
-    this.openJobs.linearizableRead((ok) => {
-      if (!ok) return callback(null);
-      const a = this.openJobs.items.get(`open/${id}/a`);
-      const n = this.openJobs.items.get(`open/${id}/n`);
-      const found: StoredAnswer = { job: null, counter: null, final: null };
-      // Final here meanwhile: an abort may have been answered while the read was on its way.
-      const over = this.finalRecords.get(id);
-      if (over) return callback({ ...found, final: over });
-      if (a) found.job = { record: jobRecord.decode(a.value), modRevision: a.modRevision };
-      if (n) found.counter = { record: counterRecord.decode(n.value), modRevision: n.modRevision };
-      if (found.job) return callback(found);
-      // Moved to its final record in one transaction: not open (any more), then it is there or was never.
-      this.store.get(`end/${id}`, urgency, (e) => {
-        if (!e.ok) return callback(null);
-        if (e.value) {
-          found.final = finalRecord.decode(e.value.value);
-          this.rememberFinal(id, found.final);
-        }
-        callback(found);
-      });
+    this.options.openJobs.linearizableRead((ok) => {
+      if (!ok) {
+        callback({ type: 'storeUnreachable' });
+        return;
+      }
+      const lookup = this.lookUpInCopy(jobId);
+      if (lookup) callback(lookup);
+      else this.lookUpFinal(jobId, urgency, callback);
     });
   }
 
-  private rememberFinal(id: string, record: FinalRecord): void {
-    this.finalRecords.set(id, record);
-    if (!record.isDone) this.onCancelled(id);
-    if (this.finalRecords.size > 20000)
-      for (const k of [...this.finalRecords.keys()].slice(0, 5000)) this.finalRecords.delete(k);
+  /** Right after a read of the open jobs; null: not among them. */
+  private lookUpInCopy(jobId: string): JobLookup | null {
+    // Final here meanwhile: a cancellation may have been answered while the read was on its way.
+    const final = this.finalRecords.get(jobId);
+    if (final) return { type: 'final', final };
+    const { items } = this.options.openJobs;
+    const job = items.get(jobKey(jobId));
+    if (!job) return null;
+    const counter = items.get(counterKey(jobId));
+    return {
+      type: 'open',
+      job: jobRecord.decode(job.value),
+      jobRevision: job.modRevision,
+      counter: counter ? counterRecord.decode(counter.value) : null,
+      counterRevision: counter?.modRevision ?? 0,
+    };
   }
 
-  private answer(id: string, found: StoredAnswer, created: boolean): ApiAnswer {
-    if (found.final) {
-      return {
-        type: 'job',
-        created,
-        state: found.final.isDone ? 'done' : 'cancelled',
-        done: found.final.finishedTasks,
-        running: 0,
-      };
-    }
-    if (!found.job) return { type: 'notFound' };
-    const spec = found.job.record.spec;
-    const n = found.counter?.record.finishedTasks ?? 0;
-    if (found.job.record.cancelled === true) {
-      this.rememberFinal(id, { isDone: false, finishedTasks: n });
-      return { type: 'job', created, state: 'cancelled', done: n, running: 0 };
-    }
-    if (found.counter && n >= spec.taskCount && spec.kind !== 'service') {
-      const counter = new DependencyCounter(spec.taskCount);
-      decodeBitmap(counter, found.counter.record.finishedBitmap);
-      if (counter.isFull) {
-        this.rememberFinal(id, { isDone: true, finishedTasks: n });
-        return { type: 'job', created, state: 'done', done: n, running: 0 };
+  /** Moved to its final record in one transaction: not open (any more), then it is there or was never. */
+  private lookUpFinal(jobId: string, urgency: Urgency, callback: (lookup: JobLookup) => void): void {
+    this.options.store.get(finalKey(jobId), urgency, (result) => {
+      if (!result.ok) callback({ type: 'storeUnreachable' });
+      else if (!result.value) callback({ type: 'missing' });
+      else {
+        const final = finalRecord.decode(result.value.value);
+        this.rememberFinal(jobId, final);
+        callback({ type: 'final', final });
       }
+    });
+  }
+
+  private answerFor(jobId: string, lookup: JobLookup): ApiAnswer {
+    switch (lookup.type) {
+      case 'storeUnreachable':
+        return STORE_UNREACHABLE;
+      case 'missing':
+        return { type: 'notFound' };
+      case 'final':
+        return finalAnswer(lookup.final);
+      case 'open':
+        return this.answerForOpenJob(jobId, lookup);
     }
-    const running = found.counter?.record.runningTasks ?? 0;
-    return { type: 'job', created, state: n + running > 0 ? 'running' : 'queued', done: n, running };
   }
 
-  nowMs(): number {
-    return this.wallTime();
+  private answerForOpenJob(jobId: string, { job, counter }: OpenJob): ApiAnswer {
+    const finishedTasks = counter?.finishedTasks ?? 0;
+    if (job.cancelled === true) return this.rememberFinal(jobId, { isDone: false, finishedTasks });
+    if (counter && isComplete(job.spec, counter))
+      return this.rememberFinal(jobId, { isDone: true, finishedTasks });
+    const running = counter?.runningTasks ?? 0;
+    const state = finishedTasks + running > 0 ? 'running' : 'queued';
+    return { type: 'job', created: false, state, done: finishedTasks, running };
+  }
+
+  private rememberFinal(jobId: string, final: FinalRecord): ApiAnswer {
+    this.finalRecords.set(jobId, final);
+    if (!final.isDone) this.options.onCancelled(jobId);
+    if (this.finalRecords.size > MAX_FINAL_RECORDS)
+      for (const oldest of [...this.finalRecords.keys()].slice(0, EVICTED_FINAL_RECORDS))
+        this.finalRecords.delete(oldest);
+    return finalAnswer(final);
   }
 }
+
+const jobKey = (jobId: string) => `open/${jobId}/a`;
+const counterKey = (jobId: string) => `open/${jobId}/n`;
+const finalKey = (jobId: string) => `end/${jobId}`;
+
+/** A quota of 0 is none. */
+function exceedsQuota(needed: number, quota: number): boolean {
+  return quota > 0 && needed > quota + ROUNDING_TOLERANCE;
+}
+
+function isAllowedOn(spec: JobSpec, type: MachineType): boolean {
+  return (
+    (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
+    (spec.zone === null || type.zones.includes(spec.zone))
+  );
+}
+
+/** Whether all tasks are counted as done; the bitmap decides, the number only spares reading it. */
+function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
+  if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
+  const finished = new DependencyCounter(spec.taskCount);
+  decodeBitmap(finished, counter.finishedBitmap);
+  return finished.isFull;
+}
+
+function isFinal(state: JobState): boolean {
+  return state === 'done' || state === 'cancelled';
+}
+
+function finalAnswer({ isDone, finishedTasks }: FinalRecord): ApiAnswer {
+  const state = isDone ? 'done' : 'cancelled';
+  return { type: 'job', created: false, state, done: finishedTasks, running: 0 };
+}
--- /dev/null
+++ b/src/controller/controller-parts.ts
@@ -0,0 +1,354 @@
+/** Puts the parts of a controller together: what each is given, and what they tell one another. */
+
+import { JobApi } from '../api/job-api.js';
+import { cancellationReadIntervalMs } from '../model/cancellation-coverage.js';
+import type { CloudProvider } from '../model/cloud-provider.js';
+import type { KeyValueStore } from '../model/key-value-store.js';
+import type { PolicyInput } from '../model/policy.js';
+import type { Team } from '../model/team.js';
+import { Scheduler } from '../scheduler/scheduler.js';
+import { ShardOwner } from '../shard/shard-owner.js';
+import { WatchCache } from '../store/watch-cache.js';
+import { CancellationCoordinator } from './cancellation-coordinator.js';
+import { CommandQueue, type CommandQueueOptions } from './command-queue.js';
+import type { ControllerOptions } from './controller-options.js';
+import { ImageReplication } from './image-replication.js';
+import { LeaderElection } from './leader-election.js';
+import { Leadership } from './leadership.js';
+import { MachineTypeCatalog } from './machine-type-catalog.js';
+import { NodeLease } from './node-lease.js';
+import { PeerHeartbeatSender } from './peer-heartbeat-sender.js';
+import { PeerMessageHandler } from './peer-message-handler.js';
+import { PeerMessenger } from './peer-messenger.js';
+import { PeerRegistry } from './peer-registry.js';
+import { queuedCloud, queuedWorkers } from './queued-ports.js';
+import { ShardAssignment } from './shard-assignment.js';
+import { StoreContact } from './store-contact.js';
+import { SystemRecords } from './system-records.js';
+import { WorkerHeartbeats } from './worker-heartbeats.js';
+
+/** How long the store may hold a watch of the open jobs until something changes. */
+const OPEN_JOBS_WATCH_WAIT_MS = 10000;
+/** Least time between two watches of the open jobs, which change several times a second. */
+const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
+/** What a task that is told of its end in advance is given to save its work. */
+const NOTICE_GRACE_SECONDS = 1;
+
+/** A cluster without load: the number of tasks asked for at a time does not depend on it. */
+const IDLE_CLUSTER: PolicyInput = {
+  services: 0,
+  service_cpus: 0,
+  queued: 0,
+  queued_cpus: 0,
+  batch_running: 0,
+  machines: 0,
+  report_s: 3,
+  lease_s: 30,
+  boot_s: 30,
+};
+
+/** What the command queue calls. */
+type CommandLoop = Pick<CommandQueueOptions, 'execute' | 'onBatchEnd'>;
+
+/**
+ * The parts of one controller. Each mutable field belongs to one part, which alone changes it. They are created in an order
+ * in which each finds those that it is given; what comes later, or may call back, is reached by a function.
+ */
+export class ControllerParts {
+  /** Users' requests. */
+  readonly api: JobApi;
+  readonly queue: CommandQueue;
+  readonly storeContact: StoreContact;
+  readonly records: SystemRecords;
+  readonly openJobs: WatchCache;
+  readonly lease: NodeLease;
+  readonly leadership: Leadership;
+  readonly election: LeaderElection;
+  readonly peers = new PeerRegistry();
+  readonly messenger: PeerMessenger;
+  readonly coordinator: CancellationCoordinator;
+  readonly images: ImageReplication;
+  readonly assignment: ShardAssignment;
+  readonly machineTypes: MachineTypeCatalog;
+  readonly owner: ShardOwner;
+  readonly workerHeartbeats: WorkerHeartbeats;
+  readonly peerHeartbeats: PeerHeartbeatSender;
+  readonly peerMessages: PeerMessageHandler;
+  private readonly teams: Map<string, Team>;
+  private readonly store: KeyValueStore;
+  private readonly cloud: CloudProvider;
+
+  constructor(
+    private readonly options: ControllerOptions,
+    loop: CommandLoop,
+  ) {
+    const { clock } = options;
+    this.teams = new Map(options.teams.map((team) => [team.name, team]));
+    this.queue = new CommandQueue({ clock, ...loop });
+    this.storeContact = new StoreContact(clock, this.queue);
+    this.store = this.storeContact.observe(options.store);
+    this.cloud = queuedCloud(options.cloud, this.queue);
+    this.records = this.createSystemRecords();
+    this.openJobs = this.createOpenJobs();
+    this.lease = this.createLease();
+    this.leadership = this.createLeadership();
+    this.election = this.createElection();
+    this.messenger = this.createMessenger();
+    this.coordinator = this.createCoordinator();
+    this.images = new ImageReplication(this.messenger, this.leadership);
+    this.assignment = this.createAssignment();
+    this.machineTypes = this.createMachineTypes();
+    this.owner = this.createShardOwner();
+    this.workerHeartbeats = this.createWorkerHeartbeats();
+    this.peerHeartbeats = this.createPeerHeartbeats();
+    this.peerMessages = this.createPeerMessages();
+    this.api = this.createApi();
+  }
+
+  private onLeadingStarted(scheduler: Scheduler): void {
+    scheduler.setOwners(this.records.shardOwners());
+    this.assignment.onLeadingStarted();
+    this.machineTypes.refreshNow();
+  }
+
+  private onShardOwnersChanged(): void {
+    const owners = this.records.shardOwners();
+    const owned = new Map<string, number>();
+    for (const [team, { instanceId, shardEpoch }] of owners)
+      if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
+    this.owner.setShards(owned);
+    this.openJobs.follow(owned.size > 0);
+    this.leadership.scheduler?.setOwners(owners);
+  }
+
+  private onOpenJobChanged(key: string, value: unknown, modRevision: number): void {
+    if (value === undefined) return;
+    const [, jobId, part] = key.split('/');
+    if (jobId && part) this.owner.onOpenJobChanged(jobId, part, value, modRevision);
+  }
+
+  private createSystemRecords(): SystemRecords {
+    return new SystemRecords(this.store, this.options.clock, {
+      onLeaderChanged: () => this.election.onLeaderRecordChanged(),
+      onShardOwnersChanged: () => this.onShardOwnersChanged(),
+      onMachineTypesChanged: () => this.machineTypes.onRecordChanged(),
+      onNodesChanged: () => this.assignment.assign(this.options.clock.now()),
+    });
+  }
+
+  /** Followed while this controller owns a shard; the API alone catches up when it is asked. */
+  private createOpenJobs(): WatchCache {
+    return new WatchCache(
+      'open/',
+      OPEN_JOBS_WATCH_WAIT_MS,
+      OPEN_JOBS_WATCH_INTERVAL_MS,
+      this.store,
+      this.options.clock,
+      (key, value, modRevision) => this.onOpenJobChanged(key, value, modRevision),
+      false,
+    );
+  }
+
+  private createLease(): NodeLease {
+    const { nodeName, instanceId, leaseTtlMs, clock, log } = this.options;
+    return new NodeLease({
+      nodeName,
+      instanceId,
+      ttlMs: leaseTtlMs,
+      store: this.store,
+      clock,
+      log,
+      isReady: () => this.records.isReady,
+      onJoined: () => this.election.campaignIfVacant(clock.now()),
+      onLost: () => this.leadership.stepDown('lease lost'),
+    });
+  }
+
+  private createLeadership(): Leadership {
+    const { instanceId, clock, log } = this.options;
+    return new Leadership({
+      instanceId,
+      clock,
+      log,
+      createScheduler: (fencingToken) => this.createScheduler(fencingToken),
+      onLeaderKnown: (fencingToken) => this.owner.setLeader(fencingToken),
+      onStarted: (scheduler) => this.onLeadingStarted(scheduler),
+    });
+  }
+
+  private createScheduler(fencingToken: number): Scheduler {
+    const { options, leadership, coordinator } = this;
+    const { clock } = options;
+    return new Scheduler({
+      instanceId: options.instanceId,
+      fencingToken,
+      teams: this.teams,
+      workerTiming: options.workerTiming,
+      machineListLagSeconds: options.machineListLagSeconds,
+      cloudCallsPerSecond: options.cloudCallsPerSecond,
+      images: this.images.locations,
+      objectives: options.objectives,
+      isFirstEver: fencingToken === 1,
+      clock,
+      log: options.log,
+      cloud: this.cloud,
+      workers: queuedWorkers(options.workers, this.queue),
+      machineTypes: () => this.machineTypes.machineTypes,
+      policy: options.policy,
+      holdsLeadership: () => leadership.leadsUnder(fencingToken) && this.lease.isSurelyValid(clock.now()),
+      send: (instanceId, message) => this.messenger.sendToShardOwner(instanceId, message),
+      wake: () => this.queue.wake(),
+      onHigherToken: (higherToken) => {
+        if (leadership.leadsUnder(fencingToken)) leadership.stepDown(`token ${higherToken} seen`);
+      },
+      inheritedCoverage: () => coordinator.inheritedCoverage,
+      isCancelled: (jobId) => coordinator.isCancelled(jobId),
+      cancellationsKnown: (now) => coordinator.completeSince(now),
+      reachablePeers: () => this.peers.countInTouch(clock.now()),
+      resign: (reason) => this.election.resign(fencingToken, reason),
+      raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
+    });
+  }
+
+  private createElection(): LeaderElection {
+    const { instanceId, nodeName, clock } = this.options;
+    const { store, queue, records, lease, leadership } = this;
+    return new LeaderElection({
+      instanceId,
+      nodeName,
+      store,
+      clock,
+      queue,
+      records,
+      lease,
+      leadership,
+    });
+  }
+
+  private createMessenger(): PeerMessenger {
+    const { nodeName, instanceId, peerNames, peers } = this.options;
+    const { queue, records, leadership } = this;
+    return new PeerMessenger({
+      nodeName,
+      instanceId,
+      peerNames,
+      transport: peers,
+      queue,
+      records,
+      leadership,
+      deliverToShardOwner: (message) => this.owner.onLeaderMessage(message),
+    });
+  }
+
+  private createCoordinator(): CancellationCoordinator {
+    const { instanceId, peerNames } = this.options;
+    const { records, leadership, peers, messenger } = this;
+    return new CancellationCoordinator({ instanceId, peerNames, records, leadership, peers, messenger });
+  }
+
+  private createAssignment(): ShardAssignment {
+    const { instanceId, storeLimits, clock, log } = this.options;
+    const { teams, store, records, lease, leadership, peers, storeContact } = this;
+    return new ShardAssignment({
+      instanceId,
+      teams,
+      maxTransactionOperations: storeLimits.maxTransactionOperations,
+      store,
+      clock,
+      log,
+      records,
+      lease,
+      leadership,
+      peers,
+      storeContact,
+    });
+  }
+
+  private createMachineTypes(): MachineTypeCatalog {
+    const { cloud, store, records, leadership, storeContact } = this;
+    const { clock } = this.options;
+    return new MachineTypeCatalog({ cloud, store, clock, records, leadership, storeContact });
+  }
+
+  private createShardOwner(): ShardOwner {
+    const { options, openJobs } = this;
+    const { storeLimits, workerTiming, clock } = options;
+    return new ShardOwner({
+      nodeName: options.nodeName,
+      instanceId: options.instanceId,
+      teams: this.teams,
+      maxValueKb: storeLimits.maxValueKb,
+      maxTransactionOperations: storeLimits.maxTransactionOperations,
+      writesPerSecond: storeLimits.writesPerSecond,
+      maxTasksPerRequest: Math.max(1, Math.round(options.policy(IDLE_CLUSTER).batch_tasks)),
+      noticeGraceSeconds: NOTICE_GRACE_SECONDS,
+      objectives: options.objectives,
+      openJobItems: () => openJobs.items,
+      openJobsFreshAsOf: () => openJobs.freshAsOf,
+      refreshOpenJobs: () => {
+        if (clock.now() - openJobs.freshAsOf >= cancellationReadIntervalMs(workerTiming))
+          openJobs.requestRead();
+      },
+      store: this.store,
+      clock,
+      log: options.log,
+      send: (message) => this.messenger.sendToLeader(message),
+      wake: () => this.queue.wake(),
+    });
+  }
+
+  private createWorkerHeartbeats(): WorkerHeartbeats {
+    const { nodeName, workerTiming, clock } = this.options;
+    const { leadership, peers, storeContact, coordinator } = this;
+    return new WorkerHeartbeats({
+      nodeName,
+      workerTiming,
+      clock,
+      leadership,
+      peers,
+      storeContact,
+      coordinator,
+    });
+  }
+
+  private createPeerHeartbeats(): PeerHeartbeatSender {
+    const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this;
+    return new PeerHeartbeatSender({
+      peerNames: this.options.peerNames,
+      leadership,
+      storeContact,
+      coordinator,
+      workerHeartbeats,
+      messenger,
+    });
+  }
+
+  private createPeerMessages(): PeerMessageHandler {
+    const { nodeName, instanceId, clock } = this.options;
+    const { records, leadership, peers, coordinator, images, owner } = this;
+    return new PeerMessageHandler({
+      nodeName,
+      instanceId,
+      clock,
+      records,
+      leadership,
+      peers,
+      coordinator,
+      images,
+      owner,
+    });
+  }
+
+  private createApi(): JobApi {
+    const { log } = this.options;
+    const { store, openJobs, teams, machineTypes, coordinator } = this;
+    return new JobApi({
+      store,
+      openJobs,
+      teams,
+      machineTypes: () => machineTypes.machineTypes,
+      log,
+      onCancelled: (jobId) => coordinator.announce(jobId),
+    });
+  }
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,7 +6,8 @@
 import { createLog, logDefects } from './cli/process-log.js';
 import { loadPolicy } from './config/policy.js';
 import { loadSettings, type Settings } from './config/settings.js';
-import { Controller, type ControllerOptions } from './controller/controller.js';
+import { Controller } from './controller/controller.js';
+import type { ControllerOptions } from './controller/controller-options.js';
 import type { Logger } from './model/logger.js';
 import type { PolicyFn } from './model/policy.js';
 import { CloudClient } from './transport/cloud-client.js';
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -117,9 +117,9 @@
     w.state.setDown(true);
     // Told to its user just before, by a controller that had it stored.
     const c = w.procs.get(w.hosts.find((h) => h !== old && h !== next())!)!.ctl as unknown as {
-      coordinator: { announce(jobId: string): void };
+      parts: { coordinator: { announce(jobId: string): void } };
     };
-    c.coordinator.announce(ids[0]!);
+    c.parts.coordinator.announce(ids[0]!);
     w.sim.run(w.sim.now + w.shape.cancelS * 2500);
     expect(on(ids[0]!)).toEqual([]);
     expect(ids.slice(1).flatMap((id) => on(id).map((m) => `${m.name}/${m.season}`))).toEqual(before);
@@ -214,11 +214,14 @@
   cancelAt(w, owner, id);
   const raise = () => {
     const ctl = w.procs.get(leader)!.ctl as unknown as {
-      leadership: { leaderTerm: number };
-      election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
+      parts: {
+        leadership: { leaderTerm: number };
+        election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
+      };
     };
-    ctl.election.nextTokenRaiseAt = 0;
-    ctl.election.raiseFencingToken(ctl.leadership.leaderTerm, 'a test');
+    const { leadership, election } = ctl.parts;
+    election.nextTokenRaiseAt = 0;
+    election.raiseFencingToken(leadership.leaderTerm, 'a test');
     w.sim.after(1500, raise);
   };
   raise();
--- a/test/delays.test.ts
+++ b/test/delays.test.ts
@@ -156,11 +156,14 @@
   const leads = (h: string) => w.procs.get(h)!.ctl.status().scheduler !== null;
   const host = w.hosts.find(leads)!;
   const ctl = w.procs.get(host)!.ctl as unknown as {
-    leadership: { leaderTerm: number };
-    election: { resign(token: number, reason: string): void };
+    parts: {
+      leadership: { leaderTerm: number };
+      election: { resign(token: number, reason: string): void };
+    };
   };
+  const { leadership, election } = ctl.parts;
   w.state.refused.add(host);
-  ctl.election.resign(ctl.leadership.leaderTerm, 'a test');
+  election.resign(leadership.leaderTerm, 'a test');
   w.sim.run(w.sim.now + 300);
   w.state.allow(host);
   expect(w.hosts.some(leads)).toBe(false);
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -108,15 +108,14 @@
   const clock = steppingClock();
   const open = new WatchCache('open/', 10000, 100, state.port, clock, () => {}, false);
   open.start();
-  const api = new JobApi(
-    state.port,
-    open,
-    new Map([[TEAM.name, TEAM]]),
-    () => [TYPE],
+  const api = new JobApi({
+    store: state.port,
+    openJobs: open,
+    teams: new Map([[TEAM.name, TEAM]]),
+    machineTypes: () => [TYPE],
     log,
-    () => 0,
-    () => {},
-  );
+    onCancelled: () => {},
+  });
   let answer: ApiAnswer | undefined;
   request(api, (given) => {
     answer = given;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -219,7 +219,8 @@
       send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
     },
   });
-  (controller as unknown as { leadership: { knownLeader: object } }).leadership.knownLeader = {
+  const inside = controller as unknown as { parts: { leadership: { knownLeader: object } } };
+  inside.parts.leadership.knownLeader = {
     instanceId: 'c1.1',
     nodeName: 'c1',
     fencingToken: 1,
