--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -121,14 +121,14 @@
           { key: jobKey(spec.id), modRevision: 0 },
           { key: finalKey(spec.id), modRevision: 0 },
         ],
-        operations: [{ put: jobKey(spec.id), value: jobRecord.encode({ spec }) }],
+        operations: [{ type: 'put', key: jobKey(spec.id), value: jobRecord.encode({ spec }) }],
       },
       URGENCY.user,
       (result) => {
         if (result.ok) {
           log.debug({ jobId: spec.id, team: spec.team, taskCount: spec.taskCount }, 'job accepted');
           callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
-        } else if (result.kind === 'unknown' && retriesLeft > 0) {
+        } else if (result.kind === 'indeterminate' && retriesLeft > 0) {
           this.storeJob(spec, retriesLeft - 1, callback);
         } else if (result.kind === 'conflict') {
           this.answerUnlessMissing(spec.id, STATE_CHANGED, callback);
@@ -155,7 +155,7 @@
         if (result.ok) {
           this.options.log.debug({ jobId }, 'job cancelled');
           callback(this.rememberFinal(jobId, { isDone: false, finishedTasks: answer.done }));
-        } else if ((result.kind === 'conflict' || result.kind === 'unknown') && retriesLeft > 0) {
+        } else if ((result.kind === 'conflict' || result.kind === 'indeterminate') && retriesLeft > 0) {
           this.tryCancel(jobId, retriesLeft - 1, callback);
         } else callback(STORE_UNREACHABLE);
       });
@@ -175,7 +175,7 @@
           { key: jobKey(jobId), modRevision: open.jobRevision },
           { key: counterKey(jobId), modRevision: open.counterRevision },
         ],
-        operations: [{ put: jobKey(jobId), value: jobRecord.encode(cancelled) }],
+        operations: [{ type: 'put', key: jobKey(jobId), value: jobRecord.encode(cancelled) }],
       },
       URGENCY.lease,
       callback,
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -145,8 +145,8 @@
           { key: TOKEN_KEY, modRevision: highest.modRevision },
         ],
         operations: [
-          { put: TOKEN_KEY, value: tokenRecord.encode({ fencingToken }) },
-          { put: LEADER_KEY, value: leaderRecord.encode(record), lease: lease.id },
+          { type: 'put', key: TOKEN_KEY, value: tokenRecord.encode({ fencingToken }) },
+          { type: 'put', key: LEADER_KEY, value: leaderRecord.encode(record), leaseId: lease.id },
         ],
       },
       URGENCY.lease,
@@ -159,7 +159,10 @@
 
   private deleteLeaderRecord(modRevision: number, onAnswered: () => void): void {
     this.options.store.compareAndSwap(
-      { preconditions: [{ key: LEADER_KEY, modRevision }], operations: [{ del: LEADER_KEY }] },
+      {
+        preconditions: [{ key: LEADER_KEY, modRevision }],
+        operations: [{ type: 'delete', key: LEADER_KEY }],
+      },
       URGENCY.lease,
       onAnswered,
     );
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -80,7 +80,7 @@
     store.compareAndSwap(
       {
         preconditions: [{ key: LEADER_KEY, modRevision: leadership.leaderRevision }],
-        operations: [{ put: MACHINE_TYPES_KEY, value: machineTypesRecord.encode(types) }],
+        operations: [{ type: 'put', key: MACHINE_TYPES_KEY, value: machineTypesRecord.encode(types) }],
       },
       URGENCY.placement,
       () => {},
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -63,7 +63,7 @@
     this.options.store.keepLeaseAlive(this.leaseId, (result) => {
       this.requestInFlight = false;
       if (result.ok) this.renewedAt = now;
-      else if (result.kind === 'gone') this.onGone();
+      else if (result.kind === 'notFound') this.onGone();
     });
   }
 
@@ -108,7 +108,7 @@
     store.compareAndSwap(
       {
         preconditions: [{ key, modRevision: nodeRecordRevision }],
-        operations: [{ put: key, value: nodeRecord.encode({ instanceId, leaseId }), lease: leaseId }],
+        operations: [{ type: 'put', key, value: nodeRecord.encode({ instanceId, leaseId }), leaseId }],
       },
       URGENCY.lease,
       (result) => {
--- a/src/controller/queued-ports.ts
+++ b/src/controller/queued-ports.ts
@@ -8,8 +8,7 @@
 export function queuedCloud(cloud: CloudProvider, queue: CommandQueue): CloudProvider {
   return {
     listMachineTypes: (callback) => cloud.listMachineTypes(queue.enqueued(callback)),
-    rentMachines: (claim, type, zone, isSpot, count, callback) =>
-      cloud.rentMachines(claim, type, zone, isSpot, count, queue.enqueued(callback)),
+    rentMachines: (request, callback) => cloud.rentMachines(request, queue.enqueued(callback)),
     deleteMachines: (names, callback) => cloud.deleteMachines(names, queue.enqueued(callback)),
     listMachines: (since, callback) => cloud.listMachines(since, queue.enqueued(callback)),
   };
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -167,7 +167,8 @@
           })),
         ],
         operations: batch.map(([team, instanceId]) => ({
-          put: teamKey(team),
+          type: 'put',
+          key: teamKey(team),
           value: teamRecord.encode({ instanceId }),
         })),
       },
--- a/src/controller/store-contact.ts
+++ b/src/controller/store-contact.ts
@@ -33,27 +33,22 @@
   observe(store: KeyValueStore): KeyValueStore {
     return {
       get: (key, urgency, callback) => store.get(key, urgency, this.observed(callback)),
-      list: (prefix, since, urgency, callback) => store.list(prefix, since, urgency, this.observed(callback)),
+      list: (request, callback) => store.list(request, this.observed(callback)),
       compareAndSwap: (transaction, urgency, callback) =>
         store.compareAndSwap(transaction, urgency, this.observed(callback)),
       grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.observed(callback)),
       keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.observed(callback)),
       revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.observed(callback)),
       // A watch that waits may be answered long after it was sent, and so proves nothing about now.
-      watch: (prefix, since, waitMs, callback) =>
-        store.watch(
-          prefix,
-          since,
-          waitMs,
-          waitMs === 0 ? this.observed(callback) : this.queue.enqueued(callback),
-        ),
+      watch: (request, callback) =>
+        store.watch(request, request.waitMs === 0 ? this.observed(callback) : this.queue.enqueued(callback)),
     };
   }
 
   private observed<T>(callback: ResultCallback<T>): ResultCallback<T> {
     const sentAt = this.clock.now();
     return this.queue.enqueued((result) => {
-      if (result.ok || result.kind === 'conflict' || result.kind === 'gone')
+      if (result.ok || result.kind === 'conflict' || result.kind === 'notFound')
         this.lastContactAtMs = Math.max(this.lastContactAtMs, sentAt);
       callback(result);
     });
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -43,7 +43,7 @@
 const COMMANDS: WorkerCommand[] = [
   { type: 'start', jobId: 'wk-000412', taskIndex: 4, attempt: 2 },
   { type: 'stop', jobId: 'wk-000377', taskIndex: 1, attempt: 1, gracePeriodSeconds: 10 },
-  { type: 'reap', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
+  { type: 'forget', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
 ];
 const CALLS_TEXT =
   '[{"call":"start","sapling":"wk-000412/4","sprout":2},{"call":"stop","sapling":"wk-000377/1","sprout":1,"pruning_s":10},{"call":"reap","sapling":"wk-000398/0","sprout":1}]';
@@ -81,11 +81,11 @@
   test.each<[string, ExitReason]>([
     ['done', 'done'],
     ['stopped', 'stopped'],
-    ['mates_gone', 'peers'],
-    ['incomplete', 'alone'],
+    ['mates_gone', 'gangMemberLost'],
+    ['incomplete', 'gangIncomplete'],
     ['error', 'error'],
-    ['full', 'no_room'],
-    ['busy', 'busy'],
+    ['full', 'noCapacity'],
+    ['busy', 'attemptListed'],
     ['unknown', 'unknown'],
     ['anything else', 'error'],
   ])('names the end %s', (text, reason) => {
@@ -186,11 +186,11 @@
   });
 
   test.each<[number, string, Result<Heartbeat>]>([
-    [200, '{}', { ok: false, kind: 'unknown' }],
+    [200, '{}', { ok: false, kind: 'indeterminate' }],
     [409, REPORT_TEXT, { ok: false, kind: 'conflict', heartbeat: REPORT }],
     [409, '{}', { ok: false, kind: 'refused' }],
-    [400, '{}', { ok: false, kind: 'bad' }],
-    [500, '{}', { ok: false, kind: 'unknown' }],
+    [400, '{}', { ok: false, kind: 'invalid' }],
+    [500, '{}', { ok: false, kind: 'indeterminate' }],
   ])('are answered by %i %s', async (status, text, result) => {
     expect(await send(status, text)).toStrictEqual(result);
     expect(server.requests.at(-1)).toBe('POST /commands application/json {"crook":41,"season":3,"calls":[]}');
