--- a/src/controller/controller-options.ts
+++ b/src/controller/controller-options.ts
@@ -1,6 +1,5 @@
 /** What a controller is told by the settings, and what it reaches the world by. */
 
-import type { WorkerTiming } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
 import type { CloudProvider } from '../model/cloud-provider.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
@@ -9,6 +8,7 @@
 import type { PolicyFn } from '../model/policy.js';
 import type { ServiceLevelObjective, Team } from '../model/team.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
+import type { WorkerTiming } from '../model/worker-timing.js';
 
 /** What a controller is made of and what it is told by the settings. */
 export interface ControllerOptions {
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -7,7 +7,7 @@
 import type { CommandQueue } from './command-queue.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
-import { LEADER_KEY, type SystemRecords, TOKEN_KEY } from './system-records.js';
+import { FENCING_TOKEN_KEY, LEADER_KEY, type SystemRecords } from './system-records.js';
 
 /** Least pause between two campaigns of one controller, and most of what is added to it at random. */
 const CAMPAIGN_PAUSE_MS = 300;
@@ -142,10 +142,10 @@
       {
         preconditions: [
           { key: LEADER_KEY, modRevision: leaderRecordRevision },
-          { key: TOKEN_KEY, modRevision: highest.modRevision },
+          { key: FENCING_TOKEN_KEY, modRevision: highest.modRevision },
         ],
         operations: [
-          { type: 'put', key: TOKEN_KEY, value: tokenRecord.encode({ fencingToken }) },
+          { type: 'put', key: FENCING_TOKEN_KEY, value: tokenRecord.encode({ fencingToken }) },
           { type: 'put', key: LEADER_KEY, value: leaderRecord.encode(record), leaseId: lease.id },
         ],
       },
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -1,7 +1,10 @@
 /** The regular message to each peer: that this controller is alive, whom it takes for the leader, what it knows. */
 
-import type { CancellationCoordinator, LeaderCoverage } from './cancellation-coordinator.js';
-import { MAX_MACHINES_PER_MESSAGE } from './cancellation-coordinator.js';
+import {
+  type CancellationCoordinator,
+  type LeaderCoverage,
+  MAX_MACHINES_PER_MESSAGE,
+} from './cancellation-coordinator.js';
 import type { Leadership } from './leadership.js';
 import type { PeerMessenger } from './peer-messenger.js';
 import type { StoreContact } from './store-contact.js';
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -16,7 +16,7 @@
 /** Key of the leader record; it hangs on the leader's lease. */
 export const LEADER_KEY = 'sys/leader';
 /** Key of the highest fencing token ever given. */
-export const TOKEN_KEY = 'sys/token';
+export const FENCING_TOKEN_KEY = 'sys/token';
 /** Key of the machine types that the cloud last listed. */
 export const MACHINE_TYPES_KEY = 'sys/types';
 
@@ -85,7 +85,7 @@
 
   /** The highest fencing token given, 0 before the first election, and the revision of its record. */
   fencingToken(): { fencingToken: number; modRevision: number } {
-    const item = this.cache.items.get(TOKEN_KEY);
+    const item = this.cache.items.get(FENCING_TOKEN_KEY);
     return item
       ? { fencingToken: tokenRecord.decode(item.value).fencingToken, modRevision: item.modRevision }
       : { fencingToken: 0, modRevision: 0 };
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -1,9 +1,10 @@
 /** Heartbeats of workers, by who leads: the scheduler handles them, or the worker is sent on to the leader. */
 
-import { isLeaseRenewalCovered, renewalWindowMs, type WorkerTiming } from '../model/cancellation-coverage.js';
+import { isLeaseRenewalCovered, renewalWindowMs } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
 import type { HeartbeatResult } from '../model/heartbeat-result.js';
 import type { Heartbeat } from '../model/worker-messages.js';
+import type { WorkerTiming } from '../model/worker-timing.js';
 import type { CancellationCoordinator } from './cancellation-coordinator.js';
 import type { Leadership } from './leadership.js';
 import type { PeerRegistry } from './peer-registry.js';
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -1,19 +1,12 @@
 /** Up to when cancellations are known to have become stops: by that workers' leases are renewed. See docs/design.md. */
 
+import type { WorkerTiming } from './worker-timing.js';
+
 /** Part of `cancellationSeconds - leaseSeconds` for which leases are renewed by a coverage; the rest covers drift of clocks. */
 const RENEWAL_WINDOW_SHARE = 0.9;
 /** Timestamps remembered: what is covered lags by a few seconds at most, or else nothing is renewed. */
 const MAX_TIMESTAMPS = 32;
 
-/** Times of workers that every controller keeps to. */
-export interface WorkerTiming {
-  heartbeatIntervalSeconds: number;
-  /** A worker without an answer for so long has ended its tasks. */
-  leaseSeconds: number;
-  /** Most time from the confirmation of a cancellation to the end of the job's last task. */
-  cancellationSeconds: number;
-}
-
 type LeaseTiming = Pick<WorkerTiming, 'leaseSeconds' | 'cancellationSeconds'>;
 
 /**
