--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -10,8 +10,9 @@
 import { slotsIn } from '../model/resources.js';
 import type { ResultCallback } from '../model/result.js';
 import type { Team } from '../model/team.js';
+import { decodeCompletionBitmap } from '../store/completion-bitmap.js';
+import { counterKey, finalKey, jobKey } from '../store/keyspace.js';
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
-import { decodeBitmap } from '../store/stored-job.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
 /** Takes the one answer to a request. */
@@ -264,10 +265,6 @@
   }
 }
 
-const jobKey = (jobId: string) => `open/${jobId}/a`;
-const counterKey = (jobId: string) => `open/${jobId}/n`;
-const finalKey = (jobId: string) => `end/${jobId}`;
-
 /** A quota of 0 is none. */
 function exceedsQuota(needed: number, quota: number): boolean {
   return quota > 0 && needed > quota + ROUNDING_TOLERANCE;
@@ -284,7 +281,7 @@
 function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
-  decodeBitmap(finished, counter.finishedBitmap);
+  decodeCompletionBitmap(finished, counter.finishedBitmap);
   return finished.isFull;
 }
 
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -8,6 +8,7 @@
 import type { Team } from '../model/team.js';
 import { Scheduler } from '../scheduler/scheduler.js';
 import { ShardOwner } from '../shard/shard-owner.js';
+import { OPEN_JOBS_PREFIX } from '../store/keyspace.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { CancellationCoordinator } from './cancellation-coordinator.js';
 import { CommandQueue, type CommandQueueOptions } from './command-queue.js';
@@ -121,12 +122,6 @@
     this.leadership.scheduler?.setOwners(owners);
   }
 
-  private onOpenJobChanged(key: string, value: unknown, modRevision: number): void {
-    if (value === undefined) return;
-    const [, jobId, part] = key.split('/');
-    if (jobId && part) this.owner.onOpenJobChanged(jobId, part, value, modRevision);
-  }
-
   private createSystemRecords(): SystemRecords {
     return new SystemRecords(this.store, this.options.clock, {
       onLeaderChanged: () => this.election.onLeaderRecordChanged(),
@@ -138,15 +133,17 @@
 
   /** Followed while this controller owns a shard; the API alone catches up when it is asked. */
   private createOpenJobs(): WatchCache {
-    return new WatchCache(
-      'open/',
-      OPEN_JOBS_WATCH_WAIT_MS,
-      OPEN_JOBS_WATCH_INTERVAL_MS,
-      this.store,
-      this.options.clock,
-      (key, value, modRevision) => this.onOpenJobChanged(key, value, modRevision),
-      false,
-    );
+    return new WatchCache({
+      prefix: OPEN_JOBS_PREFIX,
+      store: this.store,
+      clock: this.options.clock,
+      watchWaitMs: OPEN_JOBS_WATCH_WAIT_MS,
+      minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
+      isFollowed: false,
+      onChange: (key, value, modRevision) => {
+        if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
+      },
+    });
   }
 
   private createLease(): NodeLease {
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -3,11 +3,12 @@
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import type { LeaderRecord } from '../model/records.js';
+import { FENCING_TOKEN_KEY, LEADER_KEY } from '../store/keyspace.js';
 import { leaderRecord, tokenRecord } from '../store/record-codec.js';
 import type { CommandQueue } from './command-queue.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
-import { FENCING_TOKEN_KEY, LEADER_KEY, type SystemRecords } from './system-records.js';
+import type { SystemRecords } from './system-records.js';
 
 /** Least pause between two campaigns of one controller, and most of what is added to it at random. */
 const CAMPAIGN_PAUSE_MS = 300;
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -4,10 +4,11 @@
 import type { CloudProvider } from '../model/cloud-provider.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import type { MachineType } from '../model/machine-type.js';
+import { LEADER_KEY, MACHINE_TYPES_KEY } from '../store/keyspace.js';
 import { machineTypesRecord } from '../store/record-codec.js';
 import type { Leadership } from './leadership.js';
 import type { StoreContact } from './store-contact.js';
-import { LEADER_KEY, MACHINE_TYPES_KEY, type SystemRecords } from './system-records.js';
+import type { SystemRecords } from './system-records.js';
 
 /** Time between two questions to the cloud. */
 const REFRESH_INTERVAL_MS = 30000;
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -3,8 +3,8 @@
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
+import { nodeKey } from '../store/keyspace.js';
 import { nodeRecord } from '../store/record-codec.js';
-import { nodeKey } from './system-records.js';
 
 /** What a node lease needs. */
 export interface NodeLeaseOptions {
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -5,12 +5,13 @@
 import type { Logger } from '../model/logger.js';
 import type { Team } from '../model/team.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
+import { LEADER_KEY, teamKey } from '../store/keyspace.js';
 import { teamRecord } from '../store/record-codec.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
 import type { PeerRegistry } from './peer-registry.js';
 import type { StoreContact } from './store-contact.js';
-import { LEADER_KEY, type ShardOwnership, type SystemRecords, teamKey } from './system-records.js';
+import type { ShardOwnership, SystemRecords } from './system-records.js';
 
 /** A controller not heard for so long gets no shards and loses those that it has. */
 const OUT_OF_TOUCH_MS = 3500;
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -4,6 +4,14 @@
 import type { KeyValueStore } from '../model/key-value-store.js';
 import type { MachineType } from '../model/machine-type.js';
 import type { LeaderRecord } from '../model/records.js';
+import {
+  FENCING_TOKEN_KEY,
+  LEADER_KEY,
+  MACHINE_TYPES_KEY,
+  nodeOfKey,
+  SYSTEM_PREFIX,
+  teamOfKey,
+} from '../store/keyspace.js';
 import {
   leaderRecord,
   machineTypesRecord,
@@ -13,29 +21,9 @@
 } from '../store/record-codec.js';
 import { WatchCache } from '../store/watch-cache.js';
 
-/** Key of the leader record; it hangs on the leader's lease. */
-export const LEADER_KEY = 'sys/leader';
-/** Key of the highest fencing token ever given. */
-export const FENCING_TOKEN_KEY = 'sys/token';
-/** Key of the machine types that the cloud last listed. */
-export const MACHINE_TYPES_KEY = 'sys/types';
-
-const NODE_PREFIX = 'sys/node/';
-const TEAM_PREFIX = 'sys/team/';
-
 /** How long the store may hold a watch open until something changes. */
 const WATCH_WAIT_MS = 10000;
 
-/** Key of the record of a live controller. */
-export function nodeKey(nodeName: string): string {
-  return `${NODE_PREFIX}${nodeName}`;
-}
-
-/** Key of the record that names the owner of a team's shard. */
-export function teamKey(team: string): string {
-  return `${TEAM_PREFIX}${team}`;
-}
-
 /** The controller that owns a shard; the epoch is the revision of the record that says so. */
 export interface ShardOwnership {
   instanceId: string;
@@ -59,7 +47,15 @@
     clock: Clock,
     private readonly events: SystemRecordEvents,
   ) {
-    this.cache = new WatchCache('sys/', WATCH_WAIT_MS, 0, store, clock, (key) => this.onChanged(key));
+    this.cache = new WatchCache({
+      prefix: SYSTEM_PREFIX,
+      store,
+      clock,
+      watchWaitMs: WATCH_WAIT_MS,
+      minWatchIntervalMs: 0,
+      isFollowed: true,
+      onChange: (key) => this.onChanged(key),
+    });
   }
 
   /** Begins to read and to watch. */
@@ -106,8 +102,9 @@
   shardOwners(): Map<string, ShardOwnership> {
     const owners = new Map<string, ShardOwnership>();
     for (const [key, item] of this.cache.items) {
-      if (!key.startsWith(TEAM_PREFIX)) continue;
-      owners.set(key.slice(TEAM_PREFIX.length), {
+      const team = teamOfKey(key);
+      if (team === null) continue;
+      owners.set(team, {
         instanceId: teamRecord.decode(item.value).instanceId,
         shardEpoch: item.modRevision,
       });
@@ -118,16 +115,17 @@
   /** Node names of the controllers that hold a lease, by instance. */
   liveInstances(): Map<string, string> {
     const nodeNames = new Map<string, string>();
-    for (const [key, item] of this.cache.items)
-      if (key.startsWith(NODE_PREFIX))
-        nodeNames.set(nodeRecord.decode(item.value).instanceId, key.slice(NODE_PREFIX.length));
+    for (const [key, item] of this.cache.items) {
+      const nodeName = nodeOfKey(key);
+      if (nodeName !== null) nodeNames.set(nodeRecord.decode(item.value).instanceId, nodeName);
+    }
     return nodeNames;
   }
 
   private onChanged(key: string): void {
     if (key === LEADER_KEY) this.events.onLeaderChanged();
-    else if (key.startsWith(TEAM_PREFIX)) this.events.onShardOwnersChanged();
+    else if (teamOfKey(key) !== null) this.events.onShardOwnersChanged();
     else if (key === MACHINE_TYPES_KEY) this.events.onMachineTypesChanged();
-    else if (key.startsWith(NODE_PREFIX)) this.events.onNodesChanged();
+    else if (nodeOfKey(key) !== null) this.events.onNodesChanged();
   }
 }
--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -1,10 +1,4 @@
-/**
- * Records in the key-value store, which is the only place where controllers keep state:
- *   open/<id>/a   the job as accepted                         open/<id>/n   its counter
- *   place/<id>/k  last placements of its k-th chunk of tasks  end/<id>      its final answer
- *   sys/leader, sys/token, sys/node/<host>, sys/team/<name>, sys/types
- *   fence/<host>
- */
+/** Records in the key-value store, the only place where controllers keep state; their keys are in src/store/keyspace.ts. */
 
 import type { JobSpec } from './job.js';
 
