--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -1,5 +1,6 @@
 /** Users' requests about their jobs: submission, question, cancellation. */
 
+import type { AnswerCallback, JobService } from '../model/controller-service.js';
 import { DependencyCounter } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
 import type { ApiAnswer, JobState } from '../model/job-answer.js';
@@ -15,9 +16,6 @@
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
-/** Takes the one answer to a request. */
-export type AnswerCallback = (answer: ApiAnswer) => void;
-
 /** What the API needs. */
 export interface JobApiOptions {
   store: KeyValueStore;
@@ -65,7 +63,7 @@
  * Answers users from what the store holds when they ask, on any controller. Only final answers are kept here: they never
  * change. A request that can't be answered truthfully gets `unavailable`, never a guess.
  */
-export class JobApi {
+export class JobApi implements JobService {
   private readonly finalRecords = new Map<string, FinalRecord>();
 
   constructor(private readonly options: JobApiOptions) {}
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,7 @@
 /** One controller process: what it does at each command, each tick and each heartbeat of a worker. */
 
 import type { JobApi } from '../api/job-api.js';
+import type { ControllerService } from '../model/controller-service.js';
 import type { HeartbeatResult } from '../model/heartbeat-result.js';
 import type { LeaderRecord } from '../model/records.js';
 import type { Heartbeat } from '../model/worker-messages.js';
@@ -26,7 +27,7 @@
 const READINESS_LAG_SHARE = 0.6;
 
 /** Composed of parts, each with one job. All changes come through the command queue, but for heartbeats of workers, which are answered at once. */
-export class Controller {
+export class Controller implements ControllerService {
   private readonly parts: ControllerParts;
 
   constructor(private readonly options: ControllerOptions) {
--- a/src/controller/queued-ports.ts
+++ b/src/controller/queued-ports.ts
@@ -17,7 +17,7 @@
 /** Direct commands to workers, with answers that run as commands. */
 export function queuedWorkers(workers: WorkerCommandPort, queue: CommandQueue): WorkerCommandPort {
   return {
-    sendCommands: (address, fencingToken, agentEpoch, commands, callback) =>
-      workers.sendCommands(address, fencingToken, agentEpoch, commands, queue.enqueued(callback)),
+    sendCommands: (address, batch, callback) =>
+      workers.sendCommands(address, batch, queue.enqueued(callback)),
   };
 }
--- a/src/model/heartbeat-result.ts
+++ b/src/model/heartbeat-result.ts
@@ -3,8 +3,8 @@
 import type { WorkerCommand } from './worker-messages.js';
 
 /**
- * `accepted`: the lease is renewed, and the worker carries the commands out. `redirected`: another controller leads;
- * null if none is known. `unavailable`: its lease must not be renewed now, so it gets no answer that would renew it.
+ * `accepted`: the worker's lease is renewed, and it carries the commands out. `redirected`: the worker turns to the leader, or,
+ * if it is null, to some other controller. `unavailable`: no answer that would renew its lease may be given now.
  */
 export type HeartbeatResult =
   | { type: 'accepted'; fencingToken: number; commands: WorkerCommand[] }
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -30,18 +30,23 @@
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
   /** From the leader: what it has learnt of images, and the machines that are gone with theirs. */
   | { type: 'images'; added: ImageFact[]; removedMachines: string[] }
+  /** From a shard owner to the leader, if the recipient's instance still leads. */
   | { type: 'toLeader'; recipient: string; message: ShardMessage }
+  /** From the leader to a shard owner's instance. */
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
 /** A message and its sender: one process, which numbers its messages to all peers together. */
 export interface PeerMessage {
   nodeName: string;
+  /** Names the sender's process: another one after each start. */
   instanceId: string;
+  /** Increases with each message of an instance; one that comes after a later one is dropped. */
   sequence: number;
   body: PeerMessageBody;
 }
 
-/** Sends to peers without waiting: a message may be lost, or come late. */
+/** Sends messages to other controllers: each may be lost, those that arrive keep their order. */
 export interface PeerTransport {
-  send(host: string, message: PeerMessage): void;
+  /** Sends a message to the controller of that node name, if it can be reached now. */
+  send(nodeName: string, message: PeerMessage): void;
 }
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -1,12 +1,18 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { ConcurrencyLimit } from '../src/transport/concurrency-limit.js';
-import { readList, readRented, readTypes } from '../src/wire/cloud-messages.js';
-import { parse } from '../src/wire/json.js';
+import { decodeMachinePage, decodeMachineTypes, decodeRentedMachines } from '../src/wire/cloud-messages.js';
+import { parseJson } from '../src/wire/json.js';
 import { decodePeerMessage } from '../src/wire/peer-codec.js';
-import { readEvents, readFailed, readItem, readItems, readLease } from '../src/wire/store-messages.js';
-import { readJob } from '../src/wire/user-messages.js';
-import { readReport } from '../src/wire/worker-messages.js';
+import {
+  decodeFailedKeys,
+  decodeItem,
+  decodeItemPage,
+  decodeLeaseId,
+  decodeWatchBatch,
+} from '../src/wire/store-messages.js';
+import { decodeSubmission } from '../src/wire/user-messages.js';
+import { decodeHeartbeat } from '../src/wire/worker-messages.js';
 
 const REPORT = JSON.stringify({
   trunk: 'vm-1',
@@ -23,15 +29,15 @@
 
 test('nothing read from outside throws, random or truncated', () => {
   const readers = [
-    readReport,
-    readTypes,
-    readList,
-    readRented,
-    readItem,
-    readItems,
-    readEvents,
-    readFailed,
-    readLease,
+    decodeHeartbeat,
+    decodeMachineTypes,
+    decodeMachinePage,
+    decodeRentedMachines,
+    decodeItem,
+    decodeItemPage,
+    decodeWatchBatch,
+    decodeFailedKeys,
+    decodeLeaseId,
     decodePeerMessage,
   ];
   const known = fc.dictionary(
@@ -56,23 +62,64 @@
   fc.assert(
     fc.property(fc.oneof(fc.jsonValue(), known), (value) => {
       for (const read of readers) read(value);
-      readJob(value, 0);
+      decodeSubmission(value, 0);
     }),
     { numRuns: 500 },
   );
 
   for (let length = 0; length < REPORT.length; length++)
-    expect(readReport(parse(REPORT.slice(0, length)))).toBe(null);
-  expect(readReport(parse(REPORT))?.tasks[0]?.exitReason).toBe('done');
+    expect(decodeHeartbeat(parseJson(REPORT.slice(0, length)))).toBe(null);
+  expect(decodeHeartbeat(parseJson(REPORT))?.tasks[0]?.exitReason).toBe('done');
 });
 
 test('a report with one task that cannot be read proves nothing', () => {
   // Read as a shorter list it would settle a task that still runs.
-  expect(readReport(parse(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
+  expect(decodeHeartbeat(parseJson(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
+});
+
+test('a message between controllers that lacks a part is dropped', () => {
+  const heartbeat = {
+    k: 'ping',
+    leader: 'stand-2',
+    token: 7,
+    okAgeMs: 120,
+    strays: [],
+    mark: 123456.5,
+    had: { inst: 'stand-2.9f', mark: 999 },
+    told: 3,
+    cover: { inst: 'stand-2.9f', mark: 998, pending: ['vm-1'] },
+  };
+  const fromOwner = (message: object) => ({ k: 'owner', to: 'stand-2.9f', m: { token: 7, ...message } });
+  const fromLeader = (message: object) => ({ k: 'scheduler', to: 'stand-2.9f', m: { token: 7, ...message } });
+  const decode = (body: object) => decodePeerMessage({ host: 'stand-1', inst: 'stand-1.0a', seq: 1, body });
+  const without = (body: object, part: string) =>
+    JSON.parse(JSON.stringify(body, (key, value) => (key === part ? undefined : value)));
+
+  const bodies: [body: object, parts: string[]][] = [
+    [
+      heartbeat,
+      ['k', 'leader', 'token', 'okAgeMs', 'strays', 'mark', 'had', 'told', 'cover', 'inst', 'pending'],
+    ],
+    [
+      fromOwner({ k: 'sync', inst: 'i', sync: 1, gens: {}, held: [], wants: [] }),
+      ['to', 'm', 'gens', 'held', 'wants'],
+    ],
+    [fromOwner({ k: 'wants', inst: 'i', wants: [] }), ['wants']],
+    [fromOwner({ k: 'held', inst: 'i', held: [] }), ['held']],
+    [fromOwner({ k: 'drop', inst: 'i', tasks: [], grants: [] }), ['tasks', 'grants']],
+    [fromOwner({ k: 'covered', inst: 'i', sync: 1, n: 1, gens: {}, mark: 1 }), ['gens']],
+    [fromLeader({ k: 'grants', grants: [] }), ['to', 'm', 'grants']],
+    [fromLeader({ k: 'seen', seen: [] }), ['seen']],
+    [fromLeader({ k: 'evict', tasks: [], why: 'x' }), ['tasks']],
+  ];
+  for (const [body, parts] of bodies) {
+    expect(decode(body)).not.toBe(null);
+    for (const part of parts) expect([part, decode(without(body, part))]).toEqual([part, null]);
+  }
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
-  const limit = new ConcurrencyLimit(50, 4, 100, 100);
+  const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastMs: 100 });
   let now = 0;
   /** Fills the limit with requests that all take so long. */
   const fill = (tookMs: number) => {
--- /dev/null
+++ b/test/invariants.test.ts
@@ -0,0 +1,178 @@
+import { expect, test } from 'vitest';
+import type { ResourceRequest } from '../src/model/placement.js';
+import type { Heartbeat } from '../src/model/worker-messages.js';
+import { ClusterSimulation } from './simulation/cluster-simulation.js';
+import { makeJobSpec } from './simulation/job-spec.js';
+import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
+
+test('the checker sees each kind of broken rule', () => {
+  const simulation = new ClusterSimulation(3);
+  simulation.simulator.run(2000);
+  // No controller hears of these: the stand-ins are told directly what no rule allows.
+  for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
+  const put = (spec: ReturnType<typeof makeJobSpec>) =>
+    simulation.jobs.set(spec.id, {
+      spec,
+      accepted: true,
+      cancelRequested: true,
+      cancelledAt: null,
+      reportedState: null,
+      answeredAt: 0,
+      finalStateAt: 0,
+    });
+  const a = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
+  const b = simulation.machines.add({ machineType: 'big', zone: 'a', isSpot: false });
+  const run = (worker: typeof a, id: string, taskIndex: number) =>
+    worker.handleCommands(
+      {
+        fencingToken: 99,
+        agentEpoch: 1,
+        commands: [{ type: 'start', jobId: id, taskIndex, attempt: taskIndex + 1 }],
+      },
+      () => {},
+    );
+  const twice = makeJobSpec(simulation, { kind: 'service' });
+  put(twice);
+  run(a, twice.id, 0);
+  run(b, twice.id, 0);
+  const placed = makeJobSpec(simulation, {
+    kind: 'service',
+    spotAllowed: false,
+    machineTypes: ['big'],
+    zone: 'b',
+  });
+  put(placed);
+  run(a, placed.id, 0);
+  const large = makeJobSpec(simulation, { team: 'blue', cpus: 2, taskCount: 20, memoryGb: 0.5 });
+  put({ ...large, kind: 'service', cpus: 25, memoryGb: 0.1 });
+  b.size.cpus = 1000;
+  run(b, large.id, 0);
+  const gone = makeJobSpec(simulation, { kind: 'service' });
+  put(gone);
+  simulation.jobs.get(gone.id)!.cancelledAt = -100000;
+  run(b, gone.id, 0);
+  simulation.faultsEndAt = 0;
+  simulation.simulator.run(simulation.simulator.now + 4000);
+  expect(simulation.violations.some((t) => t.includes('forgotten'))).toBe(false);
+  simulation.simulator.run(simulation.simulator.now + 76000);
+  expect(simulation.serviceLevel.startsAfterCancellation).toBe(1);
+  const kinds = new Set(simulation.violations.map((t) => t.split(' ')[1]));
+  b.size.cpus = 16;
+  expect([...kinds].sort()).toEqual(['forgotten:', 'quota:', 'ran_cancelled:', 'ran_twice:', 'wrong_place:']);
+});
+
+test('the checker sees a job that is left waiting while a machine has room, and none where its team has no more', () => {
+  const simulation = new ClusterSimulation(4);
+  simulation.simulator.run(2000);
+  for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
+  const put = (spec: ReturnType<typeof makeJobSpec>) =>
+    simulation.jobs.set(spec.id, {
+      spec,
+      accepted: true,
+      cancelRequested: false,
+      cancelledAt: null,
+      reportedState: null,
+      answeredAt: 1e12,
+      finalStateAt: 0,
+    });
+  simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
+  put(makeJobSpec(simulation, { team: 'red' }));
+  put(makeJobSpec(simulation, { team: 'blue', kind: 'gang', taskCount: 30 }));
+  put(makeJobSpec(simulation, { team: 'free', zone: 'b' }));
+  simulation.faultsEndAt = simulation.simulator.now;
+  simulation.simulator.run(simulation.simulator.now + 89000);
+  expect(simulation.violations).toEqual([]);
+  simulation.simulator.run(simulation.simulator.now + 3000);
+  expect(simulation.violations.map((t) => t.split(' ').slice(1, 4).join(' '))).toEqual([
+    'left waiting: wk-000001',
+  ]);
+});
+
+test('a start sent directly without an answer is neither settled by absence nor reaped; a higher token is asked for', () => {
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
+  harness.directCalls[0]!.callback({ ok: false, kind: 'indeterminate' });
+  harness.sendDesiredState('stop');
+  harness.heartbeat([]);
+  harness.heartbeat([]);
+  expect(harness.hasFinalized()).toBe(false);
+  harness.advance(11000);
+  expect(harness.tokenRaiseReasons.length).toBe(1);
+  harness.heartbeat([taskStatus('exited')]);
+  harness.sendDesiredState('forget');
+  expect(harness.heartbeat([taskStatus('exited')])).toEqual([]);
+});
+
+test('absence settles only once the worker has seen this token and has handled the answer with the start', () => {
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([], 4);
+  harness.sendDesiredState('stop');
+  expect(harness.hasFinalized()).toBe(false);
+  harness.heartbeat([], 4);
+  expect(harness.hasFinalized()).toBe(false);
+  harness.heartbeat([], 5);
+  expect(harness.hasFinalized()).toBe(true);
+});
+
+test('a start carried by an answer is waited for until a later report', () => {
+  const harness = new SchedulerHarness(5);
+  harness.heartbeat([]);
+  harness.sendDesiredState('run');
+  harness.directCalls[0]!.callback({ ok: false, kind: 'refused' });
+  for (const call of harness.directCalls.slice(1)) call.callback({ ok: false, kind: 'refused' });
+  const commands = harness.heartbeat([]);
+  expect(commands?.map((command) => command.type)).toEqual(['start']);
+  harness.sendDesiredState('stop');
+  expect(harness.hasFinalized()).toBe(false);
+  harness.heartbeat([]);
+  expect(harness.hasFinalized()).toBe(true);
+});
+
+test('a new scheduler gives up what does not boot, but not what ran before it led and is not heard yet', () => {
+  const harness = new SchedulerHarness(5);
+  const old = { address: '', machineType: 'small', zone: 'a', isSpot: false, ageSeconds: 500 };
+  harness.listedMachines.push(
+    { name: 'vm-1', phase: 'booting', ...old },
+    { name: 'vm-2', phase: 'running', ...old },
+  );
+  for (let i = 0; i < 15; i++) {
+    harness.advance(1000);
+    harness.scheduler.flush();
+  }
+  expect(harness.deletedMachines).toEqual(['vm-1']);
+});
+
+test('a single replica does not hide that others must be spread: their zone stays theirs', () => {
+  const harness = new SchedulerHarness(5);
+  const want = (id: string, spread: boolean): ResourceRequest =>
+    makeResourceRequest(id, {
+      team: 'free',
+      priority: 0,
+      isService: true,
+      estimatedRunSeconds: 0,
+      spotAllowed: false,
+      zoneAllowance: spread ? {} : null,
+    });
+  const heartbeat: Heartbeat = {
+    machine: 'b1',
+    address: 'b1',
+    machineType: 'small',
+    zone: 'b',
+    isSpot: false,
+    agentEpoch: 1,
+    sequence: 1,
+    fencingToken: 5,
+    evictionNoticeSeconds: null,
+    tasks: [],
+  };
+  harness.scheduler.handleHeartbeat(heartbeat);
+  harness.scheduler.onShardMessage({
+    type: 'resourceRequests',
+    fencingToken: 5,
+    instanceId: 'o',
+    requests: [want('wk-2', true), want('wk-1', false)],
+  });
+  expect(harness.grantedJobs()).toEqual(['wk-2']);
+});
--- a/test/standin/output-digest.ts
+++ b/test/simulation/output-digest.ts
@@ -9,11 +9,15 @@
 import type { KeyValueStore } from '../../src/model/key-value-store.js';
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { WorkerCommandPort } from '../../src/model/worker-command-port.js';
-import { writeRemoval, writeRental } from '../../src/wire/cloud-messages.js';
+import { encodeDeletion, encodeRental } from '../../src/wire/cloud-messages.js';
 import { encodePeerMessage } from '../../src/wire/peer-codec.js';
-import { writeTxn } from '../../src/wire/store-messages.js';
-import { writeState } from '../../src/wire/user-messages.js';
-import { writeAnswer, writeDirect, writeRedirect } from '../../src/wire/worker-messages.js';
+import { encodeTransaction } from '../../src/wire/store-messages.js';
+import { encodeJobStatus } from '../../src/wire/user-messages.js';
+import {
+  encodeDirectCommands,
+  encodeHeartbeatAnswer,
+  encodeRedirect,
+} from '../../src/wire/worker-messages.js';
 
 const enabled = Boolean(process.env.SIMDIGEST);
 const digests: OutputDigest[] = [];
@@ -39,34 +43,34 @@
     return `${this.hash.digest('hex').slice(0, 16)} seed ${this.seed} outputs ${this.outputs}`;
   }
 
-  private add(host: string, channel: string, encoded: () => unknown): void {
+  private add(nodeName: string, channel: string, encoded: () => unknown): void {
     if (!enabled) return;
     this.outputs++;
-    this.hash.update(`${this.now().toFixed(6)} ${host} ${channel} ${JSON.stringify(encoded())}\n`);
+    this.hash.update(`${this.now().toFixed(6)} ${nodeName} ${channel} ${JSON.stringify(encoded())}\n`);
   }
 
-  peerMessage(host: string, to: string, message: PeerMessage): void {
-    this.add(host, `peer ${to}`, () => encodePeerMessage(message));
+  peerMessage(nodeName: string, to: string, message: PeerMessage): void {
+    this.add(nodeName, `peer ${to}`, () => encodePeerMessage(message));
   }
 
-  heartbeatAnswer(host: string, answer: HeartbeatResult): void {
-    this.add(host, 'heartbeat answer', () => {
+  heartbeatAnswer(nodeName: string, answer: HeartbeatResult): void {
+    this.add(nodeName, 'heartbeat answer', () => {
       switch (answer.type) {
         case 'accepted':
-          return [200, writeAnswer(answer.fencingToken, answer.commands)];
+          return [200, encodeHeartbeatAnswer(answer.fencingToken, answer.commands)];
         case 'redirected':
-          return [421, writeRedirect(answer.leaderName)];
+          return [421, encodeRedirect(answer.leaderName)];
         case 'unavailable':
           return [503];
       }
     });
   }
 
-  userAnswer(host: string, answer: ApiAnswer): void {
-    this.add(host, 'user answer', () => {
+  userAnswer(nodeName: string, answer: ApiAnswer): void {
+    this.add(nodeName, 'user answer', () => {
       switch (answer.type) {
         case 'job':
-          return [answer.created ? 201 : 200, writeState('', answer)];
+          return [answer.created ? 201 : 200, encodeJobStatus('', answer)];
         case 'notFound':
           return [404];
         case 'rejected':
@@ -77,8 +81,8 @@
     });
   }
 
-  store(host: string, port: KeyValueStore): KeyValueStore {
-    const add = (call: string, encoded: unknown) => this.add(host, `store ${call}`, () => encoded);
+  store(nodeName: string, port: KeyValueStore): KeyValueStore {
+    const add = (call: string, encoded: unknown) => this.add(nodeName, `store ${call}`, () => encoded);
     return {
       get: (key, urgency, then) => {
         add('get', [key, urgency]);
@@ -89,7 +93,7 @@
         port.list(request, then);
       },
       compareAndSwap: (transaction, urgency, then) => {
-        add('txn', [writeTxn(transaction), urgency]);
+        add('txn', [encodeTransaction(transaction), urgency]);
         port.compareAndSwap(transaction, urgency, then);
       },
       grantLease: (ttlMs, then) => {
@@ -111,19 +115,19 @@
     };
   }
 
-  cloud(host: string, port: CloudProvider): CloudProvider {
-    const add = (call: string, encoded: unknown) => this.add(host, `cloud ${call}`, () => encoded);
+  cloud(nodeName: string, port: CloudProvider): CloudProvider {
+    const add = (call: string, encoded: unknown) => this.add(nodeName, `cloud ${call}`, () => encoded);
     return {
       listMachineTypes: (then) => {
         add('types', null);
         port.listMachineTypes(then);
       },
       rentMachines: (request, then) => {
-        add('rent', writeRental(request));
+        add('rent', encodeRental(request));
         port.rentMachines(request, then);
       },
       deleteMachines: (names, then) => {
-        add('remove', writeRemoval(names));
+        add('remove', encodeDeletion(names));
         port.deleteMachines(names, then);
       },
       listMachines: (since, then) => {
@@ -133,11 +137,11 @@
     };
   }
 
-  workers(host: string, port: WorkerCommandPort): WorkerCommandPort {
+  workers(nodeName: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
-      sendCommands: (address, token, agentEpoch, commands, then) => {
-        this.add(host, `worker ${address}`, () => writeDirect(token, agentEpoch, commands));
-        port.sendCommands(address, token, agentEpoch, commands, then);
+      sendCommands: (address, batch, then) => {
+        this.add(nodeName, `worker ${address}`, () => encodeDirectCommands(batch));
+        port.sendCommands(address, batch, then);
       },
     };
   }
