--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -242,7 +242,7 @@
       redirectedMachines: 'strays',
       timestamp: 'mark',
       latestTimestamp: field('had', timestamp),
-      cancellationsTold: 'told',
+      cancellationsAnnounced: 'told',
       coverage: field('cover', coverage),
     },
   },
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -116,15 +116,14 @@
     onChange: () => {},
   });
   open.start();
-  const api = new JobApi(
-    state.port,
-    open,
-    new Map([[TEAM.name, TEAM]]),
-    () => [TYPE],
+  const api = new JobApi({
+    store: state.port,
+    openJobs: open,
+    teams: new Map([[TEAM.name, TEAM]]),
+    machineTypes: () => [TYPE],
     log,
-    () => 0,
-    () => {},
-  );
+    onCancelled: () => {},
+  });
   let answer: ApiAnswer | undefined;
   request(api, (given) => {
     answer = given;
