--- a/src/cli/process-log.ts
+++ b/src/cli/process-log.ts
@@ -12,10 +12,10 @@
  * A log of JSON lines on standard error, of the level that `LOG_LEVEL` names. It is written synchronously, so that the
  * last lines before an exit are not lost.
  */
-export function createLog(hostName: string): Logger {
+export function createLog(nodeName: string): Logger {
   const level = process.env.LOG_LEVEL ?? DEFAULT_LEVEL;
   return pino(
-    { level: LEVELS.includes(level) ? level : DEFAULT_LEVEL, base: { host: hostName } },
+    { level: LEVELS.includes(level) ? level : DEFAULT_LEVEL, base: { nodeName } },
     pino.destination({ dest: STANDARD_ERROR, sync: true }),
   );
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -141,7 +141,7 @@
   const controller = createController({ settings, policy, maxWorkerConnections: budget.workers, log });
   controller.start();
   startHttpServer({ controller, bind: settings.bind, maxConnections: budget.inbound, log });
-  log.info({ bind: settings.bind, mesh: settings.mesh_addr }, 'started');
+  log.info({ bind: settings.bind, peerBind: settings.mesh_addr }, 'started');
 }
 
 runCommandLine({
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -103,7 +103,8 @@
         connection.call = null;
         this.discard(connection);
         this.finish(call, { status: 0, text: '', sent });
-        return this.dispatch();
+        this.dispatch();
+        return;
       }
     const index = this.waiting.indexOf(call);
     if (index >= 0) this.waiting.splice(index, 1);
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -147,7 +147,10 @@
       writeResponse(socket, response, keepAlive);
       this.serveNext(connection);
     };
-    if (request.body === null) return respond({ status: 400, body: '{"error":"body over 64 KiB"}' });
+    if (request.body === null) {
+      respond({ status: 400, body: '{"error":"body over 64 KiB"}' });
+      return;
+    }
     try {
       this.handle(request, respond);
     } catch {
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -61,7 +61,13 @@
   private filledAt = Date.now();
   private timer: NodeJS.Timeout | null = null;
   /** Waiting requests, by urgency. */
-  private readonly queues: QueuedRequest[][] = Object.values(URGENCY).map(() => []);
+  private readonly queues: Readonly<Record<Urgency, QueuedRequest[]>> = {
+    [URGENCY.lease]: [],
+    [URGENCY.user]: [],
+    [URGENCY.placement]: [],
+    [URGENCY.read]: [],
+    [URGENCY.cleanup]: [],
+  };
 
   constructor(private readonly limits: RateLimits) {
     const controllers = Math.max(1, limits.controllers);
@@ -85,11 +91,17 @@
   acquire(urgency: Urgency, writes: number, onResult: AcquireCallback): void {
     this.refill();
     const mayPass = this.queuedUpTo(urgency) === 0 && this.canAfford(writes);
-    if (urgency === URGENCY.lease || mayPass) return this.spend(writes, onResult);
+    if (urgency === URGENCY.lease || mayPass) {
+      this.spend(writes, onResult);
+      return;
+    }
     const maxWaitMs = urgency <= URGENCY.placement ? MAX_URGENT_WAIT_MS : MAX_WAIT_MS;
     // What would be given up in the end is refused now.
-    if (this.expectedWaitMs(urgency, writes) > maxWaitMs) return onResult(false);
-    this.queues[urgency]!.push({ writes, expiresAt: Date.now() + maxWaitMs, onResult });
+    if (this.expectedWaitMs(urgency, writes) > maxWaitMs) {
+      onResult(false);
+      return;
+    }
+    this.queues[urgency].push({ writes, expiresAt: Date.now() + maxWaitMs, onResult });
     this.schedule();
   }
 
@@ -105,8 +117,8 @@
   private expectedWaitMs(urgency: Urgency, ownWrites: number): number {
     let requests = 1;
     let writes = ownWrites;
-    for (let i = 0; i <= urgency; i++)
-      for (const queued of this.queues[i]!) {
+    for (const queue of this.queuesUpTo(urgency))
+      for (const queued of queue) {
         requests++;
         writes += queued.writes;
       }
@@ -117,10 +129,15 @@
     return seconds * 1000;
   }
 
+  /** The queues of this urgency and of higher ones, the most urgent first. */
+  private queuesUpTo(urgency: Urgency): QueuedRequest[][] {
+    return Object.values(this.queues).slice(0, urgency + 1);
+  }
+
   /** Requests that wait with this urgency or a higher one. */
   private queuedUpTo(urgency: Urgency): number {
     let total = 0;
-    for (let i = 0; i <= urgency; i++) total += this.queues[i]!.length;
+    for (const queue of this.queuesUpTo(urgency)) total += queue.length;
     return total;
   }
 
@@ -158,15 +175,17 @@
   private drainQueues(): void {
     this.refill();
     const now = Date.now();
-    for (const queue of this.queues) {
-      while (queue.length > 0) {
-        const next = queue[0]!;
+    for (const queue of Object.values(this.queues)) {
+      for (let next = queue[0]; next; next = queue[0]) {
         if (next.expiresAt < now) {
           queue.shift();
           next.onResult(false);
           continue;
         }
-        if (!this.canAfford(next.writes)) return this.schedule();
+        if (!this.canAfford(next.writes)) {
+          this.schedule();
+          return;
+        }
         queue.shift();
         this.spend(next.writes, next.onResult);
       }
--- /dev/null
+++ b/test/store-client.test.ts
@@ -0,0 +1,28 @@
+import { expect, test } from 'vitest';
+import { URGENCY } from '../src/model/key-value-store.js';
+import type { Result } from '../src/model/result.js';
+import { StoreClient } from '../src/transport/store-client.js';
+import { startNodeServer } from './listening.js';
+
+/** Lists of a store that answers with these statuses, one after the other: the result, and how many requests it took. */
+async function listFrom(statuses: number[]) {
+  let requests = 0;
+  const { address } = await startNodeServer((_request, response) => {
+    response.statusCode = statuses[requests++] ?? 500;
+    response.end('{"items":[],"ring":431}');
+  });
+  const store = new StoreClient(address, { requestsPerSecond: 10_000, writesPerSecond: 100, controllers: 1 });
+  const result = await new Promise<Result<unknown>>((resolve) => store.list('c/', '', URGENCY.user, resolve));
+  return { result: result.ok ? 'ok' : result.kind, requests };
+}
+
+test('a request that the store throttles is sent again three times', async () => {
+  expect(await listFrom([429, 200])).toEqual({ result: 'ok', requests: 2 });
+  expect(await listFrom([429, 429, 429, 200])).toEqual({ result: 'ok', requests: 4 });
+  expect(await listFrom([429, 429, 429, 429, 200])).toEqual({ result: 'refused', requests: 4 });
+});
+
+test('a request that may have been executed, or was refused otherwise, is not sent again', async () => {
+  expect(await listFrom([503, 200])).toEqual({ result: 'refused', requests: 1 });
+  expect(await listFrom([500, 200])).toEqual({ result: 'unknown', requests: 1 });
+});
