--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -7,8 +7,8 @@
 import type { CounterRecord, FinalRecord, JobRecord } from '../model/records.js';
 import { slotsIn } from '../model/resources.js';
 import type { Team } from '../model/team.js';
+import { decodeCompletionBitmap } from '../store/completion-bitmap.js';
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
-import { decodeBitmap } from '../store/stored-job.js';
 import type { WatchCache } from '../store/watch-cache.js';
 export type AnswerCallback = (answer: ApiAnswer) => void;
 
@@ -77,7 +77,7 @@
             { key: `open/${spec.id}/a`, modRevision: 0 },
             { key: `end/${spec.id}`, modRevision: 0 },
           ],
-          operations: [{ put: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
+          operations: [{ type: 'put', key: `open/${spec.id}/a`, value: jobRecord.encode(record) }],
         },
         URGENCY.user,
         (result) => {
@@ -85,7 +85,7 @@
             this.log.debug({ job: spec.id, team: spec.team, tasks: spec.taskCount }, 'accepted');
             return callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
           }
-          if (result.kind === 'unknown' && left > 0) return attempt(left - 1);
+          if (result.kind === 'indeterminate' && left > 0) return attempt(left - 1);
           if (result.kind !== 'conflict')
             return callback({ type: 'unavailable', reason: 'state service not reached' });
           this.find(spec.id, URGENCY.read, (found) => {
@@ -132,7 +132,7 @@
               { key: `open/${id}/a`, modRevision: found.job.modRevision },
               { key: `open/${id}/n`, modRevision: found.counter?.modRevision ?? 0 },
             ],
-            operations: [{ put: `open/${id}/a`, value: jobRecord.encode(record) }],
+            operations: [{ type: 'put', key: `open/${id}/a`, value: jobRecord.encode(record) }],
           },
           URGENCY.lease,
           (result) => {
@@ -147,7 +147,7 @@
                 running: 0,
               });
             }
-            if ((result.kind === 'conflict' || result.kind === 'unknown') && left > 0)
+            if ((result.kind === 'conflict' || result.kind === 'indeterminate') && left > 0)
               return attempt(left - 1);
             callback({ type: 'unavailable', reason: 'state service not reached' });
           },
@@ -210,7 +210,7 @@
     }
     if (found.counter && n >= spec.taskCount && spec.kind !== 'service') {
       const counter = new DependencyCounter(spec.taskCount);
-      decodeBitmap(counter, found.counter.record.finishedBitmap);
+      decodeCompletionBitmap(counter, found.counter.record.finishedBitmap);
       if (counter.isFull) {
         this.rememberFinal(id, { isDone: true, finishedTasks: n });
         return { type: 'job', created, state: 'done', done: n, running: 0 };
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -24,6 +24,7 @@
 import { ImageLocations } from '../scheduler/image-locations.js';
 import { Scheduler } from '../scheduler/scheduler.js';
 import { ShardOwner } from '../shard/shard-owner.js';
+import { OPEN_JOBS_PREFIX, SYSTEM_PREFIX } from '../store/keyspace.js';
 import {
   leaderRecord,
   machineTypesRecord,
@@ -63,6 +64,8 @@
 
 /** Least time between two watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
+/** Longest time that a watch waits for a change. */
+const WATCH_WAIT_MS = 10_000;
 
 /** Most facts about images in one message. */
 const MAX_IMAGE_FACTS_PER_MESSAGE = 2000;
@@ -154,23 +157,27 @@
       wake: () => this.wake(),
     });
     this.cloud = cloud;
-    this.systemRecords = new WatchCache('sys/', 10000, 0, this.store, options.clock, (key) =>
-      this.onSystemRecordChanged(key),
-    );
+    this.systemRecords = new WatchCache({
+      prefix: SYSTEM_PREFIX,
+      store: this.store,
+      clock: options.clock,
+      watchWaitMs: WATCH_WAIT_MS,
+      minWatchIntervalMs: 0,
+      isFollowed: true,
+      onChange: (key) => this.onSystemRecordChanged(key),
+    });
     // Followed while this controller owns a team; the API alone catches up when it is asked.
-    this.openJobs = new WatchCache(
-      'open/',
-      10000,
-      OPEN_JOBS_WATCH_INTERVAL_MS,
-      this.store,
-      options.clock,
-      (key, value, version) => {
-        if (value === undefined) return;
-        const [, id, part] = key.split('/');
-        if (id && part) this.owner.onOpenJobChanged(id, part, value, version);
+    this.openJobs = new WatchCache({
+      prefix: OPEN_JOBS_PREFIX,
+      store: this.store,
+      clock: options.clock,
+      watchWaitMs: WATCH_WAIT_MS,
+      minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
+      isFollowed: false,
+      onChange: (key, value, modRevision) => {
+        if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
       },
-      false,
-    );
+    });
     this.api = new JobApi(
       this.store,
       this.openJobs,
@@ -236,27 +243,27 @@
     const callback = <T>(then: ResultCallback<T>): ResultCallback<T> => {
       const sent = this.options.clock.now();
       return this.reply((result) => {
-        if (result.ok || result.kind === 'conflict' || result.kind === 'gone')
+        if (result.ok || result.kind === 'conflict' || result.kind === 'notFound')
           this.storeContactAt = Math.max(this.storeContactAt, sent);
         then(result);
       });
     };
     return {
       get: (k, urgency, t) => s.get(k, urgency, callback(t)),
-      list: (p, a, urgency, t) => s.list(p, a, urgency, callback(t)),
+      list: (request, t) => s.list(request, callback(t)),
       compareAndSwap: (x, urgency, t) => s.compareAndSwap(x, urgency, callback(t)),
       grantLease: (ms, t) => s.grantLease(ms, callback(t)),
       keepLeaseAlive: (l, t) => s.keepLeaseAlive(l, callback(t)),
       revokeLease: (l, t) => s.revokeLease(l, callback(t)),
       // A watch that waits may be answered long after; one that doesn't tells as much as any read.
-      watch: (p, a, w, t) => s.watch(p, a, w, w === 0 ? callback(t) : this.reply(t)),
+      watch: (request, t) => s.watch(request, request.waitMs === 0 ? callback(t) : this.reply(t)),
     };
   }
 
   private queuedCloud(c: CloudProvider): CloudProvider {
     return {
       listMachineTypes: (t) => c.listMachineTypes(this.reply(t)),
-      rentMachines: (a, b, d, e, f, t) => c.rentMachines(a, b, d, e, f, this.reply(t)),
+      rentMachines: (request, t) => c.rentMachines(request, this.reply(t)),
       deleteMachines: (n, t) => c.deleteMachines(n, this.reply(t)),
       listMachines: (a, t) => c.listMachines(a, this.reply(t)),
     };
@@ -393,7 +400,7 @@
         this.store.compareAndSwap(
           {
             preconditions: [{ key: 'sys/leader', modRevision: this.leaderRevision }],
-            operations: [{ put: 'sys/types', value: machineTypesRecord.encode(result.value) }],
+            operations: [{ type: 'put', key: 'sys/types', value: machineTypesRecord.encode(result.value) }],
           },
           URGENCY.placement,
           () => {},
@@ -411,7 +418,7 @@
     this.store.keepLeaseAlive(this.leaseId, (result) => {
       this.leaseRequestInFlight = false;
       if (result.ok) this.leaseRenewedAt = now;
-      else if (result.kind === 'gone') {
+      else if (result.kind === 'notFound') {
         this.options.log.info({}, 'lease lost');
         this.leaseId = 0;
         this.stepDown('lease lost');
@@ -449,9 +456,10 @@
           preconditions: [{ key, modRevision: version }],
           operations: [
             {
-              put: key,
+              type: 'put',
+              key,
               value: nodeRecord.encode({ instanceId: this.options.instanceId, leaseId: lease }),
-              lease,
+              leaseId: lease,
             },
           ],
         },
@@ -499,8 +507,13 @@
           { key: 'sys/token', modRevision: tok?.modRevision ?? 0 },
         ],
         operations: [
-          { put: 'sys/token', value: tokenRecord.encode({ fencingToken: token }) },
-          { put: 'sys/leader', value: leaderRecord.encode(record), lease: this.leaseId },
+          { type: 'put', key: 'sys/token', value: tokenRecord.encode({ fencingToken: token }) },
+          {
+            type: 'put',
+            key: 'sys/leader',
+            value: leaderRecord.encode(record),
+            leaseId: this.leaseId,
+          },
         ],
       },
       URGENCY.lease,
@@ -574,7 +587,10 @@
     this.noElectionUntil = this.options.clock.now() + 20000;
     this.stepDown(reason);
     this.store.compareAndSwap(
-      { preconditions: [{ key: 'sys/leader', modRevision: mark }], operations: [{ del: 'sys/leader' }] },
+      {
+        preconditions: [{ key: 'sys/leader', modRevision: mark }],
+        operations: [{ type: 'delete', key: 'sys/leader' }],
+      },
       URGENCY.lease,
       () => {},
     );
@@ -595,7 +611,7 @@
     this.store.compareAndSwap(
       {
         preconditions: [{ key: 'sys/leader', modRevision: it.modRevision }],
-        operations: [{ del: 'sys/leader' }],
+        operations: [{ type: 'delete', key: 'sys/leader' }],
       },
       URGENCY.lease,
       () => {
@@ -728,7 +744,8 @@
           })),
         ],
         operations: batch.map(([team, instanceId]) => ({
-          put: `sys/team/${team}`,
+          type: 'put',
+          key: `sys/team/${team}`,
           value: teamRecord.encode({ instanceId: instanceId }),
         })),
       },
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -762,7 +762,7 @@
       { fencingToken: this.state.fencingToken, agentEpoch, commands },
       (res) => {
         machine.directCallInFlight = false;
-        const maybe = !res.ok && res.kind === 'unknown';
+        const maybe = !res.ok && res.kind === 'indeterminate';
         for (const key of starts) {
           const allocation = machine.allocations.get(key);
           if (allocation) allocation.directStartInFlight = false;
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,6 +1,6 @@
 /** The cloud over HTTP. */
 
-import type { CloudProvider } from '../model/cloud-provider.js';
+import type { CloudProvider, RentalRequest } from '../model/cloud-provider.js';
 import type { MachineType } from '../model/machine-type.js';
 import type { Result, ResultCallback } from '../model/result.js';
 import {
@@ -68,27 +68,20 @@
   }
 
   /**
-   * Rents up to `count` machines; the result names those that were rented. Fails as `gone` if none is available, as `bad` if
-   * the cloud rejects the request, as `unknown` if no response comes and as `refused` otherwise.
+   * Rents up to `count` machines; the result names those that were rented. Fails as `notFound` if none is available, as `invalid` if
+   * the cloud rejects the request, as `indeterminate` if no response comes and as `refused` otherwise.
    */
-  rentMachines(
-    claim: string,
-    machineType: string,
-    zone: string,
-    isSpot: boolean,
-    count: number,
-    callback: ResultCallback<string[]>,
-  ): void {
+  rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void {
     this.send({
       priority: PRIORITY.rental,
       method: 'POST',
       path: '/machines',
-      body: encodeRental({ claim, machineType, zone, isSpot, count }),
+      body: encodeRental(request),
       onReply: (reply) => callback(rentalResultOf(reply)),
     });
   }
 
-  /** Deletes machines, known or not. Fails as `unknown`. */
+  /** Deletes machines, known or not. Fails as `indeterminate`. */
   deleteMachines(machineNames: string[], callback: ResultCallback<null>): void {
     this.send({
       priority: PRIORITY.deletion,
@@ -96,7 +89,7 @@
       path: '/machines/delete',
       body: encodeDeletion(machineNames),
       onReply: (reply) =>
-        callback(reply.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'unknown' }),
+        callback(reply.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'indeterminate' }),
     });
   }
 
@@ -152,9 +145,9 @@
 }
 
 function rentalResultOf(reply: HttpReply): Result<string[]> {
-  if (reply.status === 0) return { ok: false, kind: 'unknown' };
-  if (reply.status === 400) return { ok: false, kind: 'bad' };
-  if (reply.status === 503 && reply.text.includes('no capacity')) return { ok: false, kind: 'gone' };
+  if (reply.status === 0) return { ok: false, kind: 'indeterminate' };
+  if (reply.status === 400) return { ok: false, kind: 'invalid' };
+  if (reply.status === 503 && reply.text.includes('no capacity')) return { ok: false, kind: 'notFound' };
   const names = reply.status === 200 ? decodeRentedMachines(parseJson(reply.text)) : null;
   return names ? { ok: true, value: names } : { ok: false, kind: 'refused' };
 }
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -2,10 +2,14 @@
 
 import {
   type KeyValueStore,
+  type ListPage,
+  type ListRequest,
   type StoredItem,
   type Transaction,
   URGENCY,
   type Urgency,
+  type WatchReply,
+  type WatchRequest,
 } from '../model/key-value-store.js';
 import type { Failure, Result, ResultCallback } from '../model/result.js';
 import { parseJson } from '../wire/json.js';
@@ -17,8 +21,6 @@
   decodeStoreRevision,
   decodeWatchBatch,
   encodeTransaction,
-  type ItemPage,
-  type WatchBatch,
 } from '../wire/store-messages.js';
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
@@ -50,10 +52,10 @@
  * The state service over HTTP, paced to stay under this controller's part of its limits; lease requests pass the queue.
  * Requests fail as
  * - `refused` if they were surely not executed;
- * - `gone` if there is no such lease, or the changes asked for are no longer kept;
+ * - `notFound` if there is no such lease, or the changes asked for are no longer kept;
  * - `conflict`, with the keys, if a transaction's conditions did not hold;
- * - `bad` if the service rejected them, as it does a write with an expired lease;
- * - `unknown` if they may have been executed, or may yet be.
+ * - `invalid` if the service rejected them, as it does a write with an expired lease;
+ * - `indeterminate` if they may have been executed, or may yet be.
  */
 export class StoreClient implements KeyValueStore {
   private readonly requests: HttpClient;
@@ -81,9 +83,9 @@
     );
   }
 
-  /** One page of the keys with a prefix, in their order, starting after `since`. */
-  list(prefix: string, since: string, urgency: Urgency, callback: ResultCallback<ItemPage>): void {
-    const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(since)}&page=${PAGE_ITEMS}`;
+  /** One page of the keys with a prefix, in their order, starting after `startAfter`. */
+  list({ prefix, startAfter, urgency }: ListRequest, callback: ResultCallback<ListPage>): void {
+    const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=${PAGE_ITEMS}`;
     this.run(
       { urgency, writes: 0, call: { method: 'GET', path: `/store?${query}` }, decode: decodeItemPage },
       callback,
@@ -119,9 +121,9 @@
     this.runOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /** Waits for changes after the revision `since`, for up to `waitMs`; 0: only asks for those there are. */
-  watch(prefix: string, since: number, waitMs: number, callback: ResultCallback<WatchBatch>): void {
-    const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${since}&wait_ms=${waitMs}`;
+  /** Waits for changes after the revision `sinceRevision`, for up to `waitMs`; 0: only asks for those there are. */
+  watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
+    const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + WATCH_RESPONSE_MS;
     this.limiter.acquire(URGENCY.user, 0, (acquired) => {
       if (!acquired) {
@@ -167,24 +169,24 @@
 function resultOf<T>(reply: HttpReply, decode: (body: unknown) => T | null): Result<T> {
   if (reply.status !== 200) return failureOf(reply);
   const value = decode(parseJson(reply.text));
-  return value === null ? { ok: false, kind: 'unknown' } : { ok: true, value };
+  return value === null ? { ok: false, kind: 'indeterminate' } : { ok: true, value };
 }
 
 function failureOf(reply: HttpReply): Failure {
   switch (reply.status) {
     case 0:
-      return { ok: false, kind: reply.sent ? 'unknown' : 'refused' };
+      return { ok: false, kind: reply.sent ? 'indeterminate' : 'refused' };
     case 400:
-      return { ok: false, kind: 'bad' };
+      return { ok: false, kind: 'invalid' };
     case 404:
     case 410:
-      return { ok: false, kind: 'gone' };
+      return { ok: false, kind: 'notFound' };
     case 409:
       return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(reply.text)) };
     case 429:
     case 503:
       return { ok: false, kind: 'refused' };
     default:
-      return { ok: false, kind: 'unknown' };
+      return { ok: false, kind: 'indeterminate' };
   }
 }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -56,8 +56,8 @@
    * Sends commands to the worker at an address; without commands it only asks for the worker's heartbeat. Fails as
    * - `refused` if nothing was executed: no connection was found in time or could be made, or the worker said so;
    * - `conflict`, with the worker's heartbeat, if the worker did not accept the token or the epoch;
-   * - `bad` if the worker could not read the request;
-   * - `unknown` if the commands may have been executed, or may yet be.
+   * - `invalid` if the worker could not read the request;
+   * - `indeterminate` if the commands may have been executed, or may yet be.
    */
   sendCommands(address: string, batch: CommandBatch, onResult: ResultCallback<Heartbeat>): void {
     const expiresAt = Date.now() + CALL_DEADLINE_MS;
@@ -146,16 +146,16 @@
 }
 
 function resultOf(reply: HttpReply): Result<Heartbeat> {
-  if (reply.status === 0) return { ok: false, kind: reply.sent ? 'unknown' : 'refused' };
+  if (reply.status === 0) return { ok: false, kind: reply.sent ? 'indeterminate' : 'refused' };
   const heartbeat = decodeHeartbeat(parseJson(reply.text));
   switch (reply.status) {
     case 200:
-      return heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'unknown' };
+      return heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'indeterminate' };
     case 409:
       return heartbeat ? { ok: false, kind: 'conflict', heartbeat } : { ok: false, kind: 'refused' };
     case 400:
-      return { ok: false, kind: 'bad' };
+      return { ok: false, kind: 'invalid' };
     default:
-      return { ok: false, kind: 'unknown' };
+      return { ok: false, kind: 'indeterminate' };
   }
 }
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -1,5 +1,6 @@
 /** The cloud's protocol: machine types, rentals, deletions and the list of machines. */
 
+import type { RentalRequest } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import { asFiniteNumber, asNonEmptyString, isJsonObject } from './json.js';
 
@@ -69,19 +70,14 @@
   return isJsonObject(encoded) && Array.isArray(encoded.trunks) ? stringsIn(encoded.trunks) : null;
 }
 
-/** What is to be rented. */
-export interface Rental {
-  /** Names the request: a repeat rents nothing more, so it must never be used for another one. */
-  claim: string;
-  machineType: string;
-  zone: string;
-  isSpot: boolean;
-  /** Number of machines. */
-  count: number;
-}
-
 /** The body of a rental request. */
-export function encodeRental({ claim, machineType, zone, isSpot, count }: Rental): Record<string, unknown> {
+export function encodeRental({
+  claim,
+  machineType,
+  zone,
+  isSpot,
+  count,
+}: RentalRequest): Record<string, unknown> {
   return { claim, bark: machineType, slope: zone, windfall: isSpot, number: count };
 }
 
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,6 +1,13 @@
 /** The state service's protocol: keys, pages, transactions, leases and watches. */
 
-import type { StoredItem, StoreOperation, Transaction, WatchEvent } from '../model/key-value-store.js';
+import type {
+  ListPage,
+  StoredItem,
+  StoreOperation,
+  Transaction,
+  WatchEvent,
+  WatchReply,
+} from '../model/key-value-store.js';
 import { asCount, asNonEmptyString, isJsonObject } from './json.js';
 
 /** A key with its value and revision, or null if it is malformed. */
@@ -13,21 +20,13 @@
   return { key, value: encoded.value, modRevision, ...(leaseId === null ? {} : { leaseId }) };
 }
 
-/** One page of a listing, in the order of the keys; `more`: further pages follow. */
-export interface ItemPage {
-  items: StoredItem[];
-  more: boolean;
-  /** The store's revision that the page shows. */
-  storeRevision: number;
-}
-
 /** A page in a response, or null if it can't be read whole: a missing item would be taken for a deleted one. */
-export function decodeItemPage(encoded: unknown): ItemPage | null {
+export function decodeItemPage(encoded: unknown): ListPage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.items)) return null;
   const storeRevision = asCount(encoded.ring);
   if (storeRevision === null) return null;
   const items = decodeAll(encoded.items, decodeItem);
-  return items && { items, more: encoded.has_next === true, storeRevision };
+  return items && { items, hasMore: encoded.has_next === true, storeRevision };
 }
 
 /** The store's revision after a transaction, or null if the response is malformed. */
@@ -47,14 +46,8 @@
   return isJsonObject(encoded) ? asCount(encoded.tenure) : null;
 }
 
-/** What a watch has brought: all changes up to a revision. */
-export interface WatchBatch {
-  storeRevision: number;
-  events: WatchEvent[];
-}
-
 /** The changes in a response, or null if they can't be read whole: none may be missed. */
-export function decodeWatchBatch(encoded: unknown): WatchBatch | null {
+export function decodeWatchBatch(encoded: unknown): WatchReply | null {
   if (!isJsonObject(encoded)) return null;
   const storeRevision = asCount(encoded.ring);
   if (storeRevision === null || !Array.isArray(encoded.log)) return null;
@@ -65,10 +58,11 @@
 function decodeWatchEvent(encoded: unknown): WatchEvent | null {
   if (!isJsonObject(encoded)) return null;
   const modRevision = asCount(encoded.mark);
+  if (modRevision === null) return null;
   const written = asNonEmptyString(encoded.write);
-  const key = written ?? asNonEmptyString(encoded.drop);
-  if (modRevision === null || key === null) return null;
-  return { key, modRevision, value: encoded.value, deleted: written === null };
+  if (written !== null) return { type: 'put', key: written, modRevision, value: encoded.value };
+  const deleted = asNonEmptyString(encoded.drop);
+  return deleted === null ? null : { type: 'delete', key: deleted, modRevision };
 }
 
 /** The body of a transaction. */
@@ -80,9 +74,9 @@
 }
 
 function encodeOperation(operation: StoreOperation): Record<string, unknown> {
-  if ('del' in operation) return { drop: operation.del };
-  const { put, value, lease } = operation;
-  return lease === undefined ? { write: put, value } : { write: put, value, tenure: lease };
+  if (operation.type === 'delete') return { drop: operation.key };
+  const { key, value, leaseId } = operation;
+  return leaseId === undefined ? { write: key, value } : { write: key, value, tenure: leaseId };
 }
 
 /** All values decoded, or null if one can't be. */
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -20,7 +20,9 @@
 const types = (status: number, text: string) =>
   call<MachineType[]>(status, text, (then) => cloud.listMachineTypes(then));
 const rent = (status: number, text: string) =>
-  call<string[]>(status, text, (then) => cloud.rentMachines('r-17', 'g8', 'a', true, 12, then));
+  call<string[]>(status, text, (then) =>
+    cloud.rentMachines({ claim: 'r-17', machineType: 'g8', zone: 'a', isSpot: true, count: 12 }, then),
+  );
 const remove = (status: number) =>
   call<null>(status, '{}', (then) => cloud.deleteMachines(['vm-000231', 'vm-000232'], then));
 const list = (status: number, text: string, since = 'vm-000230') =>
@@ -83,9 +85,9 @@
 
   test.each<[number, string, Result<string[]>]>([
     [200, '{}', { ok: false, kind: 'refused' }],
-    [503, '{"error":"no capacity"}', { ok: false, kind: 'gone' }],
+    [503, '{"error":"no capacity"}', { ok: false, kind: 'notFound' }],
     [503, '{"error":"trouble"}', { ok: false, kind: 'refused' }],
-    [400, '{}', { ok: false, kind: 'bad' }],
+    [400, '{}', { ok: false, kind: 'invalid' }],
   ])('is answered by %i %s', async (status, text, result) => {
     expect((await rent(status, text)).result).toStrictEqual(result);
   });
@@ -97,7 +99,7 @@
       request: 'POST /machines/delete application/json {"trunks":["vm-000231","vm-000232"]}',
       result: { ok: true, value: null },
     });
-    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'unknown' });
+    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'indeterminate' });
   });
 });
 
--- a/test/placing.test.ts
+++ b/test/placing.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from 'vitest';
-import { planRentals, RentalBackoff } from '../src/scheduler/fleet/rental-planner.js';
+import { RentalBackoff } from '../src/scheduler/fleet/rental-backoff.js';
+import { planRentals } from '../src/scheduler/fleet/rental-planner.js';
 import { ImageLocations } from '../src/scheduler/image-locations.js';
 import { job } from './standin/day.js';
 import { listed, makeWant, scheduler } from './standin/scheduler.js';
@@ -124,11 +125,11 @@
   a.forget('n');
   const n = a.takeChanges();
   const b = new ImageLocations();
-  b.apply([['n', 'old', 1]], []);
+  b.apply([{ machine: 'n', image: 'old', sizeGb: 1 }], []);
   b.apply(n.added, n.removedMachines);
   expect([b.all(), a.all(), a.takeChanges()]).toEqual([
-    [['m', 'i', 1]],
-    [['m', 'i', 1]],
+    [{ machine: 'm', image: 'i', sizeGb: 1 }],
+    [{ machine: 'm', image: 'i', sizeGb: 1 }],
     { added: [], removedMachines: [] },
   ]);
 });
--- a/test/standin/output-digest.ts
+++ b/test/standin/output-digest.ts
@@ -88,9 +88,9 @@
         add('get', [key, urgency]);
         port.get(key, urgency, then);
       },
-      list: (prefix, since, urgency, then) => {
-        add('list', [prefix, since, urgency]);
-        port.list(prefix, since, urgency, then);
+      list: (request, then) => {
+        add('list', [request.prefix, request.startAfter, request.urgency]);
+        port.list(request, then);
       },
       compareAndSwap: (transaction, urgency, then) => {
         add('txn', [encodeTransaction(transaction), urgency]);
@@ -108,9 +108,9 @@
         add('end', lease);
         port.revokeLease(lease, then);
       },
-      watch: (prefix, since, waitMs, then) => {
-        add('watch', [prefix, since, waitMs]);
-        port.watch(prefix, since, waitMs, then);
+      watch: (request, then) => {
+        add('watch', [request.prefix, request.sinceRevision, request.waitMs]);
+        port.watch(request, then);
       },
     };
   }
@@ -122,9 +122,9 @@
         add('types', null);
         port.listMachineTypes(then);
       },
-      rentMachines: (claim, type, zone, spot, count, then) => {
-        add('rent', encodeRental({ claim, machineType: type, zone, isSpot: spot, count }));
-        port.rentMachines(claim, type, zone, spot, count, then);
+      rentMachines: (request, then) => {
+        add('rent', encodeRental(request));
+        port.rentMachines(request, then);
       },
       deleteMachines: (names, then) => {
         add('remove', encodeDeletion(names));
--- a/test/store-client.test.ts
+++ b/test/store-client.test.ts
@@ -12,7 +12,9 @@
     response.end('{"items":[],"ring":431}');
   });
   const store = new StoreClient(address, { requestsPerSecond: 10_000, writesPerSecond: 100, controllers: 1 });
-  const result = await new Promise<Result<unknown>>((resolve) => store.list('c/', '', URGENCY.user, resolve));
+  const result = await new Promise<Result<unknown>>((resolve) =>
+    store.list({ prefix: 'c/', startAfter: '', urgency: URGENCY.user }, resolve),
+  );
   return { result: result.ok ? 'ok' : result.kind, requests };
 }
 
@@ -24,5 +26,5 @@
 
 test('a request that may have been executed, or was refused otherwise, is not sent again', async () => {
   expect(await listFrom([503, 200])).toEqual({ result: 'refused', requests: 1 });
-  expect(await listFrom([500, 200])).toEqual({ result: 'unknown', requests: 1 });
+  expect(await listFrom([500, 200])).toEqual({ result: 'indeterminate', requests: 1 });
 });
