--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -1,23 +1,27 @@
+/** What is left of a job: which of its tasks are finished, and which may be released next. */
+
 /**
- * The release graph. A node has inputs; it is released when all of them are counted. A job is a
- * fan-out from its release (a leaf: no inputs) to its tasks, and a fan-in from them to its completion.
+ * Counts the inputs of a node of the release graph. A node is released when all of its inputs are counted: a job is a fan-out
+ * from its release (a leaf, without inputs) to its tasks, and a fan-in from them to its completion.
  */
 export class DependencyCounter {
+  /** One bit an input, from the lowest bit of the first byte on. */
   readonly bits: Uint8Array;
+  /** Inputs counted. */
   count = 0;
 
   constructor(readonly inputCount: number) {
     this.bits = new Uint8Array((inputCount + 7) >> 3);
   }
 
-  has(i: number): boolean {
-    return ((this.bits[i >> 3] ?? 0) & (1 << (i & 7))) !== 0;
+  has(input: number): boolean {
+    return ((this.bits[input >> 3] ?? 0) & (1 << (input & 7))) !== 0;
   }
 
-  /** Counts an input once; a repeat adds nothing. */
-  add(i: number): boolean {
-    if (i < 0 || i >= this.inputCount || this.has(i)) return false;
-    this.bits[i >> 3] = (this.bits[i >> 3] ?? 0) | (1 << (i & 7));
+  /** Counts an input once; false: it was counted before, or there is no such input. */
+  add(input: number): boolean {
+    if (input < 0 || input >= this.inputCount || this.has(input)) return false;
+    this.bits[input >> 3] = (this.bits[input >> 3] ?? 0) | (1 << (input & 7));
     this.count++;
     return true;
   }
@@ -26,23 +30,21 @@
     return this.count >= this.inputCount;
   }
 
-  /** Bytes [from, to) of the record, as stored. */
+  /** Bytes [from, to) of the bits in base 64. */
   encodeBits(from: number, to: number): string {
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  mergeBits(from: number, stored: string): void {
-    const b = Buffer.from(stored, 'base64');
-    for (let k = 0; k < b.length; k++) {
-      const byte = b[k] ?? 0;
-      for (let j = 0; j < 8; j++) if (byte & (1 << j)) this.add((from + k) * 8 + j);
-    }
+  /** Counts the inputs of encoded bytes, of which the first is byte `from`. */
+  mergeBits(from: number, encoded: string): void {
+    for (const [index, byte] of Buffer.from(encoded, 'base64').entries())
+      for (let bit = 0; bit < 8; bit++) if (byte & (1 << bit)) this.add((from + index) * 8 + bit);
   }
 }
 
 /**
- * Inputs not yet begun, in release order: untouched ones by a cursor, returned ones ahead of them. Release
- * never runs further than `window` ahead of the first input not yet counted.
+ * Inputs not yet begun, in the order of release: untouched ones by a cursor, returned ones ahead of them. Release never runs
+ * further than `window` ahead of the first input not yet counted.
  */
 export class FanOut {
   private next = 0;
@@ -55,37 +57,41 @@
     readonly window: number,
   ) {}
 
-  skipTo(isCounted: (i: number) => boolean): void {
+  /** Begins behind the inputs that were counted before. */
+  skipTo(isCounted: (input: number) => boolean): void {
     while (this.next < this.size && isCounted(this.next)) this.next++;
   }
 
-  /** Takes the next input that `taken` does not exclude, or -1. */
-  takeNext(isTaken: (i: number) => boolean, isCounted: (i: number) => boolean): number {
-    while (this.returnedInOrder.length > 0) {
-      const i = this.returnedInOrder.shift() as number;
-      this.returned.delete(i);
-      if (!isTaken(i)) return i;
+  /** Takes the next input that `isTaken` does not exclude, or -1. */
+  takeNext(isTaken: (input: number) => boolean, isCounted: (input: number) => boolean): number {
+    for (
+      let input = this.returnedInOrder.shift();
+      input !== undefined;
+      input = this.returnedInOrder.shift()
+    ) {
+      this.returned.delete(input);
+      if (!isTaken(input)) return input;
     }
     while (this.firstUncounted < this.next && isCounted(this.firstUncounted)) this.firstUncounted++;
     while (this.next < this.size && this.next - this.firstUncounted < this.window) {
-      const i = this.next++;
-      if (!isTaken(i)) return i;
+      const input = this.next++;
+      if (!isTaken(input)) return input;
     }
     return -1;
   }
 
   /** Inputs that may be taken now, in the order in which they would be. */
-  waiting(taken: (i: number) => boolean): number[] {
-    const waiting = this.returnedInOrder.filter((i) => !taken(i));
-    for (let i = this.next; i < this.size && i - this.firstUncounted < this.window; i++)
-      if (!taken(i)) waiting.push(i);
+  waiting(isTaken: (input: number) => boolean): number[] {
+    const waiting = this.returnedInOrder.filter((input) => !isTaken(input));
+    for (let input = this.next; input < this.size && input - this.firstUncounted < this.window; input++)
+      if (!isTaken(input)) waiting.push(input);
     return waiting;
   }
 
-  /** A successor that lost its place goes to the front. */
-  putBack(i: number): void {
-    if (i >= this.next || this.returned.has(i)) return;
-    this.returned.add(i);
-    this.returnedInOrder.push(i);
+  /** An input that lost its place goes to the front. */
+  putBack(input: number): void {
+    if (input >= this.next || this.returned.has(input)) return;
+    this.returned.add(input);
+    this.returnedInOrder.push(input);
   }
 }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,14 +1,15 @@
 /** Jobs and their tasks, as users submit them and the cluster knows them. */
 
-/** Words used everywhere inside; the protocol's own names are known to src/wire alone. */
-
+/** `array`: tasks on their own. `gang`: tasks that run all at once or not at all. `service`: runs until it is cancelled. */
 export type JobKind = 'array' | 'gang' | 'service';
 
 /** 0 is the highest: prod, urgent, standard, low. */
 export type Priority = 0 | 1 | 2 | 3;
 
+/** A job as submitted. CPUs, GPUs and memory are those of one task. */
 export interface JobSpec {
   id: string;
+  /** The user's word for jobs of this sort, which objectives go by. */
   jobClass: string;
   team: string;
   kind: JobKind;
@@ -19,21 +20,34 @@
   memoryGb: number;
   image: string;
   imageGb: number;
+  /** Null: any type will do. */
   machineTypes: string[] | null;
+  /** Null: any zone will do. */
   zone: string | null;
+  /** All its tasks must be in one zone at a time. */
   zoneAffinity: boolean;
+  /** At most half its tasks may be in one zone at a time. */
   zoneAntiAffinity: boolean;
   spotAllowed: boolean;
+  /** Of one task, by its user's guess. */
   estimatedRunSeconds: number;
+  /** 0: its tasks save no progress. */
   checkpointIntervalSeconds: number;
+  /** What a task needs to save when it is stopped. */
   checkpointSaveSeconds: number;
+  /** From acceptance until it should be done; null: no deadline. */
   deadlineSeconds: number | null;
   /** Time of day of acceptance in ms, used for deadlines only. */
   acceptedAtMs: number;
 }
 
+/** Where a task is, as its worker lists it. `waiting`: for the other tasks of its gang. */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
+/**
+ * Why a task has exited. `peers`: another task of its gang is gone. `alone`: its gang was not complete in time. `no_room`, `busy`
+ * and `unknown`: it was never started, as the machine is full, has another attempt of it, or does not know its job.
+ */
 export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** One attempt of a task. */
@@ -43,13 +57,7 @@
   attempt: number;
 }
 
-/** One attempt of a task. */
-export interface TaskAttempt {
-  jobId: string;
-  taskIndex: number;
-  attempt: number;
-}
-
+/** Identifies one attempt of a task in maps and messages. */
 export function taskKey(jobId: string, taskIndex: number, attempt: number): string {
   return `${jobId}/${taskIndex}#${attempt}`;
 }
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -64,7 +64,7 @@
 }
 
 /**
- * Urgency of a request to the state service, most urgent first. Submissions and the reads that answer users cost one put
+ * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that answer users cost one put
  * or none each, so they go before the placements, whose transactions use up the budget of writes.
  */
 export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, cleanup: 4 } as const;
--- a/src/model/limited-log.ts
+++ b/src/model/limited-log.ts
@@ -1,19 +1,21 @@
+/** Logging at a limited rate. */
+
 import type { Clock } from './clock.js';
 import type { LogFields, Logger } from './logger.js';
 
-/** Lines of one message let through in a window. */
+/** Lines of one message that are let through in a window. */
 const LINES_PER_WINDOW = 20;
 const WINDOW_MS = 10_000;
 
 interface Window {
-  from: number;
+  startedAt: number;
   lines: number;
   suppressed: number;
 }
 
 /**
- * Keeps lines that a trouble repeats from drowning the others: of each message at most 20 lines in 10 s. The first line of the
- * next window says in `suppressed` how many were left out.
+ * Keeps lines that a fault repeats from drowning the others: of each message at most 20 lines in 10 s. The first line of the next
+ * window says in `suppressed` how many were left out.
  */
 export class LimitedLog {
   private readonly windows = new Map<string, Window>();
@@ -23,6 +25,7 @@
     private readonly clock: Clock,
   ) {}
 
+  /** Logs a line unless its message has used up its window. */
   info(fields: LogFields, message: string): void {
     const extra = this.admit(message);
     if (extra) this.log.info({ ...fields, ...extra }, message);
@@ -33,9 +36,9 @@
     const now = this.clock.now();
     let window = this.windows.get(message);
     let extra: LogFields = {};
-    if (!window || now - window.from >= WINDOW_MS) {
+    if (!window || now - window.startedAt >= WINDOW_MS) {
       if (window && window.suppressed > 0) extra = { suppressed: window.suppressed };
-      window = { from: now, lines: 0, suppressed: 0 };
+      window = { startedAt: now, lines: 0, suppressed: 0 };
       this.windows.set(message, window);
     }
     if (window.lines >= LINES_PER_WINDOW) {
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -3,13 +3,24 @@
 import type { TaskAttempt } from './job.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from './placement.js';
 
-/** Owner to scheduler. `gens` names the version of each team record the sender acts under. */
+/** A placement that its owner has done with. */
+export interface ReleasedTask {
+  machine: string;
+  /** See `taskKey`. */
+  taskKey: string;
+}
+
+/**
+ * From a shard owner to the leader. Each names the leader it is meant for by `fencingToken`; `shardEpochs` has the revision of
+ * each team's record that the sender acts under.
+ */
 export type ShardMessage =
+  /** All that the sender holds. The leader takes the chunks of a sync as one when it has them all. */
   | {
       type: 'fullSync';
       fencingToken: number;
       instanceId: string;
-      /** Number of this telling, and which of its parts this is. */
+      /** Number of this sync, and which of its chunks this is. */
       syncNumber: number;
       chunkCount: number;
       chunkIndex: number;
@@ -17,16 +28,22 @@
       placements: PlacementSpec[];
       requests: ResourceRequest[];
     }
+  /** Replaces the sender's earlier requests. */
   | { type: 'resourceRequests'; fencingToken: number; instanceId: string; requests: ResourceRequest[] }
+  /** Placements that are new or whose desired state has changed. */
   | { type: 'placements'; fencingToken: number; instanceId: string; placements: PlacementSpec[] }
+  /** Placements that need nothing more, and grants that were not used. */
   | {
       type: 'release';
       fencingToken: number;
       instanceId: string;
-      tasks: { machine: string; taskKey: string }[];
+      tasks: ReleasedTask[];
       grants: number[];
     }
-  /** Whatever was cancelled before the leader's `mark` has been told, in `n` messages of placements since that sync. */
+  /**
+   * Whatever was stored as cancelled before the leader's timestamp has become stops, in that sync and the `placementMessages`
+   * messages of type `placements` since.
+   */
   | {
       type: 'cancellationCoverage';
       fencingToken: number;
@@ -37,12 +54,16 @@
       leaderTimestamp: number;
     };
 
+/** From the leader to a shard owner. */
 export type LeaderMessage =
-  /** The full telling of this number has been taken in. Without it (from a leader of an earlier version): the last one. */
+  /** The full sync of this number has been taken in. Without a number (a leader of an earlier version): the latest one. */
   | { type: 'syncAccepted'; fencingToken: number; syncNumber?: number }
+  /** The leader may have missed something, and asks for a full sync. */
   | { type: 'syncRequested'; fencingToken: number }
+  /** Places for tasks. */
   | { type: 'grants'; fencingToken: number; grants: Grant[] }
-  /** A time on the leader's clock. */
+  /** A time on the leader's clock, to be named in a `cancellationCoverage`. */
   | { type: 'timestamp'; fencingToken: number; leaderTimestamp: number }
   | { type: 'allocationEvents'; fencingToken: number; events: AllocationEvent[] }
+  /** Tasks whose room the leader needs. */
   | { type: 'evict'; fencingToken: number; tasks: TaskAttempt[]; reason: string };
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -1,3 +1,5 @@
+/** Which task of a job goes to which granted place. */
+
 import type { Grant } from '../model/placement.js';
 import { assignTasks } from '../model/task-assignment.js';
 import { type OwnedJob, zoneAllows } from './owned-job.js';
@@ -6,46 +8,50 @@
 /** So long a machine gets none of a job's tasks after it has refused one, or would have. */
 export const AVOID_AFTER_REFUSAL_MS = 2000;
 
-/** Places a task of the job on what is granted; its use counts from then on. */
-export type PlaceTask = (grant: Grant, taskIndex: number) => void;
+/** What the assignment goes by, and what it does. */
+export interface GrantAssignmentOptions {
+  usage: TeamUsage;
+  /** Steady milliseconds. */
+  nowMs: number;
+  /** Places a task of the job on what is granted; its use counts from then on. */
+  place(grant: Grant, taskIndex: number): void;
+}
 
 /**
- * Gives tasks of a job to the places that the leader has granted it, within the limit of its team and the zones that the job
+ * Gives tasks of a job to the places that the leader has granted it, within the quota of its team and the zones that the job
  * allows. Returns the grants taken; the others go back to the leader.
  */
-export function assignGrants(
-  job: OwnedJob,
-  grants: Grant[],
-  usage: TeamUsage,
-  nowMs: number,
-  place: PlaceTask,
-): Grant[] {
-  if (job.spec.kind === 'gang') return placeGang(job, grants, usage, place);
+export function assignGrants(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
+  if (job.spec.kind === 'gang') return placeGang(job, grants, options);
+  const { usage, nowMs } = options;
   return grants.filter((grant) => {
     if (!usage.admits(job.spec) || !zoneAllows(job, grant.zone)) return false;
     const taskIndex = nextTask(job, grant, nowMs);
     if (taskIndex < 0) return false;
-    place(grant, taskIndex);
+    options.place(grant, taskIndex);
     return true;
   });
 }
 
 /** Takes all of these places for a gang, or none. */
-function placeGang(job: OwnedJob, grants: Grant[], usage: TeamUsage, place: PlaceTask): Grant[] {
-  if (!admitsGang(job, grants, usage)) return [];
+function placeGang(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
+  if (!admitsGang(job, grants, options.usage)) return [];
   const { tasks } = assignTasks(
     Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
     grants.map((grant) => grant.endedTasks && new Set(grant.endedTasks)),
   );
   // A machine that lists an ended attempt of its task would refuse it, and all others would be stopped.
   if (tasks.includes(undefined)) return [];
-  grants.forEach((grant, at) => place(grant, tasks[at]!));
+  for (const [index, grant] of grants.entries()) {
+    const task = tasks[index];
+    if (task !== undefined) options.place(grant, task);
+  }
   return grants;
 }
 
 /**
  * Places for a gang are taken all or none: one with a part of its tasks placed would hold them until it gives up
- * waiting for the others (seen on bhuj-relief-works: 1 of 12 placed at a team's limit, ended after `gang_wait_s`).
+ * waiting for the others.
  */
 function admitsGang(job: OwnedJob, grants: Grant[], usage: TeamUsage): boolean {
   const { spec } = job;
--- a/src/shard/job-sizes.ts
+++ b/src/shard/job-sizes.ts
@@ -1,6 +1,8 @@
+/** Which jobs are large among the latest ones of their class. */
+
 import type { JobSpec } from '../model/job.js';
 
-/** Jobs of a class by which its sizes are judged. */
+/** Latest jobs of a class by which its sizes are judged. */
 const REMEMBERED_JOBS = 100;
 /** A large job is at least as large as this share of its class, and larger than the median. */
 const LARGE_QUANTILE = 0.75;
@@ -14,8 +16,9 @@
 /** Sizes of the latest jobs of each class, and which jobs are large among them: by their tasks, or by their run time. */
 export class JobSizes {
   private readonly latest = new Map<string, JobSpec[]>();
-  private readonly thresholds = new Map<string, { tasks: Threshold; estimateS: Threshold }>();
+  private readonly thresholds = new Map<string, { tasks: Threshold; runSeconds: Threshold }>();
 
+  /** A job has been accepted. */
   learn(spec: JobSpec): void {
     if (spec.kind === 'service') return;
     const jobs = this.latest.get(spec.jobClass) ?? [];
@@ -25,18 +28,19 @@
     this.thresholds.delete(spec.jobClass);
   }
 
+  /** Whether it has many tasks or long ones for its class. */
   isLarge(spec: JobSpec): boolean {
-    const { tasks, estimateS } = this.thresholdsOf(spec.jobClass);
-    return exceeds(spec.taskCount, tasks) || exceeds(spec.estimatedRunSeconds, estimateS);
+    const { tasks, runSeconds } = this.thresholdsOf(spec.jobClass);
+    return exceeds(spec.taskCount, tasks) || exceeds(spec.estimatedRunSeconds, runSeconds);
   }
 
-  private thresholdsOf(jobClass: string): { tasks: Threshold; estimateS: Threshold } {
+  private thresholdsOf(jobClass: string): { tasks: Threshold; runSeconds: Threshold } {
     const known = this.thresholds.get(jobClass);
     if (known) return known;
     const jobs = this.latest.get(jobClass) ?? [];
     const thresholds = {
       tasks: threshold(jobs.map((job) => job.taskCount)),
-      estimateS: threshold(jobs.map((job) => job.estimatedRunSeconds)),
+      runSeconds: threshold(jobs.map((job) => job.estimatedRunSeconds)),
     };
     this.thresholds.set(jobClass, thresholds);
     return thresholds;
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -1,3 +1,5 @@
+/** Puts the writes of an owner's jobs together into transactions, and sends them. */
+
 import type { Clock } from '../model/clock.js';
 import {
   type KeyValueStore,
@@ -6,58 +8,70 @@
   URGENCY,
 } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
-import type { Result } from '../model/result.js';
+import type { Failure, Result } from '../model/result.js';
 import { counterKey, jobKey, teamKey, teamOfKey } from '../store/keyspace.js';
 import { type JobWrite, revisionOf, type WriteEvents, writeChanges, writeFinal } from './job-writes.js';
 import { isOver, type OwnedJob } from './owned-job.js';
+import type { WakeTimer } from './wake-timer.js';
 import type { WriteFence } from './write-fence.js';
 
-/** The state service takes so many times as many conditions as changes in a transaction. */
-const CONDITIONS_PER_CHANGE = 4;
-/** Conditions that a job adds beside those on what it changes: its record, its counter and its team. */
-const CONDITIONS_PER_JOB = 3;
-/** Values in one transaction, of the 64 KiB that it may have in all. */
+/** The key-value store takes so many times as many preconditions as operations in a transaction. */
+const PRECONDITIONS_PER_OPERATION = 4;
+/** Preconditions that a job adds beside those on what it changes: its record, its counter and its team. */
+const PRECONDITIONS_PER_JOB = 3;
+/** Operations in one transaction, of the 64 KiB that it may have in all with its preconditions. */
 const MAX_BATCH_BYTES = 40_000;
 /** Characters of a put and of a delete beside the encoded key and value. */
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
-/** Pause after a transaction that was surely not carried out. */
+/** Pause after a transaction that was surely not executed. */
 const REFUSED_PAUSE_MS = 100;
 /** Pause after one that failed since a team has another owner: the watch tells which. */
 const OWNERSHIP_MOVED_PAUSE_MS = 200;
 /** Bounds of how long a count that fills nothing waits for others of its job. */
 const MIN_LAZY_MS = 1000;
 const MAX_LAZY_MS = 5000;
-/** Part of the writes that such counts may take. */
+/** Part of the writes per second that such counts may take. */
 const LAZY_SHARE = 0.2;
 
-/** `work`: placements and counters. `tidy`: final records. */
-type Kind = 'work' | 'tidy';
+/** `progress`: placements and counters. `cleanup`: final records. */
+type WriteKind = 'progress' | 'cleanup';
 
+/** Settings of the transactions, and what they work with. */
 export interface JobTransactionsOptions {
   store: KeyValueStore;
   clock: Clock;
+  wakeTimer: WakeTimer;
   log: Logger;
   fence: WriteFence;
   events: WriteEvents;
+  /** Most puts and deletes of one transaction. */
   maxTransactionOperations: number;
+  /** Puts and deletes that the key-value store takes from all controllers. */
   writesPerSecond: number;
   /** Tasks to a placement record. */
   tasksPerChunk: number;
-  /** Version of the record that makes this owner the team's; undefined: it is not. */
-  teamRevision(team: string): number | undefined;
+  /** Undefined: the team's shard is not owned here. */
+  shardEpochOf(team: string): number | undefined;
   /** Whether the owner still holds this very job. */
   isOwned(job: OwnedJob): boolean;
-  /** Jobs whose stored records decide now. `inDoubt`: nobody knows yet whether their transaction is carried out. */
-  onUnconfirmed(jobs: OwnedJob[], isIndeterminate: boolean, fence: number): void;
+  /** Jobs whose stored records decide now. */
+  onUnconfirmed(jobs: OwnedJob[], write: UnconfirmedWrite): void;
   wake(): void;
-  wakeAt(at: number): void;
 }
 
-/** A transaction being put together: its conditions and changes, and the jobs that they are of. */
+/** A transaction that is not known to have been executed. */
+export interface UnconfirmedWrite {
+  /** It may have been executed, or may yet be; else it surely was not. */
+  isIndeterminate: boolean;
+  /** The revision of the fence that it was conditioned on. */
+  fenceRevision: number;
+}
+
+/** A transaction being put together, and the jobs that it is of. */
 interface Batch {
   transaction: Transaction;
-  fence: number;
+  fenceRevision: number;
   jobs: OwnedJob[];
   writes: JobWrite[];
   teams: Set<string>;
@@ -66,17 +80,17 @@
 
 /** Writes what has changed of an owner's jobs, many in one transaction, each change conditioned on what it replaces. */
 export class JobTransactions {
-  /** Jobs with something to write, or over and not yet filed. */
+  /** Jobs with something to write, or over and without their final record. */
   private readonly dirty = new Set<OwnedJob>();
-  private readonly inFlight: Record<Kind, boolean> = { work: false, tidy: false };
+  private readonly inFlight: Record<WriteKind, boolean> = { progress: false, cleanup: false };
   private pausedUntil = 0;
 
   constructor(private readonly options: JobTransactionsOptions) {}
 
-  /** Something of a job is to be written within `ms`. */
-  markDirty(job: OwnedJob, ms: number): void {
+  /** Something of a job is to be written within that time. */
+  scheduleWrite(job: OwnedJob, withinMs: number): void {
     this.dirty.add(job);
-    job.dueAt = Math.min(job.dueAt, this.options.clock.now() + ms);
+    job.dueAt = Math.min(job.dueAt, this.options.clock.now() + withinMs);
   }
 
   /** The owner holds this job no longer. */
@@ -94,24 +108,27 @@
   }
 
   /**
-   * One transaction of each kind at a time: placements and counters don't wait behind tidying up, and what comes
-   * meanwhile shares the next one.
+   * Sends what is due. One transaction of each kind at a time: placements and counters don't wait behind cleaning up, and
+   * what comes meanwhile shares the next one.
    */
   write(): void {
-    this.writeKind('work');
-    this.writeKind('tidy');
+    this.writeKind('progress');
+    this.writeKind('cleanup');
   }
 
-  private writeKind(kind: Kind): void {
+  private writeKind(kind: WriteKind): void {
     if (this.inFlight[kind] || this.dirty.size === 0) return;
-    if (this.options.clock.now() < this.pausedUntil) return this.options.wakeAt(this.pausedUntil);
+    if (this.options.clock.now() < this.pausedUntil) {
+      this.options.wakeTimer.wakeAt(this.pausedUntil);
+      return;
+    }
     const fence = this.options.fence.precondition();
     if (!fence) return;
     const due = this.due(kind);
     if (due.length === 0) return;
     const batch: Batch = {
       transaction: { preconditions: [fence], operations: [] },
-      fence: fence.modRevision,
+      fenceRevision: fence.modRevision,
       jobs: [],
       writes: [],
       teams: new Set(),
@@ -122,44 +139,45 @@
   }
 
   /** Jobs with something to write now, most urgent first. */
-  private due(kind: Kind): OwnedJob[] {
+  private due(kind: WriteKind): OwnedJob[] {
     const now = this.options.clock.now();
     const due: OwnedJob[] = [];
-    let next = Number.POSITIVE_INFINITY;
+    let nextDueAt = Number.POSITIVE_INFINITY;
     for (const job of this.dirty) {
       if (job.isReloading || job.writeInFlight) continue;
-      const over = isOver(job);
-      if (!over && !job.counterDirty && job.dirtyChunks.size === 0) {
+      const isFinal = isOver(job);
+      if (!isFinal && !job.counterDirty && job.dirtyChunks.size === 0) {
         job.dueAt = Number.POSITIVE_INFINITY;
         this.dirty.delete(job);
-      } else if (over === (kind === 'tidy')) {
+      } else if (isFinal === (kind === 'cleanup')) {
         if (job.dueAt <= now) due.push(job);
-        else next = Math.min(next, job.dueAt);
+        else nextDueAt = Math.min(nextDueAt, job.dueAt);
       }
     }
-    if (due.length === 0) this.options.wakeAt(next);
+    if (due.length === 0) this.options.wakeTimer.wakeAt(nextDueAt);
     return due.sort(
-      (a, b) =>
-        a.spec.priority - b.spec.priority || a.dueAt - b.dueAt || a.acceptedRevision - b.acceptedRevision,
+      (one, other) =>
+        one.spec.priority - other.spec.priority ||
+        one.dueAt - other.dueAt ||
+        one.acceptedRevision - other.acceptedRevision,
     );
   }
 
   /** False: the transaction is full. */
-  private add(batch: Batch, job: OwnedJob, kind: Kind): boolean {
+  private add(batch: Batch, job: OwnedJob, kind: WriteKind): boolean {
     const { transaction } = batch;
-    const { tasksPerChunk: chunk, events } = this.options;
-    const room = this.changesLeft(batch);
-    if (room < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
-    const write = kind === 'tidy' ? writeFinal(job, room, events) : writeChanges(job, room, chunk, events);
+    const { tasksPerChunk, events } = this.options;
+    const maxOperations = this.operationsLeft(batch);
+    if (maxOperations < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
+    const limits = { maxOperations, tasksPerChunk, events };
+    const write = kind === 'cleanup' ? writeFinal(job, limits) : writeChanges(job, limits);
     if (!write) return true;
     const written = new Set(write.operations.map(({ key }) => key));
-    for (const op of write.operations) {
-      batch.bytes += encodedLength(op);
-      transaction.preconditions.push({
-        key: op.key,
-        modRevision: revisionOf(job, op.key),
-      });
-      transaction.operations.push(op);
+    for (const operation of write.operations) {
+      const { key } = operation;
+      batch.bytes += encodedLength(operation);
+      transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
+      transaction.operations.push(operation);
     }
     for (const key of [jobKey(job.spec.id), counterKey(job.spec.id)])
       if (!written.has(key)) transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
@@ -169,39 +187,39 @@
     return true;
   }
 
-  /** Changes that a transaction has room for, with the conditions of one more job and of the teams in it. */
-  private changesLeft({ transaction, teams }: Batch): number {
-    const { maxTransactionOperations: txnOps } = this.options;
-    const conditions =
-      txnOps * CONDITIONS_PER_CHANGE - transaction.preconditions.length - teams.size - CONDITIONS_PER_JOB;
-    return Math.min(txnOps - transaction.operations.length, conditions);
+  /** Operations that may still be added, with the preconditions of one more job and of the teams in the transaction. */
+  private operationsLeft({ transaction, teams }: Batch): number {
+    const { maxTransactionOperations: maxOperations } = this.options;
+    const preconditionsLeft =
+      maxOperations * PRECONDITIONS_PER_OPERATION - transaction.preconditions.length - teams.size;
+    return Math.min(maxOperations - transaction.operations.length, preconditionsLeft - PRECONDITIONS_PER_JOB);
   }
 
-  private send(batch: Batch, kind: Kind): void {
+  private send(batch: Batch, kind: WriteKind): void {
     for (const team of batch.teams)
       batch.transaction.preconditions.push({
         key: teamKey(team),
-        modRevision: this.options.teamRevision(team) ?? -1,
+        modRevision: this.options.shardEpochOf(team) ?? -1,
       });
     for (const job of batch.jobs) {
       job.writeInFlight = true;
       job.dueAt = Number.POSITIVE_INFINITY;
     }
     this.inFlight[kind] = true;
-    const urgency = kind === 'tidy' ? URGENCY.cleanup : URGENCY.placement;
+    const urgency = kind === 'cleanup' ? URGENCY.cleanup : URGENCY.placement;
     this.options.store.compareAndSwap(batch.transaction, urgency, (result) => {
       this.inFlight[kind] = false;
-      this.answered(batch, result);
+      this.onAnswered(batch, result);
       this.options.wake();
     });
   }
 
-  private answered(batch: Batch, result: Result<number>): void {
+  private onAnswered(batch: Batch, result: Result<number>): void {
     for (const job of batch.jobs) {
       job.writeInFlight = false;
-      // Looked at again by the next write, and let go there if nothing is left to store.
+      // Looked at again by the next write, and forgotten there if nothing is left to store.
       if (this.options.isOwned(job))
-        this.markDirty(job, job.counterDirty && !job.counter.isFull ? this.lazyDelayMs() : 0);
+        this.scheduleWrite(job, job.counterDirty && !job.counter.isFull ? this.lazyDelayMs() : 0);
     }
     if (result.ok) {
       for (const write of batch.writes) write.onStored(result.value);
@@ -209,27 +227,23 @@
       // Surely not executed: what was to be stored still is.
       for (const write of batch.writes) write.onNotExecuted();
       this.pause(REFUSED_PAUSE_MS);
-    } else this.notConfirmed(batch, result);
+    } else this.onUnconfirmed(batch, result);
   }
 
-  /** Not applied, or nobody knows: the stored records decide. */
-  private notConfirmed({ jobs, fence }: Batch, result: Result<number> & { ok: false }): void {
-    const { kind, failedKeys: failed = [] } = result;
-    this.options.log.debug({ kind, failed, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
+  /** Not executed, or nobody knows: the stored records decide. */
+  private onUnconfirmed({ jobs, fenceRevision }: Batch, { kind, failedKeys = [] }: Failure): void {
+    this.options.log.debug({ kind, failedKeys, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
     // Ownership moved; the watch will tell. Nothing of ours was stored.
-    if (kind === 'conflict' && failed.every((key) => teamOfKey(key) !== null))
+    if (kind === 'conflict' && failedKeys.every((key) => teamOfKey(key) !== null))
       this.pause(OWNERSHIP_MOVED_PAUSE_MS);
-    const inDoubt = kind !== 'conflict' && kind !== 'invalid';
-    this.options.onUnconfirmed(
-      jobs.filter((job) => this.options.isOwned(job)),
-      inDoubt,
-      fence,
-    );
+    const isIndeterminate = kind !== 'conflict' && kind !== 'invalid';
+    const owned = jobs.filter((job) => this.options.isOwned(job));
+    this.options.onUnconfirmed(owned, { isIndeterminate, fenceRevision });
   }
 
-  private pause(ms: number): void {
-    this.pausedUntil = this.options.clock.now() + ms;
-    this.options.wakeAt(this.pausedUntil);
+  private pause(pauseMs: number): void {
+    this.pausedUntil = this.options.clock.now() + pauseMs;
+    this.options.wakeTimer.wakeAt(this.pausedUntil);
   }
 }
 
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -1,33 +1,38 @@
+/** In which order the jobs of a team are released, by their age, objectives, sizes and remaining work. */
+
 import type { JobSpec } from '../model/job.js';
 import type { ServiceLevelObjective } from '../model/team.js';
 import { JobSizes } from './job-sizes.js';
 
-/** Longest time that a large array is moved back in its queue, and that a long task is moved forward. */
+/** Longest time that a large array is moved back in its queue, and that a job of long tasks is moved forward. */
 const MAX_SHIFT_MS = 60_000;
 /** Longest time that a job waits behind younger ones. */
 const MAX_WAIT_MS = 120_000;
 /** A queue in which a job has waited so long without having begun in full is overloaded. */
 const OVERLOADED_AFTER_MS = 60_000;
-/** Aims on finishing are given up once a job is older than this multiple of the last of them. */
+/** Objectives on finishing are given up once a job is older than this multiple of the last of them. */
 const OVERDUE_FACTOR = 3;
 /** Estimates of run times are often too low by half. */
 const ESTIMATE_MARGIN = 1.75;
 /** Tasks that a team is assumed to run at a time while it runs fewer. */
 const MIN_PARALLEL_TASKS = 10;
 /** In an overloaded queue: time within which users expect a job to begin in full. */
-const BEGIN_WITHIN_S = 240;
+const BEGIN_WITHIN_SECONDS = 240;
 /** In an overloaded queue: weight of the remaining work of a job that has begun in full. */
 const BEGUN_WORK_FACTOR = 2;
 /**
  * In an overloaded queue: time that a large gang waits before it precedes small jobs. It needs as many places at once as
- * a dozen small ones, which all begin in time before it, and it still begins within `BEGIN_WITHIN_S`.
+ * a dozen small ones, which all begin in time before it, and it still begins within `BEGIN_WITHIN_SECONDS`.
  */
-const LARGE_GANG_AFTER_S = 90;
+const LARGE_GANG_AFTER_SECONDS = 90;
 /** In an overloaded queue: share of the running tasks up to which large jobs precede small ones. */
 const LARGE_JOBS_SHARE = 0.65;
-const MIN_WORK_S = 1;
+/** Least remaining work that a response ratio is taken of. */
+const MIN_WORK_SECONDS = 1;
+/** Position before all jobs that may still be moved back. */
+const LONG_WAIT_HEAD_START_MS = 10 * MAX_SHIFT_MS;
 
-/** What the order of release depends on: a job that is neither done nor cancelled. */
+/** What the order of release depends on, of a job that is neither done nor cancelled. */
 export interface QueuedJob {
   spec: JobSpec;
   /** Revision at which the job was accepted. */
@@ -38,9 +43,9 @@
   failures: number;
 }
 
-/** Place in the queue within a priority: by stage first, by position second, lower first. */
+/** Place in the queue within a priority: by missed objectives first, by position second, lower first. */
 export interface QueueKey {
-  /** 0 while the job can still meet its first aim or its deadline, more for each aim missed. */
+  /** 0 while the job can still meet its first objective or its deadline, more for each one missed. */
   missedObjectives: number;
   /** Time of day of its acceptance in ms, shifted by what the job still needs. */
   position: number;
@@ -49,42 +54,41 @@
 /** What a team runs now and may run at most, in tasks of arrays and gangs. */
 export interface TeamLoad {
   runningTasks: number;
-  /** Most tasks of this job that the limit of its team admits at a time. */
+  /** Most tasks of this job that the quota of its team admits at a time. */
   maxParallel(spec: JobSpec): number;
-  /** Tasks like those of this job that the limit of its team admits at a time: infinite without a limit. */
-  tasksAtLimit(spec: JobSpec): number;
+  /** Tasks like those of this job that the quota of its team admits at a time: infinite without a quota. */
+  tasksAtQuota(spec: JobSpec): number;
 }
 
 /**
  * The order in which the jobs of a team are released.
  *
  * Jobs are released in the order of their acceptance, with two exceptions that end after `MAX_WAIT_MS`: a job that can
- * still meet its aim precedes one that cannot, and large arrays are moved back by the time that they would occupy the
+ * still meet its objective precedes one that cannot, and large arrays are moved back by the time that they would occupy the
  * team's places.
  *
  * A queue in which a job has not begun in full after `OVERLOADED_AFTER_MS` has more work than places. Release by age would
- * let one large array hold up every job behind it there (incident inc-cb3a: 10 of 30 arrays begun), so the jobs of such a
- * queue are released by response ratio (highest response ratio next): the wait in multiples of the work that is left.
- * Jobs that can still begin in full within `BEGIN_WITHIN_S` precede the others, and among these the large ones of each
+ * let one large array hold up every job behind it there, so the jobs of such a queue are released by response ratio (highest response ratio next): the wait in multiples of the work that is left.
+ * Jobs that can still begin in full within `BEGIN_WITHIN_SECONDS` precede the others, and among these the large ones of each
  * class do as long as they run less than their share.
  */
 export class ReleaseQueue {
-  /** Aims on finishing by class, shortest first. */
+  /** Objectives on finishing by class in seconds, shortest first. */
   private readonly finishObjectives = new Map<string, number[]>();
   private readonly sizes = new JobSizes();
 
   constructor(objectives: readonly ServiceLevelObjective[]) {
-    for (const aim of objectives) {
-      if (aim.kind !== 'finished') continue;
-      const aims = [...(this.finishObjectives.get(aim.jobClass) ?? []), aim.withinSeconds];
+    for (const { kind, jobClass, withinSeconds } of objectives) {
+      if (kind !== 'finished') continue;
+      const ofClass = [...(this.finishObjectives.get(jobClass) ?? []), withinSeconds];
       this.finishObjectives.set(
-        aim.jobClass,
-        aims.sort((a, b) => a - b),
+        jobClass,
+        ofClass.sort((a, b) => a - b),
       );
     }
   }
 
-  /** The shortest aim on finishing of a job's class, if it has one. */
+  /** The shortest objective on finishing of a job's class, if it has one. */
   firstObjectiveSeconds(spec: JobSpec): number | undefined {
     return this.finishObjectives.get(spec.jobClass)?.[0];
   }
@@ -115,11 +119,11 @@
       this.sortQueue(queue, wallMs, loadOf(queue[0]?.spec.team ?? '')),
     );
     return sorted.sort(
-      (a, b) =>
-        a.job.spec.priority - b.job.spec.priority ||
-        a.key.missedObjectives - b.key.missedObjectives ||
-        a.key.position - b.key.position ||
-        a.job.acceptedRevision - b.job.acceptedRevision,
+      (one, other) =>
+        one.job.spec.priority - other.job.spec.priority ||
+        one.key.missedObjectives - other.key.missedObjectives ||
+        one.key.position - other.key.position ||
+        one.job.acceptedRevision - other.job.acceptedRevision,
     );
   }
 
@@ -136,39 +140,48 @@
     const turns = keyed
       .map(({ key }) => key)
       .sort((a, b) => a.missedObjectives - b.missedObjectives || a.position - b.position);
-    return this.byResponseRatio(waiting, this.largeHaveTheirShare(queue), wallMs, load).map((job, i) => ({
-      job,
-      key: turns[i]!,
-    }));
+    const ranked = this.byResponseRatio(waiting, {
+      largeHaveTheirShare: this.largeHaveTheirShare(queue),
+      wallMs,
+      load,
+    });
+    return turns.flatMap((key, turn) => {
+      const job = ranked[turn];
+      return job ? [{ job, key }] : [];
+    });
   }
 
   private byResponseRatio<J extends QueuedJob>(
     waiting: J[],
-    largeHaveTheirShare: boolean,
-    wallMs: number,
-    load: TeamLoad,
+    { largeHaveTheirShare, wallMs, load }: { largeHaveTheirShare: boolean; wallMs: number; load: TeamLoad },
   ): J[] {
     const ranked = waiting.map((job) => {
       const inTime = canBeginInTime(job, wallMs, load);
-      const first = inTime && !largeHaveTheirShare && this.isLargeAndDue(job.spec, wallMs);
-      return { job, tier: first ? 0 : inTime ? 1 : 2, ratio: responseRatio(job, wallMs, load) };
+      const goesFirst = inTime && !largeHaveTheirShare && this.isLargeAndDue(job.spec, wallMs);
+      return { job, tier: goesFirst ? 0 : inTime ? 1 : 2, ratio: responseRatio(job, wallMs, load) };
     });
     ranked.sort(
-      (a, b) => a.tier - b.tier || b.ratio - a.ratio || a.job.acceptedRevision - b.job.acceptedRevision,
+      (one, other) =>
+        one.tier - other.tier ||
+        other.ratio - one.ratio ||
+        one.job.acceptedRevision - other.job.acceptedRevision,
     );
     return ranked.map(({ job }) => job);
   }
 
   private isLargeAndDue(spec: JobSpec, wallMs: number): boolean {
-    return this.sizes.isLarge(spec) && (spec.kind !== 'gang' || waitS(spec, wallMs) >= LARGE_GANG_AFTER_S);
+    return (
+      this.sizes.isLarge(spec) &&
+      (spec.kind !== 'gang' || waitSeconds(spec, wallMs) >= LARGE_GANG_AFTER_SECONDS)
+    );
   }
 
   private largeHaveTheirShare(queue: readonly QueuedJob[]): boolean {
     let running = 0;
     let large = 0;
-    for (const { spec, placedTasks: placed } of queue) {
-      running += placed;
-      if (this.sizes.isLarge(spec)) large += placed;
+    for (const { spec, placedTasks } of queue) {
+      running += placedTasks;
+      if (this.sizes.isLarge(spec)) large += placedTasks;
     }
     return large >= LARGE_JOBS_SHARE * running && large > 0;
   }
@@ -184,12 +197,12 @@
       return wallMs + spec.estimatedRunSeconds * 1000 <= spec.acceptedAtMs + spec.deadlineSeconds * 1000
         ? 0
         : 1;
-    const aims = this.finishObjectives.get(spec.jobClass);
-    if (!aims || spec.kind === 'service') return 0;
-    const ageS = (wallMs - spec.acceptedAtMs) / 1000;
-    if (ageS > (aims.at(-1) ?? 0) * OVERDUE_FACTOR) return 0;
-    const next = aims.findIndex((aimS) => ageS + spec.estimatedRunSeconds <= aimS);
-    return next < 0 ? aims.length : next;
+    const objectives = this.finishObjectives.get(spec.jobClass);
+    if (!objectives || spec.kind === 'service') return 0;
+    const ageSeconds = (wallMs - spec.acceptedAtMs) / 1000;
+    if (ageSeconds > (objectives.at(-1) ?? 0) * OVERDUE_FACTOR) return 0;
+    const next = objectives.findIndex((seconds) => ageSeconds + spec.estimatedRunSeconds <= seconds);
+    return next < 0 ? objectives.length : next;
   }
 }
 
@@ -197,7 +210,7 @@
   const { spec } = job;
   if (spec.kind === 'service') return spec.acceptedAtMs;
   // Before all that may still be moved back, in the order of acceptance.
-  if (hasWaitedLong(job, wallMs)) return spec.acceptedAtMs - 10 * MAX_SHIFT_MS;
+  if (hasWaitedLong(job, wallMs)) return spec.acceptedAtMs - LONG_WAIT_HEAD_START_MS;
   const parallel = parallelTasks(spec, load);
   const backMs = (2000 * spec.estimatedRunSeconds * (spec.taskCount - job.finishedTasks)) / parallel;
   // What must start first to be in time goes first: long tasks before short ones of the same age.
@@ -205,10 +218,10 @@
   return spec.acceptedAtMs + Math.min(MAX_SHIFT_MS, backMs) - Math.min(MAX_SHIFT_MS, forwardMs);
 }
 
-/** Tasks that run beside one another. Before any gang runs, the limit of its team tells how many will. */
+/** Tasks that run beside one another. Before any gang runs, the quota of its team tells how many will. */
 function parallelTasks(spec: JobSpec, load: TeamLoad): number {
-  const atLimit = spec.kind === 'gang' ? load.tasksAtLimit(spec) : 0;
-  return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(atLimit) ? atLimit : 0);
+  const atQuota = spec.kind === 'gang' ? load.tasksAtQuota(spec) : 0;
+  return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(atQuota) ? atQuota : 0);
 }
 
 function openTasks(job: QueuedJob): number {
@@ -225,32 +238,32 @@
   return wallMs - job.spec.acceptedAtMs > OVERLOADED_AFTER_MS && tasksToBegin(job, load) > 0;
 }
 
-/** Tasks that must begin until all have, or as many as the limit of the team admits at a time: begun in full. */
+/** Tasks that must begin until all have, or as many as the quota of the team admits at a time: begun in full. */
 function tasksToBegin(job: QueuedJob, load: TeamLoad): number {
-  const wanted = Math.min(job.spec.taskCount, load.maxParallel(job.spec));
-  return Math.max(0, wanted - job.finishedTasks - job.placedTasks);
+  const inFull = Math.min(job.spec.taskCount, load.maxParallel(job.spec));
+  return Math.max(0, inFull - job.finishedTasks - job.placedTasks);
 }
 
 /** Time that some tasks of a job take in the places that the team has now. */
-function workS(spec: JobSpec, tasks: number, load: TeamLoad): number {
+function workSeconds(spec: JobSpec, tasks: number, load: TeamLoad): number {
   const parallel = Math.max(MIN_PARALLEL_TASKS, load.runningTasks);
-  return Math.max(MIN_WORK_S, (tasks * spec.estimatedRunSeconds) / parallel);
+  return Math.max(MIN_WORK_SECONDS, (tasks * spec.estimatedRunSeconds) / parallel);
 }
 
-function waitS(spec: JobSpec, wallMs: number): number {
+function waitSeconds(spec: JobSpec, wallMs: number): number {
   return Math.max(0, (wallMs - spec.acceptedAtMs) / 1000);
 }
 
 function canBeginInTime(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
   const toBegin = tasksToBegin(job, load);
-  const beginS = workS(job.spec, toBegin, load);
-  return toBegin > 0 && waitS(job.spec, wallMs) + beginS <= BEGIN_WITHIN_S;
+  const beginSeconds = workSeconds(job.spec, toBegin, load);
+  return toBegin > 0 && waitSeconds(job.spec, wallMs) + beginSeconds <= BEGIN_WITHIN_SECONDS;
 }
 
 /** (wait + work) / work. */
 function responseRatio(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
   const toBegin = tasksToBegin(job, load);
-  const work = workS(spec, toBegin > 0 ? toBegin : spec.taskCount * BEGUN_WORK_FACTOR, load);
-  return (waitS(spec, wallMs) + work) / work;
+  const work = workSeconds(spec, toBegin > 0 ? toBegin : spec.taskCount * BEGUN_WORK_FACTOR, load);
+  return (waitSeconds(spec, wallMs) + work) / work;
 }
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -1,3 +1,5 @@
+/** What a shard owner asks the leader for. */
+
 import type { JobSpec } from '../model/job.js';
 import type { ResourceRequest } from '../model/placement.js';
 import type { OwnedJob } from './owned-job.js';
@@ -5,11 +7,12 @@
 import { TeamBudget } from './team-budget.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Tasks left of a job up to which they are told one by one. */
+/** Tasks left of a job up to which they are listed one by one. */
 const MAX_REMAINING_TASKS_LISTED = 16;
 /** Failures of a job in a row from which it is tried with one task at a time. */
 const FAILURES_TO_THROTTLE = 3;
 
+/** What the requests follow from. */
 export interface RequestListInput {
   jobs: Iterable<OwnedJob>;
   /** Teams whose jobs have been read. */
@@ -18,19 +21,20 @@
   usage: TeamUsage;
   /** Most tasks of one job asked for at a time: the pace of a large fan-out. */
   maxTasksPerRequest: number;
+  /** Steady milliseconds, and the time of day in milliseconds. */
   nowMs: number;
   wallMs: number;
-  /** The newest grant taken in from the present scheduler. */
+  /** The newest grant taken in from the present leader. */
   lastGrantTaken: number;
 }
 
-/** What the jobs of an owner would start now if they had room, in the order of release and within the teams' limits. */
+/** What the jobs of an owner would start now if they had room, in the order of release and within the teams' quotas. */
 export function listRequests(input: RequestListInput): ResourceRequest[] {
-  const { releaseQueue: order, usage, nowMs } = input;
+  const { releaseQueue, usage, nowMs } = input;
   const queued = [...input.jobs]
     .filter((job) => !job.cancelled && !job.isReloading && !job.counter.isFull)
     .map((job) => ({
-      state: job,
+      owned: job,
       spec: job.spec,
       acceptedRevision: job.acceptedRevision,
       finishedTasks: job.counter.count,
@@ -44,27 +48,31 @@
     if (budget) budgets.set(team, budget);
   }
   const requests: ResourceRequest[] = [];
-  for (const { job, key } of order.sort(queued, input.wallMs, (team) => usage.load(team))) {
+  for (const { job, key } of releaseQueue.sort(queued, input.wallMs, (team) => usage.load(team))) {
     const budget = budgets.get(job.spec.team);
-    if (!budget || job.state.holdUntil > nowMs) continue;
-    const tasks = tasksToRequest(job.state, budget.tasksThatFit(job.spec), input.maxTasksPerRequest);
+    if (!budget || job.owned.holdUntil > nowMs) continue;
+    const tasks = tasksToRequest(job.owned, budget.tasksThatFit(job.spec), input.maxTasksPerRequest);
     if (tasks > 0) {
       budget.take(job.spec, tasks);
-      requests.push(makeRequest(job.state, key, tasks, input));
+      requests.push(makeRequest(job.owned, { key, taskCount: tasks }, input));
     } else budget.reserve(job, input.wallMs);
   }
   return requests;
 }
 
-function tasksToRequest(job: OwnedJob, fit: number, batch: number): number {
+function tasksToRequest(job: OwnedJob, fitting: number, maxTasks: number): number {
   const { spec } = job;
-  const open = spec.taskCount - job.counter.count - job.placements.size;
-  if (spec.kind === 'gang') return job.placements.size > 0 || fit < spec.taskCount ? 0 : open;
-  const paced = Math.min(open, fit, batch);
+  const openTasks = spec.taskCount - job.counter.count - job.placements.size;
+  if (spec.kind === 'gang') return job.placements.size > 0 || fitting < spec.taskCount ? 0 : openTasks;
+  const paced = Math.min(openTasks, fitting, maxTasks);
   return job.failures >= FAILURES_TO_THROTTLE ? Math.min(paced, Math.max(0, 1 - job.placements.size)) : paced;
 }
 
-function makeRequest(job: OwnedJob, key: QueueKey, tasks: number, input: RequestListInput): ResourceRequest {
+function makeRequest(
+  job: OwnedJob,
+  { key, taskCount }: { key: QueueKey; taskCount: number },
+  input: RequestListInput,
+): ResourceRequest {
   const { spec } = job;
   return {
     jobId: spec.id,
@@ -73,7 +81,7 @@
     priority: spec.priority,
     queuePosition: key.position,
     missedObjectives: key.missedObjectives,
-    taskCount: tasks,
+    taskCount,
     allOrNothing: spec.kind === 'gang',
     isService: spec.kind === 'service',
     cpus: spec.cpus,
@@ -106,16 +114,16 @@
     if (spec.zoneAffinity) zone = placement.zone;
     if (zoneAllowance) zoneAllowance[placement.zone] = (zoneAllowance[placement.zone] ?? maxTasksPerZone) - 1;
   }
-  return { zone, zoneAllowance: zoneAllowance, maxTasksPerZone: maxTasksPerZone };
+  return { zone, zoneAllowance, maxTasksPerZone };
 }
 
 /** See `ResourceRequest.remainingTasks`: a task that never had an attempt is listed nowhere. */
 function remainingTasks(job: OwnedJob): Pick<ResourceRequest, 'remainingTasks'> {
-  const { spec, counter: count, placements: placed, attempts, fanOut: fan } = job;
-  const left = spec.taskCount - count.count - placed.size;
-  if (spec.kind === 'gang' || left > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
-  const tasks = fan.waiting((task) => count.has(task) || placed.has(task));
-  return tasks.some((task) => attempts.has(task)) ? { remainingTasks: tasks } : {};
+  const { spec, counter, placements, attempts, fanOut } = job;
+  const openTasks = spec.taskCount - counter.count - placements.size;
+  if (spec.kind === 'gang' || openTasks > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
+  const remaining = fanOut.waiting((task) => counter.has(task) || placements.has(task));
+  return remaining.some((task) => attempts.has(task)) ? { remainingTasks: remaining } : {};
 }
 
 function machinesToAvoid(job: OwnedJob, nowMs: number): string[] {
@@ -127,7 +135,7 @@
   return machines;
 }
 
-/** Its aim or deadline, and what is left until then. */
+/** Its objective or deadline, and what is left until then. */
 function objectiveSlack(
   spec: JobSpec,
   input: RequestListInput,
@@ -138,6 +146,6 @@
   if (objectiveSeconds === undefined) return { objectiveSeconds: null, slackSeconds: null };
   const slackSeconds = objectiveSeconds - (input.wallMs - spec.acceptedAtMs) / 1000;
   return slackSeconds > 0
-    ? { objectiveSeconds: objectiveSeconds, slackSeconds: slackSeconds }
+    ? { objectiveSeconds, slackSeconds }
     : { objectiveSeconds: null, slackSeconds: null };
 }
--- a/src/shard/team-usage.ts
+++ b/src/shard/team-usage.ts
@@ -1,3 +1,5 @@
+/** What each team uses of its quota. */
+
 import type { JobSpec } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { TeamLoad } from './release-queue.js';
@@ -12,28 +14,33 @@
   batchTasks: number;
 }
 
+/** CPUs and GPUs. */
 export interface Amounts {
   cpus: number;
   gpus: number;
 }
 
 /**
- * Why the count of a team changes. `granted`: a place was taken, to be stored. `read`: found in the stored records. `ended`: its
- * worker lists it as ended. `gone`: settled without that. `returned`: never sent to the state service. `let_go`: its job is read
- * again, filed or no longer this owner's.
+ * Why the count of a team changes. `granted`: a place was taken, to be stored. `loaded`: found in the stored records. `exited`: its
+ * worker lists it so. `lost`: finalized without that. `returned`: never sent to the key-value store. `released`: its job is loaded
+ * again, archived or no longer this owner's.
  */
-export type UsageCause = 'granted' | 'read' | 'ended' | 'gone' | 'returned' | 'let_go';
+export type UsageCause = 'granted' | 'loaded' | 'exited' | 'lost' | 'returned' | 'released';
 
 /** Tasks added and removed by cause. */
 export type UsageChanges = Partial<Record<UsageCause, number>>;
 
-/** What the unsettled placements of each team take of its limit. Only the owner of a team can store placements of it. */
+/**
+ * What the placements of each team take of its quota until they are finalized. Only the owner of a team's shard can store
+ * placements of it.
+ */
 export class TeamUsage {
   private readonly used = new Map<string, Usage>();
   private changes = new Map<string, UsageChanges>();
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
+  /** Placements of a job that count from now on. */
   add(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     if (tasks === 0) return;
     this.change(spec, tasks);
@@ -42,6 +49,7 @@
     this.changes.set(spec.team, changes);
   }
 
+  /** Placements of a job that no longer count. */
   remove(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     this.add(spec, cause, -tasks);
   }
@@ -54,40 +62,41 @@
     this.used.set(spec.team, usage);
   }
 
-  /** What a team may use at a time: infinite without a limit. */
-  limit(team: string): Amounts {
-    const limit = this.teams.get(team);
+  /** A team's quota: infinite without one. */
+  quotaOf(team: string): Amounts {
+    const quota = this.teams.get(team);
     return {
-      cpus: limit && limit.maxCpus > 0 ? limit.maxCpus : Number.POSITIVE_INFINITY,
-      gpus: limit && limit.maxGpus > 0 ? limit.maxGpus : Number.POSITIVE_INFINITY,
+      cpus: quota && quota.maxCpus > 0 ? quota.maxCpus : Number.POSITIVE_INFINITY,
+      gpus: quota && quota.maxGpus > 0 ? quota.maxGpus : Number.POSITIVE_INFINITY,
     };
   }
 
-  /** What a team may still take: infinite without a limit; null: there is no such team. */
+  /** What a team may still take: infinite without a quota; null: there is no such team. */
   remaining(team: string): Amounts | null {
     if (!this.teams.has(team)) return null;
-    const limit = this.limit(team);
+    const quota = this.quotaOf(team);
     const { cpus, gpus } = this.usageOf(team);
-    return { cpus: limit.cpus - cpus, gpus: limit.gpus - gpus };
+    return { cpus: quota.cpus - cpus, gpus: quota.gpus - gpus };
   }
 
-  /** Whether the limit of its team admits one more task of a job. */
+  /** Whether the quota of its team admits one more task of a job. */
   admits(spec: JobSpec): boolean {
     const left = this.remaining(spec.team);
     return left !== null && tasksWithin(left, spec) >= 1;
   }
 
+  /** Whether a team uses more than its quota. */
   exceeds(team: string): boolean {
     const left = this.remaining(team);
     return left !== null && (left.cpus < -EPSILON || left.gpus < -EPSILON);
   }
 
-  /** What a team uses and may use, for logs; a limit of null: none. */
-  describe(team: string): { cpus: number; cpus_max: number | null; gpus: number; gpus_max: number | null } {
+  /** What a team uses and may use, for logs; a maximum of null: it has no quota. */
+  describe(team: string): { cpus: number; maxCpus: number | null; gpus: number; maxGpus: number | null } {
     const { cpus, gpus } = this.usageOf(team);
-    const limit = this.limit(team);
+    const quota = this.quotaOf(team);
     const finite = (amount: number) => (Number.isFinite(amount) ? amount : null);
-    return { cpus, cpus_max: finite(limit.cpus), gpus, gpus_max: finite(limit.gpus) };
+    return { cpus, maxCpus: finite(quota.cpus), gpus, maxGpus: finite(quota.gpus) };
   }
 
   /** The changes of each team since the last call. */
@@ -97,12 +106,13 @@
     return taken;
   }
 
+  /** What the release queue looks at. */
   load(team: string): TeamLoad {
-    const whole = this.limit(team);
+    const quota = this.quotaOf(team);
     return {
       runningTasks: this.usageOf(team).batchTasks,
-      maxParallel: (spec) => Math.min(spec.taskCount, tasksWithin(whole, spec)),
-      tasksAtLimit: (spec) => tasksWithin(whole, spec),
+      maxParallel: (spec) => Math.min(spec.taskCount, tasksWithin(quota, spec)),
+      tasksAtQuota: (spec) => tasksWithin(quota, spec),
     };
   }
 
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -1,16 +1,19 @@
+/** Logs what the use of each team is made of. */
+
 import type { Clock } from '../model/clock.js';
 import { LimitedLog } from '../model/limited-log.js';
 import type { Logger } from '../model/logger.js';
 import type { OwnedJob } from './owned-job.js';
+import type { OwnedShard } from './owned-shards.js';
 import type { TeamUsage } from './team-usage.js';
 
 const SUMMARY_MS = 30_000;
-/** Changes of a team's use are told together, so many milliseconds apart at least. */
+/** Changes of a team's use are logged together, at least so far apart. */
 const CHANGES_MS = 250;
-/** Jobs named in a line. */
+/** Most jobs named in a line. */
 const JOBS_NAMED = 8;
 
-/** Logs what a team's use is made of: each change by cause (debug), a summary in 30 s (info), writes in doubt (info, bounded). */
+/** Each change by its cause (debug), a regular summary (info), and indeterminate writes (info, at a limited rate). */
 export class UsageLog {
   private readonly limited: LimitedLog;
   private summaryAt = Number.NEGATIVE_INFINITY;
@@ -33,36 +36,42 @@
     }
     if (now - this.summaryAt < SUMMARY_MS) return;
     this.summaryAt = now;
-    const inDoubt = countBy([...jobs].filter((job) => job.isReloading).map((job) => job.spec.team));
+    const reloading = countBy([...jobs].filter((job) => job.isReloading).map((job) => job.spec.team));
     for (const team of teams)
       this.log.info(
-        { team, ...this.usage.describe(team), jobs_read_again: inDoubt.get(team) ?? 0 },
+        { team, ...this.usage.describe(team), reloadingJobs: reloading.get(team) ?? 0 },
         'team usage',
       );
   }
 
   /** A transaction without an answer: what it places counts until its outcome is known. */
-  logIndeterminateWrite(jobs: readonly OwnedJob[], fence: number | null): void {
+  logIndeterminateWrite(jobs: readonly OwnedJob[], fenceRevision: number): void {
     const unstored = jobs.flatMap((job) =>
       [...job.placements.values()].filter((placement) => !placement.isStored),
     );
-    this.limited.info({ ...named(jobs), placements: unstored.length, fence }, 'write in doubt');
+    this.limited.info({ ...named(jobs), placements: unstored.length, fenceRevision }, 'indeterminate write');
   }
 
-  /** What its records say of a job that had a write in doubt. */
+  /** What the records say of a job that had an indeterminate write: which of its placements were stored after all. */
   logResolvedWrite(job: OwnedJob, before: OwnedJob, sinceMs: number): void {
-    const found = [...before.placements.values()].filter(
-      ({ taskIndex, attempt, isStored: stored }) =>
-        !stored && job.placements.get(taskIndex)?.attempt === attempt,
+    const stored = [...before.placements.values()].filter(
+      ({ taskIndex, attempt, isStored }) => !isStored && job.placements.get(taskIndex)?.attempt === attempt,
     );
-    const fields = { job: job.spec.id, team: job.spec.team, found: found.length };
-    this.limited.info({ ...fields, ms: Math.round(this.clock.now() - sinceMs) }, 'write in doubt resolved');
+    const afterMs = Math.round(this.clock.now() - sinceMs);
+    const { id: jobId, team } = job.spec;
+    const fields = { jobId, team, storedPlacements: stored.length, afterMs };
+    this.limited.info(fields, 'indeterminate write resolved');
+  }
+
+  /** The jobs of a shard have been read. */
+  logLoadedShard({ team, shardEpoch }: OwnedShard, jobs: number): void {
+    this.log.info({ team, jobs, shardEpoch, ...this.usage.describe(team) }, 'shard loaded');
   }
 
-  /** Records that were read again may hold a task whose end is not stored yet: it counts until its worker's list tells. */
-  checkLimit(team: string): void {
+  /** Records that were reloaded may have a task whose end is not stored yet: it counts until its worker lists it so. */
+  checkQuota(team: string): void {
     if (!this.usage.exceeds(team)) return;
-    this.limited.info({ team, ...this.usage.describe(team) }, 'team counted over its limit');
+    this.limited.info({ team, ...this.usage.describe(team) }, 'team over quota');
   }
 
   private logChanges(): void {
@@ -71,8 +80,8 @@
   }
 }
 
-function named(jobs: readonly OwnedJob[]): { jobs: string[]; of: number } {
-  return { jobs: jobs.slice(0, JOBS_NAMED).map((job) => job.spec.id), of: jobs.length };
+function named(jobs: readonly OwnedJob[]): { jobs: string[]; jobCount: number } {
+  return { jobs: jobs.slice(0, JOBS_NAMED).map((job) => job.spec.id), jobCount: jobs.length };
 }
 
 function countBy(names: readonly string[]): Map<string, number> {
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -1,5 +1,12 @@
+/** Bars late writes: what was sent before the fence moved can no longer be executed. */
+
 import type { Clock } from '../model/clock.js';
-import { type KeyValueStore, type Transaction, URGENCY } from '../model/key-value-store.js';
+import {
+  type KeyValueStore,
+  type Precondition,
+  type Transaction,
+  URGENCY,
+} from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { Result } from '../model/result.js';
 import { teamRecord } from '../store/record-codec.js';
@@ -9,7 +16,7 @@
 
 /** What a fence needs of its controller. */
 export interface WriteFenceOptions {
-  /** One record a host: a process that follows on the same host goes on from the version it finds. */
+  /** One record a controller: a process that follows on the same node goes on from the revision it finds. */
   key: string;
   instanceId: string;
   store: KeyValueStore;
@@ -20,18 +27,18 @@
 }
 
 /**
- * Ends the doubt about transactions without an answer.
+ * Resolves transactions without an answer.
  *
  * "No response: the request may have been executed, or may yet be executed later." Reading the records again is no
- * barrier: a transaction that was not found may be carried out after that read, as long as nothing it is conditioned on has
+ * barrier: a transaction that was not found may be executed after that read, as long as nothing it is conditioned on has
  * changed. So every transaction of an owner is conditioned on one record of its own, the fence. Once the fence is seen at
- * another version, no earlier transaction can be carried out any more, and what is read from then on is final. The ordinary
- * path costs a condition and no write; a doubt costs one write.
+ * another revision, no earlier transaction can be executed any more, and what is read from then on is final. The ordinary
+ * path costs a precondition and no write; an indeterminate write costs one more write.
  */
 export class WriteFence {
   /** Null: not known, and to be read before anything is written. */
   private revision: number | null = null;
-  /** The version that is to be left behind; null: the fence is not being moved. */
+  /** The revision that is to be left behind; null: the fence is not being moved. */
   private revisionToLeave: number | null = null;
   private waitingForMove: (() => void)[] = [];
   private requestInFlight = false;
@@ -43,8 +50,8 @@
     if (this.revision === null) this.proceed();
   }
 
-  /** The condition of a transaction; null: nothing may be written yet, `ready` tells when. */
-  precondition(): Transaction['preconditions'][number] | null {
+  /** The precondition of a transaction; null: nothing may be written yet, `onReady` tells when. */
+  precondition(): Precondition | null {
     this.learn();
     if (this.revision === null || this.waitingForMove.length > 0) return null;
     return { key: this.options.key, modRevision: this.revision };
@@ -58,7 +65,7 @@
     return result.failedKeys.length === 1;
   }
 
-  /** Calls back once no transaction sent until now can be carried out any more. */
+  /** Calls back once no transaction sent until now can be executed any more. */
   move(moved: () => void): void {
     this.waitingForMove.push(moved);
     this.proceed();
@@ -73,7 +80,10 @@
   private read(): void {
     this.requestInFlight = true;
     this.options.store.get(this.options.key, URGENCY.user, (result) => {
-      if (!result.ok) return this.retry();
+      if (!result.ok) {
+        this.retry();
+        return;
+      }
       this.requestInFlight = false;
       this.revision = result.value?.modRevision ?? 0;
       if (this.revisionToLeave !== null && this.revision !== this.revisionToLeave) this.onMoved();
@@ -82,24 +92,25 @@
     });
   }
 
-  private write(version: number): void {
+  private write(modRevision: number): void {
     this.requestInFlight = true;
-    this.revisionToLeave = version;
-    const { key, instanceId, store: state } = this.options;
+    this.revisionToLeave = modRevision;
+    const { key, instanceId, store } = this.options;
     const transaction: Transaction = {
-      preconditions: [{ key, modRevision: version }],
+      preconditions: [{ key, modRevision }],
       operations: [{ type: 'put', key, value: teamRecord.encode({ instanceId }) }],
     };
-    state.compareAndSwap(transaction, URGENCY.placement, (result) => {
+    store.compareAndSwap(transaction, URGENCY.placement, (result) => {
       if (result.ok) {
         this.requestInFlight = false;
         this.revision = result.value;
-        return this.onMoved();
+        this.onMoved();
+      } else if (result.kind === 'refused') this.retry();
+      else {
+        // Its own answer may be lost, or an earlier write of it executed late: its revision tells.
+        this.revision = null;
+        this.read();
       }
-      if (result.kind === 'refused') return this.retry();
-      // Its own answer may be lost, or an earlier write of it carried out late: its version tells.
-      this.revision = null;
-      this.read();
     });
   }
 
@@ -108,7 +119,7 @@
     const moved = this.waitingForMove;
     this.waitingForMove = [];
     for (const done of moved) done();
-    this.options.log.debug({ fence: this.revision, waiting: moved.length }, 'write fence moved');
+    this.options.log.debug({ fenceRevision: this.revision, waiting: moved.length }, 'write fence moved');
     this.options.onReady();
   }
 
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -17,7 +17,7 @@
   listing: PrefixListing;
 }
 
-/** Told whether the copy holds everything stored before the call. */
+/** Takes whether the copy holds everything stored before the call. */
 export type ReadCallback = (isFresh: boolean) => void;
 
 /** Reads by a watch that does not wait, which is always sent after the calls that it answers. */
--- a/src/store/record-codec.ts
+++ b/src/store/record-codec.ts
@@ -1,4 +1,4 @@
-/** Records in the key-value store: their encoded names are those that every earlier version has written. */
+/** The encoded form of records in the key-value store. Encoded names are those that every earlier version has written. */
 
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine-type.js';
@@ -102,13 +102,13 @@
 /** `sys/token`: the highest fencing token. */
 export const tokenRecord: Codec<TokenRecord> = object<TokenRecord>({ fencingToken: 'n' });
 
-/** `sys/node/<host>`: a controller that is alive. */
+/** `sys/node/<node>`: a live controller. */
 export const nodeRecord: Codec<NodeRecord> = object<NodeRecord>({ instanceId: 'inst', leaseId: 'lease' });
 
-/** `sys/team/<name>`, and `fence/<host>`: the instance that the record belongs to. */
+/** `sys/team/<team>`, and `fence/<node>`: the instance that the record belongs to. */
 export const teamRecord: Codec<OwnerRecord> = object<OwnerRecord>({ instanceId: 'inst' });
 
-/** `sys/types`: the machine types, as the cloud last told them. */
+/** `sys/types`: the machine types, as the leader last read them. */
 export const machineTypesRecord: Codec<MachineType[]> = list(
   object<MachineType>({
     name: 'name',
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -82,7 +82,7 @@
   onPlacementStored: () => {},
   onOutcomeStored: () => {},
   onCounterFull: () => {},
-  onFiled: () => {},
+  onFinalRecordStored: () => {},
 };
 
 function steppingClock(): Clock {
@@ -146,7 +146,7 @@
 
 function ownedJob(spec: JobSpec): OwnedJob {
   const stored = storedJob({ [`open/${spec.id}/a`]: `{"j":${GANG_TEXT}}` })!;
-  return createOwnedJob(spec, stored, undefined, 64);
+  return createOwnedJob({ spec, stored, releaseWindow: 64 });
 }
 
 function placement(taskIndex: number, machine: string): Placement {
@@ -222,7 +222,7 @@
     for (const taskIndex of done) job.counter.add(taskIndex);
     job.runningTasks = running;
     job.counterDirty = true;
-    expect(writtenText(writeChanges(job, 16, 64, events)?.operations)).toBe(
+    expect(writtenText(writeChanges(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations)).toBe(
       `[{"write":"open/wk-7/n","value":${text}}]`,
     );
     const stored = storedJob({
@@ -253,7 +253,7 @@
     job.counterDirty = true;
     job.runningTasks = 1;
     job.dirtyChunks.add(0);
-    const write = writeChanges(job, 16, 64, events);
+    const write = writeChanges(job, { maxOperations: 16, tasksPerChunk: 64, events });
     expect(writtenText(write?.operations)).toBe(
       `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${TEXT}}]`,
     );
@@ -265,7 +265,7 @@
     job.dirtyChunks.add(2);
     job.dirtyChunks.add(1);
     job.chunkRevisions.set(1, 8);
-    expect(writtenText(writeChanges(job, 16, 1, events)?.operations)).toBe(
+    expect(writtenText(writeChanges(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations)).toBe(
       '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
     );
   });
@@ -317,7 +317,7 @@
 });
 
 describe('the final record of a job, end/<id>', () => {
-  const finalOf = (job: OwnedJob): JobWrite | null => writeFinal(job, 16, events);
+  const finalOf = (job: OwnedJob): JobWrite | null => writeFinal(job, { maxOperations: 16, events });
 
   test('is written when it is done, and the working records are dropped', () => {
     const job = ownedJob(GANG);
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -217,12 +217,11 @@
     cancelled: false,
     runningTasks: 0,
   };
-  return createOwnedJob(
+  return createOwnedJob({
     spec,
-    { ...stored, counter: null, counterRecord: null, placementChunks: new Map() },
-    undefined,
-    1000,
-  );
+    stored: { ...stored, counter: null, counterRecord: null, placementChunks: new Map() },
+    releaseWindow: 1000,
+  });
 }
 
 const grantOn = (id: number, endedTasks?: number[]): Grant => ({
@@ -240,7 +239,11 @@
     new Map([['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }]]),
   );
   const tasks: [number, number][] = [];
-  assignGrants(of, grants, usage, 0, (grant, taskIndex) => tasks.push([grant.id, taskIndex]));
+  assignGrants(of, grants, {
+    usage,
+    nowMs: 0,
+    place: (grant, taskIndex) => tasks.push([grant.id, taskIndex]),
+  });
   return tasks;
 }
 
--- a/test/release-order.test.ts
+++ b/test/release-order.test.ts
@@ -8,7 +8,7 @@
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
   maxParallel: () => limit,
-  tasksAtLimit: () => limit,
+  tasksAtQuota: () => limit,
 });
 
 function queued(
--- a/test/write-doubt.test.ts
+++ b/test/write-doubt.test.ts
@@ -114,7 +114,7 @@
   standin.losses.push('carried out late', 'carried out at once');
   standin.grant('wk-000001', 5);
   standin.run(4000);
-  expect(standin.linesOf('write in doubt resolved').length).toBe(1);
+  expect(standin.linesOf('indeterminate write resolved').length).toBe(1);
   expect(standin.carryOutLate()).toBe(0);
   standin.grant('wk-000001', LIMIT_TASKS);
   standin.run(1000);
@@ -144,7 +144,7 @@
   standin.grant('wk-000002', 5);
   standin.run(1000);
   expect(standin.storedPlacements()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
-  expect(standin.linesOf('job read again')).toEqual([]);
+  expect(standin.linesOf('job reloaded')).toEqual([]);
 });
 
 test("what a write in doubt, its end and a team's use look like in the log", () => {
@@ -152,16 +152,19 @@
   standin.losses.push('carried out at once');
   standin.grant('wk-000001', 5);
   standin.run(3000);
-  expect(standin.linesOf('write in doubt')[0]?.fields).toMatchObject({
+  expect(standin.linesOf('indeterminate write')[0]?.fields).toMatchObject({
     jobs: ['wk-000001'],
-    of: 1,
+    jobCount: 1,
     placements: 5,
   });
-  expect(standin.linesOf('write in doubt resolved')[0]?.fields).toMatchObject({ job: 'wk-000001', found: 5 });
+  expect(standin.linesOf('indeterminate write resolved')[0]?.fields).toMatchObject({
+    jobId: 'wk-000001',
+    storedPlacements: 5,
+  });
   expect(standin.linesOf('team usage changed').map((line) => line.fields)).toContainEqual(
-    expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, cpus_max: TEAM.maxCpus }),
+    expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, maxCpus: TEAM.maxCpus }),
   );
-  expect(standin.linesOf('team counted over its limit')).toEqual([]);
+  expect(standin.linesOf('team over quota')).toEqual([]);
 });
 
 test('a line that a trouble repeats is bounded, and says how many were left out', () => {
@@ -170,9 +173,9 @@
   const take = (fields: LogFields) => lines.push(fields);
   const clock = { now: () => now } as Clock;
   const limited = new LimitedLog({ debug: take, info: take, error: take }, clock);
-  for (let i = 0; i < 500; i++) limited.info({ i }, 'write in doubt');
+  for (let i = 0; i < 500; i++) limited.info({ i }, 'indeterminate write');
   expect(lines.length).toBe(20);
   now = 10_000;
-  limited.info({ i: 500 }, 'write in doubt');
+  limited.info({ i: 500 }, 'indeterminate write');
   expect(lines.at(-1)).toEqual({ i: 500, suppressed: 480 });
 });
