--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -68,9 +68,10 @@
  * team's places.
  *
  * A queue in which a job has not begun in full after `OVERLOADED_AFTER_MS` has more work than places. Release by age would
- * let one large array hold up every job behind it there, so the jobs of such a queue are released by response ratio (highest response ratio next): the wait in multiples of the work that is left.
- * Jobs that can still begin in full within `BEGIN_WITHIN_SECONDS` precede the others, and among these the large ones of each
- * class do as long as they run less than their share.
+ * let one large array hold up every job behind it there, so the jobs of such a queue are released by response ratio
+ * (highest response ratio next): the wait in multiples of the work that is left. Jobs that can still begin in full within
+ * `BEGIN_WITHIN_SECONDS` precede the others, and among these the large ones of each class do as long as they run less than
+ * their share.
  */
 export class ReleaseQueue {
   /** Objectives on finishing by class in seconds, shortest first. */
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -7,11 +7,12 @@
 import type { OwnedShard } from './owned-shards.js';
 import type { TeamUsage } from './team-usage.js';
 
-const SUMMARY_MS = 30_000;
+/** Time between two summaries of a team's use. */
+const SUMMARY_INTERVAL_MS = 30_000;
 /** Changes of a team's use are logged together, at least so far apart. */
-const CHANGES_MS = 250;
+const CHANGES_INTERVAL_MS = 250;
 /** Most jobs named in a line. */
-const JOBS_NAMED = 8;
+const MAX_JOBS_NAMED = 8;
 
 /** Each change by its cause (debug), a regular summary (info), and indeterminate writes (info, at a limited rate). */
 export class UsageLog {
@@ -30,11 +31,11 @@
   /** Called after each batch of commands. */
   update(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
     const now = this.clock.now();
-    if (now - this.changesAt >= CHANGES_MS) {
+    if (now - this.changesAt >= CHANGES_INTERVAL_MS) {
       this.changesAt = now;
       this.logChanges();
     }
-    if (now - this.summaryAt < SUMMARY_MS) return;
+    if (now - this.summaryAt < SUMMARY_INTERVAL_MS) return;
     this.summaryAt = now;
     const reloading = countBy([...jobs].filter((job) => job.isReloading).map((job) => job.spec.team));
     for (const team of teams)
@@ -81,7 +82,7 @@
 }
 
 function named(jobs: readonly OwnedJob[]): { jobs: string[]; jobCount: number } {
-  return { jobs: jobs.slice(0, JOBS_NAMED).map((job) => job.spec.id), jobCount: jobs.length };
+  return { jobs: jobs.slice(0, MAX_JOBS_NAMED).map((job) => job.spec.id), jobCount: jobs.length };
 }
 
 function countBy(names: readonly string[]): Map<string, number> {
