--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -5,6 +5,7 @@
 /** `sys/node/<host>`: a controller that is alive; the record hangs on the lease that it names. */
 export interface NodeRecord {
   instanceId: string;
+  /** The lease that this record belongs to. */
   leaseId: number;
 }
 
@@ -36,12 +37,15 @@
 /** `open/<id>/n`: how many of a job's tasks are done and running, and which are done. */
 export interface CounterRecord {
   finishedTasks: number;
+  /** When it was last written: it is not written for each task that starts. */
   runningTasks: number;
+  /** Which tasks are finished; see `store/completion-bitmap.ts`. */
   finishedBitmap: string;
 }
 
 /** `end/<id>`: the final answer about a job, done or else cancelled. It replaces all other records of the job. */
 export interface FinalRecord {
+  /** Else it was cancelled. */
   isDone: boolean;
   finishedTasks: number;
 }
@@ -54,5 +58,6 @@
 
 /** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks, by task index. */
 export interface PlacementRecord {
+  /** By task index. */
   tasks: Map<number, PlacementEntry>;
 }
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -8,7 +8,7 @@
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
   maxParallel: () => limit,
-  tasksAtLimit: () => limit,
+  tasksAtQuota: () => limit,
 });
 
 function queued(
--- a/test/sync-assembly.test.ts
+++ b/test/sync-assembly.test.ts
@@ -3,7 +3,10 @@
 import { SyncAssembly, type SyncChunk } from '../src/scheduler/owners/sync-assembly.js';
 import { SchedulerHarness } from './simulation/scheduler-harness.js';
 
-const placement = (jobId: string): PlacementSpec => ({ ...new SchedulerHarness(5).placementSpec('run'), jobId });
+const placement = (jobId: string): PlacementSpec => ({
+  ...new SchedulerHarness(5).placementSpec('run'),
+  jobId,
+});
 
 function chunk(chunkIndex: number, over: Partial<SyncChunk> = {}): SyncChunk {
   return {
