--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -1,6 +1,6 @@
 /** Heartbeats of workers, by who leads: the scheduler handles them, or the worker is sent on to the leader. */
 
-import { isLeaseRenewalCovered, renewalWindowMs } from '../model/cancellation-coverage.js';
+import { allowsLeaseRenewal, renewalWindowMs } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
 import type { HeartbeatResult } from '../model/heartbeat-result.js';
 import type { Heartbeat } from '../model/worker-messages.js';
@@ -68,12 +68,11 @@
   private keepsLeaseWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, coordinator, workerTiming } = this.options;
     if (heartbeat.fencingToken > leadership.leader.fencingToken || !this.isIsolated(now)) return false;
-    return isLeaseRenewalCovered(
-      coordinator.inheritedCoverage,
-      heartbeat.machine,
+    return allowsLeaseRenewal(coordinator.inheritedCoverage, {
+      machine: heartbeat.machine,
       now,
-      renewalWindowMs(workerTiming),
-    );
+      windowMs: renewalWindowMs(workerTiming),
+    });
   }
 
   /** Out of touch with the store, with a leader that was heard before, and with every peer that is in touch with the store. */
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -57,16 +57,21 @@
   pendingMachines: ReadonlySet<string> | null;
 }
 
-/** Whether this machine's lease may be renewed now, by this coverage and without any stop. */
-export function isLeaseRenewalCovered(
+/** A machine whose lease is to be renewed, now and by a coverage that may be as old as the window; times in ms. */
+export interface LeaseRenewal {
+  machine: string;
+  now: number;
+  windowMs: number;
+}
+
+/** Whether a machine's lease may be renewed by this coverage, without any stop. */
+export function allowsLeaseRenewal(
   coverage: CancellationCoverage | null,
-  machine: string,
-  now: number,
-  window: number,
+  { machine, now, windowMs }: LeaseRenewal,
 ): boolean {
   return (
     coverage !== null &&
-    now - coverage.completeUntil <= window &&
+    now - coverage.completeUntil <= windowMs &&
     coverage.pendingMachines !== null &&
     !coverage.pendingMachines.has(machine)
   );
@@ -111,7 +116,7 @@
   }
 
   /** Whether each team has a watermark: then every placement that is stored is known here. */
-  get coversAllTeams(): boolean {
+  get hasAllTeams(): boolean {
     return this.byTeam.size >= this.teams.length;
   }
 }
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -20,8 +20,6 @@
 import { requestLike } from './state/replica-request.js';
 import { type ShardOwnerRef, ShardOwners } from './state/shard-owners.js';
 
-export type { SchedulerOptions } from './scheduler-options.js';
-
 /** A request with the instance that told it. */
 export interface QueuedRequest {
   request: ResourceRequest;
@@ -112,7 +110,7 @@
       allocation.evictionRequestedAt = now;
       this.evictions.add(allocation);
       const machine = this.machines.get(allocation.machine);
-      if (machine) this.markChanged(machine);
+      if (machine) this.noteChanged(machine);
       const instanceId = this.owners.get(allocation.team)?.instanceId;
       if (!instanceId) continue;
       const tasks = tasksByOwner.get(instanceId) ?? [];
@@ -184,7 +182,7 @@
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
     if (allocation.desiredState === 'hold') this.grants.remove(allocation);
-    this.markChanged(machine);
+    this.noteChanged(machine);
   }
 
   /** Stored as cancelled: stopping its tasks is always right, whoever owns them. Returns where some may run. */
@@ -200,7 +198,7 @@
           continue;
         allocation.gracePeriodSeconds = 0;
         this.leaseRenewal.noteStop(machine, allocation);
-        this.markChanged(machine);
+        this.noteChanged(machine);
         affected.push(machine);
       }
     return affected;
@@ -221,7 +219,7 @@
   }
 
   /** Something on this machine has changed: its totals are made anew, and the next pass looks at it. */
-  markChanged(machine: Machine): void {
+  noteChanged(machine: Machine): void {
     this.fleetTotals.noteChange(machine);
     this.isDirty = true;
   }
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -1,10 +1,11 @@
 /** Decides which machines to rent, to empty and to return. */
 
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import { bootingCapacities } from '../placement/booting-capacity.js';
 import { fill } from '../placement/fill.js';
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { fleetComposition } from './fleet-composition.js';
 import { IdleMachines, type RemoveMachine } from './idle-machines.js';
 import { MachineRenter } from './machine-renter.js';
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -1,7 +1,7 @@
 /** Returns machines that stand empty. */
 
 import { slotsIn } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import { fits, isAllowed } from '../placement/capacity-filter.js';
 import { fill } from '../placement/fill.js';
@@ -11,6 +11,7 @@
   emptyCapacity,
   type FreeCapacity,
 } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import type { ServiceReserve } from './service-reserve.js';
 
 /** So long a new leader lets heartbeats speak first. */
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -2,8 +2,9 @@
 
 import type { RentalRequest } from '../../model/cloud-provider.js';
 import type { Result } from '../../model/result.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
 import { emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Rental } from './rental-planner.js';
 
 /** A call without an answer is repeated so often in all, after pauses that grow by the second. */
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -3,8 +3,9 @@
 import { imageFetchSecondsOn, type MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
 import { isAllowed } from '../placement/capacity-filter.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import type { RentalBackoff } from './rental-backoff.js';
 
 /** What may be rented now, and how it is priced. */
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -2,10 +2,12 @@
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import { type Allocation, type Machine, usesCapacity } from '../machine.js';
+import { type Allocation, usesCapacity } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { Machine } from '../machine.js';
 import { fill } from '../placement/fill.js';
 import { type CapacityDemand, copyCapacities, type FreeCapacity } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { requestForReplica } from './replica-request.js';
 import { coldReplicaCount, type ServiceReserve } from './service-reserve.js';
 
--- a/src/scheduler/fleet/replica-request.ts
+++ b/src/scheduler/fleet/replica-request.ts
@@ -1,8 +1,9 @@
 /** Running replicas as requests. */
 
 import type { ResourceRequest } from '../../model/placement.js';
+import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
-import type { Allocation, Machine } from '../machine.js';
+import type { Machine } from '../machine.js';
 
 /** A running replica as a request of its own, in its zone if that zone is the scarce one. */
 export function requestForReplica(
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -2,9 +2,10 @@
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import { usesCapacity } from '../machine.js';
+import { usesCapacity } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 
 /** A service of which nothing was heard for so long needs no machine with its image. */
 const MAX_PROFILE_AGE_MS = 600_000;
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -1,9 +1,11 @@
 /** Which machines that are not heard are kept all the same. */
 
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import { lastProofOfLife, type Machine, usesCapacity } from '../machine.js';
+import { usesCapacity } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
+import { lastProofOfLife, type Machine } from '../machine.js';
 import { fill } from '../placement/fill.js';
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { requestForReplica } from './replica-request.js';
 
 /** A machine heard within this time is reachable again. */
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -2,10 +2,11 @@
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import { type Allocation, usesCapacity } from '../machine.js';
+import { type Allocation, usesCapacity } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
 import type { CapacityDemand } from '../placement/free-capacity.js';
 import { OBJECTIVE_MARGIN_SHARE } from '../placement/wait-objectives.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { cheapestOffer, currentPricing, type PricingInput, startupSeconds } from './rental-pricing.js';
 
 /** How far ahead places that come free are counted on. */
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -5,8 +5,6 @@
 import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
 import { emptyTotals, type MachineTotals } from './machine-totals.js';
 
-export { type Allocation, createAllocation, usesCapacity } from './allocation.js';
-
 /** Commands sent straight to a worker, and not with the answer to a heartbeat. Times in ms. */
 export interface DirectCommandState {
   inFlight: boolean;
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -80,7 +80,7 @@
     }
     this.state.machines.delete(name);
     this.state.endedAttempts.update(machine, []);
-    this.state.markChanged(machine);
+    this.state.noteChanged(machine);
     this.state.rentalBackoff.onFreed(machine);
   }
 }
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-intake.ts
@@ -29,7 +29,7 @@
       return null;
     }
     const machine = this.state.machine(placement.machine);
-    this.state.markChanged(machine);
+    this.state.noteChanged(machine);
     this.dropGrantOf(placement, machine);
     const allocation = this.takeOver(placement, machine);
     if (
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grants.ts
@@ -1,8 +1,10 @@
 /** Grants: places on machines that owners may give to tasks. */
 
 import type { Grant, PlacementSpec, ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, QueuedRequest, SchedulerOptions } from '../cluster-state.js';
-import { createAllocation, type Machine } from '../machine.js';
+import { createAllocation } from '../allocation.js';
+import type { ClusterState, QueuedRequest } from '../cluster-state.js';
+import type { Machine } from '../machine.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 
 /** The owner decides which task takes the place: until it tells, a grant's allocation has none. */
 const NO_TASK_INDEX = -1;
@@ -48,7 +50,7 @@
     allocation.key = `grant#${grantId}`;
     allocation.desiredState = 'hold';
     machine.allocations.set(allocation.key, allocation);
-    this.state.markChanged(machine);
+    this.state.noteChanged(machine);
     this.state.grantMachines.set(grantId, machine);
     const openGrants = this.state.openGrants.get(jobId);
     if (openGrants) openGrants.add(grantId);
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -2,7 +2,8 @@
 
 import { LimitedLog } from '../../model/limited-log.js';
 import type { ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { AttemptConflicts } from './attempt-conflicts.js';
 import { BatchProfiles } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
--- a/src/scheduler/placement/preemption-offers.ts
+++ b/src/scheduler/placement/preemption-offers.ts
@@ -1,8 +1,9 @@
 /** What would have to be stopped on each machine for one task of a request, and what would be lost by it. */
 
 import { EPSILON } from '../../model/resources.js';
+import { type Allocation, usesCapacity } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
-import { type Allocation, type Machine, usesCapacity } from '../machine.js';
+import type { Machine } from '../machine.js';
 import { addBack, fits, isOpenTo, subtract } from './capacity-filter.js';
 import { emptyCapacity, type FreeCapacity } from './free-capacity.js';
 import type { PreemptionQuery, PreemptionRules } from './preemption-rules.js';
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -2,8 +2,9 @@
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import type { Allocation } from '../machine.js';
+import type { Allocation } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { bootingCapacities } from './booting-capacity.js';
 import type { TeamUsage } from './team-usage.js';
 
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -2,8 +2,10 @@
 
 import type { TaskAttempt } from '../../model/job.js';
 import type { ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
-import type { Allocation, Machine } from '../machine.js';
+import type { Allocation } from '../allocation.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { Machine } from '../machine.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import { avoidsAnyMachine } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
 import type { CapacityDemand } from './free-capacity.js';
@@ -88,7 +90,9 @@
   }
 
   private hasLowerWork(request: ResourceRequest): boolean {
-    return this.state.totals.ranks.some((tasks, priority) => priority > request.priority && tasks > 0);
+    return this.state.totals.runningByPriority.some(
+      (tasks, priority) => priority > request.priority && tasks > 0,
+    );
   }
 
   private hasFailedLately(request: ResourceRequest, now: number): boolean {
@@ -105,7 +109,7 @@
   private reserve(machine: Machine, { request, now }: PreemptionQuery): void {
     machine.reservation = { jobId: request.jobId, priority: request.priority, until: now + RESERVATION_MS };
     this.state.reservedMachines.add(machine);
-    this.state.markChanged(machine);
+    this.state.noteChanged(machine);
   }
 
   /** Notes that a task and all that stop with it are about to; adds those not noted before to `victims`. */
@@ -115,7 +119,7 @@
       allocation.evictionRequestedAt = now;
       this.state.evictions.add(allocation);
       const machine = this.state.machines.get(allocation.machine);
-      if (machine) this.state.markChanged(machine);
+      if (machine) this.state.noteChanged(machine);
       const used = usage.get(allocation.team);
       if (used) used.cpus -= allocation.cpus;
       victims.push(allocation);
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -1,7 +1,8 @@
 /** Serves single requests within one pass: grants places, waits for places being freed, has others freed. */
 
 import type { ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, SchedulerOptions } from '../cluster-state.js';
+import type { ClusterState } from '../cluster-state.js';
+import type { SchedulerOptions } from '../scheduler-options.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
 import { avoidsAnyMachine, subtract } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -1,7 +1,7 @@
 /** Which tasks run as one gang. */
 
+import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
-import type { Allocation } from '../machine.js';
 
 /** The running tasks of each gang, found when a pass first asks for them. */
 export class RunningGangs {
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -19,7 +19,7 @@
   serviceCpus: number;
   batchTasks: number;
   /** Tasks that are to run, by priority. */
-  ranks: [number, number, number, number];
+  runningByPriority: [number, number, number, number];
 }
 
 const PRIORITIES = [0, 1, 2, 3] as const;
@@ -32,7 +32,7 @@
   readonly machinesWithCapacity = new Set<Machine>();
   /** Machines that are up and on which something is being stopped. */
   readonly machinesWithStops = new Set<Machine>();
-  readonly sums: FleetSums = { services: 0, serviceCpus: 0, batchTasks: 0, ranks: [0, 0, 0, 0] };
+  readonly sums: FleetSums = { services: 0, serviceCpus: 0, batchTasks: 0, runningByPriority: [0, 0, 0, 0] };
   machineTypes = new Map<string, MachineType>();
   private machineTypeList: MachineType[] = [];
   private readonly usedByTeam = new Map<string, TeamUsage>();
@@ -86,7 +86,8 @@
     this.sums.services += sign * totals.replicas;
     this.sums.serviceCpus += sign * totals.replicaCpus;
     this.sums.batchTasks += sign * totals.batchTasks;
-    for (const priority of PRIORITIES) this.sums.ranks[priority] += sign * totals.runningByPriority[priority];
+    for (const priority of PRIORITIES)
+      this.sums.runningByPriority[priority] += sign * totals.runningByPriority[priority];
   }
 
   /** What each team uses; a copy that the caller may count on in. */
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -1,8 +1,8 @@
 /** Whether workers' leases may be renewed: only as far as all that users were told to be cancelled has become stops. */
 
 import {
+  allowsLeaseRenewal,
   CancellationWatermarks,
-  isLeaseRenewalCovered,
   renewalWindowMs,
 } from '../../model/cancellation-coverage.js';
 import { type Allocation, isWithoutStoredPlacement } from '../allocation.js';
@@ -34,7 +34,7 @@
    * watermark of every team with tasks there; what was cancelled later ends with this lease, in time.
    */
   canRenew(machine: Machine, now: number): boolean {
-    if (!this.watermarks.coversAllTeams) return this.inheritedCoverageSuffices(machine, now);
+    if (!this.watermarks.hasAllTeams) return this.inheritedCoverageSuffices(machine, now);
     if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
       return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
@@ -55,7 +55,7 @@
 
   /** For peers: see `CancellationCoverage`. Null as long as some owner has not told what it holds. */
   coverage(): { at: number; pendingMachines: string[] } | null {
-    if (!this.watermarks.coversAllTeams) return null;
+    if (!this.watermarks.hasAllTeams) return null;
     const pendingMachines: string[] = [];
     for (const machine of this.machinesStopping) {
       if (this.machines.get(machine.name) === machine && hasPendingStop(machine))
@@ -77,12 +77,11 @@
       coverage && coverage.completeUntil >= known.since
         ? Math.max(coverage.completeUntil, known.at)
         : (coverage?.completeUntil ?? 0);
-    return isLeaseRenewalCovered(
-      coverage && { ...coverage, completeUntil },
-      machine.name,
+    return allowsLeaseRenewal(coverage && { ...coverage, completeUntil }, {
+      machine: machine.name,
       now,
-      this.renewalWindowMs,
-    );
+      windowMs: this.renewalWindowMs,
+    });
   }
 
   /**
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -26,7 +26,7 @@
   )
     return;
   allocation.isFinalized = true;
-  state.markChanged(machine);
+  state.noteChanged(machine);
 }
 
 /**
@@ -42,5 +42,5 @@
   )
     return;
   allocation.isFinalized = true;
-  state.markChanged(machine);
+  state.noteChanged(machine);
 }
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -35,7 +35,7 @@
   /** What the answers to heartbeats before `answeredBefore` carried was executed or dropped; -1: nothing is known of it. */
   private reconcile(machine: Machine, heartbeat: Heartbeat, answeredBefore: number): void {
     this.updateMachine(machine, heartbeat);
-    this.state.markChanged(machine);
+    this.state.noteChanged(machine);
     machine.tasks.clear();
     this.state.endedAttempts.update(machine, heartbeat.tasks);
     for (const status of heartbeat.tasks)
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -1,10 +1,6 @@
 import { expect, test } from 'vitest';
 import { CancellationLog } from '../src/controller/cancellation-log.js';
-import {
-  isLeaseRenewalCovered,
-  PeerTimestamps,
-  renewalWindowMs,
-} from '../src/model/cancellation-coverage.js';
+import { allowsLeaseRenewal, PeerTimestamps, renewalWindowMs } from '../src/model/cancellation-coverage.js';
 import type { KeyValueStore } from '../src/model/key-value-store.js';
 import type { ShardMessage } from '../src/model/shard-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
@@ -359,13 +355,13 @@
     m.latestReceivedBy(1500),
   ]).toEqual([null, 100, 100, 600]);
   const c = { completeUntil: 1000, pendingMachines: new Set(['m']) };
-  expect([isLeaseRenewalCovered(c, 'n', 2000, 1000), isLeaseRenewalCovered(c, 'n', 2001, 1000)]).toEqual([
-    true,
-    false,
-  ]);
   expect([
-    isLeaseRenewalCovered(c, 'm', 1000, 1000),
-    isLeaseRenewalCovered({ ...c, pendingMachines: null }, 'n', 1000, 1000),
+    allowsLeaseRenewal(c, { machine: 'n', now: 2000, windowMs: 1000 }),
+    allowsLeaseRenewal(c, { machine: 'n', now: 2001, windowMs: 1000 }),
+  ]).toEqual([true, false]);
+  expect([
+    allowsLeaseRenewal(c, { machine: 'm', now: 1000, windowMs: 1000 }),
+    allowsLeaseRenewal({ ...c, pendingMachines: null }, { machine: 'n', now: 1000, windowMs: 1000 }),
   ]).toEqual([false, false]);
-  expect(isLeaseRenewalCovered(null, 'n', 0, 1e9)).toBe(false);
+  expect(allowsLeaseRenewal(null, { machine: 'n', now: 0, windowMs: 1e9 })).toBe(false);
 });
