--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -1,3 +1,5 @@
+/** Cancelled jobs stop in time, whatever happens to leaders, shard owners and the state service. */
+
 import { expect, test } from 'vitest';
 import { CancellationLog } from '../src/controller/cancellation-log.js';
 import {
@@ -46,7 +48,7 @@
       const leader = leaderOf(simulation);
       const other = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
       simulation.store.refusedNodes.add(leader);
-      // Neither its siblings' word nor the owner's stops reach the leader: only the bound on renewals is left.
+      // Neither announcements of its peers nor stops of the owner reach the leader: only the bound on renewals is left.
       for (const nodeName of simulation.nodeNames)
         if (nodeName !== leader) simulation.network.cut(nodeName, leader, 'hold');
       runFor(simulation, 200);
@@ -98,7 +100,7 @@
         .slice(1)
         .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
     ).toEqual(before);
-    // One that ends may have told a user last of all what it told nobody else.
+    // A controller that ends may have confirmed a cancellation to a user last of all, and to nobody else.
     simulation.controllers.crash(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
     runFor(simulation, simulation.config.cancellationSeconds * 1000);
     expect(ids.flatMap((id) => workersWith(simulation, id))).toEqual([]);
@@ -121,7 +123,7 @@
       simulation.nodeNames.find((nodeName) => nodeName !== old && isLeader(simulation, nodeName));
     while (!next()) runFor(simulation, 1);
     simulation.store.setDown(true);
-    // Told to its user just before, by a controller that had it stored.
+    // Confirmed to its user just before, by a controller that had it stored.
     const controller = simulation.controllers.get(
       simulation.nodeNames.find((nodeName) => nodeName !== old && nodeName !== next())!,
     )!.controller as unknown as {
@@ -228,7 +230,7 @@
   const owner = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
   const team = (simulation.controllers.get(owner)!.controller.status().teams as string[])[0]!;
   const id = ids[['red', 'blue', 'free'].indexOf(team)]!;
-  // The owner is out of touch with the leaders: none of them learns what it holds, nor leads long enough to move its team.
+  // The owner is out of touch with the leaders: none of them gets a full sync, nor leads long enough to move its shard.
   for (const node of simulation.nodeNames)
     for (const other of simulation.nodeNames) if (node < other) simulation.network.cut(node, other, 'hold');
   runFor(simulation, 100);
@@ -316,7 +318,7 @@
   expect(harness.heartbeat([taskStatus('running')])).not.toBeNull();
   harness.advance(200);
   expect(harness.heartbeat([taskStatus('running')])).toBeNull();
-  // Nothing starts by what was told before.
+  // Nothing starts by placements received before.
   harness.sendPlacement({ ...harness.placementSpec('run'), taskIndex: 1, machine: 'n' });
   harness.heartbeat([], 5, { machine: 'n', address: 'n' });
   expect(harness.hasFinalized()).toBe(false);
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -1,9 +1,11 @@
+/** Messages that come late, more than once or not at all. */
+
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
 import type { KeyValueStore, WatchEvent } from '../src/model/key-value-store.js';
 import type { ResultCallback } from '../src/model/result.js';
 import { WatchCache } from '../src/store/watch-cache.js';
-import { runFor } from './simulation/cluster-queries.js';
+import { isLeader, runFor } from './simulation/cluster-queries.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
@@ -158,17 +160,16 @@
 test('a lost resignation does not keep another leader from being elected', () => {
   const simulation = new ClusterSimulation(5);
   simulation.simulator.run(5000);
-  const leads = (nodeName: string) =>
-    simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
-  const host = simulation.nodeNames.find(leads)!;
-  const controller = simulation.controllers.get(host)!.controller as unknown as {
+  const leads = (node: string) => isLeader(simulation, node);
+  const nodeName = simulation.nodeNames.find(leads)!;
+  const controller = simulation.controllers.get(nodeName)!.controller as unknown as {
     leaderTerm: number;
     resign(token: number, reason: string): void;
   };
-  simulation.store.refusedNodes.add(host);
+  simulation.store.refusedNodes.add(nodeName);
   controller.resign(controller.leaderTerm, 'a test');
   runFor(simulation, 300);
-  simulation.store.readmit(host);
+  simulation.store.readmit(nodeName);
   expect(simulation.nodeNames.some(leads)).toBe(false);
   runFor(simulation, 10000);
   expect(simulation.nodeNames.filter(leads).length).toBe(1);
@@ -178,7 +179,7 @@
   const harness = new SchedulerHarness(5);
   const running = [0, 1, 2].map((taskIndex) => ({ ...harness.placementSpec('run'), taskIndex }));
   const tasks = running.map((placement) => ({ ...taskStatus('running'), taskIndex: placement.taskIndex }));
-  for (const h of running) harness.sendPlacement(h);
+  for (const placement of running) harness.sendPlacement(placement);
   harness.heartbeat(tasks);
   const shardEpochs = { red: 1, blue: 1, free: 1 };
   const part = (count: number, placement: (typeof running)[number]) =>
--- a/test/dependency-counter.test.ts
+++ b/test/dependency-counter.test.ts
@@ -1,3 +1,5 @@
+/** The dependency counter of a job, its record, and the release of its inputs. */
+
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { DependencyCounter, FanOut } from '../src/model/dependency-counter.js';
--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -63,22 +63,22 @@
   (seed) => {
     const simulation = new ClusterSimulation(seed);
     simulation.runDurationMs = () => 3000;
-    const specs = Array.from({ length: 24 }, (_, i) =>
-      makeJobSpec(simulation, { id: `wk-e${i}`, taskCount: 1 + (i % 2) }),
+    const specs = Array.from({ length: 24 }, (_, index) =>
+      makeJobSpec(simulation, { id: `wk-e${index}`, taskCount: 1 + (index % 2) }),
     );
     // So that a read and the write that rests on it lie apart.
     simulation.network.slowdowns.set('state', 60);
     for (const spec of specs) simulation.users.submitJob(spec);
     const ended = new Map<string, number>();
     const watch = () => {
-      for (const [i, spec] of specs.entries()) {
+      for (const [index, spec] of specs.entries()) {
         if (ended.has(spec.id) || !simulation.completedTasks.has(`${spec.id}/${spec.taskCount - 1}`))
           continue;
         ended.set(spec.id, simulation.simulator.now);
-        // From the end of the task until its report, its count and its final record have been written.
-        for (let k = 0; k < 6; k++)
+        // From the end of the task until its heartbeat, its count and its final record have been written.
+        for (let query = 0; query < 6; query++)
           simulation.simulator.scheduleAfter(simulation.simulator.between(0, 2500), () =>
-            simulation.users.queryAndResubmit(spec.id, i % 3 !== 0),
+            simulation.users.queryAndResubmit(spec.id, index % 3 !== 0),
           );
       }
       simulation.simulator.scheduleAfter(5, watch);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,6 +1,8 @@
+/** How the leader judges its fleet: slow, unresponsive, unreachable, empty and restarted machines. */
+
 import { expect, test } from 'vitest';
 import type { ClusterState } from '../src/scheduler/cluster-state.js';
-import { runFor } from './simulation/cluster-queries.js';
+import { isLeader, runFor } from './simulation/cluster-queries.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
@@ -79,7 +81,7 @@
   harness.sendDesiredState('run');
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   harness.heartbeat([taskStatus('running')]);
-  // Answers direct commands and reports to nobody.
+  // Answers direct commands and sends heartbeats to nobody.
   let count = 100;
   const answer = () => {
     for (const call of harness.directCalls.splice(0))
@@ -119,43 +121,42 @@
   harness.peers.count = 1;
   harness.rentals.isAnswered = true;
   const reachable = names(8);
-  const far = names(4, 8);
-  const at = (machine: string) => ({ zone: far.includes(machine) ? 'b' : 'a' });
-  for (let i = 0; i < 30; i++) second(harness, [...reachable, ...far], at);
-  for (const m of far.slice(1))
+  const cutOff = names(4, 8);
+  const at = (machine: string) => ({ zone: cutOff.includes(machine) ? 'b' : 'a' });
+  for (let i = 0; i < 30; i++) second(harness, [...reachable, ...cutOff], at);
+  for (const machine of cutOff.slice(1))
     harness.sendPlacement({
       ...harness.placementSpec('run'),
       priority: 0,
       isService: true,
-      jobId: `wk-${m}`,
-      machine: m,
+      jobId: `wk-${machine}`,
+      machine,
     });
-  for (const m of far.slice(1))
-    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${m}` }], 5, {
-      machine: m,
-      address: m,
+  for (const machine of cutOff.slice(1))
+    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
+      machine,
+      address: machine,
       zone: 'b',
     });
   for (let i = 0; i < 35; i++) second(harness, reachable, at);
   // Only the one without replicas; the others until `cancel_s` (40 s here) has passed.
-  expect(harness.deletedMachines).toEqual([far[0]]);
+  expect(harness.deletedMachines).toEqual([cutOff[0]]);
   for (let i = 0; i < 10; i++) second(harness, reachable, at);
-  expect(harness.deletedMachines.sort()).toEqual([...far].sort());
+  expect(harness.deletedMachines.sort()).toEqual([...cutOff].sort());
 });
 
 test('a controller cut off with its zone keeps leases for the last leader, for a bounded time', () => {
   const simulation = new ClusterSimulation(21);
   simulation.simulator.run(25000);
-  const leads = (nodeName: string) =>
-    simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
-  const host = simulation.nodeNames.find((nodeName) => !leads(nodeName))!;
+  const leads = (node: string) => isLeader(simulation, node);
+  const nodeName = simulation.nodeNames.find((node) => !leads(node))!;
   const worker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: false });
   simulation.cloud.isDown = true;
   runFor(simulation, 8000);
   expect(worker.fencingToken).toBeGreaterThan(0);
-  for (const inside of [host, worker.name])
+  for (const inside of [nodeName, worker.name])
     for (const outside of [
-      ...simulation.nodeNames.filter((nodeName) => nodeName !== host),
+      ...simulation.nodeNames.filter((node) => node !== nodeName),
       'state',
       'cloud',
       'users',
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -1,3 +1,5 @@
+/** Users' requests and workers' heartbeats over HTTP, with the statuses of the protocol. */
+
 import { beforeAll, expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
 import { createRequestHandler } from '../src/transport/http-api.js';
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -33,7 +33,7 @@
   harness.lostAnswers.push('carried out at once');
   harness.grant('wk-000001', 5);
   harness.grant('wk-000002', 5);
-  harness.heldReadPrefix = 'open/wk-000002';
+  harness.delayedReadPrefix = 'open/wk-000002';
   // The first job has been read again, which makes the owner send a full sync; the second has not.
   harness.run(3000);
   expect(harness.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,3 +1,5 @@
+/** The checkers of the simulation see violations, and the leader keeps to the invariants that they check. */
+
 import { expect, test } from 'vitest';
 import type { ResourceRequest } from '../src/model/placement.js';
 import type { Heartbeat } from '../src/model/worker-messages.js';
@@ -9,7 +11,7 @@
 test('the invariant checker reports each kind of violation', () => {
   const simulation = new ClusterSimulation(3);
   simulation.simulator.run(2000);
-  // No controller hears of these: the stand-ins are told directly what no rule allows.
+  // No controller knows of these: the fakes are made to do directly what the invariants forbid.
   for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
   const put = (spec: ReturnType<typeof makeJobSpec>) =>
     simulation.jobs.set(spec.id, {
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,3 +1,5 @@
+/** What is served when there is more work than capacity. */
+
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './simulation/cluster-config.js';
@@ -13,7 +15,7 @@
     { name: 'free', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
   ],
 };
-const DAY_MS = 600_000;
+const RUN_MS = 600_000;
 
 function submitAt(simulation: ClusterSimulation, ms: number, over: Partial<JobSpec>): void {
   simulation.simulator.scheduleAt(ms, () =>
@@ -28,7 +30,7 @@
   submitAt(simulation, 1000, { taskCount: 60, estimatedRunSeconds: 60 });
   for (let i = 0; i < 40; i++)
     submitAt(simulation, 5000 + i * 10_000, { taskCount: 3 + (i % 3), estimatedRunSeconds: 25 });
-  simulation.simulator.run(DAY_MS);
+  simulation.simulator.run(RUN_MS);
   expect(simulation.violations).toEqual([]);
   expect(simulation.underServed()).toEqual([]);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,3 +1,5 @@
+/** What is placed where, and what is rented for it. */
+
 import { expect, test } from 'vitest';
 import { planRentals, RentalBackoff } from '../src/scheduler/fleet/rental-planner.js';
 import { ImageLocations } from '../src/scheduler/image-locations.js';
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -1,3 +1,5 @@
+/** The order in which the jobs of a queue are released. */
+
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
 import { type QueuedJob, ReleaseQueue, type TeamLoad } from '../src/shard/release-queue.js';
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -1,9 +1,10 @@
+/** Seeded scenarios over a whole cluster; SEEDS and FROM widen the search by hand. */
+
 import { expect, test } from 'vitest';
 import { drawClusterConfig } from './simulation/cluster-config.js';
 import { runScenario } from './simulation/scenario.js';
 import { Simulator } from './simulation/simulated-time.js';
 
-// Seeded days over three controllers; SEEDS and FROM widen the search by hand.
 const from = Number(process.env.FROM ?? 1);
 const seeds = Number(process.env.SEEDS ?? 24);
 
--- a/test/setup.ts
+++ b/test/setup.ts
@@ -1,8 +1,10 @@
+/** Set-up of every test file. */
+
 import { afterEach } from 'vitest';
 import { printDigests } from './simulation/output-digest.js';
 
 /**
- * Lets the runner's messages through between tests. Simulated days never wait for anything, so a file of them would keep its
+ * Lets the runner's messages through between tests. Simulated scenarios never wait for anything, so a file of them would keep its
  * process from answering for over a minute, which the runner takes for an error.
  */
 afterEach(() => new Promise<void>((resolve) => setImmediate(resolve)));
--- a/test/simulation/cluster-config.ts
+++ b/test/simulation/cluster-config.ts
@@ -1,3 +1,5 @@
+/** The deployments that are simulated. */
+
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ServiceLevelObjective, Team } from '../../src/model/team.js';
 import type { Simulator } from './simulated-time.js';
@@ -21,7 +23,7 @@
   zonesWithoutCapacity: string[];
 }
 
-const makeMachineType = (over: Partial<MachineType>): MachineType => ({
+const makeMachineType = (overrides: Partial<MachineType>): MachineType => ({
   name: 'small',
   cpus: 4,
   gpus: 0,
@@ -32,16 +34,17 @@
   hourlySpotPrice: 0.08,
   bootSeconds: 8,
   zones: ['a', 'b'],
-  ...over,
+  ...overrides,
 });
-const makeTeam = (name: string, cpus: number, cpusMax: number): Team => ({
+const makeTeam = (name: string, guaranteedCpus: number, maxCpus: number): Team => ({
   name,
-  guaranteedCpus: cpus,
-  maxCpus: cpusMax,
+  guaranteedCpus,
+  maxCpus,
   guaranteedGpus: 0,
   maxGpus: 0,
 });
 
+/** Three controllers, two machine types in two zones and three teams, one of them without a quota. */
 export const CLUSTER_CONFIG: ClusterConfig = {
   nodeNames: ['c0', 'c1', 'c2'],
   heartbeatIntervalSeconds: 2,
@@ -74,68 +77,38 @@
 
 /** A deployment drawn by the seed: controllers, zones, one of them perhaps without capacity, teams, types and times. */
 export function drawClusterConfig(simulator: Simulator): ClusterConfig {
-  const all = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(simulator.random() * 4));
-  const empty = all.length > 1 && simulator.chance(0.4) ? [all.at(-1) as string] : [];
-  const reportS = simulator.pick([1, 2, 4]);
-  const leaseS = reportS * simulator.pick([6, 10]);
-  const teams = Array.from({ length: 1 + Math.floor(simulator.random() * 8) }, (_, i) =>
-    makeTeam(`t${i}`, simulator.pick([0, 8, 12]), simulator.pick([0, 16, 24, 40])),
+  const zones = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(simulator.random() * 4));
+  const zonesWithoutCapacity = zones.length > 1 && simulator.chance(0.4) ? [zones.at(-1) as string] : [];
+  const heartbeatIntervalSeconds = simulator.pick([1, 2, 4]);
+  const leaseSeconds = heartbeatIntervalSeconds * simulator.pick([6, 10]);
+  const teams = Array.from({ length: 1 + Math.floor(simulator.random() * 8) }, (_, index) =>
+    makeTeam(`t${index}`, simulator.pick([0, 8, 12]), simulator.pick([0, 16, 24, 40])),
   );
-  const types = [makeMachineType({ zones: all })];
-  for (let i = 0; i < Math.floor(simulator.random() * 5); i++)
-    types.push(
+  const machineTypes = [makeMachineType({ zones })];
+  for (let index = 0; index < Math.floor(simulator.random() * 5); index++)
+    machineTypes.push(
       makeMachineType({
-        name: `big${i}`,
+        name: `big${index}`,
         cpus: simulator.pick([8, 16, 32]),
         memoryGb: simulator.pick([16, 64]),
         hourlyPrice: simulator.between(0.4, 1.8),
         hourlySpotPrice: simulator.between(0.1, 0.7),
         bootSeconds: simulator.between(3, 15),
-        zones: [simulator.pick(all)],
+        zones: [simulator.pick(zones)],
       }),
     );
   return {
     ...CLUSTER_CONFIG,
-    nodeNames: Array.from({ length: 1 + Math.floor(simulator.random() * 7) }, (_, i) => `c${i}`),
-    heartbeatIntervalSeconds: reportS,
-    leaseSeconds: leaseS,
-    cancellationSeconds: leaseS * 2,
+    nodeNames: Array.from({ length: 1 + Math.floor(simulator.random() * 7) }, (_, index) => `c${index}`),
+    heartbeatIntervalSeconds,
+    leaseSeconds,
+    cancellationSeconds: leaseSeconds * 2,
     maxTransactionOperations: simulator.pick([8, 16, 32]),
     maxValueKb: simulator.pick([4, 8, 16]),
     writesPerSecond: simulator.pick([50, 150]),
-    machineTypes: types,
+    machineTypes,
     teams,
     machineCapacity: simulator.pick([8, 12, 30]),
-    zonesWithoutCapacity: empty,
+    zonesWithoutCapacity,
   };
 }
-
-/** One team, a thousand machines and more. */
-export const LARGE_FLEET_CONFIG: ClusterConfig = {
-  ...CLUSTER_CONFIG,
-  heartbeatIntervalSeconds: 6,
-  leaseSeconds: 34,
-  cancellationSeconds: 64,
-  maxTransactionOperations: 32,
-  maxValueKb: 16,
-  leaseTtlMs: 3500,
-  teams: [makeTeam('red', 0, 0)],
-  machineTypes: [
-    makeMachineType({ bootSeconds: 20, imageFetchGbPerSecond: 0.12, zones: ['a'] }),
-    makeMachineType({
-      name: 'big',
-      cpus: 32,
-      memoryGb: 256,
-      imageCacheGb: 70,
-      imageFetchGbPerSecond: 0.12,
-      hourlyPrice: 1.97,
-      hourlySpotPrice: 0.77,
-      zones: ['a'],
-    }),
-  ],
-  objectives: [
-    { kind: 'finished', jobClass: 'c', withinSeconds: 150 },
-    { kind: 'wait', jobClass: 's', withinSeconds: 1 },
-  ],
-  machineCapacity: 2000,
-};
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -343,7 +343,7 @@
     this.hasChanged = true;
   }
 
-  /** Its gang is being stopped and it was not told in time. */
+  /** Its gang is being stopped and it was not told to stop in time. */
   exitWithGang(task: FakeTask): void {
     if (this.isAlive && this.tasks.includes(task) && task.phase === 'running') this.exit(task, 'peers');
   }
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -1,3 +1,5 @@
+/** A leader's scheduler alone. */
+
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { ListedMachine } from '../../src/model/machine-type.js';
 import type { PlacementSpec, ResourceRequest } from '../../src/model/placement.js';
--- a/test/simulation/service-level-checker.ts
+++ b/test/simulation/service-level-checker.ts
@@ -1,3 +1,5 @@
+/** The check that no group of jobs is left unserved. */
+
 import type { JobSpec } from '../../src/model/job.js';
 import type { Team } from '../../src/model/team.js';
 
@@ -18,11 +20,11 @@
 
 /**
  * Counts which jobs are served: a job is once all of its tasks have begun, or as many of them as the limit of its team
- * admits at a time. A day fails if less than half of a class, of a team or of the largest jobs of a class is served, the
+ * admits at a time. A scenario fails if less than half of a class, of a team or of the largest jobs of a class is served, the
  * largest within four minutes.
  */
 export class ServiceLevelChecker {
-  /** Starts of tasks after the user was told that the job is cancelled: commands that were under way by then. */
+  /** Starts of tasks after the cancellation of their job was confirmed: commands that were under way by then. */
   startsAfterCancellation = 0;
   private readonly jobs = new Map<string, TrackedJob>();
 
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -1,3 +1,5 @@
+/** A shard owner alone. */
+
 import type { JobSpec } from '../../src/model/job.js';
 import type { KeyValueStore, Transaction } from '../../src/model/key-value-store.js';
 import type { LogFields, Logger } from '../../src/model/logger.js';
@@ -11,14 +13,14 @@
 import { Simulator } from './simulated-time.js';
 
 const LIMITS = { maxTransactionOperations: 16, maxValueKb: 4 };
-const HOST = 'o';
+const NODE_NAME = 'o';
 const DEADLINE_MS = 1500;
 
 /** Options of an owner that talks to nobody; each can be replaced. */
 export function shardOwnerOptions(over: Partial<ShardOwnerOptions>): ShardOwnerOptions {
   return {
-    nodeName: HOST,
-    instanceId: HOST,
+    nodeName: NODE_NAME,
+    instanceId: NODE_NAME,
     teams: new Map(),
     maxValueKb: LIMITS.maxValueKb,
     maxTransactionOperations: LIMITS.maxTransactionOperations,
@@ -41,7 +43,7 @@
 /** What becomes of a transaction whose answer is lost. */
 export type LostAnswer = 'carried out at once' | 'carried out late';
 
-/** The owner of one team against the stand-in of the state service; answers can be lost and reads held back. */
+/** The owner of one team against the fake state service; answers can be lost and reads held back. */
 export class ShardOwnerHarness {
   readonly simulator = new Simulator(1);
   readonly store = new FakeStore(this.simulator);
@@ -53,8 +55,8 @@
   /** Transactions without an answer that are not carried out yet. */
   readonly lateTransactions: Transaction[] = [];
   /** Reads of keys that begin so wait until `release`. */
-  heldReadPrefix = '';
-  private readonly heldReads: (() => void)[] = [];
+  delayedReadPrefix = '';
+  private readonly delayedReads: (() => void)[] = [];
   private nextGrant = 1;
 
   constructor(
@@ -62,7 +64,7 @@
     specs: JobSpec[],
   ) {
     for (const spec of specs) this.writeRecord(`open/${spec.id}/a`, jobRecord.encode({ spec }));
-    this.writeRecord(`sys/team/${team.name}`, { inst: HOST });
+    this.writeRecord(`sys/team/${team.name}`, { inst: NODE_NAME });
     this.owner = new ShardOwner(
       shardOwnerOptions({
         teams: new Map([[team.name, team]]),
@@ -108,15 +110,15 @@
 
   /** The reads held back are answered. */
   releaseReads(): void {
-    this.heldReadPrefix = '';
-    for (const serve of this.heldReads.splice(0)) serve();
+    this.delayedReadPrefix = '';
+    for (const serve of this.delayedReads.splice(0)) serve();
   }
 
   /** Carries out the transactions that are late; returns how many of them were. */
   carryOutLate(): number {
     const done = this.lateTransactions
       .splice(0)
-      .filter((transaction) => this.store.compareAndSwap(HOST, transaction, LIMITS).status === 200);
+      .filter((transaction) => this.store.compareAndSwap(NODE_NAME, transaction, LIMITS).status === 200);
     return done.length;
   }
 
@@ -149,7 +151,7 @@
 
   /** Another's write, carried out at once. */
   writeRecord(key: string, value: unknown): void {
-    this.store.compareAndSwap(HOST, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
+    this.store.compareAndSwap(NODE_NAME, { preconditions: [], operations: [{ put: key, value }] }, LIMITS);
   }
 
   private logger(): Logger {
@@ -167,13 +169,14 @@
     };
     const port: Partial<KeyValueStore> = {
       get: (key, _urgency, then) =>
-        this.simulator.scheduleAfter(1, () => then(answer(() => this.store.get(HOST, key)))),
+        this.simulator.scheduleAfter(1, () => then(answer(() => this.store.get(NODE_NAME, key)))),
       list: (prefix, since, _urgency, then) => {
         const serve = () =>
           this.simulator.scheduleAfter(1, () =>
-            then(answer(() => this.store.list(HOST, { prefix, since, pageSize: 50 }))),
+            then(answer(() => this.store.list(NODE_NAME, { prefix, since, pageSize: 50 }))),
           );
-        if (this.heldReadPrefix !== '' && prefix.startsWith(this.heldReadPrefix)) this.heldReads.push(serve);
+        if (this.delayedReadPrefix !== '' && prefix.startsWith(this.delayedReadPrefix))
+          this.delayedReads.push(serve);
         else serve();
       },
       compareAndSwap: (transaction, _urgency, then) => {
@@ -181,9 +184,9 @@
         const copy = structuredClone(transaction);
         if (loss === null)
           return this.simulator.scheduleAfter(1, () =>
-            then(answer(() => this.store.compareAndSwap(HOST, copy, LIMITS))),
+            then(answer(() => this.store.compareAndSwap(NODE_NAME, copy, LIMITS))),
           );
-        if (loss === 'carried out at once') this.store.compareAndSwap(HOST, copy, LIMITS);
+        if (loss === 'carried out at once') this.store.compareAndSwap(NODE_NAME, copy, LIMITS);
         else this.lateTransactions.push(copy);
         this.simulator.scheduleAfter(DEADLINE_MS, () => then({ ok: false, kind: 'unknown' }));
       },
