--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -1,32 +1,32 @@
-/** Records in the key-value store, by what they mean; `store/keyspace.ts` has their keys. */
+/** Records in the key-value store, the only place where controllers keep state; their keys are in src/store/keyspace.ts. */
 
 import type { JobSpec } from './job.js';
 
-/** A live controller. */
+/** `sys/node/<host>`: a controller that is alive; the record hangs on the lease that it names. */
 export interface NodeRecord {
   instanceId: string;
   /** The lease that this record belongs to. */
   leaseId: number;
 }
 
-/** The elected leader. */
+/** `sys/leader`: the elected leader, as long as its lease lives. */
 export interface LeaderRecord {
   instanceId: string;
   nodeName: string;
   fencingToken: number;
 }
 
-/** The highest fencing token that a leader was elected with. */
+/** `sys/token`: the highest fencing token ever given. */
 export interface TokenRecord {
   fencingToken: number;
 }
 
-/** The instance that a shard, or a write fence, belongs to. */
+/** `sys/team/<name>`: the owner of a team's shard. `fence/<host>`: the instance that last moved the fence. */
 export interface OwnerRecord {
   instanceId: string;
 }
 
-/** A job as accepted. */
+/** `open/<id>/a`: a job as accepted. */
 export interface JobRecord {
   spec: JobSpec;
   /** Revision of acceptance, known only after it; kept when the record is written again. */
@@ -34,7 +34,7 @@
   cancelled?: true;
 }
 
-/** How far a job has come. */
+/** `open/<id>/n`: how many of a job's tasks are done and running, and which are done. */
 export interface CounterRecord {
   finishedTasks: number;
   /** When it was last written: it is not written for each task that starts. */
@@ -43,7 +43,7 @@
   finishedBitmap: string;
 }
 
-/** The final answer about a job. */
+/** `end/<id>`: the final answer about a job, done or else cancelled. It replaces all other records of the job. */
 export interface FinalRecord {
   /** Else it was cancelled. */
   isDone: boolean;
@@ -56,7 +56,7 @@
   location: { machine: string; agentEpoch: number; zone: string } | null;
 }
 
-/** The last attempts of a chunk of tasks. */
+/** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks, by task index. */
 export interface PlacementRecord {
   /** By task index. */
   tasks: Map<number, PlacementEntry>;
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -221,7 +221,7 @@
   pendingMachines: 'pending',
 });
 
-/** Three values in place of an object: a message may carry thousands of them. */
+/** Encoded as three values in this order. */
 const imageFact: Codec<ImageFact> = {
   encode: ({ machine, image, sizeGb }) => [machine, image, sizeGb],
   decode: (encoded) => {
@@ -242,7 +242,7 @@
       redirectedMachines: 'strays',
       timestamp: 'mark',
       latestTimestamp: field('had', timestamp),
-      cancellationsTold: 'told',
+      cancellationsAnnounced: 'told',
       coverage: field('cover', coverage),
     },
   },
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -157,11 +157,14 @@
     simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
   const host = simulation.nodeNames.find(leads)!;
   const controller = simulation.controllers.get(host)!.controller as unknown as {
-    leaderTerm: number;
-    resign(token: number, reason: string): void;
+    parts: {
+      leadership: { leaderTerm: number };
+      election: { resign(token: number, reason: string): void };
+    };
   };
+  const { leadership, election } = controller.parts;
   simulation.store.refusedNodes.add(host);
-  controller.resign(controller.leaderTerm, 'a test');
+  election.resign(leadership.leaderTerm, 'a test');
   simulation.simulator.run(simulation.simulator.now + 300);
   simulation.store.readmit(host);
   expect(simulation.nodeNames.some(leads)).toBe(false);
