--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -9,34 +9,40 @@
   max: number;
 }
 
-/** Each key of a policy, and the range its value is clamped to. */
-const RANGES: Record<keyof Policy, Range> = {
-  reserve_replicas: { min: 0, max: 1000 },
-  reserve_batch: { min: 0, max: 100 },
-  idle_s: { min: 0, max: 86400 },
-  amortize_s: { min: 1, max: 86400 },
-  amortize_service_s: { min: 1, max: 86400 },
-  boot_patience: { min: 1, max: 100 },
-  silent_s: { min: 1, max: 600 },
-  silent_share: { min: 0, max: 1 },
-  batch_tasks: { min: 1, max: 10000 },
-  parting_s: { min: 1, max: 86400 },
-  patience_s: { min: 0, max: 3600 },
+/** A key of the policy table. */
+interface KeyDefinition {
+  field: keyof Policy;
+  /** The value is clamped to it. */
+  range: Range;
+}
+
+/** The operators' keys, and what they set. */
+const KEYS: Readonly<Record<string, KeyDefinition>> = {
+  reserve_replicas: { field: 'reserveReplicas', range: { min: 0, max: 1000 } },
+  reserve_batch: { field: 'reserveBatchJobs', range: { min: 0, max: 100 } },
+  idle_s: { field: 'idleSeconds', range: { min: 0, max: 86400 } },
+  amortize_s: { field: 'amortizationSeconds', range: { min: 1, max: 86400 } },
+  amortize_service_s: { field: 'serviceAmortizationSeconds', range: { min: 1, max: 86400 } },
+  boot_patience: { field: 'maxBootTimes', range: { min: 1, max: 100 } },
+  silent_s: { field: 'unresponsiveSeconds', range: { min: 1, max: 600 } },
+  silent_share: { field: 'unresponsiveShare', range: { min: 0, max: 1 } },
+  batch_tasks: { field: 'maxTasksPerRequest', range: { min: 1, max: 10000 } },
+  parting_s: { field: 'rebalanceSeconds', range: { min: 1, max: 86400 } },
+  patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
+};
+
+/** The names that expressions may use, and what they stand for; all are doubles. */
+const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
+  services: 'services',
+  service_cpus: 'serviceCpus',
+  queued: 'queuedTasks',
+  queued_cpus: 'queuedCpus',
+  batch_running: 'runningBatchTasks',
+  machines: 'machines',
+  report_s: 'heartbeatIntervalSeconds',
+  lease_s: 'leaseSeconds',
+  boot_s: 'bootSeconds',
 };
-const KEYS = Object.keys(RANGES) as (keyof Policy)[];
-
-/** The names that expressions may use; all are doubles. */
-const VARIABLES: (keyof PolicyInput)[] = [
-  'services',
-  'service_cpus',
-  'queued',
-  'queued_cpus',
-  'batch_running',
-  'machines',
-  'report_s',
-  'lease_s',
-  'boot_s',
-];
 
 /** Evaluates one value of the policy. */
 type Evaluate = (variables: Record<string, unknown>) => unknown;
@@ -46,7 +52,7 @@
 
 function createEnvironment(): Environment {
   const environment = new Environment();
-  for (const name of VARIABLES) environment.registerVariable(name, 'double');
+  for (const name of Object.keys(VARIABLES)) environment.registerVariable(name, 'double');
   environment.registerFunction('min(double, double): double', (a: number, b: number) => Math.min(a, b));
   environment.registerFunction('max(double, double): double', (a: number, b: number) => Math.max(a, b));
   environment.registerFunction('ceil(double): double', (value: number) => Math.ceil(value));
@@ -82,6 +88,12 @@
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
 }
 
+function variablesFrom(input: PolicyInput): Record<string, number> {
+  const variables: Record<string, number> = {};
+  for (const [name, field] of Object.entries(VARIABLES)) variables[name] = input[field];
+  return variables;
+}
+
 /** A result that is no number, as of a division by zero, becomes the least value. */
 function clamp(value: number, { min, max }: Range): number {
   return Math.min(max, Math.max(min, Number.isFinite(value) ? value : min));
@@ -96,18 +108,19 @@
   const environment = createEnvironment();
   const faults: string[] = [];
   for (const key of Object.keys(table))
-    if (!Object.hasOwn(RANGES, key)) faults.push(`${describeKey(text, key)}: unknown key`);
-  const evaluators: { key: keyof Policy; evaluate: Evaluate }[] = [];
-  for (const key of KEYS) {
+    if (!Object.hasOwn(KEYS, key)) faults.push(`${describeKey(text, key)}: unknown key`);
+  const evaluators: (KeyDefinition & { evaluate: Evaluate })[] = [];
+  for (const [key, definition] of Object.entries(KEYS)) {
     const compiled = compileValue(environment, table[key]);
-    if (compiled.ok) evaluators.push({ key, evaluate: compiled.evaluate });
+    if (compiled.ok) evaluators.push({ ...definition, evaluate: compiled.evaluate });
     else faults.push(`${describeKey(text, key)}: ${compiled.fault}`);
   }
   if (faults.length > 0) throw new SettingsError(faults);
   return (input) => {
+    const variables = variablesFrom(input);
     const policy: Partial<Policy> = {};
-    for (const { key, evaluate } of evaluators)
-      policy[key] = clamp(Number(evaluate({ ...input })), RANGES[key]);
+    for (const { field, range, evaluate } of evaluators)
+      policy[field] = clamp(Number(evaluate(variables)), range);
     return policy as Policy;
   };
 }
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -38,14 +38,14 @@
 /** A cluster without load: the number of tasks asked for at a time does not depend on it. */
 const IDLE_CLUSTER: PolicyInput = {
   services: 0,
-  service_cpus: 0,
-  queued: 0,
-  queued_cpus: 0,
-  batch_running: 0,
+  serviceCpus: 0,
+  queuedTasks: 0,
+  queuedCpus: 0,
+  runningBatchTasks: 0,
   machines: 0,
-  report_s: 3,
-  lease_s: 30,
-  boot_s: 30,
+  heartbeatIntervalSeconds: 3,
+  leaseSeconds: 30,
+  bootSeconds: 30,
 };
 
 /** What the command queue calls. */
@@ -277,7 +277,7 @@
       maxValueKb: storeLimits.maxValueKb,
       maxTransactionOperations: storeLimits.maxTransactionOperations,
       writesPerSecond: storeLimits.writesPerSecond,
-      maxTasksPerRequest: Math.max(1, Math.round(options.policy(IDLE_CLUSTER).batch_tasks)),
+      maxTasksPerRequest: Math.max(1, Math.round(options.policy(IDLE_CLUSTER).maxTasksPerRequest)),
       noticeGraceSeconds: NOTICE_GRACE_SECONDS,
       objectives: options.objectives,
       openJobItems: () => openJobs.items,
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -65,7 +65,7 @@
     const owners = records.shardOwners();
     let moves = this.assignOrphans(owners, counts);
     if (moves.size === 0 && now >= this.nextRebalanceAt) {
-      this.nextRebalanceAt = now + scheduler.policy.parting_s * 1000;
+      this.nextRebalanceAt = now + scheduler.policy.rebalanceSeconds * 1000;
       moves = this.rebalance(owners, counts);
     }
     if (moves.size > 0) this.write(scheduler, owners, moves);
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -275,14 +275,14 @@
     const bootSeconds = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
     return {
       services: this.totals.services,
-      service_cpus: this.totals.serviceCpus,
-      queued,
-      queued_cpus: queuedCpus,
-      batch_running: this.totals.batchTasks,
+      serviceCpus: this.totals.serviceCpus,
+      queuedTasks: queued,
+      queuedCpus: queuedCpus,
+      runningBatchTasks: this.totals.batchTasks,
       machines: this.machines.size,
-      report_s: this.options.workerTiming.heartbeatIntervalSeconds,
-      lease_s: this.options.workerTiming.leaseSeconds,
-      boot_s: bootSeconds.length > 0 ? Math.min(...bootSeconds) : DEFAULT_BOOT_SECONDS,
+      heartbeatIntervalSeconds: this.options.workerTiming.heartbeatIntervalSeconds,
+      leaseSeconds: this.options.workerTiming.leaseSeconds,
+      bootSeconds: bootSeconds.length > 0 ? Math.min(...bootSeconds) : DEFAULT_BOOT_SECONDS,
     };
   }
 
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -125,7 +125,9 @@
       if (silentMs < this.leaseMs) return;
     }
     // A machine that answers is left its tasks as long as they may live: the trouble may end before its lease does.
-    const limitMs = isAnswering ? this.leaseMs + RECEIVE_ONLY_GRACE_MS : this.state.policy.silent_s * 1000;
+    const limitMs = isAnswering
+      ? this.leaseMs + RECEIVE_ONLY_GRACE_MS
+      : this.state.policy.unresponsiveSeconds * 1000;
     const isUnreachable = machine.directCommands.failures > 0 || machine.address === '';
     if (silentMs > limitMs && (isAnswering || isUnreachable)) survey.expired.push(machine);
   }
@@ -174,7 +176,7 @@
   private isMachinesFault({ machines, heard, redirected }: Survey): boolean {
     const silent = machines - heard;
     const isMany =
-      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.silent_share) &&
+      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.unresponsiveShare) &&
       heard < silent;
     if (!isMany) return true;
     // Peers in reach to whom none of them has turned bear out that it is the machines.
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -75,7 +75,7 @@
     const input = this.state.policyInput();
     const maxIdleMs = new Map<string, number>();
     for (const { name, bootSeconds } of this.state.machineTypes.values())
-      maxIdleMs.set(name, this.options.policy({ ...input, boot_s: bootSeconds }).idle_s * 1000);
+      maxIdleMs.set(name, this.options.policy({ ...input, bootSeconds: bootSeconds }).idleSeconds * 1000);
     return maxIdleMs;
   }
 
@@ -89,7 +89,7 @@
     // Up under an earlier leader and not heard by this one: behind a network partition, or on its way here.
     if (machine.listedAsRunning && now - machine.heardAt < leaseSeconds * 1000) return;
     if (
-      now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.boot_patience &&
+      now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.maxBootTimes &&
       now - this.state.startedAt > heartbeatIntervalSeconds * (AWAITED_HEARTBEATS * 1000) &&
       machine.allocations.size === 0 &&
       now - machine.heardAt > HEARD_LATELY_MS
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -41,8 +41,8 @@
           })),
     rentalBackoff,
     now,
-    amortizationSeconds: policy.amortize_s,
-    serviceAmortizationSeconds: policy.amortize_service_s,
+    amortizationSeconds: policy.amortizationSeconds,
+    serviceAmortizationSeconds: policy.serviceAmortizationSeconds,
     scarceZone,
   };
 }
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -21,8 +21,8 @@
   demand(): CapacityDemand[] {
     const profiles = [...this.state.serviceProfiles.values()].sort((one, other) => other.at - one.at);
     const [newest] = profiles;
-    if (!newest || this.state.policy.reserve_replicas <= 0) return [];
-    const replicas = Math.ceil(this.state.policy.reserve_replicas);
+    if (!newest || this.state.policy.reserveReplicas <= 0) return [];
+    const replicas = Math.ceil(this.state.policy.reserveReplicas);
     const request: ResourceRequest = {
       ...newest.request,
       jobId: '',
@@ -50,7 +50,7 @@
     for (const { request, at } of this.state.serviceProfiles.values()) {
       if (now - at > MAX_PROFILE_AGE_MS) continue;
       const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.services);
-      const count = Math.max(1, Math.ceil(this.state.policy.reserve_replicas * share));
+      const count = Math.max(1, Math.ceil(this.state.policy.reserveReplicas * share));
       demands.push({ request, count });
     }
     return demands;
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -121,6 +121,6 @@
         STARTUP_TIME_MARGIN * startup
       : (request.maxWaitSeconds ?? 0) - startup;
   // A place that comes free before a machine rented now would be up is as good as that machine.
-  const patience = Math.max(state.policy.patience_s, startup * STARTUP_TIME_SHARE, spareSeconds);
+  const patience = Math.max(state.policy.minRentalWaitSeconds, startup * STARTUP_TIME_SHARE, spareSeconds);
   return Math.min(MAX_WAIT_SECONDS, patience);
 }
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -71,7 +71,7 @@
     const pass = new PlacementPass({
       requests,
       batchProfiles: this.batchProfiles.byPriority(),
-      reservedJobsPerProfile: this.state.policy.reserve_batch,
+      reservedJobsPerProfile: this.state.policy.reserveBatchJobs,
       placer,
       openTasks: this.openTasks,
       now,
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -272,28 +272,28 @@
 patience_s = 10.5
 `;
 const POLICY: Policy = {
-  reserve_replicas: 1.5,
-  reserve_batch: 2.5,
-  idle_s: 3.5,
-  amortize_s: 4.5,
-  amortize_service_s: 5.5,
-  boot_patience: 6.5,
-  silent_s: 7.5,
-  silent_share: 0.5,
-  batch_tasks: 8.5,
-  parting_s: 9.5,
-  patience_s: 10.5,
+  reserveReplicas: 1.5,
+  reserveBatchJobs: 2.5,
+  idleSeconds: 3.5,
+  amortizationSeconds: 4.5,
+  serviceAmortizationSeconds: 5.5,
+  maxBootTimes: 6.5,
+  unresponsiveSeconds: 7.5,
+  unresponsiveShare: 0.5,
+  maxTasksPerRequest: 8.5,
+  rebalanceSeconds: 9.5,
+  minRentalWaitSeconds: 10.5,
 };
 const INPUT: PolicyInput = {
   services: 1,
-  service_cpus: 2,
-  queued: 3,
-  queued_cpus: 4,
-  batch_running: 5,
+  serviceCpus: 2,
+  queuedTasks: 3,
+  queuedCpus: 4,
+  runningBatchTasks: 5,
   machines: 6,
-  report_s: 7,
-  lease_s: 8,
-  boot_s: 9,
+  heartbeatIntervalSeconds: 7,
+  leaseSeconds: 8,
+  bootSeconds: 9,
 };
 
 describe('the operators’ policy', () => {
@@ -318,7 +318,7 @@
     ['ceil(boot_s * 0.7)', 7],
   ])('may use %s', (expression, value) => {
     const text = POLICY_TEXT.replace('idle_s = 3.5', `idle_s = "${expression}"`);
-    expect(compilePolicy(text)(INPUT).idle_s).toBe(value);
+    expect(compilePolicy(text)(INPUT).idleSeconds).toBe(value);
   });
 
   test.each([
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -83,7 +83,7 @@
   readonly names = Array.from({ length: MACHINES }, (_, i) => `vm-${String(i).padStart(6, '0')}`);
   readonly tasks = new Map<string, Map<string, TaskStatus>>(this.names.map((name) => [name, new Map()]));
   readonly owner: ShardOwner;
-  leader = new SchedulerHarness(5, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
+  leader = new SchedulerHarness(5, { idleSeconds: 1e6, unresponsiveSeconds: 6, unresponsiveShare: 0.4 });
   messages = 0;
   private deliveredMessages = 0;
 
@@ -134,7 +134,11 @@
   }
 
   elect(token: number): void {
-    this.leader = new SchedulerHarness(token, { idle_s: 1e6, silent_s: 6, silent_share: 0.4 });
+    this.leader = new SchedulerHarness(token, {
+      idleSeconds: 1e6,
+      unresponsiveSeconds: 6,
+      unresponsiveShare: 0.4,
+    });
     this.deliveredMessages = 0;
     this.owner.setLeader(token);
     this.owner.flush();
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -159,7 +159,7 @@
 });
 
 test('a machine kept for the image of a service is the reserve as well', () => {
-  const harness = new SchedulerHarness(5, { reserve_replicas: 1, idle_s: 10 });
+  const harness = new SchedulerHarness(5, { reserveReplicas: 1, idleSeconds: 10 });
   const onOther = { machine: 'n', address: 'n' };
   const replica = { ...harness.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
   harness.heartbeat([], 5, onOther);
@@ -178,7 +178,7 @@
 });
 
 test('room kept for urgent work is given to lower work that found none for long', () => {
-  const harness = new SchedulerHarness(5, { reserve_batch: 4, idle_s: 1e6 }, [
+  const harness = new SchedulerHarness(5, { reserveBatchJobs: 4, idleSeconds: 1e6 }, [
     { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
   ]);
   harness.heartbeat([]);
@@ -207,7 +207,7 @@
 });
 
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
-  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
   harness.heartbeat([]);
   const ended = { ...taskStatus('exited'), exitReason: 'attemptListed' as const };
   harness.heartbeat([ended]);
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -100,7 +100,7 @@
   });
 
 function fleet(lists: Record<string, TaskStatus[]>): { harness: SchedulerHarness; second: () => void } {
-  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
   const second = () => {
     for (const [machine, tasks] of Object.entries(lists))
       harness.heartbeat(tasks, 5, { machine, address: machine });
@@ -181,7 +181,7 @@
 test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
   const MACHINES = 4000;
   const JOBS = 200;
-  const harness = new SchedulerHarness(5, { idle_s: 1e6 });
+  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
   const sendHeartbeat = (index: number, over: Partial<Heartbeat> = {}) =>
     harness.heartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
       machine: `m${index}`,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -66,16 +66,16 @@
   const text = readFileSync(new URL('../deploy/policy.toml', import.meta.url), 'utf8');
   const input = {
     services: 100,
-    service_cpus: 200,
-    queued: 3,
-    queued_cpus: 9,
-    batch_running: 1,
+    serviceCpus: 200,
+    queuedTasks: 3,
+    queuedCpus: 9,
+    runningBatchTasks: 1,
     machines: 4,
-    report_s: 3,
-    lease_s: 34,
-    boot_s: 15,
+    heartbeatIntervalSeconds: 3,
+    leaseSeconds: 34,
+    bootSeconds: 15,
   };
-  expect(compilePolicy(text)(input).silent_s).toBeGreaterThan(3);
+  expect(compilePolicy(text)(input).unresponsiveSeconds).toBeGreaterThan(3);
 
   const bad = `${text}\nsurprise = 1\n`
     .replace(/^idle_s = .*$/m, 'idle_s = "services > 2.0"')
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -16,17 +16,17 @@
 
 const SHARD_EPOCHS = { red: 1, blue: 1, free: 1 };
 const POLICY: Policy = {
-  reserve_replicas: 0,
-  reserve_batch: 0,
-  idle_s: 60,
-  amortize_s: 60,
-  amortize_service_s: 60,
-  boot_patience: 3,
-  silent_s: 60,
-  silent_share: 0.5,
-  batch_tasks: 10,
-  parting_s: 30,
-  patience_s: 10,
+  reserveReplicas: 0,
+  reserveBatchJobs: 0,
+  idleSeconds: 60,
+  amortizationSeconds: 60,
+  serviceAmortizationSeconds: 60,
+  maxBootTimes: 3,
+  unresponsiveSeconds: 60,
+  unresponsiveShare: 0.5,
+  maxTasksPerRequest: 10,
+  rebalanceSeconds: 30,
+  minRentalWaitSeconds: 10,
 };
 
 /** A scheduler alone, with heartbeats made by the test and a worker whose answers the test decides on. */
