--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -191,9 +191,8 @@
       simulation.controllers.crash(nodeName, 150);
       runFor(simulation, 700);
     }
-    simulation.nodeNames.forEach((nodeName, index) =>
-      simulation.controllers.crash(nodeName, index === 1 ? 400 : 9000),
-    );
+    for (const [index, nodeName] of simulation.nodeNames.entries())
+      simulation.controllers.crash(nodeName, index === 1 ? 400 : 9000);
     runFor(simulation, 3000);
     simulation.controllers.crash(simulation.nodeNames[1]!, 100);
     runFor(simulation, 8000);
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -242,7 +242,7 @@
 });
 
 describe('placements of a chunk of tasks, place/<id>/k', () => {
-  const TEXT = '{"t":{"0":[2,"vm-000231",4,"a"],"1":[1]}}';
+  const pinnedText = '{"t":{"0":[2,"vm-000231",4,"a"],"1":[1]}}';
 
   test('are written with the counter, settled ones as their attempt alone', () => {
     const job = ownedJob(GANG);
@@ -254,7 +254,7 @@
     job.dirtyChunks.add(0);
     const write = writeChanges(job, { maxOperations: 16, tasksPerChunk: 64, events });
     expect(writtenText(write?.operations)).toBe(
-      `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${TEXT}}]`,
+      `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${pinnedText}}]`,
     );
   });
 
@@ -273,7 +273,7 @@
     const state = new RecordedState(
       new Map([
         ['open/wk-000412/a', `{"j":${GANG_TEXT.replace('"gang"', '"array"')}}`],
-        ['place/wk-000412/0', TEXT],
+        ['place/wk-000412/0', pinnedText],
       ]),
     );
     const said: ShardMessage[] = [];
--- a/test/gang-attempts.test.ts
+++ b/test/gang-attempts.test.ts
@@ -116,7 +116,10 @@
     if (!this.runUntil(() => this.machinesIn(phase).length > 0)) return;
     const { simulator, workers } = this.simulation;
     const name = simulator.pick(this.machinesIn(phase));
-    if (simulator.chance(0.5)) return this.simulation.machines.destroy(name);
+    if (simulator.chance(0.5)) {
+      this.simulation.machines.destroy(name);
+      return;
+    }
     const worker = workers.get(name)!;
     worker.isHung = true;
     simulator.scheduleAfter(15_000, () => {
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -126,7 +126,8 @@
       cpus: 4,
       memoryGb: 1,
     };
-    machines.forEach((machine, taskIndex) => harness.sendPlacement({ ...blue, taskIndex, machine }));
+    for (const [taskIndex, machine] of machines.entries())
+      harness.sendPlacement({ ...blue, taskIndex, machine });
     const runs = (machine: string) => ({
       tasks: [{ ...taskStatus('running'), jobId: 'wk-blue', taskIndex: machines.indexOf(machine) }],
     });
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -60,7 +60,8 @@
       const { tasks: given, without } = assignTasks(tasks, refused);
       const taken = given.filter((task) => task !== undefined);
       expect(new Set(taken).size).toBe(taken.length);
-      given.forEach((task, place) => task !== undefined && expect(refused[place]!.has(task)).toBe(false));
+      for (const [place, task] of given.entries())
+        if (task !== undefined) expect(refused[place]!.has(task)).toBe(false);
       expect(without.length === 0).toBe(canMatch(refused, tasks));
     }),
     { seed: 7, numRuns: 500 },
@@ -179,8 +180,8 @@
 });
 
 test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
-  const MACHINES = 4000;
-  const JOBS = 200;
+  const machineCount = 4000;
+  const jobCount = 200;
   const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
   const sendHeartbeat = (index: number, over: Partial<Heartbeat> = {}) =>
     harness.heartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
@@ -188,11 +189,11 @@
       address: `m${index}`,
       ...over,
     });
-  for (let index = 0; index < MACHINES; index++) sendHeartbeat(index);
+  for (let index = 0; index < machineCount; index++) sendHeartbeat(index);
   const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
   const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
   harness.sendRequests(
-    Array.from({ length: JOBS }, (_, i) =>
+    Array.from({ length: jobCount }, (_, i) =>
       makeResourceRequest(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
     ),
   );
@@ -202,11 +203,11 @@
     (sum, { value }) => sum + [...(value as Iterable<unknown>)].length,
     0,
   );
-  const passes = machinesFor.mock.calls.length / JOBS;
+  const passes = machinesFor.mock.calls.length / jobCount;
   vi.restoreAllMocks();
   expect(passes).toBeGreaterThanOrEqual(1);
   // Two machines list each job.
-  expect(machinesLookedAt).toBeLessThanOrEqual(2 * JOBS * passes);
+  expect(machinesLookedAt).toBeLessThanOrEqual(2 * jobCount * passes);
 });
 
 // ---- the owner ---------------------------------------------------------------------------------------
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -149,7 +149,10 @@
   }
 
   private apply(operation: Transaction['operations'][number]): void {
-    if (operation.type === 'delete') return this.deleteKey(operation.key);
+    if (operation.type === 'delete') {
+      this.deleteKey(operation.key);
+      return;
+    }
     const { key, value, leaseId } = operation;
     const previous = this.records.get(key);
     if (previous?.leaseId) this.leases.get(previous.leaseId)?.keys.delete(key);
@@ -206,8 +209,14 @@
     { prefix, since, waitMs }: { prefix: string; since: number; waitMs: number },
     reply: (reply: WatchReply) => void,
   ): void {
-    if (this.refuses(nodeName)) return reply({ status: 503 });
-    if (since < this.oldestRevision) return reply({ status: 410 });
+    if (this.refuses(nodeName)) {
+      reply({ status: 503 });
+      return;
+    }
+    if (since < this.oldestRevision) {
+      reply({ status: 410 });
+      return;
+    }
     const watch = { prefix, since, nodeName, reply };
     this.pendingWatches.push(watch);
     this.wakeWatches();
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -189,10 +189,14 @@
   /** Commands that a leader sent directly: refused with a lower token than it knows or for another epoch. */
   handleCommands(request: CommandRequest, reply: (commandReply: CommandReply) => void): void {
     if (!this.isAlive) return;
-    if (this.isHung)
-      return this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, reply));
-    if (request.fencingToken < this.fencingToken || request.agentEpoch !== this.agentEpoch)
-      return reply({ ok: false, heartbeat: this.makeHeartbeat() });
+    if (this.isHung) {
+      this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, reply));
+      return;
+    }
+    if (request.fencingToken < this.fencingToken || request.agentEpoch !== this.agentEpoch) {
+      reply({ ok: false, heartbeat: this.makeHeartbeat() });
+      return;
+    }
     this.noteFencingToken(request.fencingToken);
     this.execute(request.commands);
     reply({ ok: true, heartbeat: this.makeHeartbeat() });
@@ -276,8 +280,10 @@
   private begin(task: FakeTask): void {
     task.phase = 'running';
     this.hasChanged = true;
-    if (this.environment.fails(task.jobId, this.name))
-      return this.runLater(task, FAILURE_AFTER_MS, () => this.exit(task, 'error'));
+    if (this.environment.fails(task.jobId, this.name)) {
+      this.runLater(task, FAILURE_AFTER_MS, () => this.exit(task, 'error'));
+      return;
+    }
     const ms = this.environment.runDurationMs(task.jobId, task.taskIndex);
     if (Number.isFinite(ms))
       this.runLater(task, ms, () => {
@@ -291,7 +297,8 @@
     const spec = this.environment.jobSpec(task.jobId);
     if (spec?.kind !== 'gang') {
       this.environment.complete(task.jobId, task.taskIndex);
-      return this.exit(task, 'done');
+      this.exit(task, 'done');
+      return;
     }
     for (let index = 0; index < spec.taskCount; index++) this.environment.complete(task.jobId, index);
     for (const other of this.environment.gangTasks(task.jobId, task.attempt))
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -93,14 +93,20 @@
       onResult(result);
     };
     const onLost = () => end({ got: false, sent: true });
-    if (this.unreachableOutbound.has(from))
-      return simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+    if (this.unreachableOutbound.has(from)) {
+      simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+      return;
+    }
     const cutMode = this.isCut(from, to);
     // Half the calls under a cut go out on a kept connection and are held; the others never connect.
-    if (cutMode === 'hold' && simulator.chance(0.5))
-      return simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
-    if (cutMode === 'reset')
-      return simulator.scheduleAfter(2, () => end({ got: false, sent: simulator.chance(0.3) }));
+    if (cutMode === 'hold' && simulator.chance(0.5)) {
+      simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+      return;
+    }
+    if (cutMode === 'reset') {
+      simulator.scheduleAfter(2, () => end({ got: false, sent: simulator.chance(0.3) }));
+      return;
+    }
     simulator.scheduleAfter(deadlineMs, onLost);
     const reply = (value: T) =>
       this.send({ from: to, to: from, deliver: () => end({ got: true, value }), onLost });
--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -113,7 +113,10 @@
     const { simulator, network, digest } = this.cluster;
     const nodeName = this.cluster.pickNode();
     const process = this.controllers.get(nodeName);
-    if (!process?.isAlive) return simulator.scheduleAfter(CONNECTION_REFUSED_MS, () => onAnswer(null));
+    if (!process?.isAlive) {
+      simulator.scheduleAfter(CONNECTION_REFUSED_MS, () => onAnswer(null));
+      return;
+    }
     network.call<ApiAnswer>({
       from: 'users',
       to: nodeName,
