--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -1,4 +1,4 @@
-/** Faults that coincide, one test for each combination in docs/meetings.md; the invariants are checked after each step. */
+/** Faults that coincide, one test for each combination in docs/fault-interactions.md; the invariants are checked after each step. */
 
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
