--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -126,7 +126,7 @@
       (result) => {
         if (result.ok) {
           log.debug({ jobId: spec.id, team: spec.team, taskCount: spec.taskCount }, 'job accepted');
-          callback({ type: 'job', created: true, state: 'queued', done: 0, running: 0 });
+          callback({ type: 'job', created: true, state: 'queued', finishedTasks: 0, runningTasks: 0 });
         } else if (result.kind === 'indeterminate' && retriesLeft > 0) {
           this.storeJob(spec, retriesLeft - 1, callback);
         } else if (result.kind === 'conflict') {
@@ -153,7 +153,7 @@
       this.storeCancellation(jobId, lookup, (result) => {
         if (result.ok) {
           this.options.log.debug({ jobId }, 'job cancelled');
-          callback(this.rememberFinal(jobId, { isDone: false, finishedTasks: answer.done }));
+          callback(this.rememberFinal(jobId, { isDone: false, finishedTasks: answer.finishedTasks }));
         } else if ((result.kind === 'conflict' || result.kind === 'indeterminate') && retriesLeft > 0) {
           this.tryCancel(jobId, retriesLeft - 1, callback);
         } else callback(STORE_UNREACHABLE);
@@ -250,7 +250,7 @@
       return this.rememberFinal(jobId, { isDone: true, finishedTasks });
     const running = counter?.runningTasks ?? 0;
     const state = finishedTasks + running > 0 ? 'running' : 'queued';
-    return { type: 'job', created: false, state, done: finishedTasks, running };
+    return { type: 'job', created: false, state, finishedTasks, runningTasks: running };
   }
 
   private rememberFinal(jobId: string, final: FinalRecord): ApiAnswer {
@@ -280,7 +280,7 @@
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
   decodeCompletionBitmap(finished, counter.finishedBitmap);
-  return finished.isFull;
+  return finished.isComplete;
 }
 
 function isFinal(state: JobState): boolean {
@@ -289,5 +289,5 @@
 
 function finalAnswer({ isDone, finishedTasks }: FinalRecord): ApiAnswer {
   const state = isDone ? 'done' : 'cancelled';
-  return { type: 'job', created: false, state, done: finishedTasks, running: 0 };
+  return { type: 'job', created: false, state, finishedTasks, runningTasks: 0 };
 }
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -20,14 +20,14 @@
 const KEYS: Readonly<Record<string, KeyDefinition>> = {
   reserve_replicas: { field: 'reserveReplicas', range: { min: 0, max: 1000 } },
   reserve_batch: { field: 'reserveBatchJobs', range: { min: 0, max: 100 } },
-  idle_s: { field: 'idleSeconds', range: { min: 0, max: 86400 } },
+  idle_s: { field: 'maxIdleSeconds', range: { min: 0, max: 86400 } },
   amortize_s: { field: 'amortizationSeconds', range: { min: 1, max: 86400 } },
   amortize_service_s: { field: 'serviceAmortizationSeconds', range: { min: 1, max: 86400 } },
-  boot_patience: { field: 'maxBootTimes', range: { min: 1, max: 100 } },
+  boot_patience: { field: 'maxBootTimeFactor', range: { min: 1, max: 100 } },
   silent_s: { field: 'unresponsiveSeconds', range: { min: 1, max: 600 } },
-  silent_share: { field: 'unresponsiveShare', range: { min: 0, max: 1 } },
+  silent_share: { field: 'maxUnresponsiveShare', range: { min: 0, max: 1 } },
   batch_tasks: { field: 'maxTasksPerRequest', range: { min: 1, max: 10000 } },
-  parting_s: { field: 'rebalanceSeconds', range: { min: 1, max: 86400 } },
+  parting_s: { field: 'rebalanceIntervalSeconds', range: { min: 1, max: 86400 } },
   patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
 };
 
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -14,9 +14,9 @@
 /** Most machines named in one message: 200 KB, five times a fleet of 4,000 machines. */
 export const MAX_MACHINES_PER_MESSAGE = 20000;
 
-/** The leader's coverage: what was cancelled before `at`, on its clock, has ended or is being stopped on these machines. */
+/** The leader's coverage: what was cancelled before `completeUntil`, on its clock, has ended or is being stopped on these machines. */
 export interface LeaderCoverage {
-  at: number;
+  completeUntil: number;
   pendingMachines: string[];
 }
 
@@ -120,7 +120,7 @@
     const coverage = scheduler.coverage();
     if (coverage) {
       const pending = machinesToName(coverage);
-      this.inherit({ completeUntil: coverage.at, pendingMachines: pending && new Set(pending) });
+      this.inherit({ completeUntil: coverage.completeUntil, pendingMachines: pending && new Set(pending) });
     }
     return coverage;
   }
@@ -129,7 +129,7 @@
   coverageForPeer(nodeName: string, coverage: LeaderCoverage | null): PeerHeartbeat['coverage'] {
     const peer = this.options.peers.get(nodeName);
     if (!coverage || !peer) return null;
-    const timestamp = peer.timestamps.latestReceivedBy(coverage.at);
+    const timestamp = peer.timestamps.latestReceivedBy(coverage.completeUntil);
     if (timestamp === null) return null;
     return { instanceId: peer.instanceId, timestamp, pendingMachines: machinesToName(coverage) };
   }
--- a/src/controller/command-queue.ts
+++ b/src/controller/command-queue.ts
@@ -44,7 +44,7 @@
   wake(): void {
     if (this.batchScheduled) return;
     this.batchScheduled = true;
-    this.options.clock.soon(() => this.runBatch());
+    this.options.clock.defer(() => this.runBatch());
   }
 
   /** A callback that, when it is called, runs as a command of the next batch. */
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -118,7 +118,7 @@
     for (const [team, { instanceId, shardEpoch }] of owners)
       if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
     this.owner.setShards(owned);
-    this.openJobs.follow(owned.size > 0);
+    this.openJobs.setFollowed(owned.size > 0);
     this.leadership.scheduler?.setOwners(owners);
   }
 
@@ -185,7 +185,7 @@
       cloudCallsPerSecond: options.cloudCallsPerSecond,
       images: this.images.locations,
       objectives: options.objectives,
-      isFirstEver: fencingToken === 1,
+      isFirstLeader: fencingToken === 1,
       clock,
       log: options.log,
       cloud: this.cloud,
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -1,6 +1,6 @@
 /** Copies of the leader's knowledge of images at its peers, for whoever leads next. */
 
-import type { ImageFact } from '../model/image-fact.js';
+import type { ImageLocation } from '../model/image-location.js';
 import { ImageLocations } from '../scheduler/image-locations.js';
 import type { Leadership } from './leadership.js';
 import type { PeerMessenger } from './peer-messenger.js';
@@ -38,7 +38,7 @@
   }
 
   /** Takes in what a leader sent. */
-  apply(added: ImageFact[], removedMachines: string[]): void {
+  apply(added: ImageLocation[], removedMachines: string[]): void {
     if (!this.leadership.scheduler) this.locations.apply(added, removedMachines);
   }
 }
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -32,7 +32,7 @@
     for (const nodeName of this.options.peerNames)
       messenger.send(nodeName, {
         type: 'heartbeat',
-        leader: leader.nodeName,
+        leaderName: leader.nodeName,
         fencingToken: leader.fencingToken,
         storeContactAgeMs: Math.max(0, storeContact.ageMs(now)),
         redirectedMachines: nodeName === leader.nodeName ? redirectedMachines : [],
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -75,14 +75,14 @@
     peer.timestamps.add(heartbeat.timestamp, now);
     coordinator.onPeerHeartbeat(message, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
-    peers.addLeaderHint({ nodeName: heartbeat.leader, fencingToken: heartbeat.fencingToken });
+    peers.addLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
   private stepDownForLaterLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
     if (
       leadership.scheduler &&
-      heartbeat.leader !== nodeName &&
+      heartbeat.leaderName !== nodeName &&
       heartbeat.fencingToken > leadership.leader.fencingToken &&
       heartbeat.fencingToken > leadership.scheduler.fencingToken
     )
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -65,7 +65,7 @@
     const owners = records.shardOwners();
     let moves = this.assignOrphans(owners, counts);
     if (moves.size === 0 && now >= this.nextRebalanceAt) {
-      this.nextRebalanceAt = now + scheduler.policy.rebalanceSeconds * 1000;
+      this.nextRebalanceAt = now + scheduler.policy.rebalanceIntervalSeconds * 1000;
       moves = this.rebalance(owners, counts);
     }
     if (moves.size > 0) this.write(scheduler, owners, moves);
@@ -156,7 +156,7 @@
   private write(scheduler: Scheduler, owners: Map<string, ShardOwnership>, moves: Map<string, string>): void {
     const { store, leadership, log, maxTransactionOperations } = this.options;
     const batch = [...moves].slice(0, maxTransactionOperations);
-    for (const [team] of batch) scheduler.suspend(team);
+    for (const [team] of batch) scheduler.suspendOwner(team);
     this.writeInFlight = true;
     store.compareAndSwap(
       {
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -89,12 +89,12 @@
   constructor(private readonly teams: readonly string[]) {}
 
   /** A full sync of an owner has been applied. */
-  fullSyncTaken(instanceId: string, syncNumber: number): void {
+  onFullSyncApplied(instanceId: string, syncNumber: number): void {
     this.syncs.set(instanceId, { syncNumber, placementMessages: 0 });
   }
 
   /** A message with placements of an owner has come. */
-  placementMessageTaken(instanceId: string): void {
+  onPlacementMessage(instanceId: string): void {
     const sync = this.syncs.get(instanceId);
     if (sync) sync.placementMessages++;
   }
@@ -107,11 +107,11 @@
 
   /** Moves a team's watermark on, never back. */
   advance(team: string, at: number): void {
-    this.byTeam.set(team, Math.max(at, this.of(team)));
+    this.byTeam.set(team, Math.max(at, this.watermarkOf(team)));
   }
 
   /** A team's watermark; negative infinity while it has none. */
-  of(team: string): number {
+  watermarkOf(team: string): number {
     return this.byTeam.get(team) ?? Number.NEGATIVE_INFINITY;
   }
 
--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -26,7 +26,7 @@
     return true;
   }
 
-  get isFull(): boolean {
+  get isComplete(): boolean {
     return this.count >= this.inputCount;
   }
 
@@ -58,7 +58,7 @@
   ) {}
 
   /** Begins behind the inputs that were counted before. */
-  skipTo(isCounted: (input: number) => boolean): void {
+  skipCounted(isCounted: (input: number) => boolean): void {
     while (this.next < this.size && isCounted(this.next)) this.next++;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Inputs that may be taken now, in the order in which they would be. */
-  waiting(isTaken: (input: number) => boolean): number[] {
+  listAvailable(isTaken: (input: number) => boolean): number[] {
     const waiting = this.returnedInOrder.filter((input) => !isTaken(input));
     for (let input = this.next; input < this.size && input - this.firstUncounted < this.window; input++)
       if (!isTaken(input)) waiting.push(input);
--- a/src/model/image-fact.ts
+++ b/src/model/image-location.ts
@@ -1,7 +1,7 @@
 /** What controllers tell one another of the images that machines hold. */
 
 /** A machine holds an image of this size. */
-export interface ImageFact {
+export interface ImageLocation {
   machine: string;
   image: string;
   sizeGb: number;
--- a/src/model/job-answer.ts
+++ b/src/model/job-answer.ts
@@ -8,7 +8,7 @@
  * `unavailable`: the user asks again later; the request may have been carried out.
  */
 export type ApiAnswer =
-  | { type: 'job'; created: boolean; state: JobState; done: number; running: number }
+  | { type: 'job'; created: boolean; state: JobState; finishedTasks: number; runningTasks: number }
   | { type: 'notFound' }
   | { type: 'rejected'; reason: string }
   | { type: 'unavailable'; reason: string };
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -1,13 +1,13 @@
 /** Messages between controllers. */
 
-import type { ImageFact } from './image-fact.js';
+import type { ImageLocation } from './image-location.js';
 import type { LeaderMessage, ShardMessage } from './shard-messages.js';
 
 /** The regular message of a controller to each of its peers. */
 export interface PeerHeartbeat {
   type: 'heartbeat';
   /** Node name of the controller that the sender takes for the leader; empty if it knows none. */
-  leader: string;
+  leaderName: string;
   fencingToken: number;
   /** Milliseconds since the latest request of the sender that the store has answered. */
   storeContactAgeMs: number;
@@ -29,7 +29,7 @@
   /** The n-th cancellation that the sender announces: a user is being told of it. */
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
   /** From the leader: what it has learnt of images, and the machines that are gone with theirs. */
-  | { type: 'images'; added: ImageFact[]; removedMachines: string[] }
+  | { type: 'images'; added: ImageLocation[]; removedMachines: string[] }
   /** From a shard owner to the leader, if the recipient's instance still leads. */
   | { type: 'toLeader'; recipient: string; message: ShardMessage }
   /** From the leader to a shard owner's instance. */
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -14,7 +14,7 @@
   missedObjectives: number;
   taskCount: number;
   /** All its tasks are to be placed at once: a gang. */
-  allOrNothing: boolean;
+  isGang: boolean;
   isService: boolean;
   cpus: number;
   gpus: number;
@@ -33,7 +33,7 @@
   /** Tasks that may still go to each zone where some are, for jobs that must be spread; null: the job need not be. */
   zoneAllowance: Record<string, number> | null;
   /** Tasks that may go to a zone that `zoneAllowance` does not name. */
-  maxTasksPerZone: number;
+  defaultZoneAllowance: number;
   /** Machines on which this job failed lately. */
   avoidedMachines: string[];
   /**
@@ -51,7 +51,7 @@
   objectiveSeconds: number | null;
   slackSeconds: number | null;
   /** The newest grant that its owner had taken in: the request no longer asks for what was granted up to it. */
-  lastGrantTaken: number;
+  lastProcessedGrantId: number;
 }
 
 /** A placement that is not finalized, as its owner sends it to the leader. */
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -20,21 +20,21 @@
   /** Free capacity kept for classes with an objective on waiting, as a multiple of their mean job. */
   reserveBatchJobs: number;
   /** Seconds a machine may stand empty before it is returned. */
-  idleSeconds: number;
+  maxIdleSeconds: number;
   /** Seconds over which boot and image fetch of a rented machine are paid off. */
   amortizationSeconds: number;
   /** The same for machines rented for services, which stay longer. */
   serviceAmortizationSeconds: number;
   /** Multiple of the type's boot time after which a machine that is not up is given up. */
-  maxBootTimes: number;
+  maxBootTimeFactor: number;
   /** Seconds of silence after which a machine is deleted to settle its tasks. */
   unresponsiveSeconds: number;
   /** Share of the machines that may fall silent at once before the controller suspects itself. */
-  unresponsiveShare: number;
+  maxUnresponsiveShare: number;
   /** Tasks of one job asked for at a time. */
   maxTasksPerRequest: number;
   /** Seconds between moves of teams among controllers. */
-  rebalanceSeconds: number;
+  rebalanceIntervalSeconds: number;
   /** Seconds that work which waits behind running tasks is left waiting before machines are rented for it. */
   minRentalWaitSeconds: number;
 }
--- a/src/model/limited-log.ts
+++ b/src/model/rate-limited-log.ts
@@ -17,7 +17,7 @@
  * Keeps lines that a fault repeats from drowning the others: of each message at most 20 lines in 10 s. The first line of the next
  * window says in `suppressed` how many were left out.
  */
-export class LimitedLog {
+export class RateLimitedLog {
   private readonly windows = new Map<string, Window>();
 
   constructor(
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -10,17 +10,17 @@
   /** `hold`: granted, not yet told to be stored. */
   desiredState: PlacementSpec['desiredState'] | 'hold';
   /** Sequence of the heartbeat whose answer carries its start, until a later heartbeat comes; -1: none. */
-  sentWithHeartbeat: number;
+  startHeartbeatSequence: number;
   /** A direct command with its start is under way. */
-  directStartInFlight: boolean;
-  reported: TaskStatus | null;
+  isDirectStartInFlight: boolean;
+  reportedStatus: TaskStatus | null;
   /** Its worker has listed it as ended: it is never started again, whatever the worker lists later. */
   hasExited: boolean;
   isFinalized: boolean;
   lastEventSent: string;
   phaseSince: number;
   /** Since when it runs is known: this leader saw it before it ran, or sent its start. */
-  startObserved: boolean;
+  isStartTimeKnown: boolean;
   /** When its owner was asked to stop it; 0: not. */
   evictionRequestedAt: number;
 }
@@ -35,14 +35,14 @@
   return {
     ...placement,
     key: taskKey(placement.jobId, placement.taskIndex, placement.attempt),
-    sentWithHeartbeat: -1,
-    directStartInFlight: false,
-    reported: null,
+    startHeartbeatSequence: -1,
+    isDirectStartInFlight: false,
+    reportedStatus: null,
     hasExited: false,
     isFinalized: false,
     lastEventSent: '',
     phaseSince: now,
-    startObserved: false,
+    isStartTimeKnown: false,
     evictionRequestedAt: 0,
   };
 }
@@ -56,7 +56,7 @@
 export function usesCapacity(allocation: Allocation): boolean {
   return (
     !allocation.isFinalized &&
-    allocation.reported?.phase !== 'exited' &&
+    allocation.reportedStatus?.phase !== 'exited' &&
     allocation.desiredState !== 'forget' &&
     allocation.desiredState !== 'keep'
   );
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -50,25 +50,25 @@
   /** Allocations whose owners were asked to stop them. */
   readonly evictions = new Set<Allocation>();
   scarceZone: string | null = null;
-  scarceZoneAt = Number.NEGATIVE_INFINITY;
+  scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
   /** Zones most of whose machines are unresponsive while others are heard: cut off rather than dead. */
-  cutZones = new Set<string>();
+  partitionedZones = new Set<string>();
   /** Ordinary machines without replicas that the reserve lies on. */
   reserveMachines = new Set<string>();
   /** Until then work is short of places. */
   shortageUntil = 0;
-  readonly reservedMachines = new Set<Machine>();
+  readonly machinesWithReservation = new Set<Machine>();
   readonly endedAttempts = new EndedAttempts();
   /** Machines whose ended attempts alone keep work waiting: they are removed without waiting for others. */
   blockingMachines: ReadonlySet<string> = new Set();
   /** Machines with places that a waiting gang has gathered: they are kept although they are empty. */
-  gatheredMachines: ReadonlySet<string> = new Set();
+  machinesHeldForGangs: ReadonlySet<string> = new Set();
   /** Refused rentals. */
   readonly rentalBackoff = new RentalBackoff(RENTAL_BACKOFF_MS, MAX_RENTAL_BACKOFF_MS);
   readonly startedAt: number;
-  readonly serviceProfiles = new Map<string, { request: ResourceRequest; at: number }>();
+  readonly serviceProfiles = new Map<string, { request: ResourceRequest; recordedAt: number }>();
   isDirty = true;
-  machinesListed = false;
+  hasMachineList = false;
   policy: Policy;
 
   constructor(readonly options: SchedulerOptions) {
@@ -110,7 +110,7 @@
       allocation.evictionRequestedAt = now;
       this.evictions.add(allocation);
       const machine = this.machines.get(allocation.machine);
-      if (machine) this.noteChanged(machine);
+      if (machine) this.markChanged(machine);
       const instanceId = this.owners.get(allocation.team)?.instanceId;
       if (!instanceId) continue;
       const tasks = tasksByOwner.get(instanceId) ?? [];
@@ -131,10 +131,10 @@
    * What services need, by image and by whether they must be spread: one kind must not hide the other, and a new
    * leader learns both from the replicas that run, not only from those that wait.
    */
-  learnServiceProfile(request: ResourceRequest): void {
+  recordServiceProfile(request: ResourceRequest): void {
     const key = `${request.image}|${request.zoneAllowance !== null}`;
-    if (!this.serviceProfiles.has(key)) this.scarceZoneAt = Number.NEGATIVE_INFINITY;
-    this.serviceProfiles.set(key, { request, at: this.options.clock.now() });
+    if (!this.serviceProfiles.has(key)) this.scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
+    this.serviceProfiles.set(key, { request, recordedAt: this.options.clock.now() });
   }
 
   /** What one more task like this would ask for. */
@@ -158,7 +158,7 @@
   }
 
   /** Where each open grant is. */
-  get grantMachines(): Map<number, Machine> {
+  get machinesByGrant(): Map<number, Machine> {
     return this.grants.machines;
   }
 
@@ -170,7 +170,7 @@
   /** These grants no longer hold capacity. */
   dropGrants(ids: number[]): void {
     for (const id of ids) {
-      const machine = this.grantMachines.get(id);
+      const machine = this.machinesByGrant.get(id);
       const allocation = this.grants.allocationOf(id);
       if (machine && allocation) this.removeAllocation(machine, allocation);
     }
@@ -182,7 +182,7 @@
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
     if (allocation.desiredState === 'hold') this.grants.remove(allocation);
-    this.noteChanged(machine);
+    this.markChanged(machine);
   }
 
   /** Stored as cancelled: stopping its tasks is always right, whoever owns them. Returns where some may run. */
@@ -198,7 +198,7 @@
           continue;
         allocation.gracePeriodSeconds = 0;
         this.leaseRenewal.noteStop(machine, allocation);
-        this.noteChanged(machine);
+        this.markChanged(machine);
         affected.push(machine);
       }
     return affected;
@@ -207,7 +207,7 @@
   // ---- machines and totals --------------------------------------------------------------------------
 
   /** The machine of this name; one not heard of before begins here. */
-  machine(name: string): Machine {
+  getOrCreateMachine(name: string): Machine {
     let machine = this.machines.get(name);
     if (!machine) {
       machine = createMachine(name, this.options.clock.now());
@@ -219,22 +219,22 @@
   }
 
   /** Something on this machine has changed: its totals are made anew, and the next pass looks at it. */
-  noteChanged(machine: Machine): void {
+  markChanged(machine: Machine): void {
     this.fleetTotals.noteChange(machine);
     this.isDirty = true;
   }
 
   /** Sums up what has changed. */
-  refresh(): void {
+  refreshTotals(): void {
     this.fleetTotals.refresh();
   }
 
-  /** Machine types by name, as of the last `refresh`. */
+  /** Machine types by name, as of the last `refreshTotals`. */
   get machineTypes(): Map<string, MachineType> {
     return this.fleetTotals.machineTypes;
   }
 
-  /** Running tasks of the whole fleet, as of the last `refresh`. */
+  /** Running tasks of the whole fleet, as of the last `refreshTotals`. */
   get totals(): FleetSums {
     return this.fleetTotals.sums;
   }
--- a/src/scheduler/ended-attempts.ts
+++ b/src/scheduler/ended-attempts.ts
@@ -6,7 +6,7 @@
 export interface EndedTasks {
   readonly tasks: ReadonlySet<number>;
   /** One of them is an attempt that the machine refused as `attemptListed`. */
-  readonly refused: boolean;
+  readonly hasRefusedAttempt: boolean;
 }
 
 /** Shared by all machines that list none. */
@@ -61,13 +61,13 @@
 }
 
 function endedTasksOf(listed: readonly TaskStatus[]): ReadonlyMap<string, EndedTasks> {
-  let byJob: Map<string, { tasks: Set<number>; refused: boolean }> | null = null;
+  let byJob: Map<string, { tasks: Set<number>; hasRefusedAttempt: boolean }> | null = null;
   for (const { jobId: job, taskIndex, phase, exitReason: reason } of listed) {
     if (phase !== 'exited' || reason === 'done') continue;
     byJob ??= new Map();
-    const ended = byJob.get(job) ?? { tasks: new Set(), refused: false };
+    const ended = byJob.get(job) ?? { tasks: new Set(), hasRefusedAttempt: false };
     ended.tasks.add(taskIndex);
-    if (reason === 'attemptListed') ended.refused = true;
+    if (reason === 'attemptListed') ended.hasRefusedAttempt = true;
     byJob.set(job, ended);
   }
   return byJob ?? NO_ENDED_TASKS;
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -5,7 +5,7 @@
  */
 
 import type { ClusterState } from './cluster-state.js';
-import { lastProofOfLife, type Machine } from './machine.js';
+import { lastPossibleLeaseRenewalAt, type Machine } from './machine.js';
 import type { FreeCapacity } from './placement/free-capacity.js';
 import type { SchedulerOptions } from './scheduler-options.js';
 
@@ -109,14 +109,14 @@
     const { now } = survey;
     const zone = countInZone(machine.zone, survey);
     // Heartbeats alone renew leases: a machine that only answers dies of its lease.
-    const proven = lastProofOfLife(machine);
+    const proven = lastPossibleLeaseRenewalAt(machine);
     const silentMs = this.silentMs(machine, proven, now);
     if (machine.missedAnswers.count === 1) this.probe(machine, now);
     if (silentMs < this.probeAfterMs) {
       survey.heard++;
       return;
     }
-    const isAnswering = machine.heardAt > proven && now - machine.heardAt < this.probeAfterMs;
+    const isAnswering = machine.lastHeardAt > proven && now - machine.lastHeardAt < this.probeAfterMs;
     if (isAnswering) survey.answering++;
     else zone.silent++;
     if (!machine.directCommands.inFlight) this.probe(machine, now);
@@ -176,7 +176,7 @@
   private isMachinesFault({ machines, heard, redirected }: Survey): boolean {
     const silent = machines - heard;
     const isMany =
-      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.unresponsiveShare) &&
+      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.maxUnresponsiveShare) &&
       heard < silent;
     if (!isMany) return true;
     // Peers in reach to whom none of them has turned bear out that it is the machines.
@@ -206,7 +206,7 @@
     }
     // Past their lease their tasks are dead in any case.
     for (const machine of expired) {
-      const alive = Math.max(lastProofOfLife(machine), this.state.startedAt);
+      const alive = Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
       if (now - alive > this.leaseMs + RECEIVE_ONLY_GRACE_MS)
         this.actions.remove(machine, 'silent past its lease');
     }
@@ -220,10 +220,10 @@
     for (const [zone, { silent, all }] of zones)
       if (all >= MIN_MACHINES_OF_PARTITIONED_ZONE && silent > all * PARTITIONED_ZONE_SHARE)
         silentZones.push(zone);
-    const cutZones = silentZones.length < zones.size ? silentZones : [];
-    for (const zone of cutZones)
-      if (!this.state.cutZones.has(zone)) this.options.log.info({ zone }, 'zone seems to be cut off');
-    this.state.cutZones = new Set(cutZones);
+    const partitionedZones = silentZones.length < zones.size ? silentZones : [];
+    for (const zone of partitionedZones)
+      if (!this.state.partitionedZones.has(zone)) this.options.log.info({ zone }, 'zone seems to be cut off');
+    this.state.partitionedZones = new Set(partitionedZones);
   }
 }
 
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -127,8 +127,8 @@
   /** A new leader lets the cloud's list, the heartbeats and the owners speak first. */
   private isSettled(now: number): boolean {
     return (
-      this.options.isFirstEver ||
-      (this.state.machinesListed && now - this.state.startedAt > this.options.machineListLagSeconds * 1000)
+      this.options.isFirstLeader ||
+      (this.state.hasMachineList && now - this.state.startedAt > this.options.machineListLagSeconds * 1000)
     );
   }
 }
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -8,7 +8,7 @@
 import {
   type CapacityDemand,
   copyCapacities,
-  emptyCapacity,
+  emptyMachineCapacity,
   type FreeCapacity,
 } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
@@ -42,7 +42,7 @@
   /** Removes empty machines that neither the unplaced work nor the reserve of services needs. */
   returnIdle(now: number, unplaced: readonly CapacityDemand[]): void {
     if (!this.state.allSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
-    this.state.refresh();
+    this.state.refreshTotals();
     const idle = this.findIdle(now);
     if (idle.size === 0) return;
     this.keepForUnplaced(idle, unplaced);
@@ -66,7 +66,7 @@
   }
 
   private hasIdledLong(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
-    if (this.state.gatheredMachines.has(machine.name)) return false;
+    if (this.state.machinesHeldForGangs.has(machine.name)) return false;
     const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
     return now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
   }
@@ -75,7 +75,7 @@
     const input = this.state.policyInput();
     const maxIdleMs = new Map<string, number>();
     for (const { name, bootSeconds } of this.state.machineTypes.values())
-      maxIdleMs.set(name, this.options.policy({ ...input, bootSeconds: bootSeconds }).idleSeconds * 1000);
+      maxIdleMs.set(name, this.options.policy({ ...input, bootSeconds: bootSeconds }).maxIdleSeconds * 1000);
     return maxIdleMs;
   }
 
@@ -87,12 +87,12 @@
     const { heartbeatIntervalSeconds, leaseSeconds } = this.options.workerTiming;
     const bootSeconds = this.state.machineTypes.get(machine.machineType)?.bootSeconds ?? DEFAULT_BOOT_SECONDS;
     // Up under an earlier leader and not heard by this one: behind a network partition, or on its way here.
-    if (machine.listedAsRunning && now - machine.heardAt < leaseSeconds * 1000) return;
+    if (machine.isListedAsRunning && now - machine.lastHeardAt < leaseSeconds * 1000) return;
     if (
-      now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.maxBootTimes &&
+      now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.maxBootTimeFactor &&
       now - this.state.startedAt > heartbeatIntervalSeconds * (AWAITED_HEARTBEATS * 1000) &&
       machine.allocations.size === 0 &&
-      now - machine.heardAt > HEARD_LATELY_MS
+      now - machine.lastHeardAt > HEARD_LATELY_MS
     )
       this.parts.remove(machine, 'did not come up in time');
   }
@@ -101,7 +101,7 @@
     for (const machine of idle.values()) {
       const machineType = this.state.machineTypes.get(machine.machineType);
       if (!machineType) continue;
-      const capacity = emptyCapacity(machineType, machine);
+      const capacity = emptyMachineCapacity(machineType, machine);
       if (unplaced.some(({ request }) => fits(capacity, request) && isAllowed(capacity, request)))
         idle.delete(machine.name);
     }
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -3,7 +3,7 @@
 import type { RentalRequest } from '../../model/cloud-provider.js';
 import type { Result } from '../../model/result.js';
 import type { ClusterState } from '../cluster-state.js';
-import { emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+import { emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Rental } from './rental-planner.js';
 
@@ -35,7 +35,7 @@
       const type = this.state.machineTypes.get(machineType);
       if (!type) continue;
       for (let machine = 0; machine < count; machine++)
-        capacities.push(emptyCapacity(type, { name: '', zone, isSpot }));
+        capacities.push(emptyMachineCapacity(type, { name: '', zone, isSpot }));
     }
     return capacities;
   }
@@ -66,7 +66,7 @@
     const now = this.options.clock.now();
     for (const name of names) {
       if (this.state.deletedMachines.has(name)) continue;
-      const machine = this.state.machine(name);
+      const machine = this.state.getOrCreateMachine(name);
       // Its worker, or the cloud's list, was faster than this answer.
       if (machine.machineType !== '') continue;
       machine.machineType = machineType;
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -5,7 +5,7 @@
 import { EPSILON, slotsIn } from '../../model/resources.js';
 import { fits, isAllowed, isAvoided, subtract } from '../placement/capacity-filter.js';
 import { fill } from '../placement/fill.js';
-import { type CapacityDemand, emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+import { type CapacityDemand, emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 import { OBJECTIVE_MARGIN_SHARE } from '../placement/wait-objectives.js';
 import { offerKey } from './rental-backoff.js';
 import { cheapestOffer, type PricingInput, type RentalOffer, startupSeconds } from './rental-pricing.js';
@@ -92,7 +92,7 @@
       const before = open;
       open = this.assignRented(this.rent(offer, { request, count: open }), { request, count: open });
       // A gang takes its places once there are enough for all of it.
-      if (request.allOrNothing) open = this.assign(this.capacities, { request, count: open });
+      if (request.isGang) open = this.assign(this.capacities, { request, count: open });
       else if (open === before) return;
     }
   }
@@ -116,7 +116,7 @@
     );
     rental.count += machineCount;
     this.rentals.set(key, rental);
-    return Array.from({ length: machineCount }, () => emptyCapacity(type, { name: '', zone, isSpot }));
+    return Array.from({ length: machineCount }, () => emptyMachineCapacity(type, { name: '', zone, isSpot }));
   }
 
   /** Subtracts tasks from the capacities; returns how many are left without. */
@@ -136,7 +136,7 @@
     );
     if (zoneAllowance)
       for (const zone of usedZones)
-        zoneAllowance[zone] = (zoneAllowance[zone] ?? request.maxTasksPerZone) - 1;
+        zoneAllowance[zone] = (zoneAllowance[zone] ?? request.defaultZoneAllowance) - 1;
     return left;
   }
 
@@ -171,12 +171,12 @@
 }
 
 function mayRunConsecutively(request: ResourceRequest): boolean {
-  return !request.isService && !request.allOrNothing && !request.zoneAllowance && !request.zoneAffinity;
+  return !request.isService && !request.isGang && !request.zoneAllowance && !request.zoneAffinity;
 }
 
 /** As many as the demand fills, in one go; spread and joined jobs choose their zones machine by machine. */
 function machinesFor(machineType: MachineType, { request, count }: CapacityDemand): number {
-  if (request.allOrNothing || request.zoneAllowance !== null || request.zoneAffinity) return 1;
+  if (request.isGang || request.zoneAllowance !== null || request.zoneAffinity) return 1;
   const tasksPerMachine = Math.max(1, slotsIn(machineType, request)) * runsPerSlot(machineType, request);
   return Math.max(1, Math.floor(count / tasksPerMachine));
 }
@@ -185,7 +185,7 @@
   if (
     request.slackSeconds === null ||
     request.isService ||
-    request.allOrNothing ||
+    request.isGang ||
     request.estimatedRunSeconds <= 0
   )
     return 1;
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -29,15 +29,15 @@
 
 /** Pricing by the present policy; without zones that are cut off, where what is rented can't be reached. */
 export function currentPricing(options: SchedulerOptions, state: ClusterState, now: number): PricingInput {
-  const { cutZones, policy, rentalBackoff, scarceZone } = state;
+  const { partitionedZones, policy, rentalBackoff, scarceZone } = state;
   const machineTypes = options.machineTypes();
   return {
     machineTypes:
-      cutZones.size === 0
+      partitionedZones.size === 0
         ? machineTypes
         : machineTypes.map((machineType) => ({
             ...machineType,
-            zones: machineType.zones.filter((zone) => !cutZones.has(zone)),
+            zones: machineType.zones.filter((zone) => !partitionedZones.has(zone)),
           })),
     rentalBackoff,
     now,
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -217,7 +217,7 @@
 function hasRunForLong(replica: Allocation, now: number): boolean {
   return (
     replica.desiredState === 'run' &&
-    replica.reported?.phase === 'running' &&
+    replica.reportedStatus?.phase === 'running' &&
     now - replica.phaseSince >= MIN_RUN_MS
   );
 }
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -19,7 +19,9 @@
 
   /** What the next replicas should find at once; over all zones if some service must be spread. */
   demand(): CapacityDemand[] {
-    const profiles = [...this.state.serviceProfiles.values()].sort((one, other) => other.at - one.at);
+    const profiles = [...this.state.serviceProfiles.values()].sort(
+      (one, other) => other.recordedAt - one.recordedAt,
+    );
     const [newest] = profiles;
     if (!newest || this.state.policy.reserveReplicas <= 0) return [];
     const replicas = Math.ceil(this.state.policy.reserveReplicas);
@@ -38,7 +40,7 @@
     const zones = new Set(this.options.machineTypes().flatMap((machineType) => machineType.zones));
     const perZone = Math.max(1, Math.ceil(replicas / Math.max(1, zones.size)));
     return [...zones].map((zone) => ({
-      request: { ...request, zone, zoneAllowance: {}, maxTasksPerZone: perZone },
+      request: { ...request, zone, zoneAllowance: {}, defaultZoneAllowance: perZone },
       count: perZone,
     }));
   }
@@ -47,7 +49,7 @@
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
     const demands: CapacityDemand[] = [];
-    for (const { request, at } of this.state.serviceProfiles.values()) {
+    for (const { request, recordedAt: at } of this.state.serviceProfiles.values()) {
       if (now - at > MAX_PROFILE_AGE_MS) continue;
       const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.services);
       const count = Math.max(1, Math.ceil(this.state.policy.reserveReplicas * share));
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -46,7 +46,7 @@
   let largest: ResourceRequest | null = null;
   for (const requests of state.requests.values())
     for (const request of requests) {
-      if (!request.spotAllowed || request.isService || request.allOrNothing) continue;
+      if (!request.spotAllowed || request.isService || request.isGang) continue;
       if (!largest || request.cpus > largest.cpus) largest = request;
     }
   return largest;
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -2,7 +2,7 @@
 
 import { usesCapacity } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
-import { lastProofOfLife, type Machine } from '../machine.js';
+import { lastPossibleLeaseRenewalAt, type Machine } from '../machine.js';
 import { fill } from '../placement/fill.js';
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
@@ -28,10 +28,10 @@
   keeps(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
     this.replicasToReplace.delete(machine.name);
     const { leaseSeconds, cancellationSeconds } = this.options.workerTiming;
-    const silentMs = now - Math.max(lastProofOfLife(machine), this.state.startedAt);
+    const silentMs = now - Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
     // In a zone that is cut off replicas may be kept alive from inside, and could go nowhere else: until they are dead in
     // any case, deleting their machine only ends them.
-    if (!machine.isSpot && machine.totals.replicas > 0 && this.state.cutZones.has(machine.zone))
+    if (!machine.isSpot && machine.totals.replicas > 0 && this.state.partitionedZones.has(machine.zone))
       return silentMs <= cancellationSeconds * 1000;
     if (machine.isSpot || silentMs > leaseSeconds * 1000) return false;
     const unplaced = this.replicasOn(machine).filter(
@@ -46,7 +46,7 @@
   replacementDemand(now: number): CapacityDemand[] {
     for (const name of this.replicasToReplace.keys()) {
       const machine = this.state.machines.get(name);
-      if (!machine || now - lastProofOfLife(machine) < REACHABLE_WITHIN_MS)
+      if (!machine || now - lastPossibleLeaseRenewalAt(machine) < REACHABLE_WITHIN_MS)
         this.replicasToReplace.delete(name);
     }
     return [...this.replicasToReplace.values()].flat();
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -44,7 +44,7 @@
 }
 
 function canWait(request: ResourceRequest): boolean {
-  return !request.isService && !request.allOrNothing && request.cpus > 0 && request.spotAllowed;
+  return !request.isService && !request.isGang && request.cpus > 0 && request.spotAllowed;
 }
 
 /** CPUs that come free in each second from now on, by the priority of the work that frees them. */
@@ -96,7 +96,7 @@
 function remainingSeconds(allocation: Allocation, state: ClusterState, now: number): number {
   const { estimatedRunSeconds } = allocation;
   const remaining =
-    allocation.reported?.phase === 'running'
+    allocation.reportedStatus?.phase === 'running'
       ? estimatedRunSeconds - (now - allocation.phaseSince) / 1000
       : estimatedRunSeconds + state.imageFetchSeconds(allocation) / 2;
   return Math.max(remaining, estimatedRunSeconds * MIN_REMAINING_SHARE);
--- a/src/scheduler/image-locations.ts
+++ b/src/scheduler/image-locations.ts
@@ -3,25 +3,25 @@
  * the next leader need not learn it again. Only the choice of machines rests on it: it may be wrong or old.
  */
 
-import type { ImageFact } from '../model/image-fact.js';
+import type { ImageLocation } from '../model/image-location.js';
 
 /** Images by machine, with the changes that peers have not been told of yet. */
 export class ImageLocations {
   /** Sizes in GB by image, by machine. */
   private readonly machines = new Map<string, Map<string, number>>();
-  private added: ImageFact[] = [];
+  private added: ImageLocation[] = [];
   private removedMachines: string[] = [];
 
   /** A task that ran on this machine has left its image there. */
-  learn(machine: string, image: string, sizeGb: number): void {
+  add(machine: string, image: string, sizeGb: number): void {
     if (this.machines.get(machine)?.has(image)) return;
-    const fact: ImageFact = { machine, image, sizeGb };
+    const fact: ImageLocation = { machine, image, sizeGb };
     this.set(fact);
     this.added.push(fact);
   }
 
   /** The machine is gone. */
-  forget(machine: string): void {
+  removeMachine(machine: string): void {
     if (this.machines.delete(machine)) this.removedMachines.push(machine);
   }
 
@@ -31,7 +31,7 @@
   }
 
   /** What has changed since the last call. */
-  takeChanges(): { added: ImageFact[]; removedMachines: string[] } {
+  takeChanges(): { added: ImageLocation[]; removedMachines: string[] } {
     const changes = { added: this.added, removedMachines: this.removedMachines };
     this.added = [];
     this.removedMachines = [];
@@ -39,21 +39,21 @@
   }
 
   /** All that is known, for a peer that may have missed some of it. */
-  all(): ImageFact[] {
-    const facts: ImageFact[] = [];
+  all(): ImageLocation[] {
+    const facts: ImageLocation[] = [];
     for (const [machine, images] of this.machines)
       for (const [image, sizeGb] of images) facts.push({ machine, image, sizeGb });
     return facts;
   }
 
   /** Takes over what a peer has told. */
-  apply(added: readonly ImageFact[], removedMachines: readonly string[]): void {
+  apply(added: readonly ImageLocation[], removedMachines: readonly string[]): void {
     for (const fact of added) this.set(fact);
     // A machine's name is never used again: one that is gone stays gone, whatever was learnt of it just before.
     for (const machine of removedMachines) this.machines.delete(machine);
   }
 
-  private set({ machine, image, sizeGb }: ImageFact): void {
+  private set({ machine, image, sizeGb }: ImageLocation): void {
     const images = this.machines.get(machine);
     if (images) images.set(image, sizeGb);
     else this.machines.set(machine, new Map([[image, sizeGb]]));
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -51,7 +51,10 @@
   }
   for (const allocation of allocations) {
     if (allocation.desiredState !== 'forget') totals.unfinishedTasks++;
-    if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !allocation.reported))
+    if (
+      allocation.desiredState === 'stop' ||
+      (allocation.desiredState === 'run' && !allocation.reportedStatus)
+    )
       totals.hasPendingCommands = true;
     if (usesCapacity(allocation)) addUsedCapacity(totals, allocation);
   }
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -15,7 +15,7 @@
   indeterminateStarts: Map<string, number>;
   indeterminateSince: number;
   /** Attempts that this leader started directly: a late repeat of the command would start them once more. */
-  started: Set<string>;
+  startedAttempts: Set<string>;
 }
 
 /** Signs in a row that what is sent to a machine does not reach it, although it is heard. Time in ms. */
@@ -44,11 +44,11 @@
   heartbeatSequence: number;
   fencingToken: number;
   /** Any sign of life; heartbeats alone; first seen to be up. */
-  heardAt: number;
-  heartbeatAt: number;
-  upAt: number;
+  lastHeardAt: number;
+  lastHeartbeatAt: number;
+  upSince: number;
   /** The last heartbeat was answered, with a renewal of its lease. */
-  leaseRenewed: boolean;
+  wasLeaseRenewed: boolean;
   /** Last asked a peer, which sent it here. */
   redirectedAt: number;
   isUp: boolean;
@@ -57,7 +57,7 @@
   missedAnswers: MissedAnswers;
   rentedAt: number;
   /** The cloud lists it as running, whether or not its worker was heard. */
-  listedAsRunning: boolean;
+  isListedAsRunning: boolean;
   evictionDeadline: number | null;
   allocations: Map<string, Allocation>;
   /** What its worker lists, by task key. */
@@ -80,7 +80,7 @@
   /** Capacity being freed here by stops is for this job. */
   reservation: { jobId: string; priority: number; until: number } | null;
   speed: SpeedMeasurement;
-  /** What its allocations come to, kept by `ClusterState.refresh`. */
+  /** What its allocations come to, kept by `ClusterState.refreshTotals`. */
   totals: MachineTotals;
 }
 
@@ -96,16 +96,16 @@
     sequence: -1,
     heartbeatSequence: -1,
     fencingToken: 0,
-    heardAt: now,
-    heartbeatAt: Number.NEGATIVE_INFINITY,
-    upAt: Number.NEGATIVE_INFINITY,
-    leaseRenewed: false,
+    lastHeardAt: now,
+    lastHeartbeatAt: Number.NEGATIVE_INFINITY,
+    upSince: Number.NEGATIVE_INFINITY,
+    wasLeaseRenewed: false,
     redirectedAt: Number.NEGATIVE_INFINITY,
     isUp: false,
     hasCurrentToken: false,
     missedAnswers: { count: 0, since: 0 },
     rentedAt: now,
-    listedAsRunning: false,
+    isListedAsRunning: false,
     evictionDeadline: null,
     allocations: new Map(),
     tasks: new Map(),
@@ -115,7 +115,7 @@
       failures: 0,
       indeterminateStarts: new Map(),
       indeterminateSince: 0,
-      started: new Set(),
+      startedAttempts: new Set(),
     },
     images: new Map(),
     isBeingDeleted: false,
@@ -132,8 +132,8 @@
 }
 
 /** Since when it may have gone without a renewal of its lease: direct commands renew none. */
-export function lastProofOfLife(machine: Machine): number {
-  return Math.max(machine.heartbeatAt, machine.upAt);
+export function lastPossibleLeaseRenewalAt(machine: Machine): number {
+  return Math.max(machine.lastHeartbeatAt, machine.upSince);
 }
 
 /** Newer than all that was heard of this machine? */
--- a/src/scheduler/machines/draining.ts
+++ b/src/scheduler/machines/draining.ts
@@ -22,7 +22,7 @@
       if (allocation.desiredState !== 'run') continue;
       allocation.evictionRequestedAt = 0;
       const machine = this.state.machines.get(allocation.machine);
-      if (machine) this.state.noteChanged(machine);
+      if (machine) this.state.markChanged(machine);
     }
   }
 
@@ -45,7 +45,7 @@
   const mayEndInTime =
     !allocation.isService &&
     allocation.estimatedRunSeconds > 0 &&
-    allocation.reported?.phase === 'running' &&
+    allocation.reportedStatus?.phase === 'running' &&
     allocation.estimatedRunSeconds * OPTIMISTIC_RUN_SHARE - (now - allocation.phaseSince) / 1000 <
       (machine.evictionDeadline - now) / 1000;
   return !mayEndInTime;
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -67,7 +67,7 @@
   private onDeleted(name: string): void {
     const { deletedMachines } = this.state;
     deletedMachines.add(name);
-    this.options.images.forget(name);
+    this.options.images.removeMachine(name);
     if (deletedMachines.size > MAX_DELETED_NAMES)
       for (const oldName of [...deletedMachines].slice(0, DELETED_NAMES_FORGOTTEN))
         deletedMachines.delete(oldName);
@@ -80,7 +80,7 @@
     }
     this.state.machines.delete(name);
     this.state.endedAttempts.update(machine, []);
-    this.state.noteChanged(machine);
+    this.state.markChanged(machine);
     this.state.rentalBackoff.onFreed(machine);
   }
 }
--- a/src/scheduler/machines/machine-list.ts
+++ b/src/scheduler/machines/machine-list.ts
@@ -62,7 +62,7 @@
   private apply(listed: readonly ListedMachine[]): void {
     const now = this.options.clock.now();
     for (const each of listed) if (!this.state.deletedMachines.has(each.name)) this.applyMachine(each, now);
-    this.state.machinesListed = true;
+    this.state.hasMachineList = true;
   }
 
   private applyMachine(listed: ListedMachine, now: number): void {
@@ -73,12 +73,12 @@
       machine.isSpot = listed.isSpot;
       machine.address = listed.address;
     }
-    machine.listedAsRunning = listed.phase === 'running';
+    machine.isListedAsRunning = listed.phase === 'running';
     if (listed.phase === 'failed') this.actions.remove(machine, 'failed');
     // Our fencing token ends whatever an earlier leader has on its way, and makes the worker report.
     if (
       !machine.isUp &&
-      machine.listedAsRunning &&
+      machine.isListedAsRunning &&
       listed.address !== '' &&
       now - machine.directCommands.lastSentAt > PROBE_INTERVAL_MS
     )
@@ -86,7 +86,7 @@
   }
 
   private addMachine(listed: ListedMachine, now: number): Machine {
-    const machine = this.state.machine(listed.name);
+    const machine = this.state.getOrCreateMachine(listed.name);
     machine.rentedAt = now - listed.ageSeconds * 1000;
     this.options.log.debug(
       { machine: listed.name, machineType: listed.machineType, phase: listed.phase },
--- a/src/scheduler/owners/allocation-events.ts
+++ b/src/scheduler/owners/allocation-events.ts
@@ -22,18 +22,18 @@
     const status = statusText(allocation);
     if (status === '' || status === allocation.lastEventSent || !this.state.isSynced(allocation.team)) return;
     allocation.lastEventSent = status;
-    const { reported } = allocation;
+    const { reportedStatus } = allocation;
     if (allocation.isFinalized) this.emitFinalized(allocation.team, allocation, machine.name);
-    else if (reported)
+    else if (reportedStatus)
       this.emit(allocation.team, {
         type: 'phase',
         jobId: allocation.jobId,
         taskIndex: allocation.taskIndex,
         attempt: allocation.attempt,
         machine: machine.name,
-        phase: reported.phase,
-        exitReason: reported.exitReason,
-        checkpointSaved: reported.checkpointSaved,
+        phase: reportedStatus.phase,
+        exitReason: reportedStatus.exitReason,
+        checkpointSaved: reportedStatus.checkpointSaved,
       });
   }
 
@@ -63,7 +63,7 @@
 }
 
 /** Tells apart what an owner may be told of an allocation; empty: nothing yet. */
-function statusText({ isFinalized, reported }: Allocation): string {
+function statusText({ isFinalized, reportedStatus }: Allocation): string {
   if (isFinalized) return 'finalized';
-  return reported ? `${reported.phase}/${reported.exitReason ?? ''}` : '';
+  return reportedStatus ? `${reportedStatus.phase}/${reportedStatus.exitReason ?? ''}` : '';
 }
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-intake.ts
@@ -20,7 +20,7 @@
   /** The allocation as it stands afterwards; null: there is none, as nothing of the placement is left. */
   apply(placement: PlacementSpec): Allocation | null {
     if (placement.isService)
-      this.state.learnServiceProfile({
+      this.state.recordServiceProfile({
         ...this.state.requestLike(placement),
         zoneAllowance: placement.spreadOverZones ? {} : null,
       });
@@ -28,8 +28,8 @@
       this.events.emitFinalized(placement.team, placement, placement.machine);
       return null;
     }
-    const machine = this.state.machine(placement.machine);
-    this.state.noteChanged(machine);
+    const machine = this.state.getOrCreateMachine(placement.machine);
+    this.state.markChanged(machine);
     this.dropGrantOf(placement, machine);
     const allocation = this.takeOver(placement, machine);
     if (
@@ -66,8 +66,8 @@
     // Also one that is to be removed and that this leader never knew: only the worker's list matters.
     const allocation = createAllocation(placement, this.options.clock.now());
     machine.allocations.set(key, allocation);
-    allocation.reported = machine.tasks.get(key) ?? null;
-    allocation.hasExited = allocation.reported?.phase === 'exited';
+    allocation.reportedStatus = machine.tasks.get(key) ?? null;
+    allocation.hasExited = allocation.reportedStatus?.phase === 'exited';
     return allocation;
   }
 
@@ -88,7 +88,7 @@
     allocation.desiredState === 'forget' &&
     machine.isUp &&
     !machine.tasks.has(allocation.key) &&
-    !allocation.directStartInFlight &&
-    allocation.sentWithHeartbeat < 0
+    !allocation.isDirectStartInFlight &&
+    allocation.startHeartbeatSequence < 0
   );
 }
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -45,7 +45,9 @@
         since: this.options.clock.now(),
       });
       this.state.dropGrants(
-        [...this.state.grantMachines.keys()].filter((id) => this.state.allocationOfGrant(id)?.team === team),
+        [...this.state.machinesByGrant.keys()].filter(
+          (id) => this.state.allocationOfGrant(id)?.team === team,
+        ),
       );
       // Its owner may have learnt of the record, and told all it holds, before this leader did.
       this.sendSyncRequest(instanceId);
@@ -77,7 +79,7 @@
   /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
   coverageSilenceMs(team: string, now: number): number {
     const since = this.state.owners.get(team)?.since ?? now;
-    return now - Math.max(since, this.state.leaseRenewal.watermarks.of(team));
+    return now - Math.max(since, this.state.leaseRenewal.watermarks.watermarkOf(team));
   }
 
   /** Returns whether it may have changed anything that a pass goes by. */
@@ -90,7 +92,7 @@
         this.parts.engine.setRequests(message.instanceId, message.requests);
         return true;
       case 'placements':
-        this.state.leaseRenewal.watermarks.placementMessageTaken(message.instanceId);
+        this.state.leaseRenewal.watermarks.onPlacementMessage(message.instanceId);
         for (const placement of message.placements)
           if (this.state.isCurrentOwner(message.instanceId, placement.team))
             this.parts.placements.apply(placement);
@@ -114,7 +116,7 @@
         this.requestSync(instanceId);
         return false;
       case 'complete':
-        this.state.leaseRenewal.watermarks.fullSyncTaken(instanceId, syncNumber);
+        this.state.leaseRenewal.watermarks.onFullSyncApplied(instanceId, syncNumber);
         this.applyFullSync(chunk, result.placements);
         this.parts.engine.setRequests(instanceId, chunk.requests);
         return true;
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -102,7 +102,7 @@
   private blockersOf({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
     if (!this.state.endedAttempts.has(request.jobId)) return [];
     const unhindered: ResourceRequest = { ...request, refusingMachines: undefined };
-    if (!request.allOrNothing) {
+    if (!request.isGang) {
       const { refusingMachines: refusedBy } = request;
       if (!refusedBy) return [];
       return capacities
@@ -120,9 +120,9 @@
 
 function refusesAll(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
   if (!ended) return false;
-  if (request.allOrNothing) return indices(request.taskCount).every((task) => ended.tasks.has(task));
+  if (request.isGang) return indices(request.taskCount).every((task) => ended.tasks.has(task));
   // Which tasks are left is not known: a machine that has refused one would refuse the next.
-  if (!request.remainingTasks) return ended.refused;
+  if (!request.remainingTasks) return ended.hasRefusedAttempt;
   return request.remainingTasks.every((task) => ended.tasks.has(task));
 }
 
--- a/src/scheduler/placement/batch-profiles.ts
+++ b/src/scheduler/placement/batch-profiles.ts
@@ -23,7 +23,7 @@
   learn(requests: readonly ResourceRequest[], knownJobs: ReadonlySet<string>): void {
     for (const request of requests) {
       const { jobId, jobClass, taskCount } = request;
-      if (request.isService || request.allOrNothing) continue;
+      if (request.isService || request.isGang) continue;
       if (knownJobs.has(jobId) || !this.objectives.hasObjective(jobClass)) continue;
       const before = this.profiles.get(jobClass);
       const meanTaskCount = before
--- a/src/scheduler/placement/booting-capacity.ts
+++ b/src/scheduler/placement/booting-capacity.ts
@@ -1,7 +1,7 @@
 /** Capacity of rented machines that are about to come up. */
 
 import type { ClusterState } from '../cluster-state.js';
-import { emptyCapacity, type FreeCapacity } from './free-capacity.js';
+import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 
 /** Multiple of a type's boot time after which a machine that is not up is no longer counted on: it may never come. */
 const MAX_BOOT_TIME_MULTIPLE = 1.6;
@@ -13,7 +13,7 @@
     const type = state.machineTypes.get(machine.machineType);
     if (machine.isUp || machine.isBeingDeleted || !type) continue;
     if (now - machine.rentedAt > type.bootSeconds * MAX_BOOT_TIME_MULTIPLE * 1000) continue;
-    capacities.push(emptyCapacity(type, machine));
+    capacities.push(emptyMachineCapacity(type, machine));
   }
   return capacities;
 }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -32,7 +32,7 @@
   if (offer.isSpot && !request.spotAllowed) return false;
   if (request.machineTypes && !request.machineTypes.includes(offer.machineType)) return false;
   if (request.zone !== null && request.zone !== offer.zone) return false;
-  return !request.zoneAllowance || (request.zoneAllowance[offer.zone] ?? request.maxTasksPerZone) > 0;
+  return !request.zoneAllowance || (request.zoneAllowance[offer.zone] ?? request.defaultZoneAllowance) > 0;
 }
 
 /** Whether a request passes this machine over for reasons of its own. */
--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -31,7 +31,7 @@
     request.isService,
     request.zone ?? '',
     request.zoneAllowance ? JSON.stringify(request.zoneAllowance) : '',
-    request.maxTasksPerZone,
+    request.defaultZoneAllowance,
     request.zoneAffinity,
     canWaitForSpot(request),
     request.isStarved === true,
--- a/src/scheduler/placement/fill-tasks.ts
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -112,7 +112,7 @@
       if (constrained.zoneAffinity && constrained.zone === null) constrained.zone = capacity.zone;
       subtract(capacity, request);
       if (zoneAllowance)
-        zoneAllowance[capacity.zone] = (zoneAllowance[capacity.zone] ?? request.maxTasksPerZone) - 1;
+        zoneAllowance[capacity.zone] = (zoneAllowance[capacity.zone] ?? request.defaultZoneAllowance) - 1;
       this.options.onPlaced?.(capacity);
       this.remaining--;
       this.placedOn.set(capacity, this.placedCount(capacity) + 1);
--- a/src/scheduler/placement/fill.ts
+++ b/src/scheduler/placement/fill.ts
@@ -11,7 +11,7 @@
   demand: CapacityDemand,
   options: FillOptions,
 ): number {
-  if (!demand.request.allOrNothing) return fillTasks(capacities, demand, options);
+  if (!demand.request.isGang) return fillTasks(capacities, demand, options);
   const chosen = chooseForGang(capacities, demand, options.scarceZone);
   if (!chosen) return demand.count;
   for (const capacity of chosen) {
@@ -40,7 +40,7 @@
     if (inZone.reduce((sum, capacity) => sum + slotsIn(capacity, request), 0) < count) continue;
     const originals = new Map(inZone.map((capacity) => [{ ...capacity }, capacity]));
     const chosen: FreeCapacity[] = [];
-    const task = { ...request, allOrNothing: false, zone };
+    const task = { ...request, isGang: false, zone };
     const remaining = fillTasks(
       [...originals.keys()],
       { request: task, count },
--- a/src/scheduler/placement/free-capacity.ts
+++ b/src/scheduler/placement/free-capacity.ts
@@ -38,7 +38,7 @@
 }
 
 /** Capacity of a machine of this type with nothing on it; its name is empty while it is not rented. */
-export function emptyCapacity(
+export function emptyMachineCapacity(
   machineType: MachineType,
   machine: { name: string; zone: string; isSpot: boolean },
 ): FreeCapacity {
--- a/src/scheduler/placement/freed-capacity.ts
+++ b/src/scheduler/placement/freed-capacity.ts
@@ -1,7 +1,7 @@
 /** Capacity that stops under way will free. */
 
 import type { ClusterState } from '../cluster-state.js';
-import { lastProofOfLife } from '../machine.js';
+import { lastPossibleLeaseRenewalAt } from '../machine.js';
 import { addBack } from './capacity-filter.js';
 import type { FreeCapacity } from './free-capacity.js';
 
@@ -16,7 +16,7 @@
       machine.isBeingDeleted ||
       machine.isQuarantined ||
       machine.evictionDeadline !== null ||
-      now - lastProofOfLife(machine) >= MAX_SILENCE_MS
+      now - lastPossibleLeaseRenewalAt(machine) >= MAX_SILENCE_MS
     )
       continue;
     const capacity = state.capacityOf(machine, now);
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -42,7 +42,7 @@
   /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.gatheredMachines = new Set(this.reservedMachines);
+    this.state.machinesHeldForGangs = new Set(this.reservedMachines);
   }
 
   /**
@@ -54,7 +54,7 @@
     const zone = this.zoneOf(capacities, demand, now);
     const task: ResourceRequest = {
       ...request,
-      allOrNothing: false,
+      isGang: false,
       zoneAffinity: false,
       zone,
       slackSeconds: null,
@@ -89,7 +89,7 @@
   ): string | null {
     let best: { zone: string; score: number } | null = null;
     for (const zone of this.zones(request)) {
-      const pinned: ResourceRequest = { ...request, allOrNothing: false, zoneAffinity: false, zone };
+      const pinned: ResourceRequest = { ...request, isGang: false, zoneAffinity: false, zone };
       const trial = copyCapacities(capacities);
       const free = count - fill(trial, { request: pinned, count }, { scarceZone: null });
       const booting = Math.min(count - free, this.bootingSlots(pinned, now));
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grants.ts
@@ -50,8 +50,8 @@
     allocation.key = `grant#${grantId}`;
     allocation.desiredState = 'hold';
     machine.allocations.set(allocation.key, allocation);
-    this.state.noteChanged(machine);
-    this.state.grantMachines.set(grantId, machine);
+    this.state.markChanged(machine);
+    this.state.machinesByGrant.set(grantId, machine);
     const openGrants = this.state.openGrants.get(jobId);
     if (openGrants) openGrants.add(grantId);
     else this.state.openGrants.set(jobId, new Set([grantId]));
@@ -69,7 +69,7 @@
     gracePeriodSeconds: 0,
     team: request.team,
     priority: request.priority,
-    isGang: request.allOrNothing,
+    isGang: request.isGang,
     isService: request.isService,
     cpus: request.cpus,
     gpus: request.gpus,
--- a/src/scheduler/placement/open-tasks.ts
+++ b/src/scheduler/placement/open-tasks.ts
@@ -14,9 +14,10 @@
   /** What its owner has taken in of the grants is no longer part of the request. */
   countOf(request: ResourceRequest, now: number): number {
     let count = request.taskCount;
-    for (const id of this.state.openGrants.get(request.jobId) ?? []) if (id > request.lastGrantTaken) count--;
+    for (const id of this.state.openGrants.get(request.jobId) ?? [])
+      if (id > request.lastProcessedGrantId) count--;
     if (this.isPaused(request.jobId, now)) return 0;
-    return request.allOrNothing && count < request.taskCount ? 0 : count;
+    return request.isGang && count < request.taskCount ? 0 : count;
   }
 
   private isPaused(jobId: string, now: number): boolean {
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -1,7 +1,7 @@
 /** Gives free capacity to what owners request. */
 
-import { LimitedLog } from '../../model/limited-log.js';
 import type { ResourceRequest } from '../../model/placement.js';
+import { RateLimitedLog } from '../../model/rate-limited-log.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { AttemptConflicts } from './attempt-conflicts.js';
@@ -28,7 +28,7 @@
   private readonly context: PlacementContext;
   private readonly batchProfiles: BatchProfiles;
   private readonly openTasks: OpenTasks;
-  private readonly log: LimitedLog;
+  private readonly log: RateLimitedLog;
 
   constructor(
     options: SchedulerOptions,
@@ -49,7 +49,7 @@
     };
     this.batchProfiles = new BatchProfiles(objectives);
     this.openTasks = new OpenTasks(state, this.declinedUntil);
-    this.log = new LimitedLog(options.log, options.clock);
+    this.log = new RateLimitedLog(options.log, options.clock);
   }
 
   /** All that an owner requests now, in place of what it requested before. */
@@ -59,7 +59,7 @@
       request.maxWaitSeconds = maxWaitSeconds(request, this.state.imageFetchSeconds(request));
     this.batchProfiles.learn(requests, knownJobs);
     this.state.requests.set(instanceId, requests);
-    for (const request of requests) if (request.isService) this.state.learnServiceProfile(request);
+    for (const request of requests) if (request.isService) this.state.recordServiceProfile(request);
   }
 
   /** Serves all requests once; returns the tasks for which machines are to be rented. */
@@ -83,12 +83,12 @@
   }
 
   private beginPass(now: number): void {
-    this.state.refresh();
+    this.state.refreshTotals();
     this.context.preemption.beginPass();
     this.context.gangReservations.beginPass();
     this.context.attemptConflicts.beginPass();
-    if (now - this.state.scarceZoneAt <= SCARCE_ZONE_INTERVAL_MS) return;
-    this.state.scarceZoneAt = now;
+    if (now - this.state.scarceZoneUpdatedAt <= SCARCE_ZONE_INTERVAL_MS) return;
+    this.state.scarceZoneUpdatedAt = now;
     this.state.scarceZone = findScarceZone(this.state);
   }
 
@@ -103,14 +103,14 @@
 
   /** What was freed for a job is kept no longer once the job has what it requested, or the time for it is over. */
   private endReservations(waitingJobs: ReadonlySet<string>, now: number): void {
-    for (const machine of this.state.reservedMachines) {
+    for (const machine of this.state.machinesWithReservation) {
       const { reservation } = machine;
       const isWaitedFor = reservation !== null && waitingJobs.has(reservation.jobId);
       if (isWaitedFor && reservation.until > now) continue;
       if (isWaitedFor)
         this.log.info({ machine: machine.name, jobId: reservation.jobId }, 'freed capacity not used');
       machine.reservation = null;
-      this.state.reservedMachines.delete(machine);
+      this.state.machinesWithReservation.delete(machine);
     }
   }
 }
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -50,8 +50,7 @@
     const { openTasks, placer, now } = this.input;
     const count = this.servedEarly.has(request.jobId) ? 0 : openTasks.countOf(request, now);
     if (count <= 0) return;
-    if (request.isService || request.allOrNothing || (request.maxWaitSeconds ?? 0) <= 0)
-      placer.place(entry, count);
+    if (request.isService || request.isGang || (request.maxWaitSeconds ?? 0) <= 0) placer.place(entry, count);
     else this.deferred.push({ entry, count: placer.placeWarm(entry, count) });
   }
 
--- a/src/scheduler/placement/preemption-offers.ts
+++ b/src/scheduler/placement/preemption-offers.ts
@@ -5,7 +5,7 @@
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import { addBack, fits, isOpenTo, subtract } from './capacity-filter.js';
-import { emptyCapacity, type FreeCapacity } from './free-capacity.js';
+import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 import type { PreemptionQuery, PreemptionRules } from './preemption-rules.js';
 import type { RunningGangs } from './running-gangs.js';
 
@@ -61,7 +61,7 @@
     const { request, now } = query;
     const machineType = this.state.machineTypes.get(machine.machineType);
     if (!machineType) return null;
-    const capacity = emptyCapacity(machineType, machine);
+    const capacity = emptyMachineCapacity(machineType, machine);
     capacity.isSurplus = this.state.isSurplus(machine, now);
     // By the same question as placing: otherwise tasks would be stopped again and again for work that is then not let in.
     if (!isOpenTo(capacity, request, this.state.scarceZone)) return null;
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -108,8 +108,8 @@
   /** What is freed is for this request; lower work would only have to be stopped again. */
   private reserve(machine: Machine, { request, now }: PreemptionQuery): void {
     machine.reservation = { jobId: request.jobId, priority: request.priority, until: now + RESERVATION_MS };
-    this.state.reservedMachines.add(machine);
-    this.state.noteChanged(machine);
+    this.state.machinesWithReservation.add(machine);
+    this.state.markChanged(machine);
   }
 
   /** Notes that a task and all that stop with it are about to; adds those not noted before to `victims`. */
@@ -119,7 +119,7 @@
       allocation.evictionRequestedAt = now;
       this.state.evictions.add(allocation);
       const machine = this.state.machines.get(allocation.machine);
-      if (machine) this.state.noteChanged(machine);
+      if (machine) this.state.markChanged(machine);
       const used = usage.get(allocation.team);
       if (used) used.cpus -= allocation.cpus;
       victims.push(allocation);
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -57,7 +57,7 @@
     this.now = now;
     this.scarceZone = state.scarceZone;
     this.capacities = state.freeCapacities(now);
-    for (const { reservation } of state.reservedMachines)
+    for (const { reservation } of state.machinesWithReservation)
       if (reservation) this.reservedJobs.add(reservation.jobId);
     this.beingFreed = capacitiesBeingFreed(state, now);
     this.mayAct = options.holdsLeadership();
@@ -81,7 +81,7 @@
     open = this.grantFrom(this.capacities, entry, open);
     this.noteOutcome({ request, count }, open);
     if (open <= 0) this.context.unplacedSince.clear(request.jobId);
-    else if (request.allOrNothing) this.gatherForGang(entry, open);
+    else if (request.isGang) this.gatherForGang(entry, open);
     else this.waitOrPreempt(entry, open);
   }
 
@@ -172,7 +172,7 @@
     if (!this.mayAct || count <= 0) return count;
     const key = this.exhaustedKeyFor(request, capacities);
     if (key !== null && this.exhaustedKeys.has(key)) return count;
-    if (request.allOrNothing) return this.grantToGang(capacities, entry, count);
+    if (request.isGang) return this.grantToGang(capacities, entry, count);
     const left = fill(
       capacities,
       { request, count },
@@ -189,7 +189,7 @@
 
   /** Null: what others like it did not find says nothing of this one. */
   private exhaustedKeyFor(request: ResourceRequest, capacities: FreeCapacity[]): string | null {
-    if (request.allOrNothing || this.reservedJobs.has(request.jobId)) return null;
+    if (request.isGang || this.reservedJobs.has(request.jobId)) return null;
     return `${equivalenceKey(request)}|${capacities === this.capacities ? '' : request.image}`;
   }
 
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -45,7 +45,7 @@
 
 /** Slack less the run, with a margin, and less the fetch of its image; null: its objective sets no limit. */
 export function maxWaitSeconds(request: ResourceRequest, imageFetchSeconds: number): number | null {
-  if (request.slackSeconds === null || request.isService || request.allOrNothing) return null;
+  if (request.slackSeconds === null || request.isService || request.isGang) return null;
   return Math.max(
     0,
     request.slackSeconds -
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -23,7 +23,7 @@
   images: ImageLocations;
   objectives: ServiceLevelObjective[];
   /** The first leader ever finds no machines of an earlier one on their way. */
-  isFirstEver: boolean;
+  isFirstLeader: boolean;
   clock: Clock;
   log: Logger;
   cloud: CloudProvider;
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -102,7 +102,7 @@
   }
 
   /** Before a team's record is changed: what its present owner says no longer counts. */
-  suspend(team: string): void {
+  suspendOwner(team: string): void {
     this.owners.suspend(team);
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** How far cancellations have become stops, for peers; null as long as some owner has not told what it holds. */
-  coverage(): { at: number; pendingMachines: string[] } | null {
+  coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     return this.state.leaseRenewal.coverage();
   }
 
@@ -189,7 +189,7 @@
   tick(): void {
     const now = this.options.clock.now();
     this.fleet.logFleet(now);
-    this.state.refresh();
+    this.state.refreshTotals();
     this.state.policy = this.options.policy(this.state.policyInput());
     for (const machine of this.state.machines.values())
       if (machine.totals.hasPendingCommands || (machine.unknownTasks.size > 0 && machine.isUp))
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -54,7 +54,7 @@
   }
 
   /** For peers: see `CancellationCoverage`. Null as long as some owner has not told what it holds. */
-  coverage(): { at: number; pendingMachines: string[] } | null {
+  coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     if (!this.watermarks.hasAllTeams) return null;
     const pendingMachines: string[] = [];
     for (const machine of this.machinesStopping) {
@@ -62,7 +62,7 @@
         pendingMachines.push(machine.name);
       else this.machinesStopping.delete(machine);
     }
-    return { at: this.lowestWatermark(this.options.clock.now()), pendingMachines };
+    return { completeUntil: this.lowestWatermark(this.options.clock.now()), pendingMachines };
   }
 
   /**
@@ -89,7 +89,7 @@
    * or, from there on, by what all controllers have told one another.
    */
   private watermark(team: string, now: number): number {
-    const ofOwner = this.watermarks.of(team);
+    const ofOwner = this.watermarks.watermarkOf(team);
     const known = this.options.cancellationsKnown(now);
     return ofOwner >= known.since ? Math.max(ofOwner, known.at) : ofOwner;
   }
@@ -106,7 +106,7 @@
     if (
       allocation.desiredState === 'stop' &&
       !allocation.isFinalized &&
-      allocation.reported?.phase !== 'exited'
+      allocation.reportedStatus?.phase !== 'exited'
     )
       return true;
   return false;
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -2,8 +2,8 @@
 
 import type { MachineType } from '../../model/machine-type.js';
 import { EPSILON } from '../../model/resources.js';
-import { lastProofOfLife, type Machine, runsUnknownTask } from '../machine.js';
-import { emptyCapacity, type FreeCapacity } from '../placement/free-capacity.js';
+import { lastPossibleLeaseRenewalAt, type Machine, runsUnknownTask } from '../machine.js';
+import { emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 
 /** One missed heartbeat with room for its way makes a machine quiet. */
 const QUIET_AFTER_INTERVALS = 1.25;
@@ -23,7 +23,7 @@
   readonly reserveMachines: ReadonlySet<string>;
   /** Until then work is short of places. */
   readonly shortageUntil: number;
-  refresh(): void;
+  refreshTotals(): void;
 }
 
 /** Free capacities by machine. */
@@ -52,7 +52,7 @@
     if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
     // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
     return (
-      now - lastProofOfLife(machine) <= this.quietMs * UNUSABLE_AFTER_QUIET_PERIODS &&
+      now - lastPossibleLeaseRenewalAt(machine) <= this.quietMs * UNUSABLE_AFTER_QUIET_PERIODS &&
       !runsUnknownTask(machine)
     );
   }
@@ -61,11 +61,11 @@
   capacityOf(machine: Machine, now: number): FreeCapacity | null {
     const machineType = this.context.machineTypes.get(machine.machineType);
     if (!machineType || !machine.totals.isTypeKnown) return null;
-    const capacity = emptyCapacity(machineType, machine);
+    const capacity = emptyMachineCapacity(machineType, machine);
     capacity.images = machine.images;
     if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
     capacity.penaltySeconds =
-      (now - lastProofOfLife(machine) > this.quietMs ? QUIET_PENALTY_SECONDS : 0) +
+      (now - lastPossibleLeaseRenewalAt(machine) > this.quietMs ? QUIET_PENALTY_SECONDS : 0) +
       (machine.failedJobs.size > 0 ? FAILED_JOBS_PENALTY_SECONDS : 0);
     capacity.isSurplus = this.isSurplus(machine, now);
     capacity.cpus = machine.totals.free.cpus;
@@ -86,7 +86,7 @@
 
   /** Free capacity of the machines that have any. */
   free(now: number): FreeCapacity[] {
-    this.context.refresh();
+    this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machinesWithCapacity) {
       const capacity = this.isUsable(machine, now) ? this.capacityOf(machine, now) : null;
@@ -97,7 +97,7 @@
 
   /** Capacity that services would find if lower work were stopped for them. */
   preemptible(now: number): FreeCapacity[] {
-    this.context.refresh();
+    this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machines.values()) {
       const { batch, free } = machine.totals;
--- a/src/scheduler/state/replica-request.ts
+++ b/src/scheduler/state/replica-request.ts
@@ -12,7 +12,7 @@
     queuePosition: 0,
     missedObjectives: 0,
     taskCount: 1,
-    allOrNothing: false,
+    isGang: false,
     isService: placement.isService,
     cpus: placement.cpus,
     gpus: placement.gpus,
@@ -25,12 +25,12 @@
     zone: null,
     zoneAffinity: false,
     zoneAllowance: null,
-    maxTasksPerZone: 1,
+    defaultZoneAllowance: 1,
     avoidedMachines: [],
     preferredMachine: '',
     maxWaitSeconds: null,
     objectiveSeconds: null,
     slackSeconds: null,
-    lastGrantTaken: 0,
+    lastProcessedGrantId: 0,
   };
 }
--- a/src/scheduler/workers/answer-arrival.ts
+++ b/src/scheduler/workers/answer-arrival.ts
@@ -40,7 +40,7 @@
   private evidence(machine: Machine, heartbeat: Heartbeat, now: number): 'missed' | 'arrived' | 'none' {
     if (heartbeat.agentEpoch > machine.agentEpoch) {
       const leaseMs = this.options.workerTiming.leaseSeconds * 1000;
-      return now - machine.heartbeatAt < leaseMs * EARLY_RESTART_SHARE_OF_LEASE ? 'missed' : 'none';
+      return now - machine.lastHeartbeatAt < leaseMs * EARLY_RESTART_SHARE_OF_LEASE ? 'missed' : 'none';
     }
     if (heartbeat.fencingToken < this.options.fencingToken) return 'missed';
     return evidenceOfStarts(machine, heartbeat);
@@ -53,8 +53,8 @@
   for (const allocation of machine.allocations.values()) {
     if (
       allocation.desiredState !== 'run' ||
-      allocation.sentWithHeartbeat < 0 ||
-      heartbeat.sequence <= allocation.sentWithHeartbeat
+      allocation.startHeartbeatSequence < 0 ||
+      heartbeat.sequence <= allocation.startHeartbeatSequence
     )
       continue;
     if (!lists(heartbeat, allocation)) return 'missed';
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -100,7 +100,7 @@
     const { directCommands } = machine;
     for (const key of startedKeys) {
       const allocation = machine.allocations.get(key);
-      if (allocation) allocation.directStartInFlight = false;
+      if (allocation) allocation.isDirectStartInFlight = false;
       if (!mayArrive || machine.agentEpoch !== agentEpoch) continue;
       if (directCommands.indeterminateStarts.size === 0)
         directCommands.indeterminateSince = this.options.clock.now();
@@ -111,7 +111,7 @@
   private onAnswer({ machine, agentEpoch, sequence }: DirectCall, heartbeat: Heartbeat): void {
     machine.directCommands.failures = 0;
     machine.missedAnswers.count = 0;
-    machine.heardAt = this.options.clock.now();
+    machine.lastHeardAt = this.options.clock.now();
     if (heartbeat.machine !== machine.name) return;
     // An answer is newer than all that was heard before its question, or its worker began anew and knows nothing of
     // what was placed there: its heartbeats would pass for late copies until its count has caught up.
@@ -149,7 +149,7 @@
   for (const allocation of machine.allocations.values())
     if (
       allocation.desiredState === 'stop' &&
-      !allocation.reported &&
+      !allocation.reportedStatus &&
       !allocation.isFinalized &&
       machine.directCommands.indeterminateStarts.has(allocation.key)
     )
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -12,21 +12,21 @@
   if (
     allocation.desiredState !== 'stop' ||
     allocation.isFinalized ||
-    allocation.reported ||
+    allocation.reportedStatus ||
     !machine.isUp ||
     allocation.agentEpoch !== machine.agentEpoch
   )
     return;
   if (machine.fencingToken !== state.fencingToken || machine.tasks.has(allocation.key)) return;
   if (
-    allocation.directStartInFlight ||
+    allocation.isDirectStartInFlight ||
     machine.directCommands.inFlight ||
-    allocation.sentWithHeartbeat >= 0 ||
+    allocation.startHeartbeatSequence >= 0 ||
     machine.directCommands.indeterminateStarts.has(allocation.key)
   )
     return;
   allocation.isFinalized = true;
-  state.noteChanged(machine);
+  state.markChanged(machine);
 }
 
 /**
@@ -42,5 +42,5 @@
   )
     return;
   allocation.isFinalized = true;
-  state.noteChanged(machine);
+  state.markChanged(machine);
 }
--- a/src/scheduler/workers/heartbeat-intake.ts
+++ b/src/scheduler/workers/heartbeat-intake.ts
@@ -30,22 +30,22 @@
       return null;
     }
     if (this.state.deletedMachines.has(heartbeat.machine)) return [];
-    const machine = this.state.machine(heartbeat.machine);
+    const machine = this.state.getOrCreateMachine(heartbeat.machine);
     // A late copy proves no life. Of an old heartbeat only this stays true for ever: the epoch it names had begun, and
     // a task it lists as ended had ended; neither is taken from it where something newer was heard.
     if (isLateCopy(machine, heartbeat)) return [];
     const now = this.options.clock.now();
-    if (machine.leaseRenewed) this.answerArrival.check(machine, heartbeat, now);
+    if (machine.wasLeaseRenewed) this.answerArrival.check(machine, heartbeat, now);
     this.noteHeard(machine, now);
     this.takeIn(machine, heartbeat);
     this.options.wake();
-    machine.leaseRenewed = this.state.leaseRenewal.canRenew(machine, now);
-    return machine.leaseRenewed ? this.parts.commands.commandsFor(machine, heartbeat.sequence) : 'later';
+    machine.wasLeaseRenewed = this.state.leaseRenewal.canRenew(machine, now);
+    return machine.wasLeaseRenewed ? this.parts.commands.commandsFor(machine, heartbeat.sequence) : 'later';
   }
 
   private noteHeard(machine: Machine, now: number): void {
-    machine.heardAt = now;
-    machine.heartbeatAt = now;
+    machine.lastHeardAt = now;
+    machine.lastHeartbeatAt = now;
     if (machine.missedAnswers.count === 0) machine.directCommands.failures = 0;
   }
 
@@ -56,8 +56,8 @@
     else if (isFirst || heartbeat.agentEpoch === machine.agentEpoch) {
       // Overtaken by the answer to a direct command: its list is old, but it is still waiting for an answer.
       for (const allocation of machine.allocations.values())
-        if (allocation.sentWithHeartbeat >= 0 && heartbeat.sequence > allocation.sentWithHeartbeat)
-          allocation.sentWithHeartbeat = -1;
+        if (allocation.startHeartbeatSequence >= 0 && heartbeat.sequence > allocation.startHeartbeatSequence)
+          allocation.startHeartbeatSequence = -1;
     }
   }
 }
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -35,7 +35,7 @@
   /** What the answers to heartbeats before `answeredBefore` carried was executed or dropped; -1: nothing is known of it. */
   private reconcile(machine: Machine, heartbeat: Heartbeat, answeredBefore: number): void {
     this.updateMachine(machine, heartbeat);
-    this.state.noteChanged(machine);
+    this.state.markChanged(machine);
     machine.tasks.clear();
     this.state.endedAttempts.update(machine, heartbeat.tasks);
     for (const status of heartbeat.tasks)
@@ -50,7 +50,7 @@
     const { indeterminateStarts } = machine.directCommands;
     if (heartbeat.agentEpoch > machine.agentEpoch) {
       indeterminateStarts.clear();
-      for (const allocation of machine.allocations.values()) allocation.sentWithHeartbeat = -1;
+      for (const allocation of machine.allocations.values()) allocation.startHeartbeatSequence = -1;
     }
     machine.address = heartbeat.address;
     machine.machineType = heartbeat.machineType;
@@ -60,7 +60,7 @@
     machine.sequence = heartbeat.sequence;
     machine.fencingToken = Math.max(machine.fencingToken, heartbeat.fencingToken);
     if (heartbeat.fencingToken === this.state.fencingToken) machine.hasCurrentToken = true;
-    machine.heardAt = now;
+    machine.lastHeardAt = now;
     machine.evictionDeadline =
       heartbeat.evictionNoticeSeconds === null ? null : now + heartbeat.evictionNoticeSeconds * 1000;
     for (const [key, fencingToken] of indeterminateStarts)
@@ -70,7 +70,7 @@
 
   private onMachineUp(machine: Machine, now: number): void {
     machine.isUp = true;
-    machine.upAt = now;
+    machine.upSince = now;
     machine.idleSince = now;
     this.options.log.debug(
       {
@@ -99,9 +99,9 @@
   }
 
   private takeStatus(machine: Machine, allocation: Allocation, status: TaskStatus): void {
-    if (status.phase !== allocation.reported?.phase)
+    if (status.phase !== allocation.reportedStatus?.phase)
       this.taskProgress.onPhaseChange(machine, allocation, status);
-    allocation.reported = status;
+    allocation.reportedStatus = status;
     allocation.hasExited = status.phase === 'exited';
     allocation.isFinalized = false;
   }
@@ -110,12 +110,12 @@
   private reconcileUnlisted(machine: Machine, allocation: Allocation, answeredBefore: number): boolean {
     const isOfEarlierEpoch = machine.agentEpoch > allocation.agentEpoch;
     if (!isOfEarlierEpoch) noteAnswered(allocation, answeredBefore);
-    const isStartOnItsWay = allocation.directStartInFlight || allocation.sentWithHeartbeat >= 0;
+    const isStartOnItsWay = allocation.isDirectStartInFlight || allocation.startHeartbeatSequence >= 0;
     if (allocation.desiredState === 'forget' && (isOfEarlierEpoch || !isStartOnItsWay)) {
       this.state.removeAllocation(machine, allocation);
       return false;
     }
-    allocation.reported = null;
+    allocation.reportedStatus = null;
     if (isOfEarlierEpoch) allocation.isFinalized = true;
     else {
       finalizeIfForgotten(this.state, machine, allocation);
@@ -125,7 +125,7 @@
   }
 
   private updateUnknownTasks(machine: Machine): void {
-    const { started } = machine.directCommands;
+    const { startedAttempts: started } = machine.directCommands;
     for (const key of started)
       if (!machine.tasks.has(key) && !machine.allocations.has(key)) started.delete(key);
     for (const key of machine.unknownTasks.keys())
@@ -138,5 +138,5 @@
 
 /** The answer that carried its start, if any, has been handled or was dropped. */
 function noteAnswered(allocation: Allocation, answeredBefore: number): void {
-  if (answeredBefore > allocation.sentWithHeartbeat) allocation.sentWithHeartbeat = -1;
+  if (answeredBefore > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
 }
--- a/src/scheduler/workers/task-progress.ts
+++ b/src/scheduler/workers/task-progress.ts
@@ -26,7 +26,7 @@
     const { phase } = status;
     if (phase === 'running' || phase === 'waiting') this.noteImage(machine, allocation);
     if (phase === 'running') allocation.phaseSince = this.options.clock.now();
-    if (phase === 'fetching' || phase === 'waiting') allocation.startObserved = true;
+    if (phase === 'fetching' || phase === 'waiting') allocation.isStartTimeKnown = true;
     if (phase !== 'exited') return;
     if (status.exitReason === 'error') this.onTaskFailed(machine, allocation);
     else if (status.exitReason === 'done') this.onTaskDone(machine, allocation);
@@ -35,7 +35,7 @@
   private noteImage(machine: Machine, allocation: Allocation): void {
     machine.images.delete(allocation.image);
     machine.images.set(allocation.image, allocation.imageGb);
-    this.options.images.learn(machine.name, allocation.image, allocation.imageGb);
+    this.options.images.add(machine.name, allocation.image, allocation.imageGb);
     this.trimImageCache(machine);
   }
 
@@ -66,7 +66,7 @@
     machine.failedJobs.delete(allocation.jobId);
     // What ran before this leader looks much too fast, and machines measured in full would look slow beside it. A gang
     // runs at the speed of its slowest machine: its run time tells nothing of the others.
-    if (allocation.estimatedRunSeconds <= 0 || !allocation.startObserved || allocation.isGang) return;
+    if (allocation.estimatedRunSeconds <= 0 || !allocation.isStartTimeKnown || allocation.isGang) return;
     const runSeconds = (this.options.clock.now() - allocation.phaseSince) / 1000;
     this.speeds.record(machine, runSeconds / allocation.estimatedRunSeconds);
   }
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -71,16 +71,16 @@
   private noteStart(machine: Machine, allocation: Allocation, heartbeatSequence: number | null): boolean {
     if (
       machine.tasks.has(allocation.key) ||
-      allocation.directStartInFlight ||
+      allocation.isDirectStartInFlight ||
       !this.canStart(machine, allocation)
     )
       return false;
     if (heartbeatSequence === null) {
-      if (allocation.sentWithHeartbeat >= 0) return false;
-      allocation.directStartInFlight = true;
-      machine.directCommands.started.add(allocation.key);
-    } else allocation.sentWithHeartbeat = heartbeatSequence;
-    allocation.startObserved = true;
+      if (allocation.startHeartbeatSequence >= 0) return false;
+      allocation.isDirectStartInFlight = true;
+      machine.directCommands.startedAttempts.add(allocation.key);
+    } else allocation.startHeartbeatSequence = heartbeatSequence;
+    allocation.isStartTimeKnown = true;
     return true;
   }
 
@@ -131,8 +131,8 @@
     const status = machine.tasks.get(allocation.key);
     return (
       status?.phase === 'exited' &&
-      !allocation.directStartInFlight &&
-      allocation.sentWithHeartbeat < 0 &&
+      !allocation.isDirectStartInFlight &&
+      allocation.startHeartbeatSequence < 0 &&
       this.canForget(machine, status, allocation.key)
     );
   }
@@ -143,7 +143,7 @@
    * its successor. What is done ends at once when it is started again.
    */
   private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
-    const { indeterminateStarts, started } = machine.directCommands;
+    const { indeterminateStarts, startedAttempts: started } = machine.directCommands;
     if (indeterminateStarts.has(key)) return false;
     if (status.exitReason === 'done' || !started.has(key)) return true;
     // A heartbeat has a limit: under a higher token no repeat counts, and all may go.
--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-events.ts
@@ -1,9 +1,9 @@
 /** What the leader reports of placements: tasks that run, that have exited, and placements that are finalized otherwise. */
 
 import type { Clock } from '../model/clock.js';
-import { LimitedLog } from '../model/limited-log.js';
 import type { Logger } from '../model/logger.js';
 import type { AllocationEvent } from '../model/placement.js';
+import { RateLimitedLog } from '../model/rate-limited-log.js';
 import { AVOID_AFTER_REFUSAL_MS } from './grant-assignment.js';
 import type { JobStops } from './job-stops.js';
 import type { JobTransactions } from './job-transactions.js';
@@ -34,10 +34,10 @@
 
 /** Counts finished tasks, lets failed jobs back off and gives open tasks back to the release queue. */
 export class AllocationEventHandler {
-  private readonly limitedLog: LimitedLog;
+  private readonly limitedLog: RateLimitedLog;
 
   constructor(private readonly options: AllocationEventHandlerOptions) {
-    this.limitedLog = new LimitedLog(options.log, options.clock);
+    this.limitedLog = new RateLimitedLog(options.log, options.clock);
   }
 
   /** One event; those of placements that are not known here as stored change nothing. */
@@ -100,7 +100,7 @@
     if (job.counter.add(placement.taskIndex)) job.counterDirty = true;
     // "When one is done, all are": the rest of a gang is counted with it, and finalized as it is reported.
     if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.taskCount; task++) job.counter.add(task);
-    transactions.scheduleWrite(job, job.counter.isFull ? 0 : transactions.lazyDelayMs());
+    transactions.scheduleWrite(job, job.counter.isComplete ? 0 : transactions.lazyDelayMs());
     job.failures = 0;
     job.preferredMachine = placement.machine;
   }
--- a/src/shard/grant-intake.ts
+++ b/src/shard/grant-intake.ts
@@ -60,7 +60,7 @@
 
   private placeTasks(job: OwnedJob, grants: Grant[]): Grant[] {
     const { usage, updates, clock } = this.options;
-    if (job.cancelled || job.isReloading || job.counter.isFull || !updates.isSynced) return [];
+    if (job.cancelled || job.isReloading || job.counter.isComplete || !updates.isSynced) return [];
     const place = (grant: Grant, taskIndex: number) => this.place(job, grant, taskIndex);
     return assignGrants(job, grants, { usage, nowMs: clock.now(), place });
   }
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -8,7 +8,7 @@
 import type { Logger } from '../model/logger.js';
 import { type JobRecordKey, parseJobRecordKey } from '../store/keyspace.js';
 import type { CachedItem } from '../store/prefix-copy.js';
-import { readStoredItem, type StoredJob } from '../store/stored-job.js';
+import { mergeStoredItem, type StoredJob } from '../store/stored-job.js';
 import type { JobStops } from './job-stops.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
@@ -162,10 +162,10 @@
     const job = createOwnedJob({ spec, stored, previous, releaseWindow });
     for (const placement of placementsFromStore(job, stored, previous))
       jobs.addPlacement(job, placement, 'loaded');
-    if (spec.kind === 'gang' && job.counter.isFull)
+    if (spec.kind === 'gang' && job.counter.isComplete)
       for (const placement of job.placements.values()) placement.desiredState = 'stop';
     for (const placement of job.placements.values()) if (placement.isRunning) job.runningTasks++;
-    job.fanOut.skipTo((task) => job.counter.has(task));
+    job.fanOut.skipCounted((task) => job.counter.has(task));
     jobs.add(job);
     if (!previous) releaseQueue.learn(spec);
     if (isOver(job)) transactions.scheduleWrite(job, 0);
@@ -203,6 +203,6 @@
 
 function readJob(item: StoredItem, jobId: string): StoredJob | undefined {
   const found = new Map<string, StoredJob>();
-  readStoredItem(found, item);
+  mergeStoredItem(found, item);
   return found.get(jobId);
 }
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -219,7 +219,7 @@
       job.writeInFlight = false;
       // Looked at again by the next write, and forgotten there if nothing is left to store.
       if (this.options.isOwned(job))
-        this.scheduleWrite(job, job.counterDirty && !job.counter.isFull ? this.lazyDelayMs() : 0);
+        this.scheduleWrite(job, job.counterDirty && !job.counter.isComplete ? this.lazyDelayMs() : 0);
     }
     if (result.ok) {
       for (const write of batch.writes) write.onStored(result.value);
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -100,7 +100,7 @@
   if (runningTasks !== null) {
     job.counterRevision = revision;
     job.storedRunningTasks = runningTasks;
-    if (job.counter.isFull) events.onCounterFull(job);
+    if (job.counter.isComplete) events.onCounterFull(job);
   }
   keepChunkRevisions(job, operations, revision);
   for (const placement of added) {
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -26,8 +26,8 @@
   wakeTimer: WakeTimer;
   /** The sending time of the latest read of the unfinished jobs whose changes have been passed on here. */
   openJobsFreshAsOf(): number;
-  /** The resource requests of all jobs; `lastGrantTaken`: the newest grant of this leader that they take into account. */
-  listRequests(lastGrantTaken: number): ResourceRequest[];
+  /** The resource requests of all jobs; `lastProcessedGrantId`: the newest grant of this leader that they take into account. */
+  listRequests(lastProcessedGrantId: number): ResourceRequest[];
   /** Gives back the placements that no write has been sent for: a full sync voids their grants. */
   returnUnsentPlacements(): void;
   send(message: ShardMessage): void;
@@ -44,7 +44,7 @@
   private lastRequestsSent = '';
   private nextRequestsAt = 0;
   /** The newest grant of this leader that has been taken in. */
-  private lastGrantTaken = 0;
+  private lastProcessedGrantId = 0;
   private syncNumber = 0;
   /** Messages with placements since the last full sync. */
   private placementMessagesSent = 0;
@@ -59,7 +59,7 @@
   setLeader(fencingToken: number): void {
     this.fencingToken = fencingToken;
     this.cancellations.reset();
-    this.lastGrantTaken = 0;
+    this.lastProcessedGrantId = 0;
     this.resync();
   }
 
@@ -91,7 +91,7 @@
   }
 
   onGrantTaken(grantId: number): void {
-    this.lastGrantTaken = Math.max(this.lastGrantTaken, grantId);
+    this.lastProcessedGrantId = Math.max(this.lastProcessedGrantId, grantId);
   }
 
   placementChanged(placement: PlacementSpec): void {
@@ -146,7 +146,7 @@
       syncNumber: this.syncNumber,
       shardEpochs: shards.loadedEpochs,
       placements: placementsToSync(jobs.values()),
-      requests: this.options.listRequests(this.lastGrantTaken),
+      requests: this.options.listRequests(this.lastProcessedGrantId),
     });
     for (const chunk of chunks) this.options.send(chunk);
   }
@@ -191,7 +191,7 @@
       return;
     }
     this.haveRequestsChanged = false;
-    const requests = this.options.listRequests(this.lastGrantTaken);
+    const requests = this.options.listRequests(this.lastProcessedGrantId);
     // A long list is sent less often: it costs both sides, and few places come free between two of them.
     const intervalMs = MIN_REQUESTS_INTERVAL_MS + requests.length * REQUESTS_INTERVAL_MS_PER_REQUEST;
     this.nextRequestsAt = now + Math.min(MAX_REQUESTS_INTERVAL_MS, intervalMs);
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -143,7 +143,7 @@
 
 /** Over: done or cancelled, and nothing of it is left on any machine. */
 export function isOver(job: OwnedJob): boolean {
-  return (job.cancelled || (job.counter.isFull && !job.counterDirty)) && job.placements.size === 0;
+  return (job.cancelled || (job.counter.isComplete && !job.counterDirty)) && job.placements.size === 0;
 }
 
 /** Whether placements of it that are not known to be stored may be: a write is in flight, or its outcome is being read. */
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -25,14 +25,14 @@
   nowMs: number;
   wallMs: number;
   /** The newest grant taken in from the present leader. */
-  lastGrantTaken: number;
+  lastProcessedGrantId: number;
 }
 
 /** What the jobs of an owner would start now if they had room, in the order of release and within the teams' quotas. */
 export function listRequests(input: RequestListInput): ResourceRequest[] {
   const { releaseQueue, usage, nowMs } = input;
   const queued = [...input.jobs]
-    .filter((job) => !job.cancelled && !job.isReloading && !job.counter.isFull)
+    .filter((job) => !job.cancelled && !job.isReloading && !job.counter.isComplete)
     .map((job) => ({
       owned: job,
       spec: job.spec,
@@ -82,7 +82,7 @@
     queuePosition: key.position,
     missedObjectives: key.missedObjectives,
     taskCount,
-    allOrNothing: spec.kind === 'gang',
+    isGang: spec.kind === 'gang',
     isService: spec.kind === 'service',
     cpus: spec.cpus,
     gpus: spec.gpus,
@@ -99,22 +99,25 @@
     preferredMachine: job.preferredMachine,
     maxWaitSeconds: null,
     ...objectiveSlack(spec, input),
-    lastGrantTaken: input.lastGrantTaken,
+    lastProcessedGrantId: input.lastProcessedGrantId,
   };
 }
 
-function zoneConstraints(job: OwnedJob): Pick<ResourceRequest, 'zone' | 'zoneAllowance' | 'maxTasksPerZone'> {
+function zoneConstraints(
+  job: OwnedJob,
+): Pick<ResourceRequest, 'zone' | 'zoneAllowance' | 'defaultZoneAllowance'> {
   const { spec } = job;
-  const maxTasksPerZone = Math.ceil(spec.taskCount / 2);
+  const defaultZoneAllowance = Math.ceil(spec.taskCount / 2);
   let zone = spec.zone;
   // One task alone is spread anywhere, and must not count among those that need a second zone.
   const zoneAllowance: Record<string, number> | null =
     spec.zoneAntiAffinity && spec.taskCount > 1 ? {} : null;
   for (const placement of job.placements.values()) {
     if (spec.zoneAffinity) zone = placement.zone;
-    if (zoneAllowance) zoneAllowance[placement.zone] = (zoneAllowance[placement.zone] ?? maxTasksPerZone) - 1;
+    if (zoneAllowance)
+      zoneAllowance[placement.zone] = (zoneAllowance[placement.zone] ?? defaultZoneAllowance) - 1;
   }
-  return { zone, zoneAllowance, maxTasksPerZone };
+  return { zone, zoneAllowance, defaultZoneAllowance };
 }
 
 /** See `ResourceRequest.remainingTasks`: a task that never had an attempt is listed nowhere. */
@@ -122,7 +125,7 @@
   const { spec, counter, placements, attempts, fanOut } = job;
   const openTasks = spec.taskCount - counter.count - placements.size;
   if (spec.kind === 'gang' || openTasks > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
-  const remaining = fanOut.waiting((task) => counter.has(task) || placements.has(task));
+  const remaining = fanOut.listAvailable((task) => counter.has(task) || placements.has(task));
   return remaining.some((task) => attempts.has(task)) ? { remainingTasks: remaining } : {};
 }
 
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -205,7 +205,7 @@
       clock,
       wakeTimer,
       openJobsFreshAsOf: () => this.options.openJobsFreshAsOf(),
-      listRequests: (lastGrantTaken) => this.listRequests(lastGrantTaken),
+      listRequests: (lastProcessedGrantId) => this.listRequests(lastProcessedGrantId),
       returnUnsentPlacements: () => this.grants.returnUnsentPlacements(),
       send: (message) => this.options.send(message),
     });
@@ -238,7 +238,7 @@
     });
   }
 
-  private listRequests(lastGrantTaken: number): ResourceRequest[] {
+  private listRequests(lastProcessedGrantId: number): ResourceRequest[] {
     const { clock, maxTasksPerRequest } = this.options;
     return listRequests({
       jobs: this.jobs.values(),
@@ -247,8 +247,8 @@
       usage: this.usage,
       maxTasksPerRequest,
       nowMs: clock.now(),
-      wallMs: clock.wall(),
-      lastGrantTaken,
+      wallMs: clock.wallTime(),
+      lastProcessedGrantId,
     });
   }
 }
--- a/src/shard/stored-jobs.ts
+++ b/src/shard/stored-jobs.ts
@@ -2,7 +2,7 @@
 
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import { OPEN_JOBS_PREFIX, PLACEMENTS_PREFIX } from '../store/keyspace.js';
-import { readStoredItem, type StoredJob } from '../store/stored-job.js';
+import { mergeStoredItem, type StoredJob } from '../store/stored-job.js';
 
 /** Jobs by id, as their stored records have them; null: a read failed. */
 export type StoredJobsCallback = (found: Map<string, StoredJob> | null) => void;
@@ -39,7 +39,7 @@
         return;
       }
       const { items, hasMore } = result.value;
-      for (const item of items) readStoredItem(found, item);
+      for (const item of items) mergeStoredItem(found, item);
       const last = items.at(-1);
       if (hasMore && last) readPage(last.key);
       else onRead();
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -1,8 +1,8 @@
 /** Logs what the use of each team is made of. */
 
 import type { Clock } from '../model/clock.js';
-import { LimitedLog } from '../model/limited-log.js';
 import type { Logger } from '../model/logger.js';
+import { RateLimitedLog } from '../model/rate-limited-log.js';
 import type { OwnedJob } from './owned-job.js';
 import type { OwnedShard } from './owned-shards.js';
 import type { TeamUsage } from './team-usage.js';
@@ -16,7 +16,7 @@
 
 /** Each change by its cause (debug), a regular summary (info), and indeterminate writes (info, at a limited rate). */
 export class UsageLog {
-  private readonly limited: LimitedLog;
+  private readonly limited: RateLimitedLog;
   private summaryAt = Number.NEGATIVE_INFINITY;
   private changesAt = Number.NEGATIVE_INFINITY;
 
@@ -25,7 +25,7 @@
     private readonly clock: Clock,
     private readonly log: Logger,
   ) {
-    this.limited = new LimitedLog(log, clock);
+    this.limited = new RateLimitedLog(log, clock);
   }
 
   /** Called after each batch of commands. */
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -37,7 +37,7 @@
 }
 
 /** Adds one stored item to what is known of its job, in `into` by job id. Items of other kinds are passed over. */
-export function readStoredItem(into: Map<string, StoredJob>, item: StoredItem): void {
+export function mergeStoredItem(into: Map<string, StoredJob>, item: StoredItem): void {
   const key = parseJobRecordKey(item.key);
   if (!key) return;
   let stored = into.get(key.jobId);
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -20,7 +20,7 @@
   watchWaitMs: number;
   /** Least time between two watches: each change of a busy prefix must not cost a request of its own. */
   minWatchIntervalMs: number;
-  /** Whether it watches from the start; else only reads bring it up to date, until `follow`. */
+  /** Whether it watches from the start; else only reads bring it up to date, until `setFollowed`. */
   isFollowed: boolean;
   onChange: OnItemChanged;
 }
@@ -69,7 +69,7 @@
   }
 
   /** Whether the copy is kept by watching from now on. */
-  follow(isFollowed: boolean): void {
+  setFollowed(isFollowed: boolean): void {
     this.isFollowed = isFollowed;
     this.watch();
   }
--- a/src/transport/system-clock.ts
+++ b/src/transport/system-clock.ts
@@ -5,12 +5,12 @@
 /** Clock, timers and random numbers of Node.js. */
 export const systemClock: Clock = {
   now: () => performance.now(),
-  wall: () => Date.now(),
+  wallTime: () => Date.now(),
   after(ms, run) {
     const timer = setTimeout(run, ms);
     return () => clearTimeout(timer);
   },
-  soon: (run) => {
+  defer: (run) => {
     setImmediate(run);
   },
   random: () => Math.random(),
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -73,7 +73,7 @@
 
   async submit(context: Context): Promise<Response> {
     const { api } = this.controller;
-    const submission = decodeSubmission(parseJson(await context.req.text()), this.clock.wall());
+    const submission = decodeSubmission(parseJson(await context.req.text()), this.clock.wallTime());
     if (submission.ok) {
       const { spec } = submission;
       return new Promise((resolve) =>
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -3,7 +3,7 @@
  * table's fields is that of the encoded bytes.
  */
 
-import type { ImageFact } from '../model/image-fact.js';
+import type { ImageLocation } from '../model/image-location.js';
 import type { ExitReason, TaskAttempt } from '../model/job.js';
 import type { PeerMessage, PeerMessageBody } from '../model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../model/placement.js';
@@ -38,7 +38,7 @@
   queuePosition: 'order',
   missedObjectives: 'stage',
   taskCount: 'count',
-  allOrNothing: 'whole',
+  isGang: 'whole',
   isService: 'service',
   cpus: 'cpus',
   gpus: 'gpus',
@@ -50,7 +50,7 @@
   spotAllowed: 'spot',
   zone: 'zone',
   zoneAllowance: 'zoneRoom',
-  maxTasksPerZone: 'zoneCap',
+  defaultZoneAllowance: 'zoneCap',
   zoneAffinity: 'together',
   avoidedMachines: 'avoid',
   remainingTasks: 'tasksLeft',
@@ -58,7 +58,7 @@
   maxWaitSeconds: 'patienceS',
   objectiveSeconds: 'aimS',
   slackSeconds: 'slackS',
-  lastGrantTaken: 'seen',
+  lastProcessedGrantId: 'seen',
   isStarved: 'starved',
   spotOnly: 'spotOnly',
   refusingMachines: 'refusedBy',
@@ -222,7 +222,7 @@
 });
 
 /** Encoded as three values in this order. */
-const imageFact: Codec<ImageFact> = {
+const imageFact: Codec<ImageLocation> = {
   encode: ({ machine, image, sizeGb }) => [machine, image, sizeGb],
   decode: (encoded) => {
     if (!isImageFact(encoded)) throw new DecodeError('machine, image and size in GB', encoded);
@@ -236,7 +236,7 @@
     tagValue: 'ping',
     fields: {
       type: 'k',
-      leader: 'leader',
+      leaderName: 'leader',
       fencingToken: 'token',
       storeContactAgeMs: 'okAgeMs',
       redirectedMachines: 'strays',
--- a/src/wire/user-messages.ts
+++ b/src/wire/user-messages.ts
@@ -127,5 +127,10 @@
   id: string,
   answer: Extract<ApiAnswer, { type: 'job' }>,
 ): Record<string, unknown> {
-  return { name_id: id, phase: JOB_PHASES[answer.state], done: answer.done, running: answer.running };
+  return {
+    name_id: id,
+    phase: JOB_PHASES[answer.state],
+    done: answer.finishedTasks,
+    running: answer.runningTasks,
+  };
 }
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -265,7 +265,7 @@
         ['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }],
       ]),
       store: state as KeyValueStore,
-      clock: { now: () => now, wall: () => now, after: () => () => {}, soon: () => {}, random: () => 0 },
+      clock: { now: () => now, wallTime: () => now, after: () => () => {}, defer: () => {}, random: () => 0 },
       openJobsFreshAsOf: () => now,
       send: (message) => sent.push(message),
     }),
--- a/test/dependency-counter.test.ts
+++ b/test/dependency-counter.test.ts
@@ -17,7 +17,7 @@
         if (i < size) seen.add(i);
       }
       expect(counter.count).toBe(seen.size);
-      expect(counter.isFull).toBe(seen.size === size);
+      expect(counter.isComplete).toBe(seen.size === size);
       const back = new DependencyCounter(size);
       decodeCompletionBitmap(back, makeCounterRecord(counter, 0).finishedBitmap);
       expect([...back.bits]).toEqual([...counter.bits]);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -51,8 +51,8 @@
 test('a leader whose workers reach only its peers resigns and deletes nothing', () => {
   const harness = new SchedulerHarness(5, {
     unresponsiveSeconds: 6,
-    unresponsiveShare: 0.4,
-    idleSeconds: 1e6,
+    maxUnresponsiveShare: 0.4,
+    maxIdleSeconds: 1e6,
   });
   harness.peers.count = 2;
   const all = names(20);
@@ -70,8 +70,8 @@
   for (const peerCount of [2, 0]) {
     const harness = new SchedulerHarness(5, {
       unresponsiveSeconds: 6,
-      unresponsiveShare: 0.4,
-      idleSeconds: 1e6,
+      maxUnresponsiveShare: 0.4,
+      maxIdleSeconds: 1e6,
     });
     harness.peers.count = peerCount;
     harness.rentals.isAnswered = true;
@@ -84,7 +84,7 @@
 });
 
 test('a machine that is unreachable outbound gets no new work, keeps its tasks for a lease and is then deleted', () => {
-  const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, maxIdleSeconds: 1e6 });
   harness.heartbeat([]);
   harness.sendDesiredState('run');
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -125,7 +125,7 @@
 });
 
 test('a zone that is cut off is waited for while its replicas may live, and nothing is rented there', () => {
-  const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, maxIdleSeconds: 1e6 });
   harness.peers.count = 1;
   harness.rentals.isAnswered = true;
   const reachable = names(8);
@@ -181,7 +181,7 @@
 
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
   const run = (reason: 'stopped' | 'done') => {
-    const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+    const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
     harness.heartbeat([]);
     harness.sendDesiredState('run');
     expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
@@ -204,7 +204,7 @@
 });
 
 test('a machine that lists nothing but what has ended is empty', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 10 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 10 });
   harness.heartbeat([]);
   harness.sendDesiredState('run');
   harness.heartbeat([taskStatus('running')]);
@@ -221,7 +221,7 @@
 });
 
 test('a machine that is back at once with a worker that knows nothing is deleted, not believed', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   for (let i = 0; i < 10; i++) harness.heartbeat([]);
   harness.sendDesiredState('run');
   harness.heartbeat([taskStatus('running')]);
@@ -248,7 +248,7 @@
 });
 
 test('a placement pass looks at each machine once for equal requests, and a heartbeat at its own machine only', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const all = names(1900);
   for (const machine of all) {
     harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${machine}`, machine: machine });
@@ -305,7 +305,7 @@
 });
 
 test('a search for preemptible tasks that found none is not repeated by each placement pass', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const all = names(100);
   for (const machine of all) {
     harness.sendPlacement({
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -94,12 +94,12 @@
     policy: POLICY,
     clock: {
       now: () => sim.now,
-      wall: () => sim.now,
+      wallTime: () => sim.now,
       after: (delayMs, run) => {
         sim.scheduleAfter(delayMs, run);
         return () => {};
       },
-      soon: (run) => sim.scheduleAfter(0, run),
+      defer: (run) => sim.scheduleAfter(0, run),
       random: () => 0.5,
     },
     log: { debug: () => {}, info: () => {}, error: () => {} },
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -19,7 +19,7 @@
   queuePosition: 12.5,
   missedObjectives: 0,
   taskCount: 16,
-  allOrNothing: true,
+  isGang: true,
   isService: false,
   cpus: 8,
   gpus: 1,
@@ -31,14 +31,14 @@
   spotAllowed: true,
   zone: 'a',
   zoneAllowance: { a: 3, b: 0 },
-  maxTasksPerZone: 8,
+  defaultZoneAllowance: 8,
   zoneAffinity: true,
   avoidedMachines: ['vm-000007'],
   preferredMachine: 'vm-000008',
   maxWaitSeconds: 30,
   objectiveSeconds: 900,
   slackSeconds: 12.5,
-  lastGrantTaken: 41,
+  lastProcessedGrantId: 41,
 };
 const WANT_OF_NULLS: ResourceRequest = {
   ...WANT,
@@ -56,7 +56,7 @@
   maxWaitSeconds: patienceS,
   objectiveSeconds: aimS,
   slackSeconds: slackS,
-  lastGrantTaken: seen,
+  lastProcessedGrantId: seen,
   ...WANT_UNTIL_NEAR
 } = WANT;
 const WANT_OF_FEW_TASKS: ResourceRequest = {
@@ -66,7 +66,7 @@
   maxWaitSeconds: patienceS,
   objectiveSeconds: aimS,
   slackSeconds: slackS,
-  lastGrantTaken: seen,
+  lastProcessedGrantId: seen,
 };
 const HELD: PlacementSpec = {
   jobId: 'wk-000412',
@@ -120,7 +120,7 @@
 const BODIES: Record<string, PeerMessageBody> = {
   'ping with all that may be null': {
     type: 'heartbeat',
-    leader: 'stand-2.9f',
+    leaderName: 'stand-2.9f',
     fencingToken: 7,
     storeContactAgeMs: 12.5,
     redirectedMachines: ['vm-000009'],
@@ -131,7 +131,7 @@
   },
   'ping with nulls': {
     type: 'heartbeat',
-    leader: '',
+    leaderName: '',
     fencingToken: 0,
     storeContactAgeMs: 0,
     redirectedMachines: [],
@@ -142,7 +142,7 @@
   },
   'ping with a cover of any machine': {
     type: 'heartbeat',
-    leader: '',
+    leaderName: '',
     fencingToken: 0,
     storeContactAgeMs: 0,
     redirectedMachines: [],
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -274,14 +274,14 @@
 const POLICY: Policy = {
   reserveReplicas: 1.5,
   reserveBatchJobs: 2.5,
-  idleSeconds: 3.5,
+  maxIdleSeconds: 3.5,
   amortizationSeconds: 4.5,
   serviceAmortizationSeconds: 5.5,
-  maxBootTimes: 6.5,
+  maxBootTimeFactor: 6.5,
   unresponsiveSeconds: 7.5,
-  unresponsiveShare: 0.5,
+  maxUnresponsiveShare: 0.5,
   maxTasksPerRequest: 8.5,
-  rebalanceSeconds: 9.5,
+  rebalanceIntervalSeconds: 9.5,
   minRentalWaitSeconds: 10.5,
 };
 const INPUT: PolicyInput = {
@@ -318,7 +318,7 @@
     ['ceil(boot_s * 0.7)', 7],
   ])('may use %s', (expression, value) => {
     const text = POLICY_TEXT.replace('idle_s = 3.5', `idle_s = "${expression}"`);
-    expect(compilePolicy(text)(INPUT).idleSeconds).toBe(value);
+    expect(compilePolicy(text)(INPUT).maxIdleSeconds).toBe(value);
   });
 
   test.each([
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -11,7 +11,7 @@
 import { createOwnedJob, type OwnedJob, type Placement } from '../../src/shard/owned-job.js';
 import { ShardOwner } from '../../src/shard/shard-owner.js';
 import { WriteFence } from '../../src/shard/write-fence.js';
-import { readStoredItem, type StoredJob } from '../../src/store/stored-job.js';
+import { mergeStoredItem, type StoredJob } from '../../src/store/stored-job.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
 import { decodeItem, encodeTransaction } from '../../src/wire/store-messages.js';
 import { shardOwnerOptions } from '../simulation/shard-owner-harness.js';
@@ -92,9 +92,9 @@
       now += 1000;
       return now;
     },
-    wall: () => now,
+    wallTime: () => now,
     after: () => () => {},
-    soon: (run) => run(),
+    defer: (run) => run(),
     random: () => 0.5,
   };
 }
@@ -134,7 +134,7 @@
 function storedJob(records: Record<string, string>): StoredJob | undefined {
   const found = new Map<string, StoredJob>();
   for (const [key, text] of Object.entries(records))
-    readStoredItem(found, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+    mergeStoredItem(found, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
   return [...found.values()][0];
 }
 
@@ -342,31 +342,31 @@
 
   test.each<[string, Record<string, string>, ApiAnswer]>([
     ['no record', {}, { type: 'notFound' }],
-    ['accepted', open, { type: 'job', created: false, state: 'queued', done: 0, running: 0 }],
+    ['accepted', open, { type: 'job', created: false, state: 'queued', finishedTasks: 0, runningTasks: 0 }],
     [
       'running',
       { ...open, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
-      { type: 'job', created: false, state: 'running', done: 1, running: 2 },
+      { type: 'job', created: false, state: 'running', finishedTasks: 1, runningTasks: 2 },
     ],
     [
       'all tasks counted',
       { ...open, 'open/wk-7/n': '{"n":3,"r":0,"b":"0.3"}' },
-      { type: 'job', created: false, state: 'done', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'done', finishedTasks: 3, runningTasks: 0 },
     ],
     [
       'cancelled',
       { 'open/wk-7/a': `{"j":${ARRAY_TEXT},"o":3,"x":1}`, 'open/wk-7/n': '{"n":1,"r":2,"b":"0.1"}' },
-      { type: 'job', created: false, state: 'cancelled', done: 1, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', finishedTasks: 1, runningTasks: 0 },
     ],
     [
       'final, done',
       { 'end/wk-7': '{"d":1,"n":3}' },
-      { type: 'job', created: false, state: 'done', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'done', finishedTasks: 3, runningTasks: 0 },
     ],
     [
       'final, cancelled',
       { 'end/wk-7': '{"d":0,"n":2}' },
-      { type: 'job', created: false, state: 'cancelled', done: 2, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', finishedTasks: 2, runningTasks: 0 },
     ],
   ])('%s', (_title, records, expected) => {
     expect(ask(records, (api, then) => api.getJob('wk-7', then)).answer).toStrictEqual(expected);
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -34,7 +34,7 @@
   acceptedAtMs: 1700000000000,
 };
 const log = { debug: () => {}, info: () => {}, error: () => {} };
-const clock = { now: () => 0, wall: () => 1700000000000 } as Clock;
+const clock = { now: () => 0, wallTime: () => 1700000000000 } as Clock;
 
 /** A request to a controller that gives this answer: its reply, and what was asked of the controller. */
 async function ask(
@@ -77,7 +77,7 @@
   };
 }
 
-const QUEUED: ApiAnswer = { type: 'job', created: false, state: 'queued', done: 0, running: 0 };
+const QUEUED: ApiAnswer = { type: 'job', created: false, state: 'queued', finishedTasks: 0, runningTasks: 0 };
 const PENDING_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
 
 describe('a submission', () => {
@@ -171,7 +171,7 @@
     ['done', 'done'],
     ['cancelled', 'withdrawn'],
   ] as const)('%s is written as %s', (state, phase) => {
-    const answer = { type: 'job', created: false, state, done: 3, running: 13 } as const;
+    const answer = { type: 'job', created: false, state, finishedTasks: 3, runningTasks: 13 } as const;
     expect(JSON.stringify(encodeJobStatus('wk-000412', answer))).toBe(
       `{"name_id":"wk-000412","phase":"${phase}","done":3,"running":13}`,
     );
@@ -208,7 +208,7 @@
       'cancelled',
       'POST',
       '/v2/runs/wk-000412/abort',
-      { type: 'job', created: false, state: 'cancelled', done: 3, running: 0 },
+      { type: 'job', created: false, state: 'cancelled', finishedTasks: 3, runningTasks: 0 },
       '200 {"name_id":"wk-000412","phase":"withdrawn","done":3,"running":0} {}',
       ['abort', 'wk-000412'],
     ],
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -6,7 +6,7 @@
 
 const gangRequest = (id: string, over: object = {}) =>
   makeResourceRequest(id, {
-    allOrNothing: true,
+    isGang: true,
     zoneAffinity: true,
     spotAllowed: false,
     cpus: 4,
@@ -46,7 +46,7 @@
 });
 
 test('machines that a gang gathers are not returned as idle, and only what it lacks is rented', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 2 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 2 });
   harness.rentals.isAnswered = true;
   harness.sendRequests([gangRequest('wk-gang')]);
   for (let i = 0; i < 12; i++) second(harness, ['a', 'b']);
@@ -55,7 +55,7 @@
 });
 
 test('machines of a gang are kept while the last room that it lacks is being freed', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 2 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 2 });
   harness.rentals.isAnswered = true;
   const runs = (machine: string) => ({
     tasks: machine === 'c' ? [{ ...taskStatus('running'), jobId: 'wk-low' }] : [],
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -17,7 +17,7 @@
   simulation.simulator.run(3000);
   const clock = {
     now: () => simulation.simulator.now,
-    wall: () => simulation.simulator.now,
+    wallTime: () => simulation.simulator.now,
   } as unknown as Clock;
   const controller = simulation.controllers.get('c0')!.controller;
   const userApi = createUserApi({ controller, clock, log });
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -2,8 +2,8 @@
 
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
-import { LimitedLog } from '../src/model/limited-log.js';
 import type { LogFields } from '../src/model/logger.js';
+import { RateLimitedLog } from '../src/model/rate-limited-log.js';
 import type { Team } from '../src/model/team.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeJobSpec } from './simulation/job-spec.js';
@@ -172,7 +172,7 @@
   const lines: LogFields[] = [];
   const take = (fields: LogFields) => lines.push(fields);
   const clock = { now: () => now } as Clock;
-  const limited = new LimitedLog({ debug: take, info: take, error: take }, clock);
+  const limited = new RateLimitedLog({ debug: take, info: take, error: take }, clock);
   for (let i = 0; i < 500; i++) limited.info({ i }, 'indeterminate write');
   expect(lines.length).toBe(20);
   now = 10_000;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -58,9 +58,9 @@
   let now = 0;
   const clock = {
     now: () => (now += 400),
-    wall: () => 1000,
+    wallTime: () => 1000,
     after: () => () => {},
-    soon: () => {},
+    defer: () => {},
     random: () => 0,
   };
   const owner = new ShardOwner(
@@ -83,7 +83,11 @@
   readonly names = Array.from({ length: MACHINES }, (_, i) => `vm-${String(i).padStart(6, '0')}`);
   readonly tasks = new Map<string, Map<string, TaskStatus>>(this.names.map((name) => [name, new Map()]));
   readonly owner: ShardOwner;
-  leader = new SchedulerHarness(5, { idleSeconds: 1e6, unresponsiveSeconds: 6, unresponsiveShare: 0.4 });
+  leader = new SchedulerHarness(5, {
+    maxIdleSeconds: 1e6,
+    unresponsiveSeconds: 6,
+    maxUnresponsiveShare: 0.4,
+  });
   messages = 0;
   private deliveredMessages = 0;
 
@@ -135,9 +139,9 @@
 
   elect(token: number): void {
     this.leader = new SchedulerHarness(token, {
-      idleSeconds: 1e6,
+      maxIdleSeconds: 1e6,
       unresponsiveSeconds: 6,
-      unresponsiveShare: 0.4,
+      maxUnresponsiveShare: 0.4,
     });
     this.deliveredMessages = 0;
     this.owner.setLeader(token);
@@ -216,9 +220,9 @@
     policy: () => ({}) as ReturnType<ConstructorParameters<typeof Controller>[0]['policy']>,
     clock: {
       now: () => 1e7,
-      wall: () => 1e7,
+      wallTime: () => 1e7,
       after: () => never,
-      soon: (callback) => callback(),
+      defer: (callback) => callback(),
       random: () => 0,
     },
     log: { debug: never, info: never, error: never },
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -54,7 +54,7 @@
     spotAllowed: false,
     cpus: 4,
     zoneAllowance: {},
-    maxTasksPerZone: 4,
+    defaultZoneAllowance: 4,
   });
   const input = {
     machineTypes: CLUSTER_CONFIG.machineTypes,
@@ -143,10 +143,10 @@
 
 test('image locations learnt by one leader are known to the next', () => {
   const locations = new ImageLocations();
-  locations.learn('m', 'i', 1);
-  locations.learn('m', 'i', 1);
-  locations.learn('n', 'k', 2);
-  locations.forget('n');
+  locations.add('m', 'i', 1);
+  locations.add('m', 'i', 1);
+  locations.add('n', 'k', 2);
+  locations.removeMachine('n');
   const changes = locations.takeChanges();
   const nextLocations = new ImageLocations();
   nextLocations.apply([{ machine: 'n', image: 'old', sizeGb: 1 }], []);
@@ -159,7 +159,7 @@
 });
 
 test('a machine kept for the image of a service is the reserve as well', () => {
-  const harness = new SchedulerHarness(5, { reserveReplicas: 1, idleSeconds: 10 });
+  const harness = new SchedulerHarness(5, { reserveReplicas: 1, maxIdleSeconds: 10 });
   const onOther = { machine: 'n', address: 'n' };
   const replica = { ...harness.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
   harness.heartbeat([], 5, onOther);
@@ -178,7 +178,7 @@
 });
 
 test('room kept for urgent work is given to lower work that found none for long', () => {
-  const harness = new SchedulerHarness(5, { reserveBatchJobs: 4, idleSeconds: 1e6 }, [
+  const harness = new SchedulerHarness(5, { reserveBatchJobs: 4, maxIdleSeconds: 1e6 }, [
     { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
   ]);
   harness.heartbeat([]);
@@ -207,7 +207,7 @@
 });
 
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   harness.heartbeat([]);
   const ended = { ...taskStatus('exited'), exitReason: 'attemptListed' as const };
   harness.heartbeat([ended]);
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -80,7 +80,7 @@
     ended('wk-3', 0, { exitReason: 'done' }),
   ]);
   expect(machineNames(index, 'wk-1')).toEqual(['m']);
-  expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), refused: true });
+  expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
   expect([index.has('wk-2'), index.has('wk-3')]).toEqual([false, false]);
   index.update(machine, [ended('wk-2', 0)]);
   expect([index.has('wk-1'), index.has('wk-2')]).toEqual([false, true]);
@@ -92,7 +92,7 @@
 
 const gang = (over: object = {}) =>
   makeResourceRequest('wk-gang', {
-    allOrNothing: true,
+    isGang: true,
     spotAllowed: false,
     cpus: 4,
     memoryGb: 1,
@@ -101,7 +101,7 @@
   });
 
 function fleet(lists: Record<string, TaskStatus[]>): { harness: SchedulerHarness; second: () => void } {
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const second = () => {
     for (const [machine, tasks] of Object.entries(lists))
       harness.heartbeat(tasks, 5, { machine, address: machine });
@@ -182,7 +182,7 @@
 test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
   const machineCount = 4000;
   const jobCount = 200;
-  const harness = new SchedulerHarness(5, { idleSeconds: 1e6 });
+  const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const sendHeartbeat = (index: number, over: Partial<Heartbeat> = {}) =>
     harness.heartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
       machine: `m${index}`,
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -29,7 +29,7 @@
     noticeGraceSeconds: 1,
     objectives: [],
     store: {} as KeyValueStore,
-    clock: { now: () => 1000, wall: () => 1000, after: () => () => {}, soon: () => {}, random: () => 0 },
+    clock: { now: () => 1000, wallTime: () => 1000, after: () => () => {}, defer: () => {}, random: () => 0 },
     log: { debug: () => {}, info: () => {}, error: () => {} },
     openJobItems: () => [],
     openJobsFreshAsOf: () => 0,
@@ -71,12 +71,12 @@
         store: this.storePort(),
         clock: {
           now: () => this.simulator.now,
-          wall: () => this.simulator.now,
+          wallTime: () => this.simulator.now,
           after: (ms, run) => {
             this.simulator.scheduleAfter(ms, run);
             return () => {};
           },
-          soon: (run) => this.simulator.scheduleAfter(0, run),
+          defer: (run) => this.simulator.scheduleAfter(0, run),
           random: () => 0.5,
         },
         log: this.logger(),
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -138,12 +138,12 @@
     const { simulator } = this.cluster;
     return {
       now: () => simulator.now,
-      wall: () => simulator.now,
+      wallTime: () => simulator.now,
       after: (delayMs, callback) => {
         simulator.scheduleAfter(delayMs, () => deliver(callback));
         return noop;
       },
-      soon: (callback) => simulator.scheduleAfter(NEXT_TURN_MS, () => deliver(callback)),
+      defer: (callback) => simulator.scheduleAfter(NEXT_TURN_MS, () => deliver(callback)),
       random: () => simulator.random(),
     };
   }
--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -212,7 +212,7 @@
   }
 
   /** No answer is older than its question: one asked before the user was told the end may still report less. */
-  private recordAnswer(job: UserJob, { state, done }: JobAnswer, askedAt: number): void {
+  private recordAnswer(job: UserJob, { state, finishedTasks: done }: JobAnswer, askedAt: number): void {
     const { cluster } = this;
     const { id, taskCount } = job.spec;
     job.accepted = true;
