--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -1,8 +1,8 @@
-/** What the fleet is made of, for operators. */
+/** Summarizes the machines of the fleet for operators. */
 
 import type { ClusterState } from '../cluster-state.js';
 
-/** Machines of one type, zone and kind; CPUs are those of machines that are up. */
+/** Machines of one type and zone, either on-demand or spot; CPUs are those of machines that are up. */
 export interface FleetComposition {
   machines: number;
   machinesUp: number;
@@ -11,7 +11,7 @@
   batchCpus: number;
 }
 
-/** By `type/zone`, and `type/zone/spot` for spot instances. */
+/** Groups the machines by `type/zone`, and by `type/zone/spot` for spot instances. */
 export function fleetComposition(state: ClusterState): Record<string, FleetComposition> {
   const byKind: Record<string, FleetComposition> = {};
   for (const machine of state.machines.values()) {
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -1,4 +1,4 @@
-/** Decides which machines to rent, to empty and to return. */
+/** Decides which machines to rent, to drain and to return to the cloud. */
 
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
@@ -7,7 +7,7 @@
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { fleetComposition } from './fleet-composition.js';
-import { IdleMachines, type RemoveMachine } from './idle-machines.js';
+import { type DeleteMachine, IdleMachines } from './idle-machines.js';
 import { MachineRenter } from './machine-renter.js';
 import { planRentals } from './rental-planner.js';
 import { currentPricing } from './rental-pricing.js';
@@ -15,12 +15,12 @@
 import { ServiceReserve } from './service-reserve.js';
 import { spotReplacementDemand } from './spot-replacement.js';
 import { UnreachableMachines } from './unreachable-machines.js';
-import { withoutWaitable } from './waitable-demand.js';
+import { withoutWaitableDemand } from './waitable-demand.js';
 
-/** So long after work was last short of places ordinary machines are still left to it. */
+/** How long after the last capacity shortage on-demand machines do not count as surplus. */
 const SHORTAGE_HOLD_MS = 10_000;
 const LOG_INTERVAL_MS = 30_000;
-/** Calls that a plan may make, however slow the cloud is. */
+/** Cloud calls that a plan may always make, however low the cloud's rate limit is. */
 const MIN_CALLS_PER_PLAN = 2;
 
 /** The leader's autoscaler. */
@@ -35,21 +35,27 @@
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    remove: RemoveMachine,
+    deleteMachine: DeleteMachine,
   ) {
     this.renter = new MachineRenter(options, state);
     this.reserve = new ServiceReserve(options, state);
-    this.idleMachines = new IdleMachines(options, state, { reserve: this.reserve, remove });
+    this.idleMachines = new IdleMachines(options, state, {
+      reserve: this.reserve,
+      deleteMachine,
+    });
     this.consolidation = new ReplicaConsolidation(options, state, this.reserve);
     this.unreachableMachines = new UnreachableMachines(options, state);
   }
 
-  /** Rents for the tasks that a pass has left without capacity and for the reserve, and returns idle machines. */
+  /**
+   * Rents machines for tasks that a placement pass left without capacity and for the service reserve, and
+   * returns idle machines.
+   */
   scaleFleet(now: number, unplaced: CapacityDemand[]): void {
     if (this.options.machineTypes().length === 0 || !this.options.holdsLeadership()) return;
     const expectedCapacities = [...bootingCapacities(this.state, now), ...this.renter.requestedCapacities()];
     const demand = this.rentalDemand(now, unplaced);
-    if (demand.length > 0 && this.isSettled(now) && this.state.allSynced()) {
+    if (demand.length > 0 && this.knowsExistingMachines(now) && this.state.allSynced()) {
       const rentals = planRentals({
         unplaced: demand,
         expectedCapacities,
@@ -58,20 +64,23 @@
       });
       for (const rental of rentals) this.renter.rent(rental);
     }
-    this.idleMachines.returnIdle(now, unplaced);
+    this.idleMachines.deleteIdle(now, unplaced);
   }
 
-  /** Empties machines whose replicas have a place elsewhere. */
+  /** Drains machines whose replicas fit elsewhere. */
   consolidate(now: number): void {
     this.consolidation.consolidate(now);
   }
 
-  /** Whether a machine that is not heard is left its lease; takes what its replicas would use from the capacities. */
+  /**
+   * Whether an unreachable machine is kept for its replicas; subtracts what they would use elsewhere from the
+   * capacities.
+   */
   keepsUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
-    return this.unreachableMachines.keeps(machine, capacities, now);
+    return this.unreachableMachines.shouldKeep(machine, capacities, now);
   }
 
-  /** At most every half minute. */
+  /** Logs the composition of the fleet, at most every 30 seconds. */
   logFleet(now: number): void {
     if (now < this.nextLogAt) return;
     this.nextLogAt = now + LOG_INTERVAL_MS;
@@ -89,10 +98,10 @@
 
   private rentalDemand(now: number, unplaced: CapacityDemand[]): CapacityDemand[] {
     const { scarceZone } = this.state;
-    // The reserve may lie in capacity that lower work uses now and would be stopped for.
+    // The reserve may include capacity of batch work that would be preempted for services.
     const capacities = this.state.preemptibleCapacities(now);
-    // Services for which lower work will be stopped need no machine; that work may need one.
-    const open = unplaced
+    // Services that fit by preempting batch work need no new machine; the preempted work may need one.
+    const stillUnplaced = unplaced
       .map((demand) =>
         demand.request.isService
           ? { request: demand.request, count: fill(capacities, demand, { scarceZone }) }
@@ -101,14 +110,14 @@
       .filter((demand) => demand.count > 0);
     const missingReserve = this.placeReserve(capacities);
     const replacements = this.unreachableMachines.replacementDemand(now);
-    const short = withoutWaitable(this.options, this.state, { unplaced: open, now });
-    // As long as work is short of places, ordinary machines that are there are used, and not left to run empty.
-    if (short.some(({ request }) => !request.isService && request.spotAllowed))
+    const unmetDemand = withoutWaitableDemand(this.options, this.state, { unplaced: stillUnplaced, now });
+    // During a capacity shortage existing on-demand machines are used, rather than left to become idle.
+    if (unmetDemand.some(({ request }) => !request.isService && request.spotAllowed))
       this.state.shortageUntil = now + SHORTAGE_HOLD_MS;
-    return [...short, ...replacements, ...missingReserve, ...spotReplacementDemand(this.state, now)];
+    return [...unmetDemand, ...replacements, ...missingReserve, ...spotReplacementDemand(this.state, now)];
   }
 
-  /** Notes on which machines the reserve lies; returns the part that finds no capacity. */
+  /** Records which machines hold the reserve; returns the part of it that finds no capacity. */
   private placeReserve(capacities: FreeCapacity[]): CapacityDemand[] {
     const { scarceZone } = this.state;
     const reserveMachines = new Set<string>();
@@ -124,8 +133,11 @@
     return missing;
   }
 
-  /** A new leader lets the cloud's list, the heartbeats and the owners speak first. */
-  private isSettled(now: number): boolean {
+  /**
+   * Whether machines rented by an earlier leader are known. A new leader reads the cloud's list and waits for
+   * the lag of the list, during which heartbeats and owners report, before it rents.
+   */
+  private knowsExistingMachines(now: number): boolean {
     return (
       this.options.isFirstLeader ||
       (this.state.hasMachineList && now - this.state.startedAt > this.options.machineListLagSeconds * 1000)
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -1,4 +1,4 @@
-/** Returns machines that stand empty. */
+/** Returns idle machines to the cloud. */
 
 import { slotsIn } from '../../model/resources.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -14,58 +14,61 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { ServiceReserve } from './service-reserve.js';
 
-/** So long a new leader lets heartbeats speak first. */
+/** How long a new leader waits for heartbeats before it returns machines. */
 const MIN_LEADERSHIP_MS = 5000;
-/** Regular heartbeats within which a machine that is up would have been heard by a new leader. */
+/** Heartbeat intervals within which a new leader hears from every machine that is up. */
 const AWAITED_HEARTBEATS = 4;
-/** A machine heard within this time may be coming up. */
-const HEARD_LATELY_MS = 10_000;
-/** Of a machine whose type is not listed. */
+/** A machine heard from within this time may be starting up. */
+const RECENTLY_HEARD_MS = 10_000;
+/** Boot time and maximum idle time assumed for a machine whose type is not listed. */
 const DEFAULT_BOOT_SECONDS = 30;
 const DEFAULT_IDLE_MS = 60_000;
-/** A surplus machine is returned after this share of the time. */
+/** A surplus machine is returned after this share of the maximum idle time. */
 const SURPLUS_IDLE_SHARE = 0.5;
-/** Added to the score of idle machines: the reserve takes them last. */
+/** Added to the score of idle machines, so that the reserve uses them last. */
 const IDLE_PENALTY_SECONDS = 1000;
 
-/** Removes a machine, and says why. */
-export type RemoveMachine = (machine: Machine, reason: string) => void;
+/** Queues a machine for deletion; the reason is logged. */
+export type DeleteMachine = (machine: Machine, reason: string) => void;
 
-/** Finds machines that nothing needs any more. */
+/** Finds and returns machines that are no longer needed. */
 export class IdleMachines {
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    private readonly parts: { reserve: ServiceReserve; remove: RemoveMachine },
+    private readonly parts: { reserve: ServiceReserve; deleteMachine: DeleteMachine },
   ) {}
 
-  /** Removes empty machines that neither the unplaced work nor the reserve of services needs. */
-  returnIdle(now: number, unplaced: readonly CapacityDemand[]): void {
+  /** Returns idle machines that neither unplaced work nor the service reserve needs. */
+  deleteIdle(now: number, unplaced: readonly CapacityDemand[]): void {
     if (!this.state.allSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
     this.state.refreshTotals();
     const idle = this.findIdle(now);
     if (idle.size === 0) return;
     this.keepForUnplaced(idle, unplaced);
     this.keepForReserve(idle, now);
-    for (const machine of idle.values()) this.parts.remove(machine, 'idle');
+    for (const machine of idle.values()) this.parts.deleteMachine(machine, 'idle');
   }
 
-  /** Machines idle for long enough, by name; removes on the way those that can't be of use any more. */
+  /**
+   * Finds machines that have been idle for long enough, by name. Machines that failed to boot, and empty ones
+   * that get no more work, are deleted on the way.
+   */
   private findIdle(now: number): Map<string, Machine> {
     const maxIdleMs = this.maxIdleMsByType();
     const idle = new Map<string, Machine>();
     for (const machine of this.state.machines.values()) {
       if (machine.isBeingDeleted) continue;
-      if (!machine.isUp) this.removeIfBootFailed(machine, now);
+      if (!machine.isUp) this.deleteIfBootFailed(machine, now);
       else if (!isEmpty(machine)) continue;
       else if (machine.isQuarantined || machine.isDraining || machine.evictionDeadline !== null)
-        this.parts.remove(machine, 'empty, and not used any more');
-      else if (this.hasIdledLong(machine, maxIdleMs, now)) idle.set(machine.name, machine);
+        this.parts.deleteMachine(machine, 'empty and no longer usable');
+      else if (this.isIdleLongEnough(machine, maxIdleMs, now)) idle.set(machine.name, machine);
     }
     return idle;
   }
 
-  private hasIdledLong(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
+  private isIdleLongEnough(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
     if (this.state.machinesHeldForGangs.has(machine.name)) return false;
     const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
     return now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
@@ -83,18 +86,19 @@
     return !machine.isSpot && !this.state.reserveMachines.has(machine.name) && now > this.state.shortageUntil;
   }
 
-  private removeIfBootFailed(machine: Machine, now: number): void {
+  private deleteIfBootFailed(machine: Machine, now: number): void {
     const { heartbeatIntervalSeconds, leaseSeconds } = this.options.workerTiming;
     const bootSeconds = this.state.machineTypes.get(machine.machineType)?.bootSeconds ?? DEFAULT_BOOT_SECONDS;
-    // Up under an earlier leader and not heard by this one: behind a network partition, or on its way here.
+    // Was up under an earlier leader and has not reached this one yet: it is behind a network partition, or
+    // its worker is still looking for the leader.
     if (machine.isListedAsRunning && now - machine.lastHeardAt < leaseSeconds * 1000) return;
     if (
       now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.maxBootTimeFactor &&
       now - this.state.startedAt > heartbeatIntervalSeconds * (AWAITED_HEARTBEATS * 1000) &&
       machine.allocations.size === 0 &&
-      now - machine.lastHeardAt > HEARD_LATELY_MS
+      now - machine.lastHeardAt > RECENTLY_HEARD_MS
     )
-      this.parts.remove(machine, 'did not come up in time');
+      this.parts.deleteMachine(machine, 'did not come up in time');
   }
 
   private keepForUnplaced(idle: Map<string, Machine>, unplaced: readonly CapacityDemand[]): void {
@@ -107,14 +111,14 @@
     }
   }
 
-  /** The reserve takes idle machines last; those that it needs all the same are kept. */
+  /** Keeps idle machines that the reserve needs in addition to the machines in use. */
   private keepForReserve(idle: Map<string, Machine>, now: number): void {
     const capacities = this.state.preemptibleCapacities(now);
     for (const capacity of capacities)
       if (idle.has(capacity.machineName)) capacity.penaltySeconds += IDLE_PENALTY_SECONDS;
     const unreserved = copyCapacities(capacities);
     for (const demand of this.parts.reserve.warmDemand(now)) keepWarm(idle, unreserved, demand);
-    // What is kept for its image serves the reserve as well.
+    // Machines kept for their images count towards the reserve as well.
     for (const capacity of capacities)
       if (capacity.penaltySeconds >= IDLE_PENALTY_SECONDS && !idle.has(capacity.machineName))
         capacity.penaltySeconds -= IDLE_PENALTY_SECONDS;
@@ -124,14 +128,17 @@
   }
 }
 
-/** Runs nothing and lists nothing that runs. */
+/** Whether the machine has no unfinished allocations and lists only exited tasks. */
 function isEmpty(machine: Machine): boolean {
   if (machine.totals.unfinishedTasks > 0) return false;
   for (const task of machine.tasks.values()) if (task.phase !== 'exited') return false;
   return true;
 }
 
-/** Keeps as many idle machines that hold the image as the others that hold it don't suffice. */
+/**
+ * Keeps idle machines that hold the request's image, as far as other machines with the image don't have
+ * enough slots.
+ */
 function keepWarm(
   idle: Map<string, Machine>,
   capacities: readonly FreeCapacity[],
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -1,4 +1,4 @@
-/** Asks the cloud for machines until it answers. */
+/** Requests machines from the cloud, and retries requests without an answer. */
 
 import type { RentalRequest } from '../../model/cloud-provider.js';
 import type { Result } from '../../model/result.js';
@@ -7,11 +7,13 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Rental } from './rental-planner.js';
 
-/** A call without an answer is repeated so often in all, after pauses that grow by the second. */
+/**
+ * Maximum attempts for a rental without an answer, and the step by which the delay before each retry grows.
+ */
 const MAX_ATTEMPTS = 6;
-const PAUSE_STEP_MS = 1000;
+const RETRY_DELAY_STEP_MS = 1000;
 
-/** Rents machines, and knows which rentals are still without an answer. */
+/** Rents machines, and tracks the rentals that are still without an answer. */
 export class MachineRenter {
   private readonly inFlight = new Map<string, Rental>();
   private claimCount = 0;
@@ -28,13 +30,13 @@
     this.call({ claim, ...rental }, 1);
   }
 
-  /** Capacities of the machines that rentals without an answer may bring. */
+  /** Returns the capacities that rentals without an answer may add. */
   requestedCapacities(): FreeCapacity[] {
     const capacities: FreeCapacity[] = [];
     for (const { machineType, zone, isSpot, count } of this.inFlight.values()) {
       const type = this.state.machineTypes.get(machineType);
       if (!type) continue;
-      for (let machine = 0; machine < count; machine++)
+      for (let index = 0; index < count; index++)
         capacities.push(emptyMachineCapacity(type, { name: '', zone, isSpot }));
     }
     return capacities;
@@ -58,7 +60,7 @@
       this.state.rentalBackoff.onRefused(request, this.options.clock.now());
       this.options.log.debug({ ...request }, 'no machines to rent');
     } else if (result.kind === 'invalid' || attempt >= MAX_ATTEMPTS) this.inFlight.delete(claim);
-    else this.repeatLater(request, attempt);
+    else this.retryLater(request, attempt);
   }
 
   private onRented(request: RentalRequest, names: readonly string[]): void {
@@ -67,7 +69,7 @@
     for (const name of names) {
       if (this.state.deletedMachines.has(name)) continue;
       const machine = this.state.getOrCreateMachine(name);
-      // Its worker, or the cloud's list, was faster than this answer.
+      // The worker's first heartbeat or the cloud's list arrived before this answer.
       if (machine.machineType !== '') continue;
       machine.machineType = machineType;
       machine.zone = zone;
@@ -75,13 +77,16 @@
       machine.rentedAt = now;
     }
     if (names.length < count) this.state.rentalBackoff.onRefused(request, now);
-    else this.state.rentalBackoff.onFilled(request);
+    else this.state.rentalBackoff.onFulfilled(request);
     this.options.log.debug({ claim, machineCount: names.length }, 'machines rented');
   }
 
-  /** The same claim again: what was rented under it is answered, and nothing more is rented. */
-  private repeatLater(request: RentalRequest, attempt: number): void {
-    this.options.clock.after(PAUSE_STEP_MS * attempt, () => {
+  /**
+   * Retries under the same claim: the cloud then returns the machines already rented under it and rents no
+   * more.
+   */
+  private retryLater(request: RentalRequest, attempt: number): void {
+    this.options.clock.after(RETRY_DELAY_STEP_MS * attempt, () => {
       if (this.options.holdsLeadership()) this.call(request, attempt + 1);
       else this.inFlight.delete(request.claim);
     });
--- a/src/scheduler/fleet/rental-backoff.ts
+++ b/src/scheduler/fleet/rental-backoff.ts
@@ -1,38 +1,41 @@
-/** Remembers refused rentals, so that they are not asked for again at once. */
+/** Backs off from rentals that the cloud refused. */
 
 import type { MachineOffer } from '../placement/free-capacity.js';
 
-/** Names the type, zone and kind of machine that a rental is for. */
+/** Returns a key for the machine type, the zone, and spot or on-demand. */
 export function offerKey(offer: MachineOffer): string {
   return `${offer.machineType}|${offer.zone}|${offer.isSpot ? 's' : 'o'}`;
 }
 
-/** Refused rentals per type, zone and kind, with growing pauses. Times are milliseconds of the clock. */
+/**
+ * Exponential backoff per machine type, zone, and spot or on-demand. Times are in ms on this controller's
+ * clock.
+ */
 export class RentalBackoff {
-  private readonly blocked = new Map<string, { until: number; pauseMs: number }>();
+  private readonly blocked = new Map<string, { until: number; backoffMs: number }>();
 
   constructor(
-    private readonly firstPauseMs: number,
-    private readonly maxPauseMs: number,
+    private readonly initialBackoffMs: number,
+    private readonly maxBackoffMs: number,
   ) {}
 
-  isOpen(offer: MachineOffer, now: number): boolean {
+  allowsRequest(offer: MachineOffer, now: number): boolean {
     const block = this.blocked.get(offerKey(offer));
     return !block || block.until <= now;
   }
 
   onRefused(offer: MachineOffer, now: number): void {
     const key = offerKey(offer);
-    const before = this.blocked.get(key)?.pauseMs ?? this.firstPauseMs / 2;
-    const pauseMs = Math.min(this.maxPauseMs, before * 2);
-    this.blocked.set(key, { until: now + pauseMs, pauseMs });
+    const previousBackoffMs = this.blocked.get(key)?.backoffMs ?? this.initialBackoffMs / 2;
+    const backoffMs = Math.min(this.maxBackoffMs, previousBackoffMs * 2);
+    this.blocked.set(key, { until: now + backoffMs, backoffMs });
   }
 
-  onFilled(offer: MachineOffer): void {
+  onFulfilled(offer: MachineOffer): void {
     this.blocked.delete(offerKey(offer));
   }
 
-  /** A machine came free again. */
+  /** A machine of this kind was returned to the cloud: it may be requested again at once. */
   onFreed(offer: MachineOffer): void {
     const block = this.blocked.get(offerKey(offer));
     if (block) block.until = 0;
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -1,4 +1,4 @@
-/** Plans rentals for work without capacity. */
+/** Plans which machines to rent for work without capacity. */
 
 import type { MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
@@ -10,18 +10,23 @@
 import { offerKey } from './rental-backoff.js';
 import { cheapestOffer, type PricingInput, type RentalOffer, startupSeconds } from './rental-pricing.js';
 
-/** Machines that one call to the cloud may ask for. */
+/** Machines that one call to the cloud may request. */
 const MAX_MACHINES_PER_CALL = 50;
-/** Choices of an offer for one request in one plan. */
+/** Offers that one plan may choose for one request. */
 const MAX_OFFERS_PER_REQUEST = 64;
-/** Runs of a task that one place is counted on for, one after another. */
+/** Most tasks that one slot is planned to run, one after another. */
 const MAX_RUNS_PER_SLOT = 8;
-/** Multiple of the estimated run that each of them is counted as: estimates may be too low. */
+/**
+ * Multiple of its estimated run time that each of these tasks is planned to take: estimates may be too low.
+ */
 const CONSECUTIVE_RUN_MARGIN = 1.3;
-/** Bounds how many similar tasks one that needs next to nothing counts for. */
+/**
+ * Lower bound of a request's CPUs when other tasks are counted in multiples of it: a request for almost no
+ * CPUs would make that count very large.
+ */
 const MIN_CPUS_PER_TASK = 0.1;
 
-/** Machines of one kind to rent. */
+/** Machines to rent of one type and zone, either on-demand or spot. */
 export interface Rental {
   machineType: string;
   zone: string;
@@ -29,19 +34,21 @@
   count: number;
 }
 
-/** What a plan is made from. */
+/** Input for a rental plan. */
 export interface RentalPlanInput extends PricingInput {
   /** Requests that found no capacity, highest priority first, with the number of tasks left. */
   unplaced: CapacityDemand[];
-  /** Capacities of machines that are rented and not yet up. */
+  /** Capacities of machines that were requested and are not yet up. */
   expectedCapacities: FreeCapacity[];
-  /** Calls to the cloud that may be made now, each for up to `MAX_MACHINES_PER_CALL` machines of one kind. */
+  /**
+   * Calls to the cloud that may be made now, each for up to `MAX_MACHINES_PER_CALL` machines of one offer.
+   */
   maxCalls: number;
 }
 
-/** Chooses rentals for work without capacity: the cheapest place per task, boot and image fetch included. */
+/** Chooses rentals for work without capacity, at the lowest cost per task including boot and image fetch. */
 export function planRentals(input: RentalPlanInput): Rental[] {
-  return new RentalPlan(input).make();
+  return new RentalPlan(input).compute();
 }
 
 class RentalPlan {
@@ -54,15 +61,18 @@
     this.machineTypes = new Map(input.machineTypes.map((machineType) => [machineType.name, machineType]));
   }
 
-  make(): Rental[] {
-    // A request of its own each: what is planned in a zone counts against what may still go there, or machines would be
-    // rented again and again for replicas that may not use them.
+  compute(): Rental[] {
+    // Tasks planned in a zone count against the zone allowance of a copy of their request. Without this,
+    // machines would be rented again and again for replicas that may not use them.
     const demands = this.input.unplaced.map(({ request, count }) => {
-      const planned: ResourceRequest = {
+      const plannedRequest: ResourceRequest = {
         ...request,
         zoneAllowance: request.zoneAllowance ? { ...request.zoneAllowance } : null,
       };
-      return { request: planned, count: this.assign(this.capacities, { request: planned, count }) };
+      return {
+        request: plannedRequest,
+        count: this.assign(this.capacities, { request: plannedRequest, count }),
+      };
     });
     for (const [index, demand] of demands.entries()) {
       if (this.callCount() >= this.input.maxCalls) break;
@@ -82,36 +92,45 @@
     demands: readonly CapacityDemand[],
     index: number,
   ): void {
-    // What is rented for an earlier request may have capacity for this one.
-    let open = this.assign(this.capacities, { request, count });
+    // Machines planned for an earlier request may have capacity for this one.
+    let remaining = this.assign(this.capacities, { request, count });
     for (let offers = 0; offers < MAX_OFFERS_PER_REQUEST; offers++) {
-      if (open <= 0 || this.callCount() >= this.input.maxCalls) return;
+      if (remaining <= 0 || this.callCount() >= this.input.maxCalls) return;
       const similarTasks = similarTaskCount(request, demands, index);
-      const offer = cheapestOffer(this.input, request, Math.max(open, similarTasks));
+      const offer = cheapestOffer(this.input, request, Math.max(remaining, similarTasks));
       if (!offer) return;
-      const before = open;
-      open = this.assignRented(this.rent(offer, { request, count: open }), { request, count: open });
-      // A gang takes its places once there are enough for all of it.
-      if (request.isGang) open = this.assign(this.capacities, { request, count: open });
-      else if (open === before) return;
+      const remainingBefore = remaining;
+      remaining = this.assignRented(this.rent(offer, { request, count: remaining }), {
+        request,
+        count: remaining,
+      });
+      // A gang is assigned only once there is capacity for all of its tasks.
+      if (request.isGang) remaining = this.assign(this.capacities, { request, count: remaining });
+      else if (remaining === remainingBefore) return;
     }
   }
 
-  /** What it leaves free is there for later requests. */
+  /**
+   * Assigns tasks to newly planned machines; their remaining capacity is available to later requests. Returns
+   * how many tasks are left.
+   */
   private assignRented(rented: FreeCapacity[], demand: CapacityDemand): number {
-    const left = this.assign(rented, demand);
+    const remaining = this.assign(rented, demand);
     for (const capacity of rented) if (capacity.cpus > EPSILON) this.capacities.push(capacity);
-    return left;
+    return remaining;
   }
 
-  /** Adds to the rental of this offer as many machines as the demand fills; returns their capacities. */
+  /**
+   * Adds as many machines to the rental of this offer as the demand fills and the remaining calls allow;
+   * returns their capacities.
+   */
   private rent({ type, zone, isSpot }: RentalOffer, demand: CapacityDemand): FreeCapacity[] {
     const key = offerKey({ machineType: type.name, zone, isSpot });
     const rental = this.rentals.get(key) ?? { machineType: type.name, zone, isSpot, count: 0 };
     const unusedOfLastCall =
       (MAX_MACHINES_PER_CALL - (rental.count % MAX_MACHINES_PER_CALL)) % MAX_MACHINES_PER_CALL;
     const machineCount = Math.min(
-      machinesFor(type, demand),
+      machineCountFor(type, demand),
       MAX_MACHINES_PER_CALL * (this.input.maxCalls - this.callCount()) + unusedOfLastCall,
     );
     rental.count += machineCount;
@@ -119,14 +138,14 @@
     return Array.from({ length: machineCount }, () => emptyMachineCapacity(type, { name: '', zone, isSpot }));
   }
 
-  /** Subtracts tasks from the capacities; returns how many are left without. */
+  /** Assigns tasks to the capacities, and subtracts what they use; returns how many tasks are left. */
   private assign(capacities: FreeCapacity[], demand: CapacityDemand): number {
     const { request, count } = demand;
     const { zoneAllowance } = request;
     if (request.slackSeconds !== null && mayRunConsecutively(request))
       return this.assignConsecutiveRuns(capacities, demand);
     const usedZones: string[] = [];
-    const left = fill(
+    const remaining = fill(
       capacities,
       { request, count },
       {
@@ -137,14 +156,17 @@
     if (zoneAllowance)
       for (const zone of usedZones)
         zoneAllowance[zone] = (zoneAllowance[zone] ?? request.defaultZoneAllowance) - 1;
-    return left;
+    return remaining;
   }
 
-  /** For work with time before its objective: a place takes as many of its tasks as it can run one after another. */
+  /**
+   * Assigns work that has time left until its objective: each slot takes as many tasks as it can run one
+   * after another.
+   */
   private assignConsecutiveRuns(capacities: FreeCapacity[], { request, count }: CapacityDemand): number {
-    let left = count;
+    let remaining = count;
     for (const capacity of capacities) {
-      if (left <= 0) break;
+      if (remaining <= 0) break;
       const machineType = this.machineTypes.get(capacity.machineType);
       if (
         !machineType ||
@@ -155,18 +177,18 @@
         continue;
       if (request.spotOnly && !capacity.isSpot) continue;
       const runs = runsPerSlot(machineType, request);
-      const slots = Math.min(slotsIn(capacity, request), Math.ceil(left / runs));
+      const slots = Math.min(slotsIn(capacity, request), Math.ceil(remaining / runs));
       for (let slot = 0; slot < slots; slot++) subtract(capacity, request);
-      left -= slots * runs;
+      remaining -= slots * runs;
     }
-    return Math.max(0, left);
+    return Math.max(0, remaining);
   }
 }
 
 function splitIntoCalls(rental: Rental): Rental[] {
   const calls: Rental[] = [];
-  for (let left = rental.count; left > 0; left -= MAX_MACHINES_PER_CALL)
-    calls.push({ ...rental, count: Math.min(MAX_MACHINES_PER_CALL, left) });
+  for (let remaining = rental.count; remaining > 0; remaining -= MAX_MACHINES_PER_CALL)
+    calls.push({ ...rental, count: Math.min(MAX_MACHINES_PER_CALL, remaining) });
   return calls;
 }
 
@@ -174,8 +196,11 @@
   return !request.isService && !request.isGang && !request.zoneAllowance && !request.zoneAffinity;
 }
 
-/** As many as the demand fills, in one go; spread and joined jobs choose their zones machine by machine. */
-function machinesFor(machineType: MachineType, { request, count }: CapacityDemand): number {
+/**
+ * The number of machines that the demand fills. It is 1 for gangs and for jobs that must be spread over zones
+ * or stay in one: they choose an offer for each machine.
+ */
+function machineCountFor(machineType: MachineType, { request, count }: CapacityDemand): number {
   if (request.isGang || request.zoneAllowance !== null || request.zoneAffinity) return 1;
   const tasksPerMachine = Math.max(1, slotsIn(machineType, request)) * runsPerSlot(machineType, request);
   return Math.max(1, Math.floor(count / tasksPerMachine));
@@ -197,7 +222,10 @@
   return Math.max(1, Math.min(MAX_RUNS_PER_SLOT, runs));
 }
 
-/** Tasks of the demands from this index on that could share a machine rented for the request. */
+/**
+ * Tasks of the demands from this index on that could share a machine rented for the request, in multiples of
+ * its CPUs.
+ */
 function similarTaskCount(
   request: ResourceRequest,
   demands: readonly CapacityDemand[],
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -1,4 +1,4 @@
-/** Which machine is the cheapest to rent for a request. */
+/** Finds the cheapest machine to rent for a request. */
 
 import { imageFetchSecondsOn, type MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
@@ -8,26 +8,29 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { RentalBackoff } from './rental-backoff.js';
 
-/** What may be rented now, and how it is priced. */
+/** Machine types that may be rented now, and the parameters of their pricing. */
 export interface PricingInput {
   machineTypes: MachineType[];
   rentalBackoff: RentalBackoff;
   now: number;
-  /** Span over which boot and image fetch are paid off. */
+  /** Time over which the cost of boot and image fetch is amortized. */
   amortizationSeconds: number;
-  /** The same for services, which stay longer. */
+  /** Amortization time for services, which run longer. */
   serviceAmortizationSeconds: number;
   scarceZone: string | null;
 }
 
-/** One kind of machine to rent. */
+/** A machine type in one zone, either on-demand or spot. */
 export interface RentalOffer {
   type: MachineType;
   zone: string;
   isSpot: boolean;
 }
 
-/** Pricing by the present policy; without zones that are cut off, where what is rented can't be reached. */
+/**
+ * Pricing under the current policy. Partitioned zones are left out: machines rented there could not be
+ * reached.
+ */
 export function currentPricing(options: SchedulerOptions, state: ClusterState, now: number): PricingInput {
   const { partitionedZones, policy, rentalBackoff, scarceZone } = state;
   const machineTypes = options.machineTypes();
@@ -47,12 +50,15 @@
   };
 }
 
-/** Seconds from the rental of such a machine until a task of the request can run on it. */
+/** Seconds from the rental of a machine of this type until a task of the request can run on it. */
 export function startupSeconds(machineType: MachineType, request: ResourceRequest): number {
   return machineType.bootSeconds + imageFetchSecondsOn(machineType, request.imageGb);
 }
 
-/** The cheapest place per task, for up to `count` tasks, boot and image fetch included; null: there is none now. */
+/**
+ * The available offer with the lowest cost per task for up to `count` tasks, boot and image fetch included;
+ * null if there is none.
+ */
 export function cheapestOffer(
   input: PricingInput,
   request: ResourceRequest,
@@ -64,7 +70,7 @@
     const slots = slotsIn(type, request);
     if (slots < 1) continue;
     const tasksPerMachine = Math.min(slots, count);
-    for (const offer of openOffers(type, input, request)) {
+    for (const offer of availableOffers(type, input, request)) {
       const cost = costPerTask(offer, input, { request, tasksPerMachine });
       if (cost < lowestCost) {
         lowestCost = cost;
@@ -75,36 +81,40 @@
   return cheapest;
 }
 
-/** By zone, in the order in which the type lists them. */
-function openOffers(type: MachineType, input: PricingInput, request: ResourceRequest): RentalOffer[] {
+/** Returns the offers of a type that may be requested now, in the order in which the type lists its zones. */
+function availableOffers(type: MachineType, input: PricingInput, request: ResourceRequest): RentalOffer[] {
   const offers: RentalOffer[] = [];
   for (const zone of type.zones)
-    for (const isSpot of kindsFor(request)) {
+    for (const isSpot of spotChoices(request)) {
       const offer = { type, zone, isSpot };
-      if (isOfferOpen(offer, input, request)) offers.push(offer);
+      if (isOfferAvailable(offer, input, request)) offers.push(offer);
     }
   return offers;
 }
 
-/** Spot instances first: they are taken where ordinary machines cost the same. */
-function kindsFor(request: ResourceRequest): readonly boolean[] {
+/**
+ * Values of `isSpot` to consider. Spot instances come first, so that they win over on-demand machines of
+ * equal cost.
+ */
+function spotChoices(request: ResourceRequest): readonly boolean[] {
   if (request.spotOnly) return SPOT_ONLY;
-  return request.spotAllowed ? SPOT_OR_ORDINARY : ORDINARY_ONLY;
+  return request.spotAllowed ? SPOT_OR_ON_DEMAND : ON_DEMAND_ONLY;
 }
 
 const SPOT_ONLY: readonly boolean[] = [true];
-const SPOT_OR_ORDINARY: readonly boolean[] = [true, false];
-const ORDINARY_ONLY: readonly boolean[] = [false];
+const SPOT_OR_ON_DEMAND: readonly boolean[] = [true, false];
+const ON_DEMAND_ONLY: readonly boolean[] = [false];
 
-function isOfferOpen(
+function isOfferAvailable(
   { type, zone, isSpot }: RentalOffer,
   input: PricingInput,
   request: ResourceRequest,
 ): boolean {
-  // The scarce zone's ordinary machines are for jobs that must be spread, and for those that can run nowhere else.
+  // On-demand machines in the scarce zone are left to jobs that must be spread over zones or must run in that
+  // zone.
   if (zone === input.scarceZone && !isSpot && !request.zoneAllowance && request.zone !== zone) return false;
   const offer = { machineType: type.name, zone, isSpot };
-  return isAllowed(offer, request) && input.rentalBackoff.isOpen(offer, input.now);
+  return isAllowed(offer, request) && input.rentalBackoff.allowsRequest(offer, input.now);
 }
 
 function costPerTask(
@@ -113,6 +123,8 @@
   { request, tasksPerMachine }: { request: ResourceRequest; tasksPerMachine: number },
 ): number {
   const hourlyPrice = isSpot ? type.hourlySpotPrice : type.hourlyPrice;
-  const paidOffSeconds = request.isService ? input.serviceAmortizationSeconds : input.amortizationSeconds;
-  return (hourlyPrice / tasksPerMachine) * (1 + startupSeconds(type, request) / paidOffSeconds);
+  const amortizationSeconds = request.isService
+    ? input.serviceAmortizationSeconds
+    : input.amortizationSeconds;
+  return (hourlyPrice / tasksPerMachine) * (1 + startupSeconds(type, request) / amortizationSeconds);
 }
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -1,4 +1,4 @@
-/** Moves replicas together where that empties a machine. */
+/** Consolidates replicas on fewer machines, so that the others can be returned. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
@@ -11,22 +11,24 @@
 import { requestForReplica } from './replica-request.js';
 import { coldReplicaCount, type ServiceReserve } from './service-reserve.js';
 
-const INTERVAL_MS = 3000;
-/** So long a new leader moves nothing. */
+const SEARCH_INTERVAL_MS = 3000;
+/** How long a new leader waits before it moves replicas. */
 const MIN_LEADERSHIP_MS = 30_000;
-/** So long a replica must have run before it is moved. */
+/** How long a replica must have run before it is moved. */
 const MIN_RUN_MS = 35_000;
-/** Moves of replicas earned at each look, per running replica, and most saved up. */
-const MOVES_PER_REPLICA = 0.004;
+/** Moves earned at each search per running replica, and the most that can be saved up. */
+const MOVE_CREDIT_PER_REPLICA = 0.004;
 const MAX_MOVE_CREDIT = 8;
-/** Machines looked at for emptying at a time. */
+/** Machines considered for draining in one search. */
 const MAX_CANDIDATES = 60;
-/** One machine in so many may be draining before others are chosen. */
+/** No machine is chosen while one in this many, rounded up, is still draining. */
 const MACHINES_PER_DRAINING = 60;
-/** A machine is worth keeping the more, the more images it holds: so many double its worth. */
-const IMAGES_DOUBLING_WORTH = 10;
+/**
+ * Images that halve the gain of draining a machine: the more images it holds, the more it is worth keeping.
+ */
+const IMAGES_HALVING_GAIN = 10;
 
-/** What became of the machines looked at for emptying. */
+/** Results for the machines considered for draining in one search. */
 export interface ConsolidationOutcome {
   candidates: number;
   noCapacity: number;
@@ -38,23 +40,26 @@
 interface Candidate {
   machine: Machine;
   replicas: Allocation[];
-  /** What emptying it saves an hour for each replica moved, less for many images. */
+  /** Hourly price saved per replica moved, reduced for the images that the machine holds. */
   gain: number;
 }
 
-/** What is free while candidates are chosen. */
+/** State of one search: capacity left, and demand that must still fit, after the candidates chosen so far. */
 interface ConsolidationSearch {
   capacities: FreeCapacity[];
   reserve: CapacityDemand[];
   warmDemand: CapacityDemand[];
   coldReplicas: number;
-  /** Machines that replicas will move to. */
+  /** Machines chosen to receive replicas; they are not drained. */
   targets: Set<string>;
 }
 
-/** Only replicas that have run for a while move, to capacity that is free now, with their image there. */
+/**
+ * Moves only replicas that have run for a while, and only to machines that have capacity now and hold their
+ * image.
+ */
 export class ReplicaConsolidation {
-  private nextAt = 0;
+  private nextSearchAt = 0;
   private moveCredit = 0;
   private outcome: ConsolidationOutcome | null = null;
 
@@ -64,21 +69,21 @@
     private readonly reserve: ServiceReserve,
   ) {}
 
-  /** Of the last search; null: there was none. */
+  /** Outcome of the last search; null if there was none. */
   get lastOutcome(): ConsolidationOutcome | null {
     return this.outcome;
   }
 
-  /** Starts to drain machines whose replicas have a place elsewhere. */
+  /** Starts to drain machines whose replicas fit elsewhere. */
   consolidate(now: number): void {
     if (!this.isDue(now)) return;
-    this.nextAt = now + INTERVAL_MS;
+    this.nextSearchAt = now + SEARCH_INTERVAL_MS;
     if (this.hasWaitingServices()) return;
     const { candidates, draining } = this.findCandidates(now);
-    // Each move costs a replica a moment: no more of them than users would notice.
+    // Each move interrupts a replica for a moment: moves are limited to a rate that users do not notice.
     this.moveCredit = Math.min(
       MAX_MOVE_CREDIT,
-      this.moveCredit + this.state.totals.services * MOVES_PER_REPLICA,
+      this.moveCredit + this.state.totals.services * MOVE_CREDIT_PER_REPLICA,
     );
     if (draining >= Math.ceil(this.state.machines.size / MACHINES_PER_DRAINING)) return;
     const search = this.beginSearch(now);
@@ -93,7 +98,7 @@
     for (const candidate of candidates.slice(0, MAX_CANDIDATES)) {
       const { machine, replicas } = candidate;
       if (search.targets.has(machine.name) || replicas.length > this.moveCredit) continue;
-      const result = this.tryMove(candidate, search);
+      const result = this.tryPlaceReplicas(candidate, search);
       outcome[result]++;
       if (result === 'drained') this.drain(candidate, now);
     }
@@ -101,7 +106,7 @@
 
   private isDue(now: number): boolean {
     return (
-      now >= this.nextAt &&
+      now >= this.nextSearchAt &&
       this.options.holdsLeadership() &&
       this.state.allSynced() &&
       now - this.state.startedAt >= MIN_LEADERSHIP_MS
@@ -141,14 +146,13 @@
     const replicas = [...machine.allocations.values()].filter(
       (allocation) => allocation.isService && usesCapacity(allocation),
     );
-    if (!replicas.every((replica) => hasRunForLong(replica, now))) return null;
-    const gain =
-      machineType.hourlyPrice / replicas.length / (1 + machine.images.size / IMAGES_DOUBLING_WORTH);
+    if (!replicas.every((replica) => hasRunLongEnough(replica, now))) return null;
+    const gain = machineType.hourlyPrice / replicas.length / (1 + machine.images.size / IMAGES_HALVING_GAIN);
     return { machine, replicas, gain };
   }
 
   private beginSearch(now: number): ConsolidationSearch {
-    // Lower work is stopped for them if need be: it is cheaper to run elsewhere.
+    // Batch work may be preempted for the replicas: it is cheaper to run elsewhere.
     const capacities = this.state.preemptibleCapacities(now).filter((capacity) => !capacity.isSpot);
     const warmDemand = this.reserve.warmDemand(now);
     return {
@@ -160,8 +164,11 @@
     };
   }
 
-  /** Takes places for all replicas of the machine elsewhere, if there are any that nothing else needs. */
-  private tryMove(
+  /**
+   * Finds capacity elsewhere for all replicas of the machine that neither the reserve nor the warm demand
+   * needs. The search is updated only if the result is `drained`.
+   */
+  private tryPlaceReplicas(
     { machine, replicas }: Candidate,
     search: ConsolidationSearch,
   ): 'noCapacity' | 'neededByReserve' | 'imagesLost' | 'drained' {
@@ -170,11 +177,12 @@
     );
     const targets: string[] = [];
     const onPlaced = (capacity: FreeCapacity) => targets.push(capacity.machineName);
-    if (!replicas.every((replica) => this.moveTo(capacities, { replica, machine }, onPlaced)))
+    if (!replicas.every((replica) => this.placeReplica(capacities, { replica, machine }, onPlaced)))
       return 'noCapacity';
-    const trial = copyCapacities(capacities);
+    const trialCapacities = copyCapacities(capacities);
     const { scarceZone } = this.state;
-    if (search.reserve.some((demand) => fill(trial, demand, { scarceZone }) > 0)) return 'neededByReserve';
+    if (search.reserve.some((demand) => fill(trialCapacities, demand, { scarceZone }) > 0))
+      return 'neededByReserve';
     const coldReplicas = coldReplicaCount(capacities, search.warmDemand);
     if (coldReplicas > search.coldReplicas) return 'imagesLost';
     search.coldReplicas = coldReplicas;
@@ -183,8 +191,10 @@
     return 'drained';
   }
 
-  /** Within its zone, to a machine that holds its image. */
-  private moveTo(
+  /**
+   * Places a replica on another machine of the same zone that holds its image; returns whether one was found.
+   */
+  private placeReplica(
     capacities: FreeCapacity[],
     { replica, machine }: { replica: Allocation; machine: Machine },
     onPlaced: (capacity: FreeCapacity) => void,
@@ -207,14 +217,14 @@
     machine.isDraining = true;
     this.options.log.info(
       { machine: machine.name, machineType: machine.machineType, replicas: replicas.length },
-      'replicas move to empty a machine',
+      'draining machine to consolidate replicas',
     );
     this.state.requestEvictions(replicas, now, `${machine.name} is emptied`);
     this.moveCredit -= replicas.length;
   }
 }
 
-function hasRunForLong(replica: Allocation, now: number): boolean {
+function hasRunLongEnough(replica: Allocation, now: number): boolean {
   return (
     replica.desiredState === 'run' &&
     replica.reportedStatus?.phase === 'running' &&
--- a/src/scheduler/fleet/replica-request.ts
+++ b/src/scheduler/fleet/replica-request.ts
@@ -1,20 +1,20 @@
-/** Running replicas as requests. */
+/** Converts running replicas to resource requests. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 
-/** A running replica as a request of its own, in its zone if that zone is the scarce one. */
+/** Returns a request for a single running replica, restricted to its zone if that zone is the scarce one. */
 export function requestForReplica(
   state: ClusterState,
   allocation: Allocation,
   machine: Machine,
 ): ResourceRequest {
-  const isTied = state.scarceZone === machine.zone;
+  const isPinnedToZone = state.scarceZone === machine.zone;
   return {
     ...state.requestLike(allocation),
-    zone: isTied ? machine.zone : null,
-    zoneAllowance: isTied ? {} : null,
+    zone: isPinnedToZone ? machine.zone : null,
+    zoneAllowance: isPinnedToZone ? {} : null,
   };
 }
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -1,4 +1,4 @@
-/** Capacity kept free for the next replicas of services. */
+/** Determines the capacity to keep available for new replicas of services. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
@@ -7,17 +7,20 @@
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** A service of which nothing was heard for so long needs no machine with its image. */
+/** A service profile that was not recorded again for this long requires no machine with its image. */
 const MAX_PROFILE_AGE_MS = 600_000;
 
-/** The reserve, expressed as requests that nobody has made. */
+/** The service reserve, expressed as demand of hypothetical requests. */
 export class ServiceReserve {
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
   ) {}
 
-  /** What the next replicas should find at once; over all zones if some service must be spread. */
+  /**
+   * Capacity that new replicas should find without waiting, divided over all zones if some service must be
+   * spread.
+   */
   demand(): CapacityDemand[] {
     const profiles = [...this.state.serviceProfiles.values()].sort(
       (one, other) => other.recordedAt - one.recordedAt,
@@ -45,7 +48,10 @@
     }));
   }
 
-  /** Places with their image that the replicas of each service will need next: its part of the reserve. */
+  /**
+   * Slots on machines that already hold a service's image, as its next replicas will need them: its share of
+   * the reserve, by its number of running replicas.
+   */
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
     const demands: CapacityDemand[] = [];
@@ -70,7 +76,9 @@
   }
 }
 
-/** How many replicas of a warm demand find no place with their image: they would wait for a fetch. */
+/**
+ * How many replicas of the warm demand find no slot on a machine with their image and would wait for a fetch.
+ */
 export function coldReplicaCount(
   capacities: readonly FreeCapacity[],
   warmDemand: readonly CapacityDemand[],
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -1,12 +1,12 @@
-/** Moves work from ordinary machines to spot instances. */
+/** Requests spot instances to replace on-demand machines that run batch work. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { CapacityDemand } from '../placement/free-capacity.js';
 
 /**
- * Work on ordinary machines that are there for it alone, as a request that only spot instances serve: when some are to
- * be had, it moves there task by task and the ordinary ones run empty.
+ * Demand for spot instances in place of the on-demand machines that run only batch work. Once spot instances
+ * are available, the work moves to them task by task and the on-demand machines become idle.
  */
 export function spotReplacementDemand(state: ClusterState, now: number): CapacityDemand[] {
   const cpus = replaceableCpus(state, now);
@@ -24,7 +24,9 @@
   return [{ request, count: Math.floor(cpus / largest.cpus) }];
 }
 
-/** CPUs of that work, less what is free on spot instances. */
+/**
+ * CPUs of batch work on the on-demand machines that could be replaced, less what is free on spot instances.
+ */
 function replaceableCpus(state: ClusterState, now: number): number {
   let cpus = 0;
   for (const machine of state.machines.values()) {
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -1,4 +1,4 @@
-/** Which machines that are not heard are kept all the same. */
+/** Decides which unreachable machines are kept for their replicas. */
 
 import { usesCapacity } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -8,12 +8,15 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { requestForReplica } from './replica-request.js';
 
-/** A machine heard within this time is reachable again. */
+/** A machine whose lease may have been renewed within this time is reachable again. */
 const REACHABLE_WITHIN_MS = 3000;
 
-/** Keeps machines whose replicas could run nowhere else, and knows what must be rented for these replicas. */
+/**
+ * Keeps unreachable machines whose replicas could run nowhere else, and determines what to rent for these
+ * replicas.
+ */
 export class UnreachableMachines {
-  /** By machine: replicas that have no capacity elsewhere yet. */
+  /** By machine name: replicas that have no capacity elsewhere yet. */
   private readonly replicasToReplace = new Map<string, CapacityDemand[]>();
 
   constructor(
@@ -22,15 +25,17 @@
   ) {}
 
   /**
-   * An ordinary unreachable machine is left its lease when the replicas on it would find no capacity elsewhere: they may
-   * well be running behind a network partition, and deleting them frees nothing. Capacity for them is rented meanwhile.
+   * Whether to keep an unreachable machine. An on-demand machine is kept for the length of its lease if
+   * replicas on it would find no capacity elsewhere: they may still be running behind a network partition,
+   * and deleting the machine would free no capacity for them. Replacement capacity is rented meanwhile.
    */
-  keeps(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
+  shouldKeep(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
     this.replicasToReplace.delete(machine.name);
     const { leaseSeconds, cancellationSeconds } = this.options.workerTiming;
     const silentMs = now - Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
-    // In a zone that is cut off replicas may be kept alive from inside, and could go nowhere else: until they are dead in
-    // any case, deleting their machine only ends them.
+    // In a partitioned zone a controller inside the zone may keep replicas alive, and they could not be
+    // placed elsewhere. Until `cancellationSeconds` are over and they are dead in any case, deleting their
+    // machine would only end them.
     if (!machine.isSpot && machine.totals.replicas > 0 && this.state.partitionedZones.has(machine.zone))
       return silentMs <= cancellationSeconds * 1000;
     if (machine.isSpot || silentMs > leaseSeconds * 1000) return false;
@@ -42,7 +47,7 @@
     return true;
   }
 
-  /** Replicas to rent for; forgets machines that are gone or heard again. */
+  /** Replicas to rent capacity for. Drops machines that no longer exist or are reachable again. */
   replacementDemand(now: number): CapacityDemand[] {
     for (const name of this.replicasToReplace.keys()) {
       const machine = this.state.machines.get(name);
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -1,4 +1,4 @@
-/** Which work needs no machine, since running tasks will end soon enough. */
+/** Determines which work needs no new machine because running tasks will end soon enough. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
@@ -9,23 +9,33 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { cheapestOffer, currentPricing, type PricingInput, startupSeconds } from './rental-pricing.js';
 
-/** How far ahead places that come free are counted on. */
+/** How far ahead capacity that running tasks will free is taken into account. */
 const MAX_WAIT_SECONDS = 120;
-/** Others come for places that come free: share of a startup time within which one is counted on. */
+/**
+ * Share of a machine's startup time for which work always waits; less than 1, as other work competes for
+ * freed capacity.
+ */
 const STARTUP_TIME_SHARE = 0.7;
-/** A task that has outrun its estimate is likely to go on for this share of it. */
+/**
+ * Least remaining run time, as a share of the estimate: a task that has exceeded its estimate is likely to go
+ * on.
+ */
 const MIN_REMAINING_SHARE = 0.3;
-/** Multiples of the estimated run and of the startup time that must be left when waiting for a place has failed. */
+/**
+ * Multiples of the estimated run time and of the startup time that must be left if waiting for capacity
+ * fails.
+ */
 const RUN_TIME_MARGIN = 1.2;
 const STARTUP_TIME_MARGIN = 1.5;
 
 const LOWEST_PRIORITY = 3;
 
 /**
- * Demand without what will take the places of running tasks. Places come free as estimates say, each is taken by the first
- * request that can wait for it, and comes free again when that one's task has run.
+ * Returns the demand that can't wait for capacity of running tasks. Tasks are assumed to end as estimated.
+ * The capacity that they free is taken by the first request that can wait for it, and becomes free again when
+ * that request's task has run.
  */
-export function withoutWaitable(
+export function withoutWaitableDemand(
   options: SchedulerOptions,
   state: ClusterState,
   { unplaced, now }: { unplaced: readonly CapacityDemand[]; now: number },
@@ -36,7 +46,7 @@
   const remaining: CapacityDemand[] = [];
   for (const demand of unplaced) {
     const count = canWait(demand.request)
-      ? timeline.takeWithin(demand, patienceSeconds(demand, state, pricing))
+      ? timeline.takeWithin(demand, maxRentalWaitSeconds(demand, state, pricing))
       : demand.count;
     if (count > 0) remaining.push({ request: demand.request, count });
   }
@@ -47,7 +57,7 @@
   return !request.isService && !request.isGang && request.cpus > 0 && request.spotAllowed;
 }
 
-/** CPUs that come free in each second from now on, by the priority of the work that frees them. */
+/** CPUs that become free in each second from now on, by the priority of the work that frees them. */
 class FreedCpuTimeline {
   private readonly freedByPriority = Array.from(
     { length: LOWEST_PRIORITY + 1 },
@@ -60,14 +70,18 @@
     if (freed && second <= MAX_WAIT_SECONDS) freed[second] = (freed[second] ?? 0) + cpus;
   }
 
-  /** Takes places that come free within this time; returns how many tasks are left without. */
+  /** Assigns tasks to CPUs that become free within this time; returns how many tasks are left. */
   takeWithin({ request, count }: CapacityDemand, seconds: number): number {
-    const open = { request, count };
-    for (let second = 0; second <= seconds && open.count > 0; second++)
-      // Not what higher work frees: that is taken by its own next.
-      for (let priority = LOWEST_PRIORITY; priority >= request.priority && open.count > 0; priority--)
-        open.count -= this.takeAt(second, priority, open);
-    return open.count;
+    const remainingDemand = { request, count };
+    for (let second = 0; second <= seconds && remainingDemand.count > 0; second++)
+      // CPUs freed by higher-priority work are not taken: other work of that priority takes them next.
+      for (
+        let priority = LOWEST_PRIORITY;
+        priority >= request.priority && remainingDemand.count > 0;
+        priority--
+      )
+        remainingDemand.count -= this.takeAt(second, priority, remainingDemand);
+    return remainingDemand.count;
   }
 
   private takeAt(second: number, priority: number, { request, count }: CapacityDemand): number {
@@ -102,25 +116,29 @@
   return Math.max(remaining, estimatedRunSeconds * MIN_REMAINING_SHARE);
 }
 
-/** So long work may wait for places to come free before machines are rented for it. */
-function patienceSeconds(
+/** How long work may wait for capacity to become free before machines are rented for it. */
+function maxRentalWaitSeconds(
   { request, count }: CapacityDemand,
   state: ClusterState,
   pricing: PricingInput,
 ): number {
   const offer = cheapestOffer(pricing, request, count);
-  const startup = offer ? startupSeconds(offer.type, request) : 0;
+  const offerStartupSeconds = offer ? startupSeconds(offer.type, request) : 0;
   const margin = (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN_SHARE;
-  // An ordinary machine costs several times a spot instance: not before the objective itself is in danger. Either way
-  // there must be time left to rent when waiting fails.
+  // An on-demand machine costs several times as much as a spot instance: it is rented only when the objective
+  // itself is at risk. In both cases there must be time left to rent if waiting fails.
   const spareSeconds =
     offer && !offer.isSpot && request.slackSeconds !== null
       ? request.slackSeconds -
         margin / 2 -
         RUN_TIME_MARGIN * request.estimatedRunSeconds -
-        STARTUP_TIME_MARGIN * startup
-      : (request.maxWaitSeconds ?? 0) - startup;
-  // A place that comes free before a machine rented now would be up is as good as that machine.
-  const patience = Math.max(state.policy.minRentalWaitSeconds, startup * STARTUP_TIME_SHARE, spareSeconds);
-  return Math.min(MAX_WAIT_SECONDS, patience);
+        STARTUP_TIME_MARGIN * offerStartupSeconds
+      : (request.maxWaitSeconds ?? 0) - offerStartupSeconds;
+  // Capacity that becomes free before a machine rented now would be up is as good as that machine.
+  const waitSeconds = Math.max(
+    state.policy.minRentalWaitSeconds,
+    offerStartupSeconds * STARTUP_TIME_SHARE,
+    spareSeconds,
+  );
+  return Math.min(MAX_WAIT_SECONDS, waitSeconds);
 }
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -1,4 +1,7 @@
-/** Returns machines to the cloud, and finalizes what was on them once the cloud has answered. */
+/**
+ * Returns machines to the cloud, and finalizes the attempts on them once the cloud has confirmed the
+ * deletion.
+ */
 
 import { isWithoutStoredPlacement } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -8,11 +11,13 @@
 
 const MAX_DELETIONS_PER_CALL = 100;
 const DELETION_RETRY_MS = 1000;
-/** Names of deleted machines that are remembered, to tell late messages; how many of the oldest are forgotten at once. */
+/**
+ * Names of deleted machines kept to recognize late messages, and how many of the oldest are dropped at once.
+ */
 const MAX_DELETED_NAMES = 20_000;
-const DELETED_NAMES_FORGOTTEN = 5000;
+const DELETED_NAMES_TRIMMED = 5000;
 
-/** Machines on their way back to the cloud. */
+/** Queue of machines to delete at the cloud. */
 export class MachineDeletion {
   private readonly queue = new Set<string>();
   private inFlight = false;
@@ -24,7 +29,7 @@
     private readonly events: AllocationEvents,
   ) {}
 
-  /** The machine gets no more work, and is returned as soon as the cloud takes the call. */
+  /** Stops placing work on the machine and queues it for deletion. */
   delete(machine: Machine, reason: string): void {
     if (machine.isBeingDeleted) return;
     machine.isBeingDeleted = true;
@@ -43,7 +48,7 @@
     );
   }
 
-  /** Asks the cloud to delete what waits for it, one call at a time. */
+  /** Asks the cloud to delete the queued machines, one call at a time. */
   flush(now: number): void {
     if (this.inFlight || this.queue.size === 0 || now < this.retryAt || !this.options.holdsLeadership())
       return;
@@ -63,13 +68,13 @@
     });
   }
 
-  /** The cloud answered the deletion: the machine and all on it are gone. */
+  /** Removes a machine whose deletion the cloud has confirmed: everything that ran on it has ended. */
   private onDeleted(name: string): void {
     const { deletedMachines } = this.state;
     deletedMachines.add(name);
     this.options.images.removeMachine(name);
     if (deletedMachines.size > MAX_DELETED_NAMES)
-      for (const oldName of [...deletedMachines].slice(0, DELETED_NAMES_FORGOTTEN))
+      for (const oldName of [...deletedMachines].slice(0, DELETED_NAMES_TRIMMED))
         deletedMachines.delete(oldName);
     const machine = this.state.machines.get(name);
     if (!machine) return;
--- a/src/scheduler/machines/draining.ts
+++ b/src/scheduler/machines/machine-draining.ts
@@ -1,19 +1,22 @@
-/** Moves tasks off machines that are about to be taken, or that get no more work. */
+/** Moves tasks off machines that the cloud is about to reclaim, and services off quarantined machines. */
 
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 
-/** An eviction that its owner did not act on in this time is asked for again. */
+/** An eviction request that its owner has not acted on within this time is repeated. */
 const EVICTION_RETRY_MS = 5000;
-/** Part of a task's estimate after which it may well be done: it is left the chance to end in time. */
+/**
+ * Share of its estimated run time after which a task may be done: one that could finish before the machine is
+ * reclaimed is not evicted.
+ */
 const OPTIMISTIC_RUN_SHARE = 0.8;
 
-/** Asks owners to stop tasks on machines that leave. */
+/** Asks owners to stop tasks on machines that must be drained. */
 export class MachineDraining {
   constructor(private readonly state: ClusterState) {}
 
-  /** Forgets evictions that were carried out, and those that have to be asked for again. */
+  /** Drops eviction requests that were carried out, and those that must be repeated. */
   expireEvictions(now: number): void {
     for (const allocation of this.state.evictions) {
       if (allocation.desiredState === 'run' && now - allocation.evictionRequestedAt <= EVICTION_RETRY_MS)
@@ -26,27 +29,29 @@
     }
   }
 
-  /** Tasks on a machine about to be taken, or quarantined, move while there is time. */
+  /**
+   * Requests the eviction of tasks that must leave a machine that is about to be reclaimed or is quarantined.
+   */
   drain(now: number): void {
     for (const machine of this.state.machines.values()) {
       if (machine.isBeingDeleted || (machine.evictionDeadline === null && !machine.isQuarantined)) continue;
       const evicted: Allocation[] = [];
       for (const allocation of machine.allocations.values())
-        if (mustLeave(machine, allocation, now)) evicted.push(allocation);
+        if (mustEvict(machine, allocation, now)) evicted.push(allocation);
       this.state.requestEvictions(evicted, now, `${machine.name} leaves`);
     }
   }
 }
 
-function mustLeave(machine: Machine, allocation: Allocation, now: number): boolean {
+function mustEvict(machine: Machine, allocation: Allocation, now: number): boolean {
   if (allocation.desiredState !== 'run' || allocation.evictionRequestedAt) return false;
-  // From a quarantined machine batch work is not moved: it would lose what it has done.
+  // Batch tasks stay on a quarantined machine: they would lose their progress.
   if (machine.evictionDeadline === null) return allocation.isService;
-  const mayEndInTime =
+  const mayFinishInTime =
     !allocation.isService &&
     allocation.estimatedRunSeconds > 0 &&
     allocation.reportedStatus?.phase === 'running' &&
     allocation.estimatedRunSeconds * OPTIMISTIC_RUN_SHARE - (now - allocation.phaseSince) / 1000 <
       (machine.evictionDeadline - now) / 1000;
-  return !mayEndInTime;
+  return !mayFinishInTime;
 }
--- a/src/scheduler/machines/machine-list.ts
+++ b/src/scheduler/machines/machine-list.ts
@@ -1,4 +1,4 @@
-/** The cloud's list of machines: finds those that an earlier leader rented, and those that failed. */
+/** Polls the cloud's list of machines to find those that an earlier leader rented and those that failed. */
 
 import type { ListedMachine } from '../../model/machine-type.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -6,20 +6,23 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 const LIST_RETRY_MS = 2000;
-/** The list lags behind: reading it more often than this shows nothing new. */
+/**
+ * Minimum polling interval, and the interval as a share of the list's lag: reading the list more often shows
+ * nothing new.
+ */
 const MIN_LIST_INTERVAL_MS = 3000;
 const LIST_INTERVAL_SHARE_OF_LAG = 0.5;
-/** Between two probes of a machine that is listed and not heard. */
+/** Minimum time between two probes of a machine that is listed but not up. */
 const PROBE_INTERVAL_MS = 2000;
 
-/** What follows from the list; carried out by other parts. */
+/** Actions that the list may require, carried out by other components. */
 export interface MachineListActions {
   /** Calls the worker directly. */
   probe(machine: Machine): void;
-  remove(machine: Machine, reason: string): void;
+  deleteMachine(machine: Machine, reason: string): void;
 }
 
-/** Reads the list from time to time, page by page. */
+/** Reads the list periodically, page by page. */
 export class MachineList {
   private inFlight = false;
   private nextReadAt = 0;
@@ -30,15 +33,15 @@
     private readonly actions: MachineListActions,
   ) {}
 
-  /** Begins to read the list if it is time. */
+  /** Starts to read the list if it is due. */
   refresh(now: number): void {
     if (this.inFlight || now < this.nextReadAt || !this.options.holdsLeadership()) return;
     this.inFlight = true;
     this.readPage('', []);
   }
 
-  private readPage(since: string, machines: ListedMachine[]): void {
-    this.options.cloud.listMachines(since, (result) => {
+  private readPage(afterName: string, machines: ListedMachine[]): void {
+    this.options.cloud.listMachines(afterName, (result) => {
       if (!result.ok) {
         this.inFlight = false;
         this.nextReadAt = this.options.clock.now() + LIST_RETRY_MS;
@@ -61,7 +64,8 @@
 
   private apply(listed: readonly ListedMachine[]): void {
     const now = this.options.clock.now();
-    for (const each of listed) if (!this.state.deletedMachines.has(each.name)) this.applyMachine(each, now);
+    for (const listedMachine of listed)
+      if (!this.state.deletedMachines.has(listedMachine.name)) this.applyMachine(listedMachine, now);
     this.state.hasMachineList = true;
   }
 
@@ -74,8 +78,9 @@
       machine.address = listed.address;
     }
     machine.isListedAsRunning = listed.phase === 'running';
-    if (listed.phase === 'failed') this.actions.remove(machine, 'failed');
-    // Our fencing token ends whatever an earlier leader has on its way, and makes the worker report.
+    if (listed.phase === 'failed') this.actions.deleteMachine(machine, 'failed');
+    // A probe carries the current fencing token, which voids commands of earlier leaders that are still in
+    // flight, and makes the worker report its status.
     if (
       !machine.isUp &&
       machine.isListedAsRunning &&
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -119,7 +119,8 @@
     for (const type of this.state.machineTypes.values()) {
       const zone = request.zone ?? '';
       if (slotsIn(type, request) < 1 || !type.zones.includes(zone)) continue;
-      if (this.state.rentalBackoff.isOpen({ machineType: type.name, zone, isSpot: false }, now)) return true;
+      if (this.state.rentalBackoff.allowsRequest({ machineType: type.name, zone, isSpot: false }, now))
+        return true;
     }
     return false;
   }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -9,8 +9,8 @@
 import { ClusterState } from './cluster-state.js';
 import { FailureDetector } from './failure-detector.js';
 import { FleetManager } from './fleet/fleet-manager.js';
-import { MachineDraining } from './machines/draining.js';
 import { MachineDeletion } from './machines/machine-deletion.js';
+import { MachineDraining } from './machines/machine-draining.js';
 import { MachineList } from './machines/machine-list.js';
 import { AllocationEvents } from './owners/allocation-events.js';
 import { PlacementIntake } from './owners/placement-intake.js';
@@ -69,7 +69,7 @@
     this.fleet = fleet;
     this.machineList = new MachineList(options, state, {
       probe: (machine) => directCommands.probe(machine),
-      remove: (machine, reason) => deletion.delete(machine, reason),
+      deleteMachine: (machine, reason) => deletion.delete(machine, reason),
     });
     this.failureDetector = new FailureDetector(options, state, {
       probe: (machine) => directCommands.probe(machine),
--- a/src/scheduler/workers/answer-arrival.ts
+++ b/src/scheduler/workers/answer-loss-detector.ts
@@ -1,26 +1,32 @@
-/** Finds machines that are heard but do not hear: their heartbeats arrive, the answers do not. */
+/** Detects machines whose heartbeats arrive but that do not receive the answers. */
 
 import type { Heartbeat } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** A worker that begins a new epoch so early in its lease was not given the renewals it was sent. */
-const EARLY_RESTART_SHARE_OF_LEASE = 0.5;
-/** One sign may have other causes; from here on the machine counts as unreachable. */
+/**
+ * A worker whose lease expires within this share of its length after an answered heartbeat did not receive
+ * the renewals that were sent.
+ */
+const EARLY_RESTART_LEASE_SHARE = 0.5;
+/**
+ * Missed answers in a row from which the machine counts as unreachable; a single one may have other causes.
+ */
 const MISSED_ANSWERS_TO_LOG = 2;
 
 /**
- * A machine whose heartbeats arrive while nothing sent to it does looks alive. It shows by what it does not do: its
- * next heartbeat is without the token or the starts of the last answer, or its lease ran out although it was answered.
+ * Detects machines with one-way connectivity. A machine whose heartbeats arrive looks alive even if nothing
+ * that is sent to it arrives. An answer counts as missed if a later heartbeat lacks its fencing token or its
+ * starts, or if the lease expired although the answer renewed it.
  */
-export class AnswerArrival {
+export class AnswerLossDetector {
   constructor(private readonly options: Pick<SchedulerOptions, 'workerTiming' | 'log' | 'fencingToken'>) {}
 
-  /** `heartbeat` follows one that was answered with a renewal of the lease. */
+  /** Checks a heartbeat that follows one that was answered with a lease renewal. */
   check(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.heartbeatSequence < 0) return;
-    const evidence = this.evidence(machine, heartbeat, now);
+    const evidence = this.deliveryEvidence(machine, heartbeat, now);
     const { missedAnswers } = machine;
     if (evidence === 'missed') {
       if (missedAnswers.count++ === 0) missedAnswers.since = now;
@@ -37,18 +43,24 @@
       missedAnswers.count = 0;
   }
 
-  private evidence(machine: Machine, heartbeat: Heartbeat, now: number): 'missed' | 'arrived' | 'none' {
+  private deliveryEvidence(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: number,
+  ): 'missed' | 'arrived' | 'none' {
     if (heartbeat.agentEpoch > machine.agentEpoch) {
       const leaseMs = this.options.workerTiming.leaseSeconds * 1000;
-      return now - machine.lastHeartbeatAt < leaseMs * EARLY_RESTART_SHARE_OF_LEASE ? 'missed' : 'none';
+      return now - machine.lastHeartbeatAt < leaseMs * EARLY_RESTART_LEASE_SHARE ? 'missed' : 'none';
     }
     if (heartbeat.fencingToken < this.options.fencingToken) return 'missed';
-    return evidenceOfStarts(machine, heartbeat);
+    return startDeliveryEvidence(machine, heartbeat);
   }
 }
 
-/** Whether the worker lists the starts that the answers to its earlier heartbeats carried. */
-function evidenceOfStarts(machine: Machine, heartbeat: Heartbeat): 'missed' | 'arrived' | 'none' {
+/**
+ * Checks whether the worker lists the attempts whose starts were sent in answers to its earlier heartbeats.
+ */
+function startDeliveryEvidence(machine: Machine, heartbeat: Heartbeat): 'missed' | 'arrived' | 'none' {
   let evidence: 'arrived' | 'none' = 'none';
   for (const allocation of machine.allocations.values()) {
     if (
@@ -57,13 +69,13 @@
       heartbeat.sequence <= allocation.startHeartbeatSequence
     )
       continue;
-    if (!lists(heartbeat, allocation)) return 'missed';
+    if (!listsAttempt(heartbeat, allocation)) return 'missed';
     evidence = 'arrived';
   }
   return evidence;
 }
 
-function lists(heartbeat: Heartbeat, allocation: Allocation): boolean {
+function listsAttempt(heartbeat: Heartbeat, allocation: Allocation): boolean {
   return heartbeat.tasks.some(
     (status) =>
       status.jobId === allocation.jobId &&
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -1,4 +1,4 @@
-/** Commands sent straight to workers, between their heartbeats. */
+/** Sends commands to workers directly, between their heartbeats. */
 
 import { taskKey } from '../../model/job.js';
 import type { Result } from '../../model/result.js';
@@ -10,18 +10,21 @@
 import type { Reconciler } from './reconciler.js';
 import type { WorkerCommands } from './worker-commands.js';
 
-/** So long a stop waits for a start that may still arrive before a higher token is taken to bar it. */
+/**
+ * How long a stop waits for a start of the same attempt that may still arrive. After that the fencing token
+ * is raised, which voids the start.
+ */
 const MAX_INDETERMINATE_MS = 10_000;
 
-/** One call to a worker, with what was known of it then. */
+/** One call to a worker, with the worker's epoch and sequence as known when the call was made. */
 interface DirectCall {
   readonly machine: Machine;
   readonly agentEpoch: number;
   readonly sequence: number;
-  readonly startedKeys: readonly string[];
+  readonly startKeys: readonly string[];
 }
 
-/** Calls workers, one call a machine at a time. */
+/** Calls workers, with at most one call in flight per machine. */
 export class DirectCommands {
   constructor(
     private readonly options: SchedulerOptions,
@@ -33,24 +36,27 @@
     },
   ) {}
 
-  /** Sends each machine that was noted since the last call what there is for it. */
+  /** Sends pending commands to each machine in `machinesToContact`, and clears the set. */
   flush(): void {
     for (const machine of this.state.machinesToContact) this.send(machine);
     this.state.machinesToContact.clear();
   }
 
-  /** Sends what there is, unless the last call failed: then the next heartbeat's answer or a probe carries it. */
+  /**
+   * Sends pending commands, unless the last call failed: then the answer to the next heartbeat or a probe
+   * carries them.
+   */
   private send(machine: Machine): void {
     if (!canCall(machine) || machine.directCommands.failures > 0) return;
     let commands = machine.isUp ? this.parts.commands.commandsFor(machine, null) : [];
-    // A stop is right whoever leads now: what was started under a later token drops it.
+    // A stop is safe without leadership: a worker that has seen a later fencing token drops it.
     if (!this.options.holdsLeadership()) commands = commands.filter((command) => command.type === 'stop');
-    // Ended tasks take no capacity: their removal rides with the next answer or command.
+    // Exited tasks use no capacity: their removal can wait for the next answer or command.
     if (commands.every((command) => command.type === 'forget')) return;
     this.call(machine, commands);
   }
 
-  /** Calls the worker whether or not there is anything to send: its answer tells whether it can be reached. */
+  /** Calls the worker even if no commands are pending: the call shows whether the worker can be reached. */
   probe(machine: Machine): void {
     if (!canCall(machine) || !this.options.holdsLeadership()) return;
     this.call(machine, machine.isUp ? this.parts.commands.commandsFor(machine, null) : []);
@@ -60,10 +66,10 @@
     const { agentEpoch, sequence } = machine;
     machine.directCommands.inFlight = true;
     machine.directCommands.lastSentAt = this.options.clock.now();
-    const startedKeys = commands
+    const startKeys = commands
       .filter((command) => command.type === 'start')
       .map((start) => taskKey(start.jobId, start.taskIndex, start.attempt));
-    const call: DirectCall = { machine, agentEpoch, sequence, startedKeys };
+    const call: DirectCall = { machine, agentEpoch, sequence, startKeys };
     this.options.workers.sendCommands(
       machine.address,
       { fencingToken: this.state.fencingToken, agentEpoch, commands },
@@ -74,7 +80,7 @@
   private onResult(call: DirectCall, result: Result<Heartbeat>): void {
     const { machine } = call;
     machine.directCommands.inFlight = false;
-    this.noteStarts(call, !result.ok && result.kind === 'indeterminate');
+    this.recordStartOutcomes(call, !result.ok && result.kind === 'indeterminate');
     if (this.state.deletedMachines.has(machine.name)) return;
     const heartbeat = result.ok ? result.value : result.heartbeat;
     if (heartbeat && heartbeat.fencingToken > this.state.fencingToken) {
@@ -84,9 +90,9 @@
     if (heartbeat) this.onAnswer(call, heartbeat);
     else {
       machine.directCommands.failures++;
-      if (call.startedKeys.length > 0 && !result.ok)
+      if (call.startKeys.length > 0 && !result.ok)
         this.options.log.debug(
-          { machine: machine.name, failure: result.kind, starts: call.startedKeys.length },
+          { machine: machine.name, failure: result.kind, starts: call.startKeys.length },
           'direct command failed',
         );
     }
@@ -95,13 +101,19 @@
     this.options.wake();
   }
 
-  /** `mayArrive`: the call brought no answer, and the starts in it may or may not have been carried out. */
-  private noteStarts({ machine, agentEpoch, startedKeys }: DirectCall, mayArrive: boolean): void {
+  /**
+   * Clears the in-flight flags of a call's starts. `isIndeterminate`: the call brought no answer, so its
+   * starts may have been executed or may still arrive, and are recorded as indeterminate.
+   */
+  private recordStartOutcomes(
+    { machine, agentEpoch, startKeys }: DirectCall,
+    isIndeterminate: boolean,
+  ): void {
     const { directCommands } = machine;
-    for (const key of startedKeys) {
+    for (const key of startKeys) {
       const allocation = machine.allocations.get(key);
       if (allocation) allocation.isDirectStartInFlight = false;
-      if (!mayArrive || machine.agentEpoch !== agentEpoch) continue;
+      if (!isIndeterminate || machine.agentEpoch !== agentEpoch) continue;
       if (directCommands.indeterminateStarts.size === 0)
         directCommands.indeterminateSince = this.options.clock.now();
       directCommands.indeterminateStarts.set(key, this.state.fencingToken);
@@ -113,17 +125,21 @@
     machine.missedAnswers.count = 0;
     machine.lastHeardAt = this.options.clock.now();
     if (heartbeat.machine !== machine.name) return;
-    // An answer is newer than all that was heard before its question, or its worker began anew and knows nothing of
-    // what was placed there: its heartbeats would pass for late copies until its count has caught up.
+    // The answer to a call is newer than every status received before the call, unless the worker has lost
+    // its state. Such a worker knows nothing of the tasks placed on it, and its heartbeats would be dropped
+    // as stale until its sequence has caught up.
     if (
       heartbeat.agentEpoch < agentEpoch ||
       (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence <= sequence)
     )
-      this.parts.deletion.delete(machine, 'its worker began anew');
+      this.parts.deletion.delete(machine, 'worker lost its state');
     else if (isNewer(machine, heartbeat)) this.parts.reconciler.reconcileDirectAnswer(machine, heartbeat);
   }
 
-  /** Stops that can't be taken for done since a start may still arrive: a higher fencing token would bar it. */
+  /**
+   * Raises the fencing token if a stop can't be confirmed because a start of the same attempt may still
+   * arrive: the higher token voids the start.
+   */
   checkIndeterminateStarts(now: number): void {
     for (const machine of this.state.machines.values()) {
       const { indeterminateStarts, indeterminateSince } = machine.directCommands;
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -1,12 +1,13 @@
-/** When an attempt that its machine does not list is known to have ended for good. */
+/** Finalizes attempts that their worker does not list, once they can never run again. */
 
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 
 /**
- * Finalized by absence: the worker has shown the current fencing token, so starts under older ones are void; it does
- * not list the attempt; and no start of it under this token is on its way or indeterminate.
+ * Finalizes a stopped attempt that its worker does not list. The worker must have reported the current
+ * fencing token, so that starts under older tokens are void, and no start of the attempt under the current
+ * token may be in flight or indeterminate.
  */
 export function finalizeIfMissing(state: ClusterState, machine: Machine, allocation: Allocation): void {
   if (
@@ -30,8 +31,9 @@
 }
 
 /**
- * Finalized by having ended: the worker listed it as ended, and was told to remove it when nobody claimed it. Its owner
- * may claim it only now; a start would run it once more, beside its successor.
+ * Finalizes an attempt that its worker listed as exited and no longer lists: the worker was told to forget it
+ * while no owner claimed it. If its owner claims the attempt only now, a start would run it a second time,
+ * next to its successor.
  */
 export function finalizeIfForgotten(state: ClusterState, machine: Machine, allocation: Allocation): void {
   if (
--- a/src/scheduler/workers/heartbeat-intake.ts
+++ b/src/scheduler/workers/heartbeat-intake.ts
@@ -1,29 +1,35 @@
-/** Takes in workers' heartbeats: bars late copies and older leaders, and answers with commands. */
+/** Processes workers' heartbeats: drops stale ones, yields to a newer leader, and answers with commands. */
 
 import type { Heartbeat, WorkerCommand } from '../../model/worker-messages.js';
 import type { ClusterState } from '../cluster-state.js';
 import { isNewer, type Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import { AnswerArrival } from './answer-arrival.js';
+import { AnswerLossDetector } from './answer-loss-detector.js';
 import type { Reconciler } from './reconciler.js';
 import type { WorkerCommands } from './worker-commands.js';
 
-/** The commands that renew a lease; `later`: no answer that would renew it; null: another leader acts. */
+/**
+ * Commands to send with a lease renewal; `later`: the lease must not be renewed now; null: another controller
+ * leads.
+ */
 export type HeartbeatAnswer = WorkerCommand[] | 'later' | null;
 
-/** Handles heartbeats, one at a time. */
+/** Handles the heartbeats of all workers, one at a time. */
 export class HeartbeatIntake {
-  private readonly answerArrival: AnswerArrival;
+  private readonly answerLossDetector: AnswerLossDetector;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
     private readonly parts: { readonly reconciler: Reconciler; readonly commands: WorkerCommands },
   ) {
-    this.answerArrival = new AnswerArrival(options);
+    this.answerLossDetector = new AnswerLossDetector(options);
   }
 
-  /** Null: answer that this controller does not lead; `later`: nothing that would renew the worker's lease. */
+  /**
+   * Returns null if this controller no longer leads, and `later` if the worker's lease must not be renewed
+   * now.
+   */
   handle(heartbeat: Heartbeat): HeartbeatAnswer {
     if (heartbeat.fencingToken > this.state.fencingToken) {
       this.options.onHigherToken(heartbeat.fencingToken);
@@ -31,30 +37,31 @@
     }
     if (this.state.deletedMachines.has(heartbeat.machine)) return [];
     const machine = this.state.getOrCreateMachine(heartbeat.machine);
-    // A late copy proves no life. Of an old heartbeat only this stays true for ever: the epoch it names had begun, and
-    // a task it lists as ended had ended; neither is taken from it where something newer was heard.
-    if (isLateCopy(machine, heartbeat)) return [];
+    // A stale heartbeat is no sign of life. Its only lasting facts are that its epoch has begun and that the
+    // tasks it lists as exited have exited; neither is used once a newer heartbeat was received.
+    if (isStale(machine, heartbeat)) return [];
     const now = this.options.clock.now();
-    if (machine.wasLeaseRenewed) this.answerArrival.check(machine, heartbeat, now);
-    this.noteHeard(machine, now);
-    this.takeIn(machine, heartbeat);
+    if (machine.wasLeaseRenewed) this.answerLossDetector.check(machine, heartbeat, now);
+    this.recordArrival(machine, now);
+    this.applyHeartbeat(machine, heartbeat);
     this.options.wake();
     machine.wasLeaseRenewed = this.state.leaseRenewal.canRenew(machine, now);
     return machine.wasLeaseRenewed ? this.parts.commands.commandsFor(machine, heartbeat.sequence) : 'later';
   }
 
-  private noteHeard(machine: Machine, now: number): void {
+  private recordArrival(machine: Machine, now: number): void {
     machine.lastHeardAt = now;
     machine.lastHeartbeatAt = now;
     if (machine.missedAnswers.count === 0) machine.directCommands.failures = 0;
   }
 
-  private takeIn(machine: Machine, heartbeat: Heartbeat): void {
-    const isFirst = machine.heartbeatSequence < 0;
+  private applyHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
+    const isFirstHeartbeat = machine.heartbeatSequence < 0;
     machine.heartbeatSequence = heartbeat.sequence;
     if (isNewer(machine, heartbeat)) this.parts.reconciler.reconcileHeartbeat(machine, heartbeat);
-    else if (isFirst || heartbeat.agentEpoch === machine.agentEpoch) {
-      // Overtaken by the answer to a direct command: its list is old, but it is still waiting for an answer.
+    else if (isFirstHeartbeat || heartbeat.agentEpoch === machine.agentEpoch) {
+      // The answer to a direct command overtook this heartbeat. Its task list is outdated, but the worker now
+      // waits for the answer to this heartbeat: answers to earlier ones were handled or dropped.
       for (const allocation of machine.allocations.values())
         if (allocation.startHeartbeatSequence >= 0 && heartbeat.sequence > allocation.startHeartbeatSequence)
           allocation.startHeartbeatSequence = -1;
@@ -62,7 +69,7 @@
   }
 }
 
-function isLateCopy(machine: Machine, heartbeat: Heartbeat): boolean {
+function isStale(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
     heartbeat.agentEpoch < machine.agentEpoch ||
     (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.heartbeatSequence)
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -1,4 +1,4 @@
-/** Squares what a machine lists with the allocations on it. */
+/** Reconciles the allocations on a machine with the tasks that its worker lists. */
 
 import { taskKey } from '../../model/job.js';
 import type { Heartbeat, TaskStatus } from '../../model/worker-messages.js';
@@ -8,32 +8,37 @@
 import type { AllocationEvents } from '../owners/allocation-events.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { finalizeIfForgotten, finalizeIfMissing } from './finalization.js';
-import { TaskProgress } from './task-progress.js';
+import { TaskPhaseTracker } from './task-phase-tracker.js';
 
-/** Brings machine, allocations and unknown tasks up to what a worker has said. */
+/** Updates a machine, its allocations and its unknown tasks from a status reported by its worker. */
 export class Reconciler {
-  private readonly taskProgress: TaskProgress;
+  private readonly taskPhaseTracker: TaskPhaseTracker;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
     private readonly events: AllocationEvents,
   ) {
-    this.taskProgress = new TaskProgress(options, state);
+    this.taskPhaseTracker = new TaskPhaseTracker(options, state);
   }
 
-  /** The worker waits for the answer to this heartbeat. */
+  /** Applies a heartbeat. Its worker waits for the answer to it, and for none to an earlier heartbeat. */
   reconcileHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     this.reconcile(machine, heartbeat, heartbeat.sequence);
   }
 
-  /** The status came as the answer to a direct command: answers to earlier heartbeats may still be on their way. */
+  /**
+   * Applies the status in the answer to a direct command: answers to earlier heartbeats may still be in
+   * flight.
+   */
   reconcileDirectAnswer(machine: Machine, status: Heartbeat): void {
     this.reconcile(machine, status, -1);
   }
 
-  /** What the answers to heartbeats before `answeredBefore` carried was executed or dropped; -1: nothing is known of it. */
-  private reconcile(machine: Machine, heartbeat: Heartbeat, answeredBefore: number): void {
+  /**
+   * Commands in the answers to heartbeats before `heartbeatSequence` were executed or dropped; -1: not known.
+   */
+  private reconcile(machine: Machine, heartbeat: Heartbeat, heartbeatSequence: number): void {
     this.updateMachine(machine, heartbeat);
     this.state.markChanged(machine);
     machine.tasks.clear();
@@ -41,7 +46,7 @@
     for (const status of heartbeat.tasks)
       machine.tasks.set(taskKey(status.jobId, status.taskIndex, status.attempt), status);
     for (const allocation of [...machine.allocations.values()])
-      this.reconcileAllocation(machine, allocation, answeredBefore);
+      this.reconcileAllocation(machine, allocation, heartbeatSequence);
     this.updateUnknownTasks(machine);
   }
 
@@ -83,7 +88,7 @@
     );
   }
 
-  private reconcileAllocation(machine: Machine, allocation: Allocation, answeredBefore: number): void {
+  private reconcileAllocation(machine: Machine, allocation: Allocation, heartbeatSequence: number): void {
     if (allocation.desiredState === 'hold') {
       if (allocation.agentEpoch !== machine.agentEpoch) this.state.removeAllocation(machine, allocation);
       return;
@@ -92,31 +97,35 @@
     if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !status))
       this.state.machinesToContact.add(machine);
     if (status) {
-      noteAnswered(allocation, answeredBefore);
-      this.takeStatus(machine, allocation, status);
-    } else if (!this.reconcileUnlisted(machine, allocation, answeredBefore)) return;
+      clearAnsweredStart(allocation, heartbeatSequence);
+      this.applyStatus(machine, allocation, status);
+    } else if (!this.reconcileUnlistedAllocation(machine, allocation, heartbeatSequence)) return;
     this.events.emitStatus(machine, allocation);
   }
 
-  private takeStatus(machine: Machine, allocation: Allocation, status: TaskStatus): void {
+  private applyStatus(machine: Machine, allocation: Allocation, status: TaskStatus): void {
     if (status.phase !== allocation.reportedStatus?.phase)
-      this.taskProgress.onPhaseChange(machine, allocation, status);
+      this.taskPhaseTracker.onPhaseChange(machine, allocation, status);
     allocation.reportedStatus = status;
     allocation.hasExited = status.phase === 'exited';
     allocation.isFinalized = false;
   }
 
-  /** Returns whether the allocation is still there. */
-  private reconcileUnlisted(machine: Machine, allocation: Allocation, answeredBefore: number): boolean {
-    const isOfEarlierEpoch = machine.agentEpoch > allocation.agentEpoch;
-    if (!isOfEarlierEpoch) noteAnswered(allocation, answeredBefore);
-    const isStartOnItsWay = allocation.isDirectStartInFlight || allocation.startHeartbeatSequence >= 0;
-    if (allocation.desiredState === 'forget' && (isOfEarlierEpoch || !isStartOnItsWay)) {
+  /** Reconciles an allocation that the worker does not list; returns false if the allocation was removed. */
+  private reconcileUnlistedAllocation(
+    machine: Machine,
+    allocation: Allocation,
+    heartbeatSequence: number,
+  ): boolean {
+    const isFromEarlierEpoch = machine.agentEpoch > allocation.agentEpoch;
+    if (!isFromEarlierEpoch) clearAnsweredStart(allocation, heartbeatSequence);
+    const isStartInFlight = allocation.isDirectStartInFlight || allocation.startHeartbeatSequence >= 0;
+    if (allocation.desiredState === 'forget' && (isFromEarlierEpoch || !isStartInFlight)) {
       this.state.removeAllocation(machine, allocation);
       return false;
     }
     allocation.reportedStatus = null;
-    if (isOfEarlierEpoch) allocation.isFinalized = true;
+    if (isFromEarlierEpoch) allocation.isFinalized = true;
     else {
       finalizeIfForgotten(this.state, machine, allocation);
       finalizeIfMissing(this.state, machine, allocation);
@@ -136,7 +145,7 @@
   }
 }
 
-/** The answer that carried its start, if any, has been handled or was dropped. */
-function noteAnswered(allocation: Allocation, answeredBefore: number): void {
-  if (answeredBefore > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
+/** Forgets that an answer carried the allocation's start, once that answer was handled or dropped. */
+function clearAnsweredStart(allocation: Allocation, heartbeatSequence: number): void {
+  if (heartbeatSequence > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
 }
--- a/src/scheduler/workers/speed-measurement.ts
+++ b/src/scheduler/workers/slow-machine-detector.ts
@@ -1,38 +1,40 @@
-/** How fast machines run their tasks, and which are so slow that they get no more work. */
+/** Measures how fast machines run their tasks, and quarantines those that are far too slow. */
 
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** Weight of the newest run in a machine's moving mean. */
+/** Weights of the newest run and of all earlier runs in a machine's moving mean. */
 const NEWEST_RUN_WEIGHT = 0.3;
 const EARLIER_RUNS_WEIGHT = 0.7;
-/** Runs after which a machine's mean counts towards the median, and after which the machine itself is judged. */
+/**
+ * Runs from which a machine's mean counts towards the median, and from which the machine can be quarantined.
+ */
 const MIN_RUNS_FOR_MEDIAN = 3;
-const MIN_RUNS_TO_JUDGE = 4;
-/** The median of no more machines than this says nothing. */
+const MIN_RUNS_TO_QUARANTINE = 4;
+/** The median of this many machines or fewer is not meaningful. */
 const MAX_MACHINES_WITHOUT_MEDIAN = 3;
-/** Multiple of the median at which a machine is quarantined. */
+/** A machine is quarantined when its mean slowdown exceeds this multiple of the median. */
 const QUARANTINE_SLOWDOWN_RATIO = 2.5;
-/** The median looks at the whole fleet: it is kept for a while. */
+/** Computing the median scans the whole fleet, so the result is cached for this long. */
 const MEDIAN_MAX_AGE_MS = 3000;
 
-/** Compares the machines' mean slowdowns. */
-export class SpeedComparison {
-  private median = { at: Number.NEGATIVE_INFINITY, value: 0 };
+/** Compares each machine's mean slowdown with the median of the fleet. */
+export class SlowMachineDetector {
+  private median = { computedAt: Number.NEGATIVE_INFINITY, value: 0 };
 
   constructor(
     private readonly options: Pick<SchedulerOptions, 'clock' | 'log'>,
     private readonly state: ClusterState,
   ) {}
 
-  /** `slowdown`: a task's run time divided by its estimate. */
+  /** Records a completed run. `slowdown`: the run time of the task divided by its estimate. */
   record(machine: Machine, slowdown: number): void {
     const { speed } = machine;
     speed.runs++;
     speed.meanSlowdown =
       speed.runs === 1 ? slowdown : speed.meanSlowdown * EARLIER_RUNS_WEIGHT + slowdown * NEWEST_RUN_WEIGHT;
-    if (speed.runs < MIN_RUNS_TO_JUDGE || machine.isQuarantined) return;
+    if (speed.runs < MIN_RUNS_TO_QUARANTINE || machine.isQuarantined) return;
     const median = this.medianSlowdown();
     if (median <= 0 || speed.meanSlowdown <= median * QUARANTINE_SLOWDOWN_RATIO) return;
     machine.isQuarantined = true;
@@ -42,16 +44,19 @@
     );
   }
 
-  /** 0 as long as too few machines were measured. */
+  /** The median of the machines' mean slowdowns; 0 while too few machines are measured. */
   private medianSlowdown(): number {
     const now = this.options.clock.now();
-    if (now - this.median.at > MEDIAN_MAX_AGE_MS) {
+    if (now - this.median.computedAt > MEDIAN_MAX_AGE_MS) {
       const slowdowns = [...this.state.machines.values()]
         .filter((machine) => machine.speed.runs >= MIN_RUNS_FOR_MEDIAN)
         .map((machine) => machine.speed.meanSlowdown);
       slowdowns.sort((a, b) => a - b);
-      const isKnown = slowdowns.length > MAX_MACHINES_WITHOUT_MEDIAN;
-      this.median = { at: now, value: isKnown ? (slowdowns[slowdowns.length >> 1] ?? 0) : 0 };
+      const hasEnoughMachines = slowdowns.length > MAX_MACHINES_WITHOUT_MEDIAN;
+      this.median = {
+        computedAt: now,
+        value: hasEnoughMachines ? (slowdowns[slowdowns.length >> 1] ?? 0) : 0,
+      };
     }
     return this.median.value;
   }
--- a/src/scheduler/workers/task-progress.ts
+++ b/src/scheduler/workers/task-phase-tracker.ts
@@ -1,30 +1,33 @@
-/** What the leader learns from a task's change of phase: images on machines, failing machines, run times. */
+/** Updates machines when their tasks change phase: cached images, failed jobs and measured run times. */
 
 import type { TaskStatus } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import { SpeedComparison } from './speed-measurement.js';
+import { SlowMachineDetector } from './slow-machine-detector.js';
 
-/** So many different jobs must fail on a machine before the machine, and not the jobs, is taken to be at fault. */
+/**
+ * Different jobs that must fail on a machine before the fault is attributed to the machine rather than to the
+ * jobs.
+ */
 const FAILED_JOBS_TO_QUARANTINE = 2;
 
-/** Follows tasks from phase to phase. */
-export class TaskProgress {
-  private readonly speeds: SpeedComparison;
+/** Tracks phase changes of tasks. */
+export class TaskPhaseTracker {
+  private readonly slowMachineDetector: SlowMachineDetector;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
   ) {
-    this.speeds = new SpeedComparison(options, state);
+    this.slowMachineDetector = new SlowMachineDetector(options, state);
   }
 
-  /** The status has another phase than the one last reported of this allocation. */
+  /** Handles a status whose phase differs from the phase last reported for this allocation. */
   onPhaseChange(machine: Machine, allocation: Allocation, status: TaskStatus): void {
     const { phase } = status;
-    if (phase === 'running' || phase === 'waiting') this.noteImage(machine, allocation);
+    if (phase === 'running' || phase === 'waiting') this.recordImage(machine, allocation);
     if (phase === 'running') allocation.phaseSince = this.options.clock.now();
     if (phase === 'fetching' || phase === 'waiting') allocation.isStartTimeKnown = true;
     if (phase !== 'exited') return;
@@ -32,14 +35,14 @@
     else if (status.exitReason === 'done') this.onTaskDone(machine, allocation);
   }
 
-  private noteImage(machine: Machine, allocation: Allocation): void {
+  private recordImage(machine: Machine, allocation: Allocation): void {
     machine.images.delete(allocation.image);
     machine.images.set(allocation.image, allocation.imageGb);
     this.options.images.add(machine.name, allocation.image, allocation.imageGb);
     this.trimImageCache(machine);
   }
 
-  /** A worker drops the images used longest ago once its cache is full. */
+  /** Mirrors the worker's image cache, which drops the least recently used images once it is full. */
   private trimImageCache(machine: Machine): void {
     const cacheGb =
       this.state.machineTypes.get(machine.machineType)?.imageCacheGb ?? Number.POSITIVE_INFINITY;
@@ -64,10 +67,11 @@
 
   private onTaskDone(machine: Machine, allocation: Allocation): void {
     machine.failedJobs.delete(allocation.jobId);
-    // What ran before this leader looks much too fast, and machines measured in full would look slow beside it. A gang
-    // runs at the speed of its slowest machine: its run time tells nothing of the others.
+    // A task that was already running when this leader took over would look much too fast, and machines with
+    // complete measurements would look slow in comparison. A gang runs at the speed of its slowest machine:
+    // its run time says nothing about its other machines.
     if (allocation.estimatedRunSeconds <= 0 || !allocation.isStartTimeKnown || allocation.isGang) return;
     const runSeconds = (this.options.clock.now() - allocation.phaseSince) / 1000;
-    this.speeds.record(machine, runSeconds / allocation.estimatedRunSeconds);
+    this.slowMachineDetector.record(machine, runSeconds / allocation.estimatedRunSeconds);
   }
 }
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** What a machine's worker should do now: starts, stops, and removal of ended attempts. */
+/** Determines the commands for a machine's worker: starts, stops, and removal of exited attempts. */
 
 import type { TaskStatus, WorkerCommand } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
@@ -7,28 +7,37 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 const MAX_COMMANDS_PER_MESSAGE = 200;
-/** Ended tasks of a machine that are removed together, and how long one waits for others. */
-const FORGET_BATCH = 4;
+/** Exited tasks of a machine that are removed together, and how long one waits for others. */
+const FORGET_BATCH_SIZE = 4;
 const MAX_FORGET_DELAY_MS = 20_000;
-/** Listed tasks from which a higher token is taken, to remove those that ended: a heartbeat holds some 600. */
+/**
+ * Listed tasks above which the fencing token is raised, so that exited ones can be removed: a heartbeat holds
+ * about 600 tasks.
+ */
 const MAX_EXITED_TASKS_LISTED = 300;
-/** An owner may just be storing a placement for it, or telling a new leader of one. */
+/**
+ * Grace period for unknown tasks: an owner may still be storing the placement, or reporting it to a new
+ * leader.
+ */
 const UNKNOWN_TASK_GRACE_MS = 3000;
 
-/** Chooses the commands that an answer or a direct call carries. */
+/** Chooses the commands that the answer to a heartbeat or a direct call carries. */
 export class WorkerCommands {
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
   ) {}
 
-  /** Notes the starts as sent. `heartbeatSequence`: of the heartbeat that is answered; null: for a direct call. */
+  /**
+   * Returns the commands for a machine, and marks their starts as sent. `heartbeatSequence`: of the heartbeat
+   * that is answered; null: for a direct call.
+   */
   commandsFor(machine: Machine, heartbeatSequence: number | null): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    // Stops first: the answer that renews a lease carries all there are.
+    // Stops come first and without a limit: an answer that renews a lease must carry all pending stops.
     addStops(machine, commands);
     this.addStartsAndForgets(machine, heartbeatSequence, commands);
-    if (machine.unknownTasks.size > 0) this.addForUnknownTasks(machine, commands);
+    if (machine.unknownTasks.size > 0) this.addCommandsForUnknownTasks(machine, commands);
     return commands;
   }
 
@@ -44,7 +53,7 @@
       if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
       if (allocation.isFinalized) continue;
       if (allocation.desiredState === 'run') {
-        if (this.noteStart(machine, allocation, heartbeatSequence))
+        if (this.prepareStart(machine, allocation, heartbeatSequence))
           commands.push({
             type: 'start',
             jobId: allocation.jobId,
@@ -60,15 +69,20 @@
       commands.push(...forgets);
   }
 
-  /** Each change of a machine's tasks makes it report once more: ended ones are removed together, or with something else. */
-  private areForgetsDue(machine: Machine, count: number, waitedMs: number): boolean {
+  /**
+   * Whether exited tasks should be removed now. Every change to a machine's task list triggers another
+   * report, so removals are batched or sent with other commands.
+   */
+  private areForgetsDue(machine: Machine, count: number, longestWaitMs: number): boolean {
     return (
-      count >= FORGET_BATCH || this.state.blockingMachines.has(machine.name) || waitedMs > MAX_FORGET_DELAY_MS
+      count >= FORGET_BATCH_SIZE ||
+      this.state.blockingMachines.has(machine.name) ||
+      longestWaitMs > MAX_FORGET_DELAY_MS
     );
   }
 
-  /** Returns whether the start is to be sent now. */
-  private noteStart(machine: Machine, allocation: Allocation, heartbeatSequence: number | null): boolean {
+  /** Marks the allocation's start as sent if it is due; returns whether it is. */
+  private prepareStart(machine: Machine, allocation: Allocation, heartbeatSequence: number | null): boolean {
     if (
       machine.tasks.has(allocation.key) ||
       allocation.isDirectStartInFlight ||
@@ -93,14 +107,14 @@
       !this.options.holdsLeadership()
     )
       return false;
-    // What its owner told before a long silence may have been cancelled since.
+    // The job of an owner that has been silent for long may have been cancelled in the meantime.
     return (
       this.state.isSynced(allocation.team) &&
       this.state.leaseRenewal.isUpToDate(allocation.team, this.options.clock.now())
     );
   }
 
-  private addForUnknownTasks(machine: Machine, commands: WorkerCommand[]): void {
+  private addCommandsForUnknownTasks(machine: Machine, commands: WorkerCommand[]): void {
     const allSynced = this.state.allSynced();
     const holdsLeadership = this.options.holdsLeadership();
     for (const [key, since] of machine.unknownTasks) {
@@ -110,15 +124,18 @@
         machine.unknownTasks.delete(key);
         continue;
       }
-      if (!this.isNobodys(status, since, allSynced)) continue;
-      // Also without leadership, since later tokens bar it.
+      if (!this.isUnclaimed(status, since, allSynced)) continue;
+      // A stop is safe without leadership: a worker that has seen a later fencing token drops it.
       if (status.phase !== 'exited') commands.push(stopCommand(status, 0));
       else if (holdsLeadership && this.canForget(machine, status, key)) commands.push(forgetCommand(status));
     }
   }
 
-  /** As far as all owners have told; what is cancelled may be stopped before they have. */
-  private isNobodys(status: TaskStatus, unknownSince: number, allSynced: boolean): boolean {
+  /**
+   * Whether no owner claims the task. This is known once all owners are synced; tasks of a cancelled job may
+   * be stopped before that.
+   */
+  private isUnclaimed(status: TaskStatus, unknownSince: number, allSynced: boolean): boolean {
     const isCancelled = this.options.isCancelled(status.jobId);
     if (!allSynced && !(isCancelled && status.phase !== 'exited')) return false;
     if (isCancelled) return true;
@@ -126,7 +143,7 @@
     return now - unknownSince >= UNKNOWN_TASK_GRACE_MS && now - this.state.startedAt >= UNKNOWN_TASK_GRACE_MS;
   }
 
-  /** A start that may still arrive would run the task again once it is forgotten. */
+  /** Whether the attempt may be forgotten. A start that may still arrive would run it again after that. */
   private canForgetAllocation(machine: Machine, allocation: Allocation): boolean {
     const status = machine.tasks.get(allocation.key);
     return (
@@ -138,15 +155,17 @@
   }
 
   /**
-   * As long as a worker lists an ended attempt, repeating its start has no effect. A direct command that was carried
-   * out may be repeated late, as long as its token is the highest: one that was stopped would run again, perhaps beside
-   * its successor. What is done ends at once when it is started again.
+   * Whether a worker may be told to forget an exited attempt. While the worker lists the attempt, a repeated
+   * start has no effect. A late duplicate of a direct command takes effect as long as its fencing token is
+   * the highest: a forgotten attempt that had been stopped would run again, possibly next to its successor.
+   * An attempt that is done exits at once when it is started again.
    */
   private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
     const { indeterminateStarts, startedAttempts: started } = machine.directCommands;
     if (indeterminateStarts.has(key)) return false;
     if (status.exitReason === 'done' || !started.has(key)) return true;
-    // A heartbeat has a limit: under a higher token no repeat counts, and all may go.
+    // Heartbeats are limited in size. Under a higher token duplicates are dropped, and all exited tasks can
+    // be removed.
     if (machine.tasks.size > MAX_EXITED_TASKS_LISTED)
       this.options.raiseFencingToken(`${machine.name} keeps ${machine.tasks.size} ended tasks`);
     return false;
