--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-events.ts
@@ -8,7 +8,7 @@
 import type { JobStops } from './job-stops.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { isOver, type OwnedJob, type Placement, placementSpecOf } from './owned-job.js';
+import { isReadyToArchive, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
 /** So long a machine gets none of a job's tasks after one has failed there. */
@@ -63,8 +63,8 @@
     // Users see `running` from the stored record; one write when the first task runs will do.
     if (job.storedRunningTasks === 0) {
       job.storedRunningTasks = 1;
-      job.counterDirty = true;
-      transactions.scheduleWrite(job, transactions.lazyDelayMs());
+      job.isCounterDirty = true;
+      transactions.scheduleWrite(job, transactions.coalescingDelayMs());
     }
     const { jobId, taskIndex, machine } = event;
     log.debug({ jobId, taskIndex, machine }, 'task running');
@@ -97,10 +97,10 @@
 
   private countFinished(job: OwnedJob, placement: Placement): void {
     const { transactions } = this.options;
-    if (job.counter.add(placement.taskIndex)) job.counterDirty = true;
+    if (job.counter.add(placement.taskIndex)) job.isCounterDirty = true;
     // "When one is done, all are": the rest of a gang is counted with it, and finalized as it is reported.
     if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.taskCount; task++) job.counter.add(task);
-    transactions.scheduleWrite(job, job.counter.isComplete ? 0 : transactions.lazyDelayMs());
+    transactions.scheduleWrite(job, job.counter.isComplete ? 0 : transactions.coalescingDelayMs());
     job.failures = 0;
     job.preferredMachine = placement.machine;
   }
@@ -112,7 +112,7 @@
     job.avoidedMachines.set(placement.machine, now + AVOID_AFTER_FAILURE_MS);
     const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failures - 1);
     const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings);
-    job.holdUntil = now + backoffMs;
+    job.backoffUntil = now + backoffMs;
     const { jobId, taskIndex, machine, exitReason: reason } = event;
     log.info({ jobId, taskIndex, machine, reason, backoffMs }, 'task failed');
     clock.after(backoffMs, () => {
@@ -127,13 +127,13 @@
     const { taskIndex, attempt } = placement;
     if (placement.isRunning) job.runningTasks--;
     jobs.removePlacement(job, placement, isListed ? 'exited' : 'lost');
-    job.attempts.set(taskIndex, Math.max(attempt, job.attempts.get(taskIndex) ?? 0));
+    job.latestAttempts.set(taskIndex, Math.max(attempt, job.latestAttempts.get(taskIndex) ?? 0));
     job.outcomesToStore.push({ placement, isListed });
-    if (isOver(job)) transactions.scheduleWrite(job, 0);
+    if (isReadyToArchive(job)) transactions.scheduleWrite(job, 0);
     // What the counter has is final by it; its old placement needs no write of its own.
     if (!job.counter.has(taskIndex)) {
       job.dirtyChunks.add(Math.floor(taskIndex / tasksPerChunk));
-      transactions.scheduleWrite(job, transactions.lazyDelayMs());
+      transactions.scheduleWrite(job, transactions.coalescingDelayMs());
       job.fanOut.putBack(taskIndex);
       if (job.spec.kind === 'gang') stops.stopGang(job, 0);
     }
@@ -144,15 +144,15 @@
   private onRepeatedEvent(job: OwnedJob, event: PhaseEvent): void {
     if (event.phase !== 'exited' || job.isReloading || !this.isOutcomeStored(job, event)) return;
     this.options.updates.placementChanged(
-      placementSpecOf(job, { ...event, agentEpoch: 0 }, { desiredState: 'forget' }),
+      toPlacementSpec(job, { ...event, agentEpoch: 0 }, { desiredState: 'forget' }),
     );
   }
 
   private isOutcomeStored(job: OwnedJob, { taskIndex, attempt }: PhaseEvent): boolean {
-    const isLatestAttempt = (job.attempts.get(taskIndex) ?? 0) <= attempt;
+    const isLatestAttempt = (job.latestAttempts.get(taskIndex) ?? 0) <= attempt;
     if (!job.counter.has(taskIndex) && isLatestAttempt && job.placements.has(taskIndex)) return false;
     const chunk = Math.floor(taskIndex / this.options.tasksPerChunk);
-    if (job.writeInFlight || job.counterDirty || job.dirtyChunks.has(chunk)) return false;
+    if (job.isWriteInFlight || job.isCounterDirty || job.dirtyChunks.has(chunk)) return false;
     return !job.outcomesToStore.some(({ placement }) => placement.taskIndex === taskIndex);
   }
 }
--- a/src/shard/full-sync.ts
+++ b/src/shard/full-sync.ts
@@ -2,7 +2,7 @@
 
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { ShardMessage } from '../model/shard-messages.js';
-import { type OwnedJob, placementSpecOf } from './owned-job.js';
+import { type OwnedJob, toPlacementSpec } from './owned-job.js';
 
 /** Most placements in one message, so that none is large. */
 const MAX_PLACEMENTS_PER_CHUNK = 400;
@@ -24,12 +24,12 @@
     // Without the places whose write is in flight or indeterminate the leader would give them to others.
     for (const placement of job.placements.values()) {
       const desiredState = placement.isStored ? placement.desiredState : 'pending';
-      placements.push(placementSpecOf(job, placement, { desiredState }));
+      placements.push(toPlacementSpec(job, placement, { desiredState }));
     }
     // Finalized but not yet stored so: still ours, or the leader would have what nobody claims removed. A write that turns
     // out not to have been executed would then bring the attempt back as one to be started.
     for (const { placement, isListed } of [...job.outcomesToStore, ...job.outcomesInFlight])
-      if (isListed) placements.push(placementSpecOf(job, placement, { desiredState: 'keep' }));
+      if (isListed) placements.push(toPlacementSpec(job, placement, { desiredState: 'keep' }));
   }
   return placements;
 }
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -2,7 +2,7 @@
 
 import type { Grant } from '../model/placement.js';
 import { assignTasks } from '../model/task-assignment.js';
-import { type OwnedJob, zoneAllows } from './owned-job.js';
+import { allowsZone, type OwnedJob } from './owned-job.js';
 import { type TeamUsage, tasksWithin } from './team-usage.js';
 
 /** So long a machine gets none of a job's tasks after it has refused one, or would have. */
@@ -25,7 +25,7 @@
   if (job.spec.kind === 'gang') return placeGang(job, grants, options);
   const { usage, nowMs } = options;
   return grants.filter((grant) => {
-    if (!usage.admits(job.spec) || !zoneAllows(job, grant.zone)) return false;
+    if (!usage.admits(job.spec) || !allowsZone(job, grant.zone)) return false;
     const taskIndex = nextTask(job, grant, nowMs);
     if (taskIndex < 0) return false;
     options.place(grant, taskIndex);
--- a/src/shard/grant-intake.ts
+++ b/src/shard/grant-intake.ts
@@ -5,7 +5,7 @@
 import { assignGrants } from './grant-assignment.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { hasIndeterminateWrite, nextGangAttempt, type OwnedJob } from './owned-job.js';
+import { hasUnconfirmedWrite, nextGangAttempt, type OwnedJob } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import type { TeamUsage } from './team-usage.js';
 
@@ -48,7 +48,7 @@
   returnUnsentPlacements(): void {
     const { jobs, transactions } = this.options;
     for (const job of jobs.values()) {
-      if (hasIndeterminateWrite(job)) continue;
+      if (hasUnconfirmedWrite(job)) continue;
       for (const placement of [...job.placements.values()]) {
         if (placement.isStored) continue;
         jobs.removePlacement(job, placement, 'returned');
@@ -67,7 +67,8 @@
 
   private place(job: OwnedJob, grant: Grant, taskIndex: number): void {
     const { jobs, transactions, tasksPerChunk } = this.options;
-    const attempt = job.spec.kind === 'gang' ? nextGangAttempt(job) : (job.attempts.get(taskIndex) ?? 0) + 1;
+    const attempt =
+      job.spec.kind === 'gang' ? nextGangAttempt(job) : (job.latestAttempts.get(taskIndex) ?? 0) + 1;
     const placement = {
       taskIndex,
       attempt,
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Brings jobs from the key-value store into memory: all jobs of a shard that has been acquired, jobs accepted since, and
- * single jobs again where nobody knows what has become of a write.
+ * Loads jobs from the key-value store into memory: all jobs of an acquired shard, jobs accepted since, and
+ * jobs that must be read again after an unconfirmed write or because the watch has reported a newer counter.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -12,22 +12,22 @@
 import type { JobStops } from './job-stops.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { createOwnedJob, isOver, type OwnedJob, placementsFromStore } from './owned-job.js';
+import { createOwnedJob, isReadyToArchive, type OwnedJob, placementsFromStore } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import type { OwnedShard, OwnedShards } from './owned-shards.js';
+import { readStoredJobs } from './read-stored-jobs.js';
 import type { ReleaseQueue } from './release-queue.js';
-import { readStoredJobs } from './stored-jobs.js';
 import type { UsageLog } from './usage-log.js';
 import type { WriteFence } from './write-fence.js';
 
-/** Pause before a read that failed is repeated. */
+/** Delay before a failed read is repeated. */
 const READ_RETRY_MS = 300;
-/** Jobs remembered as archived: a watch may still show the record of one for a while. */
-const MAX_ARCHIVED_JOBS = 5000;
-/** The oldest of them, forgotten together when there are too many. */
-const ARCHIVED_JOBS_FORGOTTEN = 1000;
+/** Maximum number of archived jobs to remember, as a watch may still report their records for a while. */
+const MAX_ARCHIVED_JOB_IDS = 5000;
+/** Number of the oldest archived jobs that are dropped together above that maximum. */
+const ARCHIVED_JOB_IDS_DROPPED = 1000;
 
-/** What loading works with. */
+/** Settings and dependencies of a `JobLoader`. */
 export interface JobLoaderOptions {
   store: KeyValueStore;
   clock: Clock;
@@ -40,81 +40,87 @@
   stops: JobStops;
   updates: LeaderUpdates;
   usageLog: UsageLog;
-  /** See `FanOut`. */
+  /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
   releaseWindow: number;
-  /** The cached records of unfinished jobs. */
+  /** Returns the cached records of unfinished jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
   wake(): void;
 }
 
-/** Loads shards and jobs. */
+/** Loads the jobs of shards and reloads single jobs. */
 export class JobLoader {
-  private readonly archived = new Set<string>();
+  private readonly archivedJobIds = new Set<string>();
 
   constructor(private readonly options: JobLoaderOptions) {}
 
-  /** Begins to read the jobs of all shards that need it, with one list for all of them. */
+  /** Starts to read the jobs of all shards that are not loaded, with one listing for all of them. */
   loadShards(): void {
     const { shards, fence, store, clock } = this.options;
-    const pending = shards.toLoad();
-    if (pending.length === 0) return;
-    for (const shard of pending) shard.isLoading = true;
-    fence.learn();
-    readStoredJobs(store, null, (found) => {
-      for (const shard of pending) shard.isLoading = false;
-      if (found) this.onShardsRead(pending, found);
+    const pendingShards = shards.shardsToLoad();
+    if (pendingShards.length === 0) return;
+    for (const shard of pendingShards) shard.isLoading = true;
+    fence.ensureRevisionKnown();
+    readStoredJobs(store, null, (storedJobs) => {
+      for (const shard of pendingShards) shard.isLoading = false;
+      if (storedJobs) this.onShardsRead(pendingShards, storedJobs);
       else clock.after(READ_RETRY_MS, () => this.options.wake());
     });
   }
 
   /**
-   * Reads the stored records of a job again. With an indeterminate write of it, only once that write can no longer be
-   * executed: else what the read does not show may still be stored after it, beyond the team's quota or in another zone.
+   * Reads the stored records of a job again. After an indeterminate write, the read waits until that write
+   * can no longer be executed. Otherwise placements that the read does not show could still be stored later
+   * and exceed the team's quota or use another zone.
    */
   reload(job: OwnedJob, isIndeterminate = false): void {
     if (job.isReloading) return;
     job.isReloading = true;
     const { fence, clock } = this.options;
-    const since = clock.now();
+    const startedAtMs = clock.now();
     const read = () =>
-      this.readUntilAnswered(job, (stored) => {
+      this.readWithRetries(job, (stored) => {
         this.onReloaded(job, stored);
         const reloaded = this.options.jobs.get(job.spec.id);
-        if (isIndeterminate && reloaded) this.options.usageLog.logResolvedWrite(reloaded, job, since);
+        if (isIndeterminate && reloaded) this.options.usageLog.logResolvedWrite(reloaded, job, startedAtMs);
       });
     if (isIndeterminate) fence.move(read);
     else read();
   }
 
-  /** A job has its final record: what a watch may still show of it is passed over. */
-  archive(jobId: string): void {
+  /**
+   * Removes a job whose final record is stored, or whose records no longer exist. Later reports of its
+   * records by a watch are ignored.
+   */
+  removeArchivedJob(jobId: string): void {
     const { jobs, updates } = this.options;
     const job = jobs.get(jobId);
     if (job) jobs.remove(job);
-    this.archived.add(jobId);
-    if (this.archived.size > MAX_ARCHIVED_JOBS)
-      for (const oldest of [...this.archived].slice(0, ARCHIVED_JOBS_FORGOTTEN)) this.archived.delete(oldest);
+    this.archivedJobIds.add(jobId);
+    if (this.archivedJobIds.size > MAX_ARCHIVED_JOB_IDS)
+      for (const oldest of [...this.archivedJobIds].slice(0, ARCHIVED_JOB_IDS_DROPPED))
+        this.archivedJobIds.delete(oldest);
     updates.requestsChanged();
   }
 
-  /** A record of an unfinished job was put, as a watch or a list has shown. */
+  /** Handles a put of a record of an unfinished job, as reported by a watch or a listing. */
   onOpenJobChanged(item: StoredItem): void {
     const key = parseJobRecordKey(item.key);
     if (!key) return;
     const job = this.options.jobs.get(key.jobId);
     if (job) this.onOwnedJobChanged(job, key, item);
-    else if (key.type === 'job' && !this.archived.has(key.jobId)) this.onJobAccepted(item, key.jobId);
+    else if (key.type === 'job' && !this.archivedJobIds.has(key.jobId)) this.onJobAccepted(item, key.jobId);
   }
 
   private onOwnedJobChanged(job: OwnedJob, key: JobRecordKey, item: StoredItem): void {
     const { modRevision } = item;
     switch (key.type) {
       case 'counter':
-        if (modRevision > job.counterRevision && !job.writeInFlight && !job.isReloading) this.reload(job);
+        if (modRevision > job.counterRevision && !job.isWriteInFlight && !job.isReloading) this.reload(job);
         return;
       case 'job':
-        // Also of a job that is being reloaded: that read may wait out an outage, while what runs must be stopped.
-        if (modRevision > job.jobRevision && readJob(item, key.jobId)?.cancelled) {
+        // Applies to a job that is being reloaded as well: that read may last as long as an outage, but
+        // running tasks must be stopped now.
+        if (modRevision > job.jobRevision && decodeStoredJob(item, key.jobId)?.cancelled) {
           job.jobRevision = modRevision;
           this.options.stops.cancel(job);
         }
@@ -126,34 +132,35 @@
 
   private onJobAccepted(item: StoredItem, jobId: string): void {
     const { shards, updates, log } = this.options;
-    const stored = readJob(item, jobId);
+    const stored = decodeStoredJob(item, jobId);
     if (!stored?.spec || !shards.isLoaded(stored.spec.team)) return;
-    this.adopt(stored);
-    log.debug({ jobId, taskCount: stored.spec.taskCount, team: stored.spec.team }, 'job released');
+    this.addStoredJob(stored);
+    log.debug({ jobId, taskCount: stored.spec.taskCount, team: stored.spec.team }, 'accepted job added');
     updates.requestsChanged();
     this.options.wake();
   }
 
-  private onShardsRead(shards: OwnedShard[], found: Map<string, StoredJob>): void {
-    for (const shard of shards) if (this.options.shards.includes(shard)) this.loadShard(shard, found);
-    // Jobs accepted between the list and now were shown by the watch before the shard was loaded.
+  private onShardsRead(shards: OwnedShard[], storedJobs: Map<string, StoredJob>): void {
+    for (const shard of shards) if (this.options.shards.includes(shard)) this.addShardJobs(shard, storedJobs);
+    // Jobs accepted after the listing was made were reported by the watch, but ignored as the shard was not
+    // loaded.
     for (const [key, item] of this.options.openJobItems())
       if (parseJobRecordKey(key)?.type === 'job') this.onOpenJobChanged({ key, ...item });
     this.options.updates.requestFullSync();
     this.options.wake();
   }
 
-  private loadShard(shard: OwnedShard, found: Map<string, StoredJob>): void {
+  private addShardJobs(shard: OwnedShard, storedJobs: Map<string, StoredJob>): void {
     const { team } = shard;
     shard.isLoaded = true;
-    const jobs = [...found.values()].filter(({ spec }) => spec?.team === team);
-    for (const job of jobs) this.adopt(job);
+    const jobs = [...storedJobs.values()].filter(({ spec }) => spec?.team === team);
+    for (const job of jobs) this.addStoredJob(job);
     this.options.usageLog.logLoadedShard(shard, jobs.length);
     this.options.usageLog.checkQuota(team);
   }
 
-  /** Owns a job as it is stored, in place of what was known of it. */
-  private adopt(stored: StoredJob): void {
+  /** Adds a job from its stored records, replacing the object for the same job if there is one. */
+  private addStoredJob(stored: StoredJob): void {
     const { spec } = stored;
     if (!spec || stored.acceptedRevision === 0) return;
     const { jobs, transactions, releaseQueue, releaseWindow } = this.options;
@@ -168,27 +175,27 @@
     job.fanOut.skipCounted((task) => job.counter.has(task));
     jobs.add(job);
     if (!previous) releaseQueue.learn(spec);
-    if (isOver(job)) transactions.scheduleWrite(job, 0);
+    if (isReadyToArchive(job)) transactions.scheduleWrite(job, 0);
   }
 
-  /** Reads a job's records until that succeeds, as long as it is owned. */
-  private readUntilAnswered(job: OwnedJob, onRead: (stored: StoredJob | undefined) => void): void {
+  /** Reads the records of a job and retries until that succeeds or the job is no longer owned. */
+  private readWithRetries(job: OwnedJob, onRead: (stored: StoredJob | undefined) => void): void {
     const { store, clock, jobs } = this.options;
     const { id } = job.spec;
-    readStoredJobs(store, id, (found) => {
+    readStoredJobs(store, id, (storedJobs) => {
       if (!jobs.includes(job)) return;
-      if (found) onRead(found.get(id));
+      if (storedJobs) onRead(storedJobs.get(id));
       else
         clock.after(READ_RETRY_MS, () => {
-          if (jobs.includes(job)) this.readUntilAnswered(job, onRead);
+          if (jobs.includes(job)) this.readWithRetries(job, onRead);
         });
     });
   }
 
   private onReloaded(job: OwnedJob, stored: StoredJob | undefined): void {
     const { id: jobId, team } = job.spec;
-    if (stored?.spec) this.adopt(stored);
-    else this.archive(jobId);
+    if (stored?.spec) this.addStoredJob(stored);
+    else this.removeArchivedJob(jobId);
     const revisions = {
       job: stored?.jobRevision,
       counter: stored?.counterRevision,
@@ -201,8 +208,8 @@
   }
 }
 
-function readJob(item: StoredItem, jobId: string): StoredJob | undefined {
-  const found = new Map<string, StoredJob>();
-  mergeStoredItem(found, item);
-  return found.get(jobId);
+function decodeStoredJob(item: StoredItem, jobId: string): StoredJob | undefined {
+  const storedJobs = new Map<string, StoredJob>();
+  mergeStoredItem(storedJobs, item);
+  return storedJobs.get(jobId);
 }
--- a/src/shard/job-sizes.ts
+++ b/src/shard/job-sizes.ts
@@ -1,60 +1,61 @@
-/** Which jobs are large among the latest ones of their class. */
+/** Classifies jobs as large by comparison with the latest jobs of their class. */
 
 import type { JobSpec } from '../model/job.js';
 
-/** Latest jobs of a class by which its sizes are judged. */
-const REMEMBERED_JOBS = 100;
-/** A large job is at least as large as this share of its class, and larger than the median. */
+/** Number of the latest jobs of a class with which jobs are compared. */
+const MAX_JOBS_PER_CLASS = 100;
+/** Quantile of the sizes in a class that a large job reaches. It must also exceed the median. */
 const LARGE_QUANTILE = 0.75;
-const MEDIAN = 0.5;
+const MEDIAN_QUANTILE = 0.5;
 
-interface Threshold {
+/** A job is large if its size is at least `quantile` and greater than `median`. */
+interface SizeThreshold {
   quantile: number;
   median: number;
 }
 
-/** Sizes of the latest jobs of each class, and which jobs are large among them: by their tasks, or by their run time. */
+/** The number of tasks and the run times of the latest jobs of each class. */
 export class JobSizes {
-  private readonly latest = new Map<string, JobSpec[]>();
-  private readonly thresholds = new Map<string, { tasks: Threshold; runSeconds: Threshold }>();
+  private readonly latestJobs = new Map<string, JobSpec[]>();
+  private readonly thresholds = new Map<string, { tasks: SizeThreshold; runSeconds: SizeThreshold }>();
 
-  /** A job has been accepted. */
-  learn(spec: JobSpec): void {
+  /** Adds a job to the latest ones of its class. Services are not compared. */
+  record(spec: JobSpec): void {
     if (spec.kind === 'service') return;
-    const jobs = this.latest.get(spec.jobClass) ?? [];
+    const jobs = this.latestJobs.get(spec.jobClass) ?? [];
     jobs.push(spec);
-    if (jobs.length > REMEMBERED_JOBS) jobs.shift();
-    this.latest.set(spec.jobClass, jobs);
+    if (jobs.length > MAX_JOBS_PER_CLASS) jobs.shift();
+    this.latestJobs.set(spec.jobClass, jobs);
     this.thresholds.delete(spec.jobClass);
   }
 
-  /** Whether it has many tasks or long ones for its class. */
+  /** Returns whether a job has many tasks, or long ones, for its class. */
   isLarge(spec: JobSpec): boolean {
     const { tasks, runSeconds } = this.thresholdsOf(spec.jobClass);
-    return exceeds(spec.taskCount, tasks) || exceeds(spec.estimatedRunSeconds, runSeconds);
+    return meetsThreshold(spec.taskCount, tasks) || meetsThreshold(spec.estimatedRunSeconds, runSeconds);
   }
 
-  private thresholdsOf(jobClass: string): { tasks: Threshold; runSeconds: Threshold } {
-    const known = this.thresholds.get(jobClass);
-    if (known) return known;
-    const jobs = this.latest.get(jobClass) ?? [];
+  private thresholdsOf(jobClass: string): { tasks: SizeThreshold; runSeconds: SizeThreshold } {
+    const cached = this.thresholds.get(jobClass);
+    if (cached) return cached;
+    const jobs = this.latestJobs.get(jobClass) ?? [];
     const thresholds = {
-      tasks: threshold(jobs.map((job) => job.taskCount)),
-      runSeconds: threshold(jobs.map((job) => job.estimatedRunSeconds)),
+      tasks: computeThreshold(jobs.map((job) => job.taskCount)),
+      runSeconds: computeThreshold(jobs.map((job) => job.estimatedRunSeconds)),
     };
     this.thresholds.set(jobClass, thresholds);
     return thresholds;
   }
 }
 
-function exceeds(value: number, { quantile, median }: Threshold): boolean {
+function meetsThreshold(value: number, { quantile, median }: SizeThreshold): boolean {
   return value >= quantile && value > median;
 }
 
-function threshold(values: readonly number[]): Threshold {
+function computeThreshold(values: readonly number[]): SizeThreshold {
   const sorted = [...values].sort((a, b) => a - b);
   return {
     quantile: sorted[Math.floor(sorted.length * LARGE_QUANTILE)] ?? Number.POSITIVE_INFINITY,
-    median: sorted[Math.floor((sorted.length - 1) * MEDIAN)] ?? Number.POSITIVE_INFINITY,
+    median: sorted[Math.floor((sorted.length - 1) * MEDIAN_QUANTILE)] ?? Number.POSITIVE_INFINITY,
   };
 }
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -4,7 +4,7 @@
 import type { Logger } from '../model/logger.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { hasIndeterminateWrite, type OwnedJob, type Placement, placementSpecOf } from './owned-job.js';
+import { hasUnconfirmedWrite, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
 /** What stopping works with. */
@@ -29,7 +29,7 @@
     const { jobs, transactions, updates, log } = this.options;
     log.debug({ jobId: job.spec.id, placedTasks: job.placements.size }, 'job cancelled');
     for (const placement of [...job.placements.values()]) {
-      if (placement.isStored || hasIndeterminateWrite(job)) {
+      if (placement.isStored || hasUnconfirmedWrite(job)) {
         this.stop(job, placement, 0);
         continue;
       }
@@ -67,7 +67,7 @@
     if (!placement.isStored) return;
     const { grantId } = placement;
     this.options.updates.placementChanged(
-      placementSpecOf(job, placement, { desiredState: 'stop', gracePeriodSeconds, grantId }),
+      toPlacementSpec(job, placement, { desiredState: 'stop', gracePeriodSeconds, grantId }),
     );
   }
 }
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -1,4 +1,4 @@
-/** Puts the writes of an owner's jobs together into transactions, and sends them. */
+/** Combines the writes of a shard owner's jobs into transactions and sends them to the key-value store. */
 
 import type { Clock } from '../model/clock.js';
 import {
@@ -10,34 +10,43 @@
 import type { Logger } from '../model/logger.js';
 import type { Failure, Result } from '../model/result.js';
 import { counterKey, jobKey, teamKey, teamOfKey } from '../store/keyspace.js';
-import { type JobWrite, revisionOf, type WriteEvents, writeChanges, writeFinal } from './job-writes.js';
-import { isOver, type OwnedJob } from './owned-job.js';
+import { cleanupWrite, type JobWrite, knownRevision, progressWrite, type WriteEvents } from './job-writes.js';
+import { isReadyToArchive, type OwnedJob } from './owned-job.js';
 import type { WakeTimer } from './wake-timer.js';
 import type { WriteFence } from './write-fence.js';
 
-/** The key-value store takes so many times as many preconditions as operations in a transaction. */
+/** The key-value store accepts this many times as many preconditions as operations in a transaction. */
 const PRECONDITIONS_PER_OPERATION = 4;
-/** Preconditions that a job adds beside those on what it changes: its record, its counter and its team. */
+/** Preconditions of a job in addition to one per operation: on its job record, its counter and its team. */
 const PRECONDITIONS_PER_JOB = 3;
-/** Operations in one transaction, of the 64 KiB that it may have in all with its preconditions. */
+/**
+ * Size of the operations of a transaction above which no further job is added. A transaction may have 64 KiB,
+ * including its preconditions.
+ */
 const MAX_BATCH_BYTES = 40_000;
-/** Characters of a put and of a delete beside the encoded key and value. */
+/** Length of an encoded put and delete without the key and the value. */
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
-/** Pause after a transaction that was surely not executed. */
-const REFUSED_PAUSE_MS = 100;
-/** Pause after one that failed since a team has another owner: the watch tells which. */
-const OWNERSHIP_MOVED_PAUSE_MS = 200;
-/** Bounds of how long a count that fills nothing waits for others of its job. */
-const MIN_LAZY_MS = 1000;
-const MAX_LAZY_MS = 5000;
-/** Part of the writes per second that such counts may take. */
-const LAZY_SHARE = 0.2;
+/** Pause of all writes after a transaction that was definitely not executed and is sent again. */
+const NOT_EXECUTED_PAUSE_MS = 100;
+/**
+ * Pause of all writes after a transaction failed because a team has another owner, until the watch reports
+ * the owner.
+ */
+const OWNERSHIP_CHANGED_PAUSE_MS = 200;
+/** Bounds of `coalescingDelayMs`. */
+const MIN_COALESCING_DELAY_MS = 1000;
+const MAX_COALESCING_DELAY_MS = 5000;
+/** Share of the writes per second that non-urgent updates may use. */
+const COALESCED_WRITES_SHARE = 0.2;
 
-/** `progress`: placements and counters. `cleanup`: final records. */
+/**
+ * What a transaction writes. `progress`: placements and counters of unfinished jobs. `cleanup`: final
+ * records, and the deletion of the records that they replace.
+ */
 type WriteKind = 'progress' | 'cleanup';
 
-/** Settings of the transactions, and what they work with. */
+/** Settings and dependencies of `JobTransactions`. */
 export interface JobTransactionsOptions {
   store: KeyValueStore;
   clock: Clock;
@@ -45,30 +54,30 @@
   log: Logger;
   fence: WriteFence;
   events: WriteEvents;
-  /** Most puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   maxTransactionOperations: number;
-  /** Puts and deletes that the key-value store takes from all controllers. */
+  /** Puts and deletes per second that the key-value store accepts from all controllers together. */
   writesPerSecond: number;
-  /** Tasks to a placement record. */
+  /** Number of tasks per placement record. */
   tasksPerChunk: number;
-  /** Undefined: the team's shard is not owned here. */
+  /** Returns the epoch of a team's shard, or undefined if this controller does not own it. */
   shardEpochOf(team: string): number | undefined;
-  /** Whether the owner still holds this very job. */
+  /** Returns whether this object is the current one for its job. Reloading a job replaces its object. */
   isOwned(job: OwnedJob): boolean;
-  /** Jobs whose stored records decide now. */
+  /** Called with the jobs of an unconfirmed write that are still owned. Their records must be read again. */
   onUnconfirmed(jobs: OwnedJob[], write: UnconfirmedWrite): void;
   wake(): void;
 }
 
-/** A transaction that is not known to have been executed. */
+/** A transaction that is not confirmed as executed and cannot simply be sent again. */
 export interface UnconfirmedWrite {
-  /** It may have been executed, or may yet be; else it surely was not. */
+  /** Whether it may have been executed or may still be executed later. Otherwise it was not executed. */
   isIndeterminate: boolean;
-  /** The revision of the fence that it was conditioned on. */
+  /** Revision of the write fence in its preconditions. */
   fenceRevision: number;
 }
 
-/** A transaction being put together, and the jobs that it is of. */
+/** A transaction under construction and the jobs that it writes. */
 interface Batch {
   transaction: Transaction;
   fenceRevision: number;
@@ -78,54 +87,59 @@
   bytes: number;
 }
 
-/** Writes what has changed of an owner's jobs, many in one transaction, each change conditioned on what it replaces. */
+/**
+ * Writes the changes of a shard owner's jobs, many jobs per transaction. Each write has a precondition on the
+ * revision that it replaces.
+ */
 export class JobTransactions {
-  /** Jobs with something to write, or over and without their final record. */
-  private readonly dirty = new Set<OwnedJob>();
+  /** Jobs with unwritten changes, and finished or cancelled jobs without a final record. */
+  private readonly dirtyJobs = new Set<OwnedJob>();
   private readonly inFlight: Record<WriteKind, boolean> = { progress: false, cleanup: false };
   private pausedUntil = 0;
 
   constructor(private readonly options: JobTransactionsOptions) {}
 
-  /** Something of a job is to be written within that time. */
+  /** Schedules the write of a job's changes within `withinMs`, or earlier if that is already scheduled. */
   scheduleWrite(job: OwnedJob, withinMs: number): void {
-    this.dirty.add(job);
-    job.dueAt = Math.min(job.dueAt, this.options.clock.now() + withinMs);
+    this.dirtyJobs.add(job);
+    job.writeDueAt = Math.min(job.writeDueAt, this.options.clock.now() + withinMs);
   }
 
-  /** The owner holds this job no longer. */
-  forget(job: OwnedJob): void {
-    this.dirty.delete(job);
+  /** Cancels the scheduled write of a job that is no longer owned. */
+  unscheduleWrite(job: OwnedJob): void {
+    this.dirtyJobs.delete(job);
   }
 
   /**
-   * How long a count that fills nothing may wait for others of its job: longer when many jobs have such, so that they
-   * take a part of the writes only.
+   * Returns how long a non-urgent update is delayed, such as that of a counter which is not complete yet, so
+   * that several updates of a job share a write. The delay grows with the number of jobs to write, which
+   * limits such updates to a share of the writes per second.
    */
-  lazyDelayMs(): number {
-    const wait = (this.dirty.size / (this.options.writesPerSecond * LAZY_SHARE)) * 1000;
-    return Math.min(MAX_LAZY_MS, Math.max(MIN_LAZY_MS, wait));
+  coalescingDelayMs(): number {
+    const delayMs = (this.dirtyJobs.size / (this.options.writesPerSecond * COALESCED_WRITES_SHARE)) * 1000;
+    return Math.min(MAX_COALESCING_DELAY_MS, Math.max(MIN_COALESCING_DELAY_MS, delayMs));
   }
 
   /**
-   * Sends what is due. One transaction of each kind at a time: placements and counters don't wait behind cleaning up, and
-   * what comes meanwhile shares the next one.
+   * Sends a transaction of each kind with the writes that are due, unless one of that kind is in flight.
+   * Placements and counters therefore do not wait for cleanup, and changes made in the meantime share the
+   * next transaction.
    */
-  write(): void {
-    this.writeKind('progress');
-    this.writeKind('cleanup');
+  sendDueWrites(): void {
+    this.sendNextBatch('progress');
+    this.sendNextBatch('cleanup');
   }
 
-  private writeKind(kind: WriteKind): void {
-    if (this.inFlight[kind] || this.dirty.size === 0) return;
+  private sendNextBatch(kind: WriteKind): void {
+    if (this.inFlight[kind] || this.dirtyJobs.size === 0) return;
     if (this.options.clock.now() < this.pausedUntil) {
       this.options.wakeTimer.wakeAt(this.pausedUntil);
       return;
     }
     const fence = this.options.fence.precondition();
     if (!fence) return;
-    const due = this.due(kind);
-    if (due.length === 0) return;
+    const dueJobs = this.listDueJobs(kind);
+    if (dueJobs.length === 0) return;
     const batch: Batch = {
       transaction: { preconditions: [fence], operations: [] },
       fenceRevision: fence.modRevision,
@@ -134,108 +148,119 @@
       teams: new Set(),
       bytes: 0,
     };
-    for (const job of due) if (!this.add(batch, job, kind)) break;
-    if (batch.jobs.length > 0) this.send(batch, kind);
+    for (const job of dueJobs) if (!this.addJob(batch, job, kind)) break;
+    if (batch.jobs.length > 0) this.sendBatch(batch, kind);
   }
 
-  /** Jobs with something to write now, most urgent first. */
-  private due(kind: WriteKind): OwnedJob[] {
+  /**
+   * Returns the jobs with a write of this kind that is due, most urgent first. Also removes jobs without
+   * unwritten changes from `dirtyJobs`.
+   */
+  private listDueJobs(kind: WriteKind): OwnedJob[] {
     const now = this.options.clock.now();
-    const due: OwnedJob[] = [];
+    const dueJobs: OwnedJob[] = [];
     let nextDueAt = Number.POSITIVE_INFINITY;
-    for (const job of this.dirty) {
-      if (job.isReloading || job.writeInFlight) continue;
-      const isFinal = isOver(job);
-      if (!isFinal && !job.counterDirty && job.dirtyChunks.size === 0) {
-        job.dueAt = Number.POSITIVE_INFINITY;
-        this.dirty.delete(job);
-      } else if (isFinal === (kind === 'cleanup')) {
-        if (job.dueAt <= now) due.push(job);
-        else nextDueAt = Math.min(nextDueAt, job.dueAt);
+    for (const job of this.dirtyJobs) {
+      if (job.isReloading || job.isWriteInFlight) continue;
+      const needsFinalRecord = isReadyToArchive(job);
+      if (!needsFinalRecord && !job.isCounterDirty && job.dirtyChunks.size === 0) {
+        job.writeDueAt = Number.POSITIVE_INFINITY;
+        this.dirtyJobs.delete(job);
+      } else if (needsFinalRecord === (kind === 'cleanup')) {
+        if (job.writeDueAt <= now) dueJobs.push(job);
+        else nextDueAt = Math.min(nextDueAt, job.writeDueAt);
       }
     }
-    if (due.length === 0) this.options.wakeTimer.wakeAt(nextDueAt);
-    return due.sort(
+    if (dueJobs.length === 0) this.options.wakeTimer.wakeAt(nextDueAt);
+    return dueJobs.sort(
       (one, other) =>
         one.spec.priority - other.spec.priority ||
-        one.dueAt - other.dueAt ||
+        one.writeDueAt - other.writeDueAt ||
         one.acceptedRevision - other.acceptedRevision,
     );
   }
 
-  /** False: the transaction is full. */
-  private add(batch: Batch, job: OwnedJob, kind: WriteKind): boolean {
+  /** Adds the writes of a job to a batch. Returns false if the transaction is full. */
+  private addJob(batch: Batch, job: OwnedJob, kind: WriteKind): boolean {
     const { transaction } = batch;
     const { tasksPerChunk, events } = this.options;
-    const maxOperations = this.operationsLeft(batch);
+    const maxOperations = this.remainingOperations(batch);
     if (maxOperations < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
-    const limits = { maxOperations, tasksPerChunk, events };
-    const write = kind === 'cleanup' ? writeFinal(job, limits) : writeChanges(job, limits);
+    const writeOptions = { maxOperations, tasksPerChunk, events };
+    const write = kind === 'cleanup' ? cleanupWrite(job, writeOptions) : progressWrite(job, writeOptions);
     if (!write) return true;
-    const written = new Set(write.operations.map(({ key }) => key));
+    const writtenKeys = new Set(write.operations.map(({ key }) => key));
     for (const operation of write.operations) {
       const { key } = operation;
       batch.bytes += encodedLength(operation);
-      transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
+      transaction.preconditions.push({ key, modRevision: knownRevision(job, key) });
       transaction.operations.push(operation);
     }
     for (const key of [jobKey(job.spec.id), counterKey(job.spec.id)])
-      if (!written.has(key)) transaction.preconditions.push({ key, modRevision: revisionOf(job, key) });
+      if (!writtenKeys.has(key))
+        transaction.preconditions.push({ key, modRevision: knownRevision(job, key) });
     batch.teams.add(job.spec.team);
     batch.jobs.push(job);
     batch.writes.push(write);
     return true;
   }
 
-  /** Operations that may still be added, with the preconditions of one more job and of the teams in the transaction. */
-  private operationsLeft({ transaction, teams }: Batch): number {
+  /**
+   * Returns how many operations may still be added, with room left for the preconditions of one more job and
+   * of the teams in the transaction.
+   */
+  private remainingOperations({ transaction, teams }: Batch): number {
     const { maxTransactionOperations: maxOperations } = this.options;
-    const preconditionsLeft =
+    const remainingPreconditions =
       maxOperations * PRECONDITIONS_PER_OPERATION - transaction.preconditions.length - teams.size;
-    return Math.min(maxOperations - transaction.operations.length, preconditionsLeft - PRECONDITIONS_PER_JOB);
+    return Math.min(
+      maxOperations - transaction.operations.length,
+      remainingPreconditions - PRECONDITIONS_PER_JOB,
+    );
   }
 
-  private send(batch: Batch, kind: WriteKind): void {
+  private sendBatch(batch: Batch, kind: WriteKind): void {
     for (const team of batch.teams)
       batch.transaction.preconditions.push({
         key: teamKey(team),
         modRevision: this.options.shardEpochOf(team) ?? -1,
       });
     for (const job of batch.jobs) {
-      job.writeInFlight = true;
-      job.dueAt = Number.POSITIVE_INFINITY;
+      job.isWriteInFlight = true;
+      job.writeDueAt = Number.POSITIVE_INFINITY;
     }
     this.inFlight[kind] = true;
     const urgency = kind === 'cleanup' ? URGENCY.cleanup : URGENCY.placement;
     this.options.store.compareAndSwap(batch.transaction, urgency, (result) => {
       this.inFlight[kind] = false;
-      this.onAnswered(batch, result);
+      this.onResult(batch, result);
       this.options.wake();
     });
   }
 
-  private onAnswered(batch: Batch, result: Result<number>): void {
+  private onResult(batch: Batch, result: Result<number>): void {
     for (const job of batch.jobs) {
-      job.writeInFlight = false;
-      // Looked at again by the next write, and forgotten there if nothing is left to store.
+      job.isWriteInFlight = false;
+      // `listDueJobs` examines the job again and removes it from `dirtyJobs` if nothing is left to write.
       if (this.options.isOwned(job))
-        this.scheduleWrite(job, job.counterDirty && !job.counter.isComplete ? this.lazyDelayMs() : 0);
+        this.scheduleWrite(job, job.isCounterDirty && !job.counter.isComplete ? this.coalescingDelayMs() : 0);
     }
     if (result.ok) {
       for (const write of batch.writes) write.onStored(result.value);
-    } else if (result.kind === 'refused' || this.options.fence.isOnlyConflict(result)) {
-      // Surely not executed: what was to be stored still is.
+    } else if (result.kind === 'refused' || this.options.fence.detectFenceOnlyConflict(result)) {
+      // The transaction was not executed, so its changes are still to be written.
       for (const write of batch.writes) write.onNotExecuted();
-      this.pause(REFUSED_PAUSE_MS);
+      this.pause(NOT_EXECUTED_PAUSE_MS);
     } else this.onUnconfirmed(batch, result);
   }
 
-  /** Not executed, or nobody knows: the stored records decide. */
+  /** Has the records of the jobs read again after a transaction that failed or has an unknown outcome. */
   private onUnconfirmed({ jobs, fenceRevision }: Batch, { kind, failedKeys = [] }: Failure): void {
     this.options.log.debug({ kind, failedKeys, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
-    // Ownership moved; the watch will tell. Nothing of ours was stored.
+    // If only team records have changed, another controller owns a team now, as the watch will report.
+    // Nothing of this transaction was stored.
     if (kind === 'conflict' && failedKeys.every((key) => teamOfKey(key) !== null))
-      this.pause(OWNERSHIP_MOVED_PAUSE_MS);
+      this.pause(OWNERSHIP_CHANGED_PAUSE_MS);
     const isIndeterminate = kind !== 'conflict' && kind !== 'invalid';
     const owned = jobs.filter((job) => this.options.isOwned(job));
     this.options.onUnconfirmed(owned, { isIndeterminate, fenceRevision });
@@ -247,7 +272,7 @@
   }
 }
 
-/** How long an operation is in the text of a transaction, nearly. */
+/** Returns the approximate length of an operation in an encoded transaction. */
 function encodedLength(operation: StoreOperation): number {
   const keyLength = JSON.stringify(operation.key).length;
   return operation.type === 'delete'
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -1,4 +1,4 @@
-/** What is written of one job: its counter and placements while it is open, and its final record. */
+/** Builds the writes of one job: its counter and placements while it is unfinished, and its final record. */
 
 import type { StoreOperation } from '../model/key-value-store.js';
 import type { PlacementEntry } from '../model/records.js';
@@ -7,37 +7,41 @@
 import { makeCounterRecord } from '../store/stored-job.js';
 import type { FinalizedPlacement, OwnedJob, Placement } from './owned-job.js';
 
-/** What follows from a write of a job. */
+/** Callbacks for stored writes of a job. */
 export interface WriteEvents {
-  /** Its task may be started now. */
+  /** A placement is stored, so its task may be started. */
   onPlacementStored(job: OwnedJob, placement: Placement): void;
-  /** A finalized placement is stored as such: its worker may remove it. */
+  /** The outcome of a finalized placement is stored, so its worker may remove the attempt. */
   onOutcomeStored(job: OwnedJob, finalized: FinalizedPlacement): void;
-  /** All tasks are stored as finished. */
-  onCounterFull(job: OwnedJob): void;
-  /** The final record has replaced all others. */
+  /** The stored counter shows all tasks of the job as finished. */
+  onCounterComplete(job: OwnedJob): void;
+  /** The final record is stored and all other records of the job are deleted. */
   onFinalRecordStored(job: OwnedJob): void;
 }
 
-/** A job's part of a transaction. */
+/** The part of a transaction that writes one job. */
 export interface JobWrite {
   operations: StoreOperation[];
-  /** `revision`: of the transaction. */
+  /**
+   * Called when the transaction has been executed.
+   *
+   * @param revision - Store revision of the transaction
+   */
   onStored(revision: number): void;
-  /** Surely not executed: what was to be written still is. */
+  /** Called when the transaction was not executed. Its changes become due to be written again. */
   onNotExecuted(): void;
 }
 
-/** How much of a job may be written, and who learns of it. */
-export interface WriteLimits {
-  /** Operations left in the transaction. */
+/** Limits and callbacks of a write of one job. */
+export interface JobWriteOptions {
+  /** Number of operations that fit into the rest of the transaction. */
   maxOperations: number;
   tasksPerChunk: number;
   events: WriteEvents;
 }
 
-/** The revision under which an owner knows a record of a job; 0: it does not exist. */
-export function revisionOf(job: OwnedJob, key: string): number {
+/** Returns the revision of a record of a job that the shard owner knows; 0 if there is no such record. */
+export function knownRevision(job: OwnedJob, key: string): number {
   const record = parseJobRecordKey(key);
   switch (record?.type) {
     case 'job':
@@ -51,68 +55,71 @@
   }
 }
 
-/** Writes the counter and the chunks of placements that have changed, as many as fit; null: nothing. */
-export function writeChanges(job: OwnedJob, limits: WriteLimits): JobWrite | null {
-  const { maxOperations, tasksPerChunk } = limits;
+/**
+ * Builds a write of the job's changed counter and of as many of its changed chunks of placements as fit.
+ * Marks them as unchanged, which `onNotExecuted` reverts. Returns null if there is nothing to write.
+ */
+export function progressWrite(job: OwnedJob, options: JobWriteOptions): JobWrite | null {
+  const { maxOperations, tasksPerChunk } = options;
   if (maxOperations < 1) return null;
-  const withCounter = job.counterDirty;
-  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, maxOperations - (withCounter ? 1 : 0)));
-  const operations: StoreOperation[] = withCounter ? [counterOperation(job)] : [];
-  const added: Placement[] = [];
+  const includesCounter = job.isCounterDirty;
+  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, maxOperations - (includesCounter ? 1 : 0)));
+  const operations: StoreOperation[] = includesCounter ? [counterOperation(job)] : [];
+  const newPlacements: Placement[] = [];
   for (const chunk of chunks) {
-    const operation = chunkOperation(job, { chunk, tasksPerChunk }, added);
+    const operation = chunkOperation(job, { chunk, tasksPerChunk }, newPlacements);
     if (operation) operations.push(operation);
   }
   for (const chunk of chunks) job.dirtyChunks.delete(chunk);
   if (operations.length === 0) return null;
   const isWritten = ({ placement: { taskIndex } }: FinalizedPlacement) =>
-    chunks.includes(Math.floor(taskIndex / tasksPerChunk)) || (withCounter && job.counter.has(taskIndex));
+    chunks.includes(Math.floor(taskIndex / tasksPerChunk)) || (includesCounter && job.counter.has(taskIndex));
   const outcomes = job.outcomesToStore.filter(isWritten);
   job.outcomesToStore = job.outcomesToStore.filter((outcome) => !isWritten(outcome));
   job.outcomesInFlight = outcomes;
-  job.counterDirty = false;
-  const runningTasks = withCounter ? job.runningTasks : null;
+  job.isCounterDirty = false;
+  const runningTasks = includesCounter ? job.runningTasks : null;
   return {
     operations,
     onStored: (revision) =>
-      onChangesStored(job, { operations, added, outcomes, runningTasks, revision }, limits.events),
+      onChangesStored(job, { operations, newPlacements, outcomes, runningTasks, revision }, options.events),
     onNotExecuted: () => {
       job.outcomesInFlight = [];
-      job.counterDirty ||= withCounter;
+      job.isCounterDirty ||= includesCounter;
       for (const chunk of chunks) job.dirtyChunks.add(chunk);
       job.outcomesToStore.push(...outcomes);
     },
   };
 }
 
-/** Changes of a job that have been stored together. */
+/** Changes of a job that were stored by one transaction. */
 interface StoredChanges {
   operations: StoreOperation[];
-  added: Placement[];
+  newPlacements: Placement[];
   outcomes: FinalizedPlacement[];
-  /** As the counter record says; null: it was not written. */
+  /** Running tasks according to the counter record; null if that record was not written. */
   runningTasks: number | null;
   revision: number;
 }
 
 function onChangesStored(job: OwnedJob, changes: StoredChanges, events: WriteEvents): void {
-  const { operations, added, outcomes, runningTasks, revision } = changes;
+  const { operations, newPlacements, outcomes, runningTasks, revision } = changes;
   if (runningTasks !== null) {
     job.counterRevision = revision;
     job.storedRunningTasks = runningTasks;
-    if (job.counter.isComplete) events.onCounterFull(job);
+    if (job.counter.isComplete) events.onCounterComplete(job);
   }
-  keepChunkRevisions(job, operations, revision);
-  for (const placement of added) {
+  updateChunkRevisions(job, operations, revision);
+  for (const placement of newPlacements) {
     placement.isStored = true;
-    job.attempts.set(placement.taskIndex, placement.attempt);
+    job.latestAttempts.set(placement.taskIndex, placement.attempt);
     if (job.placements.get(placement.taskIndex) === placement) events.onPlacementStored(job, placement);
   }
   job.outcomesInFlight = [];
   for (const outcome of outcomes) events.onOutcomeStored(job, outcome);
 }
 
-function keepChunkRevisions(job: OwnedJob, operations: StoreOperation[], revision: number): void {
+function updateChunkRevisions(job: OwnedJob, operations: StoreOperation[], revision: number): void {
   for (const operation of operations) {
     const record = parseJobRecordKey(operation.key);
     if (record?.type !== 'placements') continue;
@@ -126,21 +133,24 @@
   return { type: 'put', key: counterKey(job.spec.id), value: counterRecord.encode(record) };
 }
 
-/** The record of a chunk of tasks, or its removal; new placements in it are added to `added`. */
+/**
+ * Returns the put of the placement record of a chunk of tasks, its deletion if it would be empty, or null if
+ * it would be empty and does not exist. Appends the placements that are not stored yet to `newPlacements`.
+ */
 function chunkOperation(
   job: OwnedJob,
   { chunk, tasksPerChunk }: { chunk: number; tasksPerChunk: number },
-  added: Placement[],
+  newPlacements: Placement[],
 ): StoreOperation | null {
   const tasks = new Map<number, PlacementEntry>();
   const end = Math.min(job.spec.taskCount, (chunk + 1) * tasksPerChunk);
   for (let taskIndex = chunk * tasksPerChunk; taskIndex < end; taskIndex++) {
     const placement = job.placements.get(taskIndex);
-    const attempt = job.attempts.get(taskIndex);
+    const attempt = job.latestAttempts.get(taskIndex);
     if (placement) {
       const { machine, agentEpoch, zone } = placement;
       tasks.set(taskIndex, { attempt: placement.attempt, location: { machine, agentEpoch, zone } });
-      if (!placement.isStored) added.push(placement);
+      if (!placement.isStored) newPlacements.push(placement);
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
   const key = placementChunkKey(job.spec.id, chunk);
@@ -149,24 +159,25 @@
 }
 
 /**
- * A job that is over leaves one final record; its working records are deleted, placements first, over as many transactions
- * as that takes. Null: not even a part fits.
+ * Builds a write that replaces the records of a finished or cancelled job by its final record. If they do not
+ * all fit into one transaction, placement records are deleted first, and the last transaction stores the
+ * final record. Returns null if no part of this fits.
  */
-export function writeFinal(
+export function cleanupWrite(
   job: OwnedJob,
-  { maxOperations, events }: Omit<WriteLimits, 'tasksPerChunk'>,
+  { maxOperations, events }: Omit<JobWriteOptions, 'tasksPerChunk'>,
 ): JobWrite | null {
   const { id } = job.spec;
   const hasCounter = job.counterRevision > 0;
-  const finalOperations = 2 + (hasCounter ? 1 : 0);
-  if (maxOperations < finalOperations + Math.min(1, job.chunkRevisions.size)) return null;
-  const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOperations));
-  const isLast = chunks.length === job.chunkRevisions.size;
+  const finalOperationCount = 2 + (hasCounter ? 1 : 0);
+  if (maxOperations < finalOperationCount + Math.min(1, job.chunkRevisions.size)) return null;
+  const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOperationCount));
+  const isLastTransaction = chunks.length === job.chunkRevisions.size;
   const operations: StoreOperation[] = chunks.map((chunk) => ({
     type: 'delete',
     key: placementChunkKey(id, chunk),
   }));
-  if (isLast) {
+  if (isLastTransaction) {
     const record = finalRecord.encode({ isDone: !job.cancelled, finishedTasks: job.counter.count });
     operations.push({ type: 'put', key: finalKey(id), value: record });
     operations.push({ type: 'delete', key: jobKey(id) });
@@ -182,7 +193,7 @@
       }
       for (const outcome of outcomes) events.onOutcomeStored(job, outcome);
       job.outcomesToStore = [];
-      if (isLast) events.onFinalRecordStored(job);
+      if (isLastTransaction) events.onFinalRecordStored(job);
     },
     onNotExecuted: () => {},
   };
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -1,4 +1,4 @@
-/** A job as its shard owner holds it, and the placements of its tasks. */
+/** The state of a job at its shard owner, and the placements of its tasks. */
 
 import { DependencyCounter, FanOut } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
@@ -12,83 +12,84 @@
   machine: string;
   agentEpoch: number;
   zone: string;
-  /** The grant it was placed by; 0: one of an earlier leader. */
+  /** Id of the grant that it was made from; 0 after a change of leader or a read from the store. */
   grantId: number;
-  /** In the key-value store; before that no start may be sent. */
+  /** Whether it is in the key-value store. Until then its task must not be started. */
   isStored: boolean;
   desiredState: 'run' | 'stop';
   isRunning: boolean;
 }
 
-/** A finalized placement whose outcome is to be stored. */
+/** A finalized placement whose outcome must be stored. */
 export interface FinalizedPlacement {
   placement: Placement;
-  /** Its worker lists it, and may remove it once the outcome is stored. */
+  /** Whether its worker still lists it, and so is told to remove it once the outcome is stored. */
   isListed: boolean;
 }
 
-/** A job as its owner holds it: the stored records, and what has changed since they were written. */
+/** The state of a job at its shard owner: its stored records and the changes that are not written yet. */
 export interface OwnedJob {
   spec: JobSpec;
-  /** Revision at which it was accepted. */
+  /** Revision at which the job was accepted. */
   acceptedRevision: number;
-  /** Revisions of its record and of its counter's; 0: there is none. */
+  /** Revisions of the job record and of the counter record; 0 if there is no such record. */
   jobRevision: number;
   counterRevision: number;
   cancelled: boolean;
   counter: DependencyCounter;
   fanOut: FanOut;
-  /** By task index. */
+  /** Placements that are not finalized, by task index. */
   placements: Map<number, Placement>;
-  /** The last attempt of each task that has had one. */
-  attempts: Map<number, number>;
-  /** Revisions of its placement records, by chunk. */
+  /** Number of the latest attempt of each task that has had one, by task index. */
+  latestAttempts: Map<number, number>;
+  /** Revisions of the placement records, by chunk. */
   chunkRevisions: Map<number, number>;
-  /** Chunks whose placements have changed since they were written; the same of the counter. */
+  /** Chunks whose placements have changed since they were written, and whether the counter has. */
   dirtyChunks: Set<number>;
-  counterDirty: boolean;
-  /** When what is dirty should be written, in steady ms; Infinity: nothing is. */
-  dueAt: number;
-  /** Part of the transaction now in flight. */
-  writeInFlight: boolean;
-  /** Its records are being read again; nothing is decided meanwhile. */
+  isCounterDirty: boolean;
+  /** When to write the changes, in milliseconds of the monotonic clock; Infinity if no write is scheduled. */
+  writeDueAt: number;
+  /** Whether the job is part of a transaction in flight. */
+  isWriteInFlight: boolean;
+  /** Whether the records are being read again. The job gets no writes, placements or requests meanwhile. */
   isReloading: boolean;
-  /** Nothing of it is started before this time, in steady ms: it has failed. */
-  holdUntil: number;
-  /** Failures since a task last finished. */
+  /** End of the backoff after a failure, in monotonic milliseconds. Until then no capacity is requested. */
+  backoffUntil: number;
+  /** Number of failed attempts since a task last finished. */
   failures: number;
-  /** Machines that get none of its tasks until the given time, in steady ms. */
+  /** Machines that get no task of the job, each with the end of that time in monotonic milliseconds. */
   avoidedMachines: Map<string, number>;
-  /** Where its last finished task ran: the next one goes there if it can. */
+  /** Machine on which the last finished task ran, preferred for the next one; empty if there is none. */
   preferredMachine: string;
   runningTasks: number;
-  /** What the counter record says of them. */
+  /** Number of running tasks in the stored counter record, or in the scheduled write of it. */
   storedRunningTasks: number;
+  /** Finalized placements whose outcome must still be stored. */
   outcomesToStore: FinalizedPlacement[];
-  /** Those whose outcome is in the transaction now in flight, or indeterminate. */
+  /** Finalized placements whose outcome is part of a transaction that is in flight or indeterminate. */
   outcomesInFlight: FinalizedPlacement[];
 }
 
-/** What an owned job is made of. */
-export interface OwnedJobSource {
+/** The data from which an `OwnedJob` is created. */
+export interface OwnedJobInput {
   spec: JobSpec;
   stored: StoredJob;
-  /** What its owner held before reading the records again. */
+  /** The state before the records were read again. */
   previous?: OwnedJob | undefined;
-  /** See `FanOut`. */
+  /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
   releaseWindow: number;
 }
 
 /**
- * A job from its stored records, without its placements. A cancellation that the watch has shown meanwhile is never taken
- * back.
+ * Creates a job from its stored records, without its placements. A cancellation that the watch reported in
+ * the meantime is kept even if the records that were read do not contain it yet.
  */
-export function createOwnedJob({ spec, stored, previous, releaseWindow }: OwnedJobSource): OwnedJob {
+export function createOwnedJob({ spec, stored, previous, releaseWindow }: OwnedJobInput): OwnedJob {
   const chunkRevisions = new Map<number, number>();
-  const attempts = new Map<number, number>();
+  const latestAttempts = new Map<number, number>();
   for (const [chunk, { modRevision, tasks }] of stored.placementChunks) {
     chunkRevisions.set(chunk, modRevision);
-    for (const [taskIndex, { attempt }] of tasks) attempts.set(taskIndex, attempt);
+    for (const [taskIndex, { attempt }] of tasks) latestAttempts.set(taskIndex, attempt);
   }
   return {
     spec,
@@ -99,14 +100,14 @@
     counter: stored.counter ?? new DependencyCounter(spec.taskCount),
     fanOut: new FanOut(spec.taskCount, releaseWindow),
     placements: new Map(),
-    attempts,
+    latestAttempts,
     chunkRevisions,
     dirtyChunks: new Set(),
-    counterDirty: false,
-    dueAt: Number.POSITIVE_INFINITY,
-    writeInFlight: false,
+    isCounterDirty: false,
+    writeDueAt: Number.POSITIVE_INFINITY,
+    isWriteInFlight: false,
     isReloading: false,
-    holdUntil: previous?.holdUntil ?? 0,
+    backoffUntil: previous?.backoffUntil ?? 0,
     failures: previous?.failures ?? 0,
     avoidedMachines: previous?.avoidedMachines ?? new Map(),
     preferredMachine: previous?.preferredMachine ?? '',
@@ -117,7 +118,7 @@
   };
 }
 
-/** The placements that the stored records have on machines, other than those of finished tasks. */
+/** Returns the placements in the stored records that are on a machine, without those of finished tasks. */
 export function placementsFromStore(
   job: OwnedJob,
   stored: StoredJob,
@@ -141,38 +142,47 @@
   return placements;
 }
 
-/** Over: done or cancelled, and nothing of it is left on any machine. */
-export function isOver(job: OwnedJob): boolean {
-  return (job.cancelled || (job.counter.isComplete && !job.counterDirty)) && job.placements.size === 0;
+/**
+ * Returns whether the job can be replaced by its final record: it has no placements left, and it is cancelled
+ * or its counter is complete and has no unwritten change.
+ */
+export function isReadyToArchive(job: OwnedJob): boolean {
+  return (job.cancelled || (job.counter.isComplete && !job.isCounterDirty)) && job.placements.size === 0;
 }
 
-/** Whether placements of it that are not known to be stored may be: a write is in flight, or its outcome is being read. */
-export function hasIndeterminateWrite(job: OwnedJob): boolean {
-  return job.writeInFlight || job.isReloading;
+/**
+ * Returns whether placements of the job that are not known to be stored may be: a write is in flight, or the
+ * records are being read again.
+ */
+export function hasUnconfirmedWrite(job: OwnedJob): boolean {
+  return job.isWriteInFlight || job.isReloading;
 }
 
-/** All tasks of a gang share one attempt number, above every earlier one. */
+/**
+ * Returns the attempt number for the next placement of a gang: that of the placements that are not stored
+ * yet, else one above all earlier attempts. All tasks of a gang share one attempt number.
+ */
 export function nextGangAttempt(job: OwnedJob): number {
   let latest = 0;
   for (const placement of job.placements.values()) if (!placement.isStored) return placement.attempt;
-  for (const attempt of job.attempts.values()) latest = Math.max(latest, attempt);
+  for (const attempt of job.latestAttempts.values()) latest = Math.max(latest, attempt);
   return latest + 1;
 }
 
-/** Whether one more task may go to this zone, given all placements of the job that are not finalized. */
-export function zoneAllows(job: OwnedJob, zone: string): boolean {
+/** Returns whether one more task may be placed in a zone, given the placements of the job so far. */
+export function allowsZone(job: OwnedJob, zone: string): boolean {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== zone) return false;
   if (!spec.zoneAffinity && !spec.zoneAntiAffinity) return true;
-  let tasksThere = 0;
+  let tasksInZone = 0;
   for (const placement of job.placements.values()) {
-    if (placement.zone === zone) tasksThere++;
+    if (placement.zone === zone) tasksInZone++;
     else if (spec.zoneAffinity) return false;
   }
-  return !spec.zoneAntiAffinity || tasksThere < Math.ceil(spec.taskCount / 2);
+  return !spec.zoneAntiAffinity || tasksInZone < Math.ceil(spec.taskCount / 2);
 }
 
-/** What identifies a placement to the leader. */
+/** The fields that identify a placement to the leader. */
 export interface PlacementRef {
   taskIndex: number;
   attempt: number;
@@ -180,15 +190,15 @@
   agentEpoch: number;
 }
 
-/** What the leader is to do about a placement. */
-export type PlacementOrder = Pick<PlacementSpec, 'desiredState'> &
+/** The desired state of a placement that is sent to the leader, and its optional parameters. */
+export type PlacementUpdate = Pick<PlacementSpec, 'desiredState'> &
   Partial<Pick<PlacementSpec, 'gracePeriodSeconds' | 'grantId'>>;
 
-/** A placement as it is sent to the leader. */
-export function placementSpecOf(
+/** Returns a placement in the form in which it is sent to the leader. */
+export function toPlacementSpec(
   job: OwnedJob,
   placement: PlacementRef,
-  { desiredState, gracePeriodSeconds = 0, grantId = 0 }: PlacementOrder,
+  { desiredState, gracePeriodSeconds = 0, grantId = 0 }: PlacementUpdate,
 ): PlacementSpec {
   const { spec } = job;
   return {
--- a/src/shard/owned-jobs.ts
+++ b/src/shard/owned-jobs.ts
@@ -1,9 +1,12 @@
-/** The jobs of the shards owned here, and the count of what their placements take of their teams' quotas. */
+/** The jobs of the shards that this controller owns. */
 
 import type { OwnedJob, Placement } from './owned-job.js';
 import type { TeamUsage, UsageCause } from './team-usage.js';
 
-/** All jobs by id. A placement is added and removed here alone, so that it always counts. */
+/**
+ * The jobs of the owned shards by id. All placements are added and removed through this class, which keeps
+ * the usage of the teams consistent with them.
+ */
 export class OwnedJobs {
   private readonly jobs = new Map<string, OwnedJob>();
 
@@ -20,7 +23,7 @@
     return this.jobs.get(jobId);
   }
 
-  /** Whether this very job is owned: one that has been loaded again is another. */
+  /** Returns whether this object is the current one for its job. Reloading a job replaces its object. */
   includes(job: OwnedJob): boolean {
     return this.jobs.get(job.spec.id) === job;
   }
@@ -52,7 +55,7 @@
     if (job.placements.delete(placement.taskIndex)) this.usage.remove(job.spec, cause);
   }
 
-  /** Number of placements of all jobs. */
+  /** Returns the number of placements of all jobs. */
   countPlacements(): number {
     let count = 0;
     for (const job of this.jobs.values()) count += job.placements.size;
--- a/src/shard/owned-shards.ts
+++ b/src/shard/owned-shards.ts
@@ -1,18 +1,18 @@
-/** Which shards this controller owns: a shard is one team's jobs, owned as of a revision of the team's record. */
+/** The shards that this controller owns. A shard consists of the jobs of one team. */
 
 import type { Logger } from '../model/logger.js';
 
-/** A shard from its acquisition until it is released; one that is acquired again is another. */
+/** A shard from its acquisition to its release. A shard that is acquired again gets a new object. */
 export interface OwnedShard {
   readonly team: string;
-  /** Revision of the record that names this instance: all writes of the shard's jobs are conditioned on it. */
+  /** Revision of the team's record that names this instance; a precondition of all writes of the jobs. */
   readonly shardEpoch: number;
-  /** Its jobs have been read; before that nothing is known or decided. */
+  /** Whether the jobs of the shard have been read. Until then nothing is placed or requested for its team. */
   isLoaded: boolean;
   isLoading: boolean;
 }
 
-/** Acquires and releases shards as the teams' records say. */
+/** Acquires and releases shards according to the teams' records. */
 export class OwnedShards {
   private readonly shards = new Map<string, OwnedShard>();
 
@@ -26,17 +26,22 @@
     return [...this.shards.keys()];
   }
 
-  /** The teams whose jobs have been read. */
+  /** The teams whose shards are loaded. */
   get loadedTeams(): string[] {
-    return this.loaded().map(({ team }) => team);
+    return this.loadedShards().map(({ team }) => team);
   }
 
-  /** The epochs of the shards whose jobs have been read, by team. */
+  /** The epochs of the loaded shards, by team. */
   get loadedEpochs(): Record<string, number> {
-    return Object.fromEntries(this.loaded().map(({ team, shardEpoch }) => [team, shardEpoch]));
+    return Object.fromEntries(this.loadedShards().map(({ team, shardEpoch }) => [team, shardEpoch]));
   }
 
-  /** Releases what `epochs` no longer has as it is held, and acquires the rest. */
+  /**
+   * Releases the shards whose epoch is missing or different in `epochs`, and acquires those that are not
+   * owned yet.
+   *
+   * @param epochs - Revision of the record that names this instance as the owner, by team
+   */
   assign(epochs: ReadonlyMap<string, number>): void {
     for (const { team, shardEpoch } of this.shards.values()) {
       if (epochs.get(team) === shardEpoch) continue;
@@ -51,7 +56,7 @@
     }
   }
 
-  /** Whether this very shard is still owned. */
+  /** Returns whether this object is still the current one for its team. */
   includes(shard: OwnedShard): boolean {
     return this.shards.get(shard.team) === shard;
   }
@@ -60,17 +65,17 @@
     return this.shards.get(team)?.isLoaded === true;
   }
 
-  /** Undefined: the team's shard is not owned here. */
+  /** Returns the epoch of a team's shard, or undefined if this controller does not own it. */
   epochOf(team: string): number | undefined {
     return this.shards.get(team)?.shardEpoch;
   }
 
-  /** The shards that are neither loaded nor being loaded. */
-  toLoad(): OwnedShard[] {
+  /** Returns the shards that are neither loaded nor being loaded. */
+  shardsToLoad(): OwnedShard[] {
     return [...this.shards.values()].filter((shard) => !shard.isLoaded && !shard.isLoading);
   }
 
-  private loaded(): OwnedShard[] {
+  private loadedShards(): OwnedShard[] {
     return [...this.shards.values()].filter((shard) => shard.isLoaded);
   }
 }
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -96,7 +96,7 @@
 
   /** A job has been accepted: what counts as large in its class depends on it. */
   learn(spec: JobSpec): void {
-    this.sizes.learn(spec);
+    this.sizes.record(spec);
   }
 
   /**
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -50,7 +50,7 @@
   const requests: ResourceRequest[] = [];
   for (const { job, key } of releaseQueue.sort(queued, input.wallMs, (team) => usage.load(team))) {
     const budget = budgets.get(job.spec.team);
-    if (!budget || job.owned.holdUntil > nowMs) continue;
+    if (!budget || job.owned.backoffUntil > nowMs) continue;
     const tasks = tasksToRequest(job.owned, budget.tasksThatFit(job.spec), input.maxTasksPerRequest);
     if (tasks > 0) {
       budget.take(job.spec, tasks);
@@ -122,7 +122,7 @@
 
 /** See `ResourceRequest.remainingTasks`: a task that never had an attempt is listed nowhere. */
 function remainingTasks(job: OwnedJob): Pick<ResourceRequest, 'remainingTasks'> {
-  const { spec, counter, placements, attempts, fanOut } = job;
+  const { spec, counter, placements, latestAttempts: attempts, fanOut } = job;
   const openTasks = spec.taskCount - counter.count - placements.size;
   if (spec.kind === 'gang' || openTasks > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
   const remaining = fanOut.listAvailable((task) => counter.has(task) || placements.has(task));
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -1,7 +1,8 @@
 /**
- * Owns the shards assigned to this controller: the jobs of their teams, which of them are released when, the teams' quotas,
- * one attempt of each task at a time, and the counters of finished tasks. It asks the leader for places, stores what it
- * places there and has it started.
+ * The shard owner of this controller. For the teams whose shards are assigned to it, it keeps the jobs,
+ * decides when their tasks are released, enforces the teams' quotas, allows one attempt of each task at a
+ * time and counts finished tasks. It requests capacity from the leader, stores the placements made from the
+ * leader's grants and then has the tasks started.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -26,41 +27,44 @@
 import { TeamUsage } from './team-usage.js';
 import { UsageLog } from './usage-log.js';
 import { WakeTimer } from './wake-timer.js';
+import { WriteEventHandler } from './write-event-handler.js';
 import { WriteFence } from './write-fence.js';
-import { WriteOutcomes } from './write-outcomes.js';
 
-/** Settings of an owner, and what it works with. */
+/** Settings and dependencies of a `ShardOwner`. */
 export interface ShardOwnerOptions {
   nodeName: string;
   instanceId: string;
   teams: Map<string, Team>;
-  /** Largest value that the key-value store takes, in KiB. */
+  /** Largest value that the key-value store accepts, in KiB. */
   maxValueKb: number;
-  /** Most puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   maxTransactionOperations: number;
-  /** Puts and deletes that the key-value store takes from all controllers. */
+  /** Puts and deletes per second that the key-value store accepts from all controllers together. */
   writesPerSecond: number;
-  /** Most tasks of one job asked for at a time: the pace of a large fan-out. */
+  /** Maximum number of tasks in one resource request of a job. It limits how fast a large job is released. */
   maxTasksPerRequest: number;
-  /** Added to the time that an evicted task takes to save its progress. */
+  /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
   noticeGraceSeconds: number;
   objectives: ServiceLevelObjective[];
   store: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** The cached records of unfinished jobs. */
+  /** Returns the cached records of unfinished jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
-  /** The sending time of the latest read of the unfinished jobs whose changes have been passed on here. */
+  /**
+   * Returns when the latest read of the unfinished jobs was sent whose changes have already been delivered to
+   * `onOpenJobChanged`.
+   */
   openJobsFreshAsOf(): number;
-  /** Reads them anew, if that is due. */
+  /** Reads the unfinished jobs again if the last read is old enough. */
   refreshOpenJobs(): void;
-  /** Sends to the leader. */
+  /** Sends a message to the leader. */
   send(message: ShardMessage): void;
-  /** Has `flush` called soon. */
+  /** Schedules a call of `flush`. */
   wake(): void;
 }
 
-/** Composes the parts of an owner and passes on to them what comes from the leader and the key-value store. */
+/** Connects the components of the shard owner and passes leader messages and changed records to them. */
 export class ShardOwner {
   private readonly usage: TeamUsage;
   private readonly usageLog: UsageLog;
@@ -71,7 +75,7 @@
   private readonly updates: LeaderUpdates;
   private readonly loader: JobLoader;
   private readonly stops: JobStops;
-  private readonly grants: GrantIntake;
+  private readonly grantIntake: GrantIntake;
   private readonly allocationEvents: AllocationEventHandler;
 
   constructor(private readonly options: ShardOwnerOptions) {
@@ -80,13 +84,13 @@
     this.usage = new TeamUsage(options.teams);
     this.usageLog = new UsageLog(this.usage, clock, log);
     this.releaseQueue = new ReleaseQueue(options.objectives);
-    this.jobs = new OwnedJobs(this.usage, (job) => this.transactions.forget(job));
+    this.jobs = new OwnedJobs(this.usage, (job) => this.transactions.unscheduleWrite(job));
     this.shards = new OwnedShards(log, (team) => this.onShardReleased(team));
     const wakeTimer = new WakeTimer(clock, wake);
     const fence = this.createFence();
     this.updates = this.createUpdates(wakeTimer);
     this.transactions = this.createTransactions(fence, wakeTimer);
-    const shared = {
+    const sharedOptions = {
       clock,
       log,
       wake,
@@ -96,11 +100,11 @@
       updates: this.updates,
       tasksPerChunk: tasksPerChunk(options.maxValueKb),
     };
-    this.stops = new JobStops({ ...shared, noticeGraceSeconds: options.noticeGraceSeconds });
-    this.grants = new GrantIntake(shared);
-    this.allocationEvents = new AllocationEventHandler({ ...shared, stops: this.stops });
+    this.stops = new JobStops({ ...sharedOptions, noticeGraceSeconds: options.noticeGraceSeconds });
+    this.grantIntake = new GrantIntake(sharedOptions);
+    this.allocationEvents = new AllocationEventHandler({ ...sharedOptions, stops: this.stops });
     this.loader = new JobLoader({
-      ...shared,
+      ...sharedOptions,
       store: options.store,
       shards: this.shards,
       fence,
@@ -112,45 +116,49 @@
     });
   }
 
-  /** The teams whose shards are owned here. */
+  /** The teams whose shards are owned by this controller. */
   get ownedTeams(): string[] {
     return this.shards.teams;
   }
 
-  /** For logs and tests. */
+  /** Returns the number of jobs and of their placements, for logs and tests. */
   stats(): { jobs: number; placed: number } {
     return { jobs: this.jobs.size, placed: this.jobs.countPlacements() };
   }
 
-  /** The teams whose records name this instance, each with the revision of its record. */
+  /**
+   * Sets the teams whose shards this controller owns.
+   *
+   * @param epochs - Revision of the record that names this instance as the owner, by team
+   */
   setShards(epochs: ReadonlyMap<string, number>): void {
     this.shards.assign(epochs);
     this.options.wake();
   }
 
-  /** A leader with a higher token is followed from now on; one with a lower token never again. */
+  /** Switches to the leader with this fencing token, unless the token is not higher than the current one. */
   setLeader(fencingToken: number): void {
     if (fencingToken <= this.updates.fencingToken) return;
     this.options.log.info({ fencingToken }, 'following leader');
-    // Numbers of the last leader's grants: the next one counts anew.
+    // Each leader numbers its own grants, so ids from the previous leader have no meaning for this one.
     for (const job of this.jobs.values())
       for (const placement of job.placements.values()) placement.grantId = 0;
     this.updates.setLeader(fencingToken);
     this.options.wake();
   }
 
-  /** The leader may have missed something: it is sent the full state. */
+  /** Sends the full state to the leader again, which may have missed a message. */
   resync(): void {
     this.updates.resync();
     this.options.wake();
   }
 
-  /** A record of an unfinished job was put, as the watch has shown. */
+  /** Handles a put of a record of an unfinished job, as reported by the watch. */
   onOpenJobChanged(item: StoredItem): void {
     this.loader.onOpenJobChanged(item);
   }
 
-  /** Takes a message; those of any leader but the one followed are passed over. */
+  /** Handles a message from the leader. Messages of any other leader than the current one are ignored. */
   onLeaderMessage(message: LeaderMessage): void {
     if (message.fencingToken !== this.updates.fencingToken) return;
     switch (message.type) {
@@ -161,7 +169,7 @@
         this.resync();
         break;
       case 'grants':
-        this.grants.take(message.grants);
+        this.grantIntake.take(message.grants);
         break;
       case 'allocationEvents':
         for (const event of message.events) this.allocationEvents.handle(event);
@@ -177,10 +185,10 @@
     this.options.wake();
   }
 
-  /** Work at the end of each batch of commands: reads, writes and messages that follow from it. */
+  /** Sends the reads, writes and messages that are due. Called after each batch of commands. */
   flush(): void {
     this.loader.loadShards();
-    this.transactions.write();
+    this.transactions.sendDueWrites();
     this.updates.send();
     this.usageLog.update(this.shards.teams, this.jobs.values());
   }
@@ -206,7 +214,7 @@
       wakeTimer,
       openJobsFreshAsOf: () => this.options.openJobsFreshAsOf(),
       listRequests: (lastProcessedGrantId) => this.listRequests(lastProcessedGrantId),
-      returnUnsentPlacements: () => this.grants.returnUnsentPlacements(),
+      returnUnsentPlacements: () => this.grantIntake.returnUnsentPlacements(),
       send: (message) => this.options.send(message),
     });
   }
@@ -222,11 +230,11 @@
       maxTransactionOperations,
       writesPerSecond,
       tasksPerChunk: tasksPerChunk(this.options.maxValueKb),
-      events: new WriteOutcomes({
+      events: new WriteEventHandler({
         updates: this.updates,
         usage: this.usage,
         log,
-        archive: (jobId) => this.loader.archive(jobId),
+        removeArchivedJob: (jobId) => this.loader.removeArchivedJob(jobId),
       }),
       shardEpochOf: (team) => this.shards.epochOf(team),
       isOwned: (job) => this.jobs.includes(job),
--- a/src/shard/wake-timer.ts
+++ b/src/shard/wake-timer.ts
@@ -1,8 +1,8 @@
-/** One timer for all that falls due later. */
+/** A wake-up timer that the components of a shard owner share. */
 
 import type { Clock } from '../model/clock.js';
 
-/** Wakes the owner at the earliest time asked for. */
+/** Wakes the shard owner at the earliest of the requested times. */
 export class WakeTimer {
   private nextWakeAt = 0;
 
@@ -11,7 +11,11 @@
     private readonly wake: () => void,
   ) {}
 
-  /** `at`: steady milliseconds; Infinity: never. */
+  /**
+   * Requests a wake-up.
+   *
+   * @param at - Time in milliseconds of the monotonic clock; ignored if it is not finite
+   */
   wakeAt(at: number): void {
     const now = this.clock.now();
     if (!Number.isFinite(at) || (this.nextWakeAt > now && this.nextWakeAt <= at)) return;
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -1,4 +1,4 @@
-/** Bars late writes: what was sent before the fence moved can no longer be executed. */
+/** A write fence, which prevents transactions sent before it was moved from being executed later. */
 
 import type { Clock } from '../model/clock.js';
 import {
@@ -11,90 +11,103 @@
 import type { Result } from '../model/result.js';
 import { teamRecord } from '../store/record-codec.js';
 
-/** Pause before a request that failed is sent again. */
+/** Delay before a failed request is retried. */
 const RETRY_MS = 300;
 
-/** What a fence needs of its controller. */
+/** Settings and dependencies of a `WriteFence`. */
 export interface WriteFenceOptions {
-  /** One record a controller: a process that follows on the same node goes on from the revision it finds. */
+  /**
+   * Key of the fence record. Each controller has one, and a process restarted on the same node continues from
+   * the revision stored there.
+   */
   key: string;
   instanceId: string;
   store: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Something can be written again. */
+  /** Called when `precondition` no longer returns null. */
   onReady(): void;
 }
 
 /**
- * Resolves transactions without an answer.
+ * Makes the outcome of transactions without a response final.
  *
- * "No response: the request may have been executed, or may yet be executed later." Reading the records again is no
- * barrier: a transaction that was not found may be executed after that read, as long as nothing it is conditioned on has
- * changed. So every transaction of an owner is conditioned on one record of its own, the fence. Once the fence is seen at
- * another revision, no earlier transaction can be executed any more, and what is read from then on is final. The ordinary
- * path costs a precondition and no write; an indeterminate write costs one more write.
+ * A transaction without a response may already have been executed or may be executed later. Reading its
+ * records again does not settle this: if its effects are missing, it can still be executed after that read,
+ * as long as all of its preconditions hold. Therefore every transaction of a shard owner has a precondition
+ * on the revision of one record, the fence. Moving the fence means writing that record. Once the fence has a
+ * new revision, no earlier transaction can be executed, so records read from then on show the final outcome.
+ * A regular transaction costs one more precondition but no additional write; an indeterminate one costs a
+ * write of the fence.
  */
 export class WriteFence {
-  /** Null: not known, and to be read before anything is written. */
+  /** Revision of the fence; null if unknown, in which case it is read before anything else is written. */
   private revision: number | null = null;
-  /** The revision that is to be left behind; null: the fence is not being moved. */
-  private revisionToLeave: number | null = null;
-  private waitingForMove: (() => void)[] = [];
-  private requestInFlight = false;
+  /** Revision of the fence before the move in progress; null if the fence is not being moved. */
+  private revisionBeforeMove: number | null = null;
+  private moveCallbacks: (() => void)[] = [];
+  /** Whether a request is in flight or waits to be retried. */
+  private isRequestPending = false;
 
   constructor(private readonly options: WriteFenceOptions) {}
 
-  /** Reads the fence if it is not known. */
-  learn(): void {
-    if (this.revision === null) this.proceed();
+  /** Reads the fence if its revision is unknown. */
+  ensureRevisionKnown(): void {
+    if (this.revision === null) this.sendNextRequest();
   }
 
-  /** The precondition of a transaction; null: nothing may be written yet, `onReady` tells when. */
+  /**
+   * Returns the precondition to add to a transaction, or null while nothing may be written: the revision is
+   * unknown or the fence is being moved. `onReady` is called when that has changed.
+   */
   precondition(): Precondition | null {
-    this.learn();
-    if (this.revision === null || this.waitingForMove.length > 0) return null;
+    this.ensureRevisionKnown();
+    if (this.revision === null || this.moveCallbacks.length > 0) return null;
     return { key: this.options.key, modRevision: this.revision };
   }
 
-  /** Whether a transaction failed for nothing but its fence, and so was surely not executed. It is read anew. */
-  isOnlyConflict(result: Result<unknown>): boolean {
+  /**
+   * Returns whether the fence was the only failed precondition of a transaction. Such a transaction was not
+   * executed and can be sent again unchanged. If the fence is among the failed preconditions, its revision
+   * becomes unknown.
+   */
+  detectFenceOnlyConflict(result: Result<unknown>): boolean {
     if (result.ok || result.kind !== 'conflict' || !result.failedKeys?.includes(this.options.key))
       return false;
     this.revision = null;
     return result.failedKeys.length === 1;
   }
 
-  /** Calls back once no transaction sent until now can be executed any more. */
-  move(moved: () => void): void {
-    this.waitingForMove.push(moved);
-    this.proceed();
+  /** Moves the fence and calls back once no transaction sent before this call can be executed any more. */
+  move(callback: () => void): void {
+    this.moveCallbacks.push(callback);
+    this.sendNextRequest();
   }
 
-  private proceed(): void {
-    if (this.requestInFlight) return;
-    if (this.revision === null) this.read();
-    else if (this.waitingForMove.length > 0) this.write(this.revision);
+  private sendNextRequest(): void {
+    if (this.isRequestPending) return;
+    if (this.revision === null) this.readRevision();
+    else if (this.moveCallbacks.length > 0) this.writeNewRevision(this.revision);
   }
 
-  private read(): void {
-    this.requestInFlight = true;
+  private readRevision(): void {
+    this.isRequestPending = true;
     this.options.store.get(this.options.key, URGENCY.user, (result) => {
       if (!result.ok) {
         this.retry();
         return;
       }
-      this.requestInFlight = false;
+      this.isRequestPending = false;
       this.revision = result.value?.modRevision ?? 0;
-      if (this.revisionToLeave !== null && this.revision !== this.revisionToLeave) this.onMoved();
-      else if (this.waitingForMove.length > 0) this.proceed();
+      if (this.revisionBeforeMove !== null && this.revision !== this.revisionBeforeMove) this.onMoved();
+      else if (this.moveCallbacks.length > 0) this.sendNextRequest();
       else this.options.onReady();
     });
   }
 
-  private write(modRevision: number): void {
-    this.requestInFlight = true;
-    this.revisionToLeave = modRevision;
+  private writeNewRevision(modRevision: number): void {
+    this.isRequestPending = true;
+    this.revisionBeforeMove = modRevision;
     const { key, instanceId, store } = this.options;
     const transaction: Transaction = {
       preconditions: [{ key, modRevision }],
@@ -102,31 +115,32 @@
     };
     store.compareAndSwap(transaction, URGENCY.placement, (result) => {
       if (result.ok) {
-        this.requestInFlight = false;
+        this.isRequestPending = false;
         this.revision = result.value;
         this.onMoved();
       } else if (result.kind === 'refused') this.retry();
       else {
-        // Its own answer may be lost, or an earlier write of it executed late: its revision tells.
+        // The response may be lost, or an earlier write of the fence was executed late. The stored revision
+        // shows both.
         this.revision = null;
-        this.read();
+        this.readRevision();
       }
     });
   }
 
   private onMoved(): void {
-    this.revisionToLeave = null;
-    const moved = this.waitingForMove;
-    this.waitingForMove = [];
-    for (const done of moved) done();
-    this.options.log.debug({ fenceRevision: this.revision, waiting: moved.length }, 'write fence moved');
+    this.revisionBeforeMove = null;
+    const callbacks = this.moveCallbacks;
+    this.moveCallbacks = [];
+    for (const callback of callbacks) callback();
+    this.options.log.debug({ fenceRevision: this.revision, waiting: callbacks.length }, 'write fence moved');
     this.options.onReady();
   }
 
   private retry(): void {
     this.options.clock.after(RETRY_MS, () => {
-      this.requestInFlight = false;
-      this.proceed();
+      this.isRequestPending = false;
+      this.sendNextRequest();
     });
   }
 }
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -7,7 +7,7 @@
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ShardMessage } from '../../src/model/shard-messages.js';
 import type { Team } from '../../src/model/team.js';
-import { type JobWrite, type WriteEvents, writeChanges, writeFinal } from '../../src/shard/job-writes.js';
+import { cleanupWrite, type JobWrite, progressWrite, type WriteEvents } from '../../src/shard/job-writes.js';
 import { createOwnedJob, type OwnedJob, type Placement } from '../../src/shard/owned-job.js';
 import { ShardOwner } from '../../src/shard/shard-owner.js';
 import { WriteFence } from '../../src/shard/write-fence.js';
@@ -81,7 +81,7 @@
 const events: WriteEvents = {
   onPlacementStored: () => {},
   onOutcomeStored: () => {},
-  onCounterFull: () => {},
+  onCounterComplete: () => {},
   onFinalRecordStored: () => {},
 };
 
@@ -220,10 +220,10 @@
     const job = ownedJob({ ...ARRAY, taskCount: tasks });
     for (const taskIndex of done) job.counter.add(taskIndex);
     job.runningTasks = running;
-    job.counterDirty = true;
-    expect(writtenText(writeChanges(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations)).toBe(
-      `[{"write":"open/wk-7/n","value":${text}}]`,
-    );
+    job.isCounterDirty = true;
+    expect(
+      writtenText(progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations),
+    ).toBe(`[{"write":"open/wk-7/n","value":${text}}]`);
     const stored = storedJob({
       'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${tasks}`)}}`,
       'open/wk-7/n': text,
@@ -247,12 +247,12 @@
   test('are written with the counter, settled ones as their attempt alone', () => {
     const job = ownedJob(GANG);
     job.placements.set(0, placement(0, 'vm-000231'));
-    job.attempts.set(1, 1);
+    job.latestAttempts.set(1, 1);
     job.counter.add(2);
-    job.counterDirty = true;
+    job.isCounterDirty = true;
     job.runningTasks = 1;
     job.dirtyChunks.add(0);
-    const write = writeChanges(job, { maxOperations: 16, tasksPerChunk: 64, events });
+    const write = progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events });
     expect(writtenText(write?.operations)).toBe(
       `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${pinnedText}}]`,
     );
@@ -264,7 +264,7 @@
     job.dirtyChunks.add(2);
     job.dirtyChunks.add(1);
     job.chunkRevisions.set(1, 8);
-    expect(writtenText(writeChanges(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations)).toBe(
+    expect(writtenText(progressWrite(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations)).toBe(
       '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
     );
   });
@@ -316,7 +316,7 @@
 });
 
 describe('the final record of a job, end/<id>', () => {
-  const finalOf = (job: OwnedJob): JobWrite | null => writeFinal(job, { maxOperations: 16, events });
+  const finalOf = (job: OwnedJob): JobWrite | null => cleanupWrite(job, { maxOperations: 16, events });
 
   test('is written when it is done, and the working records are dropped', () => {
     const job = ownedJob(GANG);
