--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -4,14 +4,14 @@
 import { assignTasks } from '../../model/task-assignment.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { EndedTasks } from '../ended-attempts.js';
-import { isOpenTo } from './capacity-filter.js';
+import { isFeasible } from './capacity-filter.js';
 import { chooseForGang } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /** Work that ended attempts alone have kept waiting for so long asks for a higher token, under which they are removed. */
 const RAISE_TOKEN_AFTER_MS = 15_000;
 /** Choices of machines made for a gang before all machines are passed over that list any ended attempt of it. */
-const MAX_CHOICES = 8;
+const MAX_MATCHING_ROUNDS = 8;
 
 /**
  * Keeps work from machines that would refuse it, since they list ended attempts of the same tasks (`EndedAttempts`).
@@ -43,30 +43,31 @@
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
-      if (refusesAll(machine.endedTasks.get(request.jobId), request)) names.add(machine.name);
+      if (refusesAllTasks(machine.endedTasks.get(request.jobId), request)) names.add(machine.name);
     return names.size > 0 ? names : null;
   }
 
   /** Capacities for all tasks of a gang, none of which meets its own ended attempt; null: there are none. */
   chooseForGang(capacities: FreeCapacity[], { request, count }: CapacityDemand): FreeCapacity[] | null {
     const { scarceZone } = this.state;
-    const passedOver = new Set(request.refusingMachines);
+    const excludedMachines = new Set(request.refusingMachines);
     const choose = () => {
-      const passingOver: ResourceRequest = { ...request, refusingMachines: passedOver };
-      return chooseForGang(capacities, { request: passingOver, count }, scarceZone);
+      const restrictedRequest: ResourceRequest = { ...request, refusingMachines: excludedMachines };
+      return chooseForGang(capacities, { request: restrictedRequest, count }, scarceZone);
     };
     if (!this.state.endedAttempts.has(request.jobId)) return choose();
-    for (let choices = 0; choices < MAX_CHOICES; choices++) {
+    for (let round = 0; round < MAX_MATCHING_ROUNDS; round++) {
       const chosen = choose();
       if (!chosen) return null;
-      const { without } = assignTasks(indices(count), this.refusedTasks(chosen, request.jobId));
+      const { without } = assignTasks(taskIndices(count), this.refusedTasks(chosen, request.jobId));
       if (without.length === 0) return chosen;
-      const unusable = new Set(without);
-      chosen.forEach(({ machineName }, place) => {
-        if (unusable.has(place)) passedOver.add(machineName);
+      const unassignedSlots = new Set(without);
+      chosen.forEach(({ machineName }, slot) => {
+        if (unassignedSlots.has(slot)) excludedMachines.add(machineName);
       });
     }
-    for (const machine of this.state.endedAttempts.machinesOf(request.jobId)) passedOver.add(machine.name);
+    for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
+      excludedMachines.add(machine.name);
     return choose();
   }
 
@@ -80,17 +81,17 @@
   /** Nothing of a request was placed in this pass: notes whether it would have been but for ended attempts. */
   onUnplaced(demand: CapacityDemand, capacities: FreeCapacity[], now: number): void {
     const { request } = demand;
-    const blockers = this.blockersOf(demand, capacities);
-    if (blockers.length === 0) {
+    const blocking = this.findBlockingMachines(demand, capacities);
+    if (blocking.length === 0) {
       this.onPlaced(request.jobId);
       return;
     }
-    for (const name of blockers) this.blockingMachines.add(name);
+    for (const name of blocking) this.blockingMachines.add(name);
     const since = this.blockedSince.get(request.jobId) ?? now;
     this.blockedSince.set(request.jobId, since);
     if (now - since > RAISE_TOKEN_AFTER_MS)
       this.raiseFencingToken(
-        `ended attempts of ${request.jobId} on ${blockers.length} machines stand in its way`,
+        `ended attempts of ${request.jobId} on ${blocking.length} machines stand in its way`,
       );
   }
 
@@ -99,33 +100,35 @@
     this.blockedSince.delete(job);
   }
 
-  private blockersOf({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
+  private findBlockingMachines({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
     if (!this.state.endedAttempts.has(request.jobId)) return [];
-    const unhindered: ResourceRequest = { ...request, refusingMachines: undefined };
+    const unrestrictedRequest: ResourceRequest = { ...request, refusingMachines: undefined };
     if (!request.isGang) {
-      const { refusingMachines: refusedBy } = request;
-      if (!refusedBy) return [];
+      const { refusingMachines: refusing } = request;
+      if (!refusing) return [];
       return capacities
         .filter(
           (capacity) =>
-            refusedBy.has(capacity.machineName) && isOpenTo(capacity, unhindered, this.state.scarceZone),
+            refusing.has(capacity.machineName) &&
+            isFeasible(capacity, unrestrictedRequest, this.state.scarceZone),
         )
         .map((capacity) => capacity.machineName);
     }
-    const chosen = chooseForGang(capacities, { request: unhindered, count }, this.state.scarceZone) ?? [];
+    const chosen =
+      chooseForGang(capacities, { request: unrestrictedRequest, count }, this.state.scarceZone) ?? [];
     const refused = this.refusedTasks(chosen, request.jobId);
-    return [...new Set(chosen.filter((_, place) => refused[place]).map((capacity) => capacity.machineName))];
+    return [...new Set(chosen.filter((_, slot) => refused[slot]).map((capacity) => capacity.machineName))];
   }
 }
 
-function refusesAll(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
+function refusesAllTasks(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
   if (!ended) return false;
-  if (request.isGang) return indices(request.taskCount).every((task) => ended.tasks.has(task));
+  if (request.isGang) return taskIndices(request.taskCount).every((task) => ended.tasks.has(task));
   // Which tasks are left is not known: a machine that has refused one would refuse the next.
   if (!request.remainingTasks) return ended.hasRefusedAttempt;
   return request.remainingTasks.every((task) => ended.tasks.has(task));
 }
 
-function indices(count: number): number[] {
+function taskIndices(count: number): number[] {
   return Array.from({ length: count }, (_, task) => task);
 }
--- a/src/scheduler/placement/batch-profiles.ts
+++ b/src/scheduler/placement/batch-profiles.ts
@@ -20,14 +20,14 @@
   constructor(private readonly objectives: WaitObjectives) {}
 
   /** Jobs in `knownJobs` have been learnt from before. */
-  learn(requests: readonly ResourceRequest[], knownJobs: ReadonlySet<string>): void {
+  observe(requests: readonly ResourceRequest[], knownJobs: ReadonlySet<string>): void {
     for (const request of requests) {
       const { jobId, jobClass, taskCount } = request;
       if (request.isService || request.isGang) continue;
       if (knownJobs.has(jobId) || !this.objectives.hasObjective(jobClass)) continue;
-      const before = this.profiles.get(jobClass);
-      const meanTaskCount = before
-        ? before.meanTaskCount * MEAN_WEIGHT + taskCount * NEWEST_WEIGHT
+      const previous = this.profiles.get(jobClass);
+      const meanTaskCount = previous
+        ? previous.meanTaskCount * MEAN_WEIGHT + taskCount * NEWEST_WEIGHT
         : taskCount;
       this.profiles.set(jobClass, { request, meanTaskCount });
     }
@@ -35,6 +35,6 @@
 
   /** Highest priority first. */
   byPriority(): BatchProfile[] {
-    return [...this.profiles.values()].sort((one, other) => one.request.priority - other.request.priority);
+    return [...this.profiles.values()].sort((a, b) => a.request.priority - b.request.priority);
   }
 }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -51,26 +51,22 @@
 }
 
 /** Whether a task of this request may go here now. */
-export function isOpenTo(
+export function isFeasible(
   capacity: FreeCapacity,
   request: ResourceRequest,
   scarceZone: string | null,
 ): boolean {
   if (!fits(capacity, request)) return false;
-  if (isReservedForAnother(capacity, request)) return false;
-  if (!request.isStarved && isKeptForOthers(capacity, request, scarceZone)) return false;
+  if (isReservedForOtherJob(capacity, request)) return false;
+  if (!request.isStarved && isWithheld(capacity, request, scarceZone)) return false;
   return isAllowed(capacity, request) && !isAvoided(request, capacity.machineName);
 }
 
-function isReservedForAnother({ reservation }: FreeCapacity, request: ResourceRequest): boolean {
+function isReservedForOtherJob({ reservation }: FreeCapacity, request: ResourceRequest): boolean {
   return reservation !== null && reservation.jobId !== request.jobId && request.priority > 0;
 }
 
-function isKeptForOthers(
-  capacity: FreeCapacity,
-  request: ResourceRequest,
-  scarceZone: string | null,
-): boolean {
+function isWithheld(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): boolean {
   // The ordinary machines of a zone that jobs which must be spread depend on are theirs; what can be stopped for them
   // may use them meanwhile.
   if (
--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -3,7 +3,7 @@
 import type { ResourceRequest } from '../../model/placement.js';
 import { canWaitForSpot } from './capacity-filter.js';
 
-const keys = new WeakMap<ResourceRequest, string>();
+const keyCache = new WeakMap<ResourceRequest, string>();
 
 /**
  * Requests of one key find capacity on the same machines, or on none: free capacity only shrinks in a pass, so that what the
@@ -11,15 +11,15 @@
  * reserved for it) is not part of it.
  */
 export function equivalenceKey(request: ResourceRequest): string {
-  let key = keys.get(request);
+  let key = keyCache.get(request);
   if (key === undefined) {
-    key = makeKey(request);
-    keys.set(request, key);
+    key = buildKey(request);
+    keyCache.set(request, key);
   }
   return key;
 }
 
-function makeKey(request: ResourceRequest): string {
+function buildKey(request: ResourceRequest): string {
   return [
     request.team,
     request.priority,
--- a/src/scheduler/placement/fill-tasks.ts
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -1,12 +1,12 @@
 /** Fills free capacity with tasks of one request that may be placed one by one. */
 
 import type { ResourceRequest } from '../../model/placement.js';
-import { fits, isAllowed, isOpenTo, subtract } from './capacity-filter.js';
+import { fits, isAllowed, isFeasible, subtract } from './capacity-filter.js';
 import { score } from './capacity-score.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /** Machines that the replicas of one job are spread over where there is a choice. */
-const MAX_MACHINES_PER_SERVICE = 4;
+const TARGET_MACHINES_PER_SERVICE = 4;
 
 /** How to fill. */
 export interface FillOptions {
@@ -32,7 +32,7 @@
   private readonly zoneAllowance: Record<string, number> | null;
   /** The request with what is left of its zones, and with the zone that its tasks are joined in. */
   private readonly constrained: ResourceRequest;
-  private readonly placedOn = new Map<FreeCapacity, number>();
+  private readonly placedCounts = new Map<FreeCapacity, number>();
   private remaining: number;
 
   constructor(
@@ -59,18 +59,18 @@
   /** Replicas of a job go to several machines: less is lost with one, and its image is in more places for the next. */
   private limitsPerMachine(): number[] {
     if (!this.request.isService || this.request.jobId === '') return [this.count];
-    const spread = Math.max(1, Math.ceil(this.count / MAX_MACHINES_PER_SERVICE));
-    return spread < this.count ? [spread, this.count] : [this.count];
+    const evenShare = Math.max(1, Math.ceil(this.count / TARGET_MACHINES_PER_SERVICE));
+    return evenShare < this.count ? [evenShare, this.count] : [this.count];
   }
 
   private placeOne(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
     let best: FreeCapacity | null = null;
-    let lowest = Number.POSITIVE_INFINITY;
+    let lowestScore = Number.POSITIVE_INFINITY;
     for (const capacity of capacities) {
-      if (!this.isOpen(capacity, maxPerMachine)) continue;
+      if (!this.canPlaceOn(capacity, maxPerMachine)) continue;
       const seconds = score(capacity, this.constrained, this.scarceZone);
-      if (seconds < lowest) {
-        lowest = seconds;
+      if (seconds < lowestScore) {
+        lowestScore = seconds;
         best = capacity;
       }
     }
@@ -81,23 +81,23 @@
   private placeRanked(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
     const ranked: { capacity: FreeCapacity; seconds: number }[] = [];
     for (const capacity of capacities)
-      if (this.isOpen(capacity, maxPerMachine))
+      if (this.canPlaceOn(capacity, maxPerMachine))
         ranked.push({ capacity, seconds: score(capacity, this.request, this.scarceZone) });
-    ranked.sort((one, other) => one.seconds - other.seconds);
+    ranked.sort((a, b) => a.seconds - b.seconds);
     for (const { capacity } of ranked) {
       if (this.remaining <= 0) break;
       this.placeOn(capacity, maxPerMachine);
     }
   }
 
-  private isOpen(capacity: FreeCapacity, maxPerMachine: number): boolean {
+  private canPlaceOn(capacity: FreeCapacity, maxPerMachine: number): boolean {
     return (
-      isOpenTo(capacity, this.constrained, this.scarceZone) && this.placedCount(capacity) < maxPerMachine
+      isFeasible(capacity, this.constrained, this.scarceZone) && this.placedCount(capacity) < maxPerMachine
     );
   }
 
   private placedCount(capacity: FreeCapacity): number {
-    return this.placedOn.get(capacity) ?? 0;
+    return this.placedCounts.get(capacity) ?? 0;
   }
 
   /** The fuller a machine the better its score: the best one stays the best while a task fits. */
@@ -115,7 +115,7 @@
         zoneAllowance[capacity.zone] = (zoneAllowance[capacity.zone] ?? request.defaultZoneAllowance) - 1;
       this.options.onPlaced?.(capacity);
       this.remaining--;
-      this.placedOn.set(capacity, this.placedCount(capacity) + 1);
+      this.placedCounts.set(capacity, this.placedCount(capacity) + 1);
     }
   }
 }
--- a/src/scheduler/placement/fill.ts
+++ b/src/scheduler/placement/fill.ts
@@ -1,7 +1,7 @@
 /** Fills free capacity with tasks of one request: one by one, or all or none of a gang. */
 
 import { slotsIn } from '../../model/resources.js';
-import { isOpenTo, subtract } from './capacity-filter.js';
+import { isFeasible, subtract } from './capacity-filter.js';
 import { type FillOptions, fillTasks } from './fill-tasks.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
@@ -30,20 +30,20 @@
   { request, count }: CapacityDemand,
   scarceZone: string | null,
 ): FreeCapacity[] | null {
-  const open = capacities.filter((capacity) => isOpenTo(capacity, request, scarceZone));
+  const feasible = capacities.filter((capacity) => isFeasible(capacity, request, scarceZone));
   const zones =
     request.zoneAffinity && request.zone === null
-      ? new Set(open.map((capacity) => capacity.zone))
+      ? new Set(feasible.map((capacity) => capacity.zone))
       : [request.zone];
   for (const zone of zones) {
-    const inZone = open.filter((capacity) => zone === null || capacity.zone === zone);
+    const inZone = feasible.filter((capacity) => zone === null || capacity.zone === zone);
     if (inZone.reduce((sum, capacity) => sum + slotsIn(capacity, request), 0) < count) continue;
     const originals = new Map(inZone.map((capacity) => [{ ...capacity }, capacity]));
     const chosen: FreeCapacity[] = [];
-    const task = { ...request, isGang: false, zone };
+    const taskRequest = { ...request, isGang: false, zone };
     const remaining = fillTasks(
       [...originals.keys()],
-      { request: task, count },
+      { request: taskRequest, count },
       {
         scarceZone,
         onPlaced: (copy) => {
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -28,21 +28,21 @@
  */
 export class GangReservations {
   private readonly zoneChoices = new Map<string, ZoneChoice>();
-  private readonly reservedMachines = new Set<string>();
+  private readonly heldMachines = new Set<string>();
   private bootingCapacities: FreeCapacity[] | null = null;
 
   constructor(private readonly state: ClusterState) {}
 
   /** Ends the reservations of the last pass. */
   beginPass(): void {
-    this.reservedMachines.clear();
+    this.heldMachines.clear();
     this.bootingCapacities = null;
   }
 
   /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.reservedMachines);
+    this.state.machinesHeldForGangs = new Set(this.heldMachines);
   }
 
   /**
@@ -51,8 +51,8 @@
    */
   reserve(capacities: FreeCapacity[], demand: CapacityDemand, now: number): CapacityDemand {
     const { request, count } = demand;
-    const zone = this.zoneOf(capacities, demand, now);
-    const task: ResourceRequest = {
+    const zone = this.chooseZone(capacities, demand, now);
+    const taskRequest: ResourceRequest = {
       ...request,
       isGang: false,
       zoneAffinity: false,
@@ -62,20 +62,20 @@
     };
     const missing = fill(
       capacities,
-      { request: task, count },
+      { request: taskRequest, count },
       {
         scarceZone: this.state.scarceZone,
-        onPlaced: (capacity) => this.reservedMachines.add(capacity.machineName),
+        onPlaced: (capacity) => this.heldMachines.add(capacity.machineName),
       },
     );
-    return { request: task, count: missing };
+    return { request: taskRequest, count: missing };
   }
 
-  private zoneOf(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
+  private chooseZone(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
     const { request } = demand;
     if (!request.zoneAffinity || request.zone !== null) return request.zone;
-    const before = this.zoneChoices.get(request.jobId);
-    if (before && now - before.since < KEEP_ZONE_MS) return before.zone;
+    const previous = this.zoneChoices.get(request.jobId);
+    if (previous && now - previous.since < KEEP_ZONE_MS) return previous.zone;
     const zone = this.bestZone(capacities, demand, now);
     this.zoneChoices.set(request.jobId, { zone, since: now });
     return zone;
@@ -87,20 +87,20 @@
     { request, count }: CapacityDemand,
     now: number,
   ): string | null {
-    let best: { zone: string; score: number } | null = null;
-    for (const zone of this.zones(request)) {
-      const pinned: ResourceRequest = { ...request, isGang: false, zoneAffinity: false, zone };
-      const trial = copyCapacities(capacities);
-      const free = count - fill(trial, { request: pinned, count }, { scarceZone: null });
-      const booting = Math.min(count - free, this.bootingSlots(pinned, now));
-      const rentable = this.canRent(pinned, now) ? count - free - booting : 0;
-      const score = free + BOOTING_SLOT_WEIGHT * booting + RENTABLE_SLOT_WEIGHT * rentable;
-      if (!best || score > best.score) best = { zone, score };
+    let best: { zone: string; weightedSlots: number } | null = null;
+    for (const zone of this.candidateZones(request)) {
+      const pinnedRequest: ResourceRequest = { ...request, isGang: false, zoneAffinity: false, zone };
+      const trialCapacities = copyCapacities(capacities);
+      const free = count - fill(trialCapacities, { request: pinnedRequest, count }, { scarceZone: null });
+      const booting = Math.min(count - free, this.bootingSlots(pinnedRequest, now));
+      const rentable = this.canRent(pinnedRequest, now) ? count - free - booting : 0;
+      const weightedSlots = free + BOOTING_SLOT_WEIGHT * booting + RENTABLE_SLOT_WEIGHT * rentable;
+      if (!best || weightedSlots > best.weightedSlots) best = { zone, weightedSlots };
     }
     return best?.zone ?? null;
   }
 
-  private zones(request: ResourceRequest): Set<string> {
+  private candidateZones(request: ResourceRequest): Set<string> {
     const zones = new Set<string>();
     for (const type of this.state.machineTypes.values())
       if (!request.machineTypes || request.machineTypes.includes(type.name))
--- a/src/scheduler/placement/job-times.ts
+++ b/src/scheduler/placement/job-condition-times.ts
@@ -1,7 +1,7 @@
 /** Times kept by job. */
 
 /** Since when something holds of jobs. */
-export class JobTimes {
+export class JobConditionTimes {
   private readonly since = new Map<string, number>();
 
   /** Milliseconds of the clock; undefined: it does not hold. */
@@ -10,7 +10,7 @@
   }
 
   /** It holds, since now if it did not before; returns since when. */
-  note(jobId: string, now: number): number {
+  record(jobId: string, now: number): number {
     const since = this.since.get(jobId) ?? now;
     this.since.set(jobId, since);
     return since;
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -3,8 +3,8 @@
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState, QueuedRequest } from '../cluster-state.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
-import type { JobTimes } from './job-times.js';
-import type { TeamUsage } from './team-usage.js';
+import type { JobConditionTimes } from './job-condition-times.js';
+import type { UsageByTeam } from './usage-by-team.js';
 
 /** So long nothing of a job may find capacity before it takes what is kept for others. */
 const STARVED_AFTER_MS = 45_000;
@@ -17,7 +17,7 @@
 /** What a pass needs to know of a request besides the request. */
 export interface RequestHistory {
   /** Since when nothing at all of a job has found capacity. */
-  nothingPlacedSince: JobTimes;
+  nothingPlacedSince: JobConditionTimes;
   attemptConflicts: AttemptConflicts;
 }
 
@@ -25,26 +25,26 @@
 export function orderedRequests(
   state: ClusterState,
   history: RequestHistory,
-  { usage, now }: { usage: TeamUsage; now: number },
+  { usage, now }: { usage: UsageByTeam; now: number },
 ): PassRequest[] {
   const ordered: PassRequest[] = [];
   for (const [instanceId, requests] of state.requests)
     for (const request of requests) {
       if (!state.isCurrentOwner(instanceId, request.team)) continue;
       const isWithinGuarantee = state.isWithinGuarantee(usage.get(request.team), request.team, request);
-      const inPass = requestInPass({ request, instanceId, isWithinGuarantee }, history, now);
-      ordered.push({ request: inPass, instanceId, isWithinGuarantee });
+      const adjusted = adjustForPass({ request, instanceId, isWithinGuarantee }, history, now);
+      ordered.push({ request: adjusted, instanceId, isWithinGuarantee });
     }
   return ordered.sort(
-    (one, other) =>
-      one.request.priority - other.request.priority ||
-      Number(other.isWithinGuarantee) - Number(one.isWithinGuarantee) ||
-      one.request.missedObjectives - other.request.missedObjectives ||
-      one.request.queuePosition - other.request.queuePosition,
+    (a, b) =>
+      a.request.priority - b.request.priority ||
+      Number(b.isWithinGuarantee) - Number(a.isWithinGuarantee) ||
+      a.request.missedObjectives - b.request.missedObjectives ||
+      a.request.queuePosition - b.request.queuePosition,
   );
 }
 
-function requestInPass(
+function adjustForPass(
   { request, isWithinGuarantee }: PassRequest,
   { nothingPlacedSince, attemptConflicts }: RequestHistory,
   now: number,
@@ -55,9 +55,9 @@
   // each time at the cost of work stopped for it.
   const refusingMachines = attemptConflicts.refusingMachines(request);
   if (!isStarved && !refusingMachines && !(isWithinGuarantee && request.maxWaitSeconds)) return request;
-  const inPass: ResourceRequest = { ...request, isStarved };
+  const adjusted: ResourceRequest = { ...request, isStarved };
   // A guarantee is to be had at once, whatever the objective allows.
-  if (isWithinGuarantee && inPass.maxWaitSeconds) inPass.maxWaitSeconds = 0;
-  if (refusingMachines) inPass.refusingMachines = refusingMachines;
-  return inPass;
+  if (isWithinGuarantee && adjusted.maxWaitSeconds) adjusted.maxWaitSeconds = 0;
+  if (refusingMachines) adjusted.refusingMachines = refusingMachines;
+  return adjusted;
 }
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -9,13 +9,13 @@
 import type { CapacityDemand } from './free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
 import { GrantIssuer } from './grants.js';
-import { JobTimes } from './job-times.js';
-import { OpenTasks } from './open-tasks.js';
+import { JobConditionTimes } from './job-condition-times.js';
 import { orderedRequests } from './pass-requests.js';
 import { PlacementPass } from './placement-pass.js';
 import { Preemption } from './preemption.js';
 import { type PlacementContext, RequestPlacer } from './request-placer.js';
 import { findScarceZone } from './scarce-zone.js';
+import { UngrantedTasks } from './ungranted-tasks.js';
 import { maxWaitSeconds, WaitObjectives } from './wait-objectives.js';
 
 /** The scarce zone is found anew at most so often: it takes a look at every machine. */
@@ -27,7 +27,7 @@
   readonly declinedUntil = new Map<string, number>();
   private readonly context: PlacementContext;
   private readonly batchProfiles: BatchProfiles;
-  private readonly openTasks: OpenTasks;
+  private readonly ungrantedTasks: UngrantedTasks;
   private readonly log: RateLimitedLog;
 
   constructor(
@@ -35,20 +35,20 @@
     private readonly state: ClusterState,
   ) {
     const objectives = new WaitObjectives(options.objectives);
-    const unplacedSince = new JobTimes();
+    const unplacedSince = new JobConditionTimes();
     this.context = {
       options,
       state,
       objectives,
       unplacedSince,
-      nothingPlacedSince: new JobTimes(),
+      nothingPlacedSince: new JobConditionTimes(),
       grants: new GrantIssuer(options, state),
       preemption: new Preemption(options, state, (jobId) => unplacedSince.get(jobId)),
       gangReservations: new GangReservations(state),
       attemptConflicts: new AttemptConflicts(state, (reason) => options.raiseFencingToken(reason)),
     };
     this.batchProfiles = new BatchProfiles(objectives);
-    this.openTasks = new OpenTasks(state, this.declinedUntil);
+    this.ungrantedTasks = new UngrantedTasks(state, this.declinedUntil);
     this.log = new RateLimitedLog(options.log, options.clock);
   }
 
@@ -57,7 +57,7 @@
     const knownJobs = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
     for (const request of requests)
       request.maxWaitSeconds = maxWaitSeconds(request, this.state.imageFetchSeconds(request));
-    this.batchProfiles.learn(requests, knownJobs);
+    this.batchProfiles.observe(requests, knownJobs);
     this.state.requests.set(instanceId, requests);
     for (const request of requests) if (request.isService) this.state.recordServiceProfile(request);
   }
@@ -73,7 +73,7 @@
       batchProfiles: this.batchProfiles.byPriority(),
       reservedJobsPerProfile: this.state.policy.reserveBatchJobs,
       placer,
-      openTasks: this.openTasks,
+      ungrantedTasks: this.ungrantedTasks,
       now,
     });
     pass.run();
@@ -105,9 +105,9 @@
   private endReservations(waitingJobs: ReadonlySet<string>, now: number): void {
     for (const machine of this.state.machinesWithReservation) {
       const { reservation } = machine;
-      const isWaitedFor = reservation !== null && waitingJobs.has(reservation.jobId);
-      if (isWaitedFor && reservation.until > now) continue;
-      if (isWaitedFor)
+      const isJobWaiting = reservation !== null && waitingJobs.has(reservation.jobId);
+      if (isJobWaiting && reservation.until > now) continue;
+      if (isJobWaiting)
         this.log.info({ machine: machine.name, jobId: reservation.jobId }, 'freed capacity not used');
       machine.reservation = null;
       this.state.machinesWithReservation.delete(machine);
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -2,9 +2,9 @@
 
 import type { BatchProfile } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
-import type { OpenTasks } from './open-tasks.js';
 import type { PassRequest } from './pass-requests.js';
 import type { RequestPlacer } from './request-placer.js';
+import type { UngrantedTasks } from './ungranted-tasks.js';
 
 /** What a pass works on. */
 export interface PlacementPassInput {
@@ -15,7 +15,7 @@
   /** Mean jobs of each profile for which capacity is kept. */
   reservedJobsPerProfile: number;
   placer: RequestPlacer;
-  openTasks: OpenTasks;
+  ungrantedTasks: UngrantedTasks;
   now: number;
 }
 
@@ -34,7 +34,7 @@
     for (const entry of this.input.requests) {
       if (previous && !isSameGroup(previous, entry)) this.placeDeferred();
       previous = entry;
-      this.keepBackAbove(entry.request.priority);
+      this.reserveForBatchProfiles(entry.request.priority);
       this.serve(entry);
     }
     this.placeDeferred();
@@ -47,11 +47,11 @@
   private serve(entry: PassRequest): void {
     const { request } = entry;
     this.waitingJobs.add(request.jobId);
-    const { openTasks, placer, now } = this.input;
-    const count = this.servedEarly.has(request.jobId) ? 0 : openTasks.countOf(request, now);
+    const { ungrantedTasks, placer, now } = this.input;
+    const count = this.servedEarly.has(request.jobId) ? 0 : ungrantedTasks.countOf(request, now);
     if (count <= 0) return;
     if (request.isService || request.isGang || (request.maxWaitSeconds ?? 0) <= 0) placer.place(entry, count);
-    else this.deferred.push({ entry, count: placer.placeWarm(entry, count) });
+    else this.deferred.push({ entry, count: placer.placeOnWarmMachines(entry, count) });
   }
 
   private placeDeferred(): void {
@@ -60,7 +60,7 @@
   }
 
   /** Lower work leaves the capacity that the next job of a class with an objective on waiting will need. */
-  private keepBackAbove(priority: number): void {
+  private reserveForBatchProfiles(priority: number): void {
     const { batchProfiles, placer, reservedJobsPerProfile } = this.input;
     for (
       let profile = batchProfiles[0];
@@ -75,17 +75,17 @@
         preferredMachine: '',
         zoneAllowance: null,
       };
-      placer.keepBack({ request, count: Math.round(profile.meanTaskCount * reservedJobsPerProfile) });
+      placer.reserveCapacity({ request, count: Math.round(profile.meanTaskCount * reservedJobsPerProfile) });
     }
   }
 
   /** Not for ever, or lower work would wait beside free machines where the cloud has no more. */
-  private placeStarved(above: number): void {
-    const { requests, openTasks, placer, now } = this.input;
+  private placeStarved(profilePriority: number): void {
+    const { requests, ungrantedTasks, placer, now } = this.input;
     for (const entry of requests) {
       const { request } = entry;
-      if (!request.isStarved || request.priority <= above) continue;
-      const count = openTasks.countOf(request, now);
+      if (!request.isStarved || request.priority <= profilePriority) continue;
+      const count = ungrantedTasks.countOf(request, now);
       if (count <= 0) continue;
       placer.place(entry, count);
       this.servedEarly.add(request.jobId);
@@ -93,6 +93,6 @@
   }
 }
 
-function isSameGroup(one: PassRequest, other: PassRequest): boolean {
-  return one.request.priority === other.request.priority && one.isWithinGuarantee === other.isWithinGuarantee;
+function isSameGroup(a: PassRequest, b: PassRequest): boolean {
+  return a.request.priority === b.request.priority && a.isWithinGuarantee === b.isWithinGuarantee;
 }
--- a/src/scheduler/placement/preemption-offers.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -4,7 +4,7 @@
 import { type Allocation, usesCapacity } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
-import { addBack, fits, isOpenTo, subtract } from './capacity-filter.js';
+import { addBack, fits, isFeasible, subtract } from './capacity-filter.js';
 import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 import type { PreemptionQuery, PreemptionRules } from './preemption-rules.js';
 import type { RunningGangs } from './running-gangs.js';
@@ -16,7 +16,7 @@
 const LOWEST_PRIORITY = 3;
 
 /** Tasks that may be stopped on a machine for one task of a request. */
-export interface PreemptionOffer {
+export interface PreemptionCandidate {
   machine: Machine;
   victims: Allocation[];
   /** What is lost by it, in CPU seconds. */
@@ -24,9 +24,9 @@
 }
 
 /** Finds offers; keeps for the rest of a pass which machines have work that may be stopped. */
-export class PreemptionOffers {
+export class PreemptionCandidates {
   /** By image; null: all, whatever they hold. Empty: not asked for in this pass. */
-  private readonly candidates = new Map<string | null, Machine[]>();
+  private readonly machinesByImage = new Map<string | null, Machine[]>();
 
   constructor(
     private readonly state: ClusterState,
@@ -36,35 +36,35 @@
 
   /** Forgets what the last pass found. */
   beginPass(): void {
-    this.candidates.clear();
+    this.machinesByImage.clear();
   }
 
   /** Offers of all machines, or of those that hold the request's image, cheapest last. */
-  findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionOffer[] {
+  findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionCandidate[] {
     const { request } = query;
-    const offers: PreemptionOffer[] = [];
-    for (const machine of this.candidateMachines(query.now, warmOnly ? request.image : null)) {
+    const candidates: PreemptionCandidate[] = [];
+    for (const machine of this.preemptibleMachines(query.now, warmOnly ? request.image : null)) {
       const { batch, free } = machine.totals;
       if (
         batch.cpus + free.cpus + EPSILON < request.cpus ||
         batch.memoryGb + free.memoryGb + EPSILON < request.memoryGb
       )
         continue;
-      const offer = this.offerOn(machine, query);
-      if (offer) offers.push(offer);
+      const candidate = this.candidateOn(machine, query);
+      if (candidate) candidates.push(candidate);
     }
-    return offers.sort((one, other) => other.cost - one.cost);
+    return candidates.sort((a, b) => b.cost - a.cost);
   }
 
   /** Null: nothing may be stopped there that would help. */
-  offerOn(machine: Machine, query: PreemptionQuery): PreemptionOffer | null {
+  candidateOn(machine: Machine, query: PreemptionQuery): PreemptionCandidate | null {
     const { request, now } = query;
     const machineType = this.state.machineTypes.get(machine.machineType);
     if (!machineType) return null;
     const capacity = emptyMachineCapacity(machineType, machine);
     capacity.isSurplus = this.state.isSurplus(machine, now);
     // By the same question as placing: otherwise tasks would be stopped again and again for work that is then not let in.
-    if (!isOpenTo(capacity, request, this.state.scarceZone)) return null;
+    if (!isFeasible(capacity, request, this.state.scarceZone)) return null;
     const preemptible = this.preemptibleTasks(machine, capacity, query);
     const victims = this.chooseVictims(preemptible, capacity, query);
     if (!fits(capacity, request) || victims.length === 0) return null;
@@ -85,9 +85,7 @@
       )
         preemptible.push(allocation);
     }
-    return preemptible.sort(
-      (one, other) => other.priority - one.priority || other.phaseSince - one.phaseSince,
-    );
+    return preemptible.sort((a, b) => b.priority - a.priority || b.phaseSince - a.phaseSince);
   }
 
   /** As many as it takes until one task fits; adds what they use to the capacity. */
@@ -121,21 +119,21 @@
     return cost;
   }
 
-  private candidateMachines(now: number, image: string | null): readonly Machine[] {
-    if (this.candidates.size === 0) this.findCandidates(now);
-    return this.candidates.get(image) ?? [];
+  private preemptibleMachines(now: number, image: string | null): readonly Machine[] {
+    if (this.machinesByImage.size === 0) this.indexPreemptibleMachines(now);
+    return this.machinesByImage.get(image) ?? [];
   }
 
-  private findCandidates(now: number): void {
+  private indexPreemptibleMachines(now: number): void {
     const all: Machine[] = [];
-    this.candidates.set(null, all);
+    this.machinesByImage.set(null, all);
     for (const machine of this.state.machines.values()) {
       if (machine.totals.batch.cpus <= 0 || !this.state.isUsable(machine, now)) continue;
       all.push(machine);
       for (const image of machine.images.keys()) {
-        const holders = this.candidates.get(image);
+        const holders = this.machinesByImage.get(image);
         if (holders) holders.push(machine);
-        else this.candidates.set(image, [machine]);
+        else this.machinesByImage.set(image, [machine]);
       }
     }
   }
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -6,19 +6,19 @@
 import type { ClusterState } from '../cluster-state.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { bootingCapacities } from './booting-capacity.js';
-import type { TeamUsage } from './team-usage.js';
+import type { UsageByTeam } from './usage-by-team.js';
 
 /** So long work waits before a gang of another team is stopped for its guarantee: all tasks of a gang stop with one. */
-const STOP_GANG_AFTER_MS = 30_000;
+const RECLAIM_FROM_GANG_AFTER_MS = 30_000;
 /** Share of the machines that boot from which no work, and from which no gang, is stopped for a guarantee. */
-const BOOTING_SHARE = 0.15;
-const BOOTING_SHARE_FOR_GANGS = 0.05;
+const MAX_BOOTING_SHARE = 0.15;
+const MAX_BOOTING_SHARE_FOR_GANGS = 0.05;
 
 /** What a search for tasks to stop is for. */
 export interface PreemptionQuery {
   request: ResourceRequest;
   /** Changes while tasks are chosen. */
-  usage: TeamUsage;
+  usage: UsageByTeam;
   now: number;
 }
 
@@ -53,11 +53,12 @@
       return allocation.priority > request.priority;
     const team = this.options.teams.get(allocation.team);
     const used = usage.get(allocation.team);
-    const isBeyond = !!team && !!used && used.cpus - cpusAlreadyChosen > team.guaranteedCpus + EPSILON;
-    const isWithin = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
+    const isVictimOverGuarantee =
+      !!team && !!used && used.cpus - cpusAlreadyChosen > team.guaranteedCpus + EPSILON;
+    const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
     // A guarantee goes before priority: were it otherwise, each of two teams could stop the other for ever.
-    if (allocation.priority > request.priority) return isBeyond || isWithin;
-    return isBeyond && isWithin && this.canClaimGuarantee(request, allocation);
+    if (allocation.priority > request.priority) return isVictimOverGuarantee || isWithinGuarantee;
+    return isVictimOverGuarantee && isWithinGuarantee && this.canReclaimGuarantee(request, allocation);
   }
 
   /**
@@ -65,12 +66,12 @@
    * capacity, and choosing what to stop for all that waits would take most of the leader's processor time. A gang gives
    * way last, since all of its tasks stop with one.
    */
-  private canClaimGuarantee(request: ResourceRequest, allocation: Allocation): boolean {
+  private canReclaimGuarantee(request: ResourceRequest, allocation: Allocation): boolean {
     this.bootingShare ??=
       bootingCapacities(this.state, this.options.clock.now()).length / Math.max(1, this.state.machines.size);
-    if (!allocation.isGang) return this.bootingShare < BOOTING_SHARE;
+    if (!allocation.isGang) return this.bootingShare < MAX_BOOTING_SHARE;
     const now = this.options.clock.now();
     const waitedMs = now - (this.unplacedSince(request.jobId) ?? now);
-    return this.bootingShare < BOOTING_SHARE_FOR_GANGS && waitedMs >= STOP_GANG_AFTER_MS;
+    return this.bootingShare < MAX_BOOTING_SHARE_FOR_GANGS && waitedMs >= RECLAIM_FROM_GANG_AFTER_MS;
   }
 }
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -9,10 +9,10 @@
 import { avoidsAnyMachine } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
 import type { CapacityDemand } from './free-capacity.js';
-import { type PreemptionOffer, PreemptionOffers } from './preemption-offers.js';
+import { type PreemptionCandidate, PreemptionCandidates } from './preemption-candidates.js';
 import { type PreemptionQuery, PreemptionRules } from './preemption-rules.js';
 import { RunningGangs } from './running-gangs.js';
-import { addUsage, type TeamUsage } from './team-usage.js';
+import { addUsage, type UsageByTeam } from './usage-by-team.js';
 
 /** Pause after a search for work to stop that found none: it looks at every task of the fleet. */
 const RETRY_AFTER_MS = 1000;
@@ -24,7 +24,7 @@
 /** Where and when work may be stopped. */
 export interface PreemptionScope {
   /** Changed by what is stopped, and by what it is stopped for. */
-  usage: TeamUsage;
+  usage: UsageByTeam;
   now: number;
   /** Only on machines that hold the request's image. */
   warmOnly: boolean;
@@ -33,12 +33,12 @@
 /** Chooses which work is stopped, least lost work first. */
 export class Preemption {
   /** When no work to stop was found for a job. */
-  private readonly failedAt = new Map<string, number>();
+  private readonly lastFailedAt = new Map<string, number>();
   /** In this pass: kinds of requests that nothing can be stopped for. */
   private readonly exhaustedKeys = new Set<string>();
   private readonly rules: PreemptionRules;
   private readonly gangs: RunningGangs;
-  private readonly offers: PreemptionOffers;
+  private readonly candidates: PreemptionCandidates;
 
   constructor(
     private readonly options: SchedulerOptions,
@@ -47,7 +47,7 @@
   ) {
     this.rules = new PreemptionRules(options, state, unplacedSince);
     this.gangs = new RunningGangs(state);
-    this.offers = new PreemptionOffers(state, this.rules, this.gangs);
+    this.candidates = new PreemptionCandidates(state, this.rules, this.gangs);
   }
 
   /** Forgets what the last pass found. */
@@ -55,54 +55,58 @@
     this.exhaustedKeys.clear();
     this.rules.beginPass();
     this.gangs.beginPass();
-    this.offers.beginPass();
+    this.candidates.beginPass();
   }
 
   /** Forgets jobs that no longer wait. */
   endPass(waitingJobs: ReadonlySet<string>): void {
-    for (const job of this.failedAt.keys()) if (!waitingJobs.has(job)) this.failedAt.delete(job);
+    for (const job of this.lastFailedAt.keys()) if (!waitingJobs.has(job)) this.lastFailedAt.delete(job);
   }
 
   /** Has lower work stopped so that `count` tasks find capacity. Returns how many will. */
   preempt({ request, count }: CapacityDemand, { usage, now, warmOnly }: PreemptionScope): number {
-    const isWithin = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
-    if (!isWithin && !this.hasLowerWork(request)) return 0;
+    const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
+    if (!isWithinGuarantee && !this.hasLowerPriorityWork(request)) return 0;
     // Each search looks at every machine: what one request could not be given, others like it can't be either.
-    const key = `${equivalenceKey(request)}|${isWithin}|${warmOnly ? request.image : ''}`;
+    const key = `${equivalenceKey(request)}|${isWithinGuarantee}|${warmOnly ? request.image : ''}`;
     if (this.exhaustedKeys.has(key)) return 0;
     // Where each job has a size of its own, that saves nothing.
-    if (!isUrgent(request) && this.hasFailedLately(request, now)) return 0;
+    if (!isUrgent(request) && this.hasFailedRecently(request, now)) return 0;
     const query: PreemptionQuery = { request, usage, now };
-    const offers = this.offers.findAll(query, warmOnly);
+    const candidates = this.candidates.findAll(query, warmOnly);
     const victims: Allocation[] = [];
-    let accepted = 0;
-    for (; accepted < count; accepted++) {
-      const offer = offers.pop();
-      if (!offer) break;
-      this.accept(offer, query, victims);
-      const next = this.offers.offerOn(offer.machine, query);
-      if (next) insertByCost(offers, next);
+    let satisfied = 0;
+    for (; satisfied < count; satisfied++) {
+      const candidate = candidates.pop();
+      if (!candidate) break;
+      this.applyCandidate(candidate, query, victims);
+      const next = this.candidates.candidateOn(candidate.machine, query);
+      if (next) insertByCost(candidates, next);
     }
-    if (accepted < count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
-    if (accepted === 0) this.failedAt.set(request.jobId, now);
+    if (satisfied < count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+    if (satisfied === 0) this.lastFailedAt.set(request.jobId, now);
     this.requestEvictions(victims, `room for ${request.jobId}`);
-    return accepted;
+    return satisfied;
   }
 
-  private hasLowerWork(request: ResourceRequest): boolean {
+  private hasLowerPriorityWork(request: ResourceRequest): boolean {
     return this.state.totals.runningByPriority.some(
       (tasks, priority) => priority > request.priority && tasks > 0,
     );
   }
 
-  private hasFailedLately(request: ResourceRequest, now: number): boolean {
-    return now - (this.failedAt.get(request.jobId) ?? Number.NEGATIVE_INFINITY) < RETRY_AFTER_MS;
+  private hasFailedRecently(request: ResourceRequest, now: number): boolean {
+    return now - (this.lastFailedAt.get(request.jobId) ?? Number.NEGATIVE_INFINITY) < RETRY_AFTER_MS;
   }
 
-  private accept(offer: PreemptionOffer, query: PreemptionQuery, victims: Allocation[]): void {
+  private applyCandidate(
+    candidate: PreemptionCandidate,
+    query: PreemptionQuery,
+    victims: Allocation[],
+  ): void {
     addUsage(query.usage, query.request);
-    this.reserve(offer.machine, query);
-    for (const victim of offer.victims) this.noteEvictions(victim, query, victims);
+    this.reserve(candidate.machine, query);
+    for (const victim of candidate.victims) this.markForEviction(victim, query, victims);
   }
 
   /** What is freed is for this request; lower work would only have to be stopped again. */
@@ -113,7 +117,7 @@
   }
 
   /** Notes that a task and all that stop with it are about to; adds those not noted before to `victims`. */
-  private noteEvictions(victim: Allocation, { usage, now }: PreemptionQuery, victims: Allocation[]): void {
+  private markForEviction(victim: Allocation, { usage, now }: PreemptionQuery, victims: Allocation[]): void {
     for (const allocation of this.gangs.tasksStoppedWith(victim)) {
       if (allocation.evictionRequestedAt) continue;
       allocation.evictionRequestedAt = now;
@@ -146,8 +150,8 @@
 }
 
 /** Keeps the cheapest last; among equals the new one becomes the last. */
-function insertByCost(offers: PreemptionOffer[], offer: PreemptionOffer): void {
-  let index = offers.length;
-  while (index > 0 && (offers[index - 1]?.cost ?? Number.POSITIVE_INFINITY) < offer.cost) index--;
-  offers.splice(index, 0, offer);
+function insertByCost(candidates: PreemptionCandidate[], candidate: PreemptionCandidate): void {
+  let index = candidates.length;
+  while (index > 0 && (candidates[index - 1]?.cost ?? Number.POSITIVE_INFINITY) < candidate.cost) index--;
+  candidates.splice(index, 0, candidate);
 }
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -4,17 +4,17 @@
 import type { ClusterState } from '../cluster-state.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
+import { capacitiesBeingFreed } from './capacity-being-freed.js';
 import { avoidsAnyMachine, subtract } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
 import { fill } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
-import { capacitiesBeingFreed } from './freed-capacity.js';
 import type { GangReservations } from './gang-reservations.js';
 import type { GrantIssuer } from './grants.js';
-import type { JobTimes } from './job-times.js';
+import type { JobConditionTimes } from './job-condition-times.js';
 import type { PassRequest } from './pass-requests.js';
 import type { Preemption } from './preemption.js';
-import { addUsage, type TeamUsage } from './team-usage.js';
+import { addUsage, type UsageByTeam } from './usage-by-team.js';
 import type { WaitObjectives } from './wait-objectives.js';
 
 /** What lives between passes. */
@@ -23,9 +23,9 @@
   state: ClusterState;
   objectives: WaitObjectives;
   /** Since when some of a job's work has found no capacity. */
-  unplacedSince: JobTimes;
+  unplacedSince: JobConditionTimes;
   /** Since when nothing at all of a job has found capacity. */
-  nothingPlacedSince: JobTimes;
+  nothingPlacedSince: JobConditionTimes;
   grants: GrantIssuer;
   preemption: Preemption;
   gangReservations: GangReservations;
@@ -36,7 +36,7 @@
 export class RequestPlacer {
   /** Tasks for which machines are to be rented. */
   readonly unplaced: CapacityDemand[] = [];
-  private readonly usage: TeamUsage;
+  private readonly usage: UsageByTeam;
   private readonly now: number;
   private readonly scarceZone: string | null;
   private readonly capacities: FreeCapacity[];
@@ -45,12 +45,12 @@
   /** Kinds of requests that find no capacity any more. */
   private readonly exhaustedKeys = new Set<string>();
   /** Jobs with machines reserved for them: they may find what others like them don't. */
-  private readonly reservedJobs = new Set<string>();
-  private readonly mayAct: boolean;
+  private readonly jobsWithReservation = new Set<string>();
+  private readonly isLeader: boolean;
 
   constructor(
     private readonly context: PlacementContext,
-    { usage, now }: { usage: TeamUsage; now: number },
+    { usage, now }: { usage: UsageByTeam; now: number },
   ) {
     const { state, options } = context;
     this.usage = usage;
@@ -58,55 +58,58 @@
     this.scarceZone = state.scarceZone;
     this.capacities = state.freeCapacities(now);
     for (const { reservation } of state.machinesWithReservation)
-      if (reservation) this.reservedJobs.add(reservation.jobId);
+      if (reservation) this.jobsWithReservation.add(reservation.jobId);
     this.beingFreed = capacitiesBeingFreed(state, now);
-    this.mayAct = options.holdsLeadership();
+    this.isLeader = options.holdsLeadership();
   }
 
   /** Keeps what these tasks would take out of reach of all requests served later. */
-  keepBack(demand: CapacityDemand): void {
+  reserveCapacity(demand: CapacityDemand): void {
     fill(this.capacities, demand, { scarceZone: this.scarceZone });
   }
 
   /** Grants places on machines that hold the request's image; returns how many tasks are left. */
-  placeWarm(entry: PassRequest, count: number): number {
+  placeOnWarmMachines(entry: PassRequest, count: number): number {
     return this.grantFrom(this.warmCapacities(entry.request.image), entry, count);
   }
 
   /** Grants places wherever there are any; what is left waits, has others stopped, or is left to renting. */
   place(entry: PassRequest, count: number): void {
     const { request } = entry;
-    let open = count;
-    if (request.isService) open = this.placeReplicas(entry, open);
-    open = this.grantFrom(this.capacities, entry, open);
-    this.noteOutcome({ request, count }, open);
-    if (open <= 0) this.context.unplacedSince.clear(request.jobId);
-    else if (request.isGang) this.gatherForGang(entry, open);
-    else this.waitOrPreempt(entry, open);
+    let remaining = count;
+    if (request.isService) remaining = this.placeReplicasOnWarmMachines(entry, remaining);
+    remaining = this.grantFrom(this.capacities, entry, remaining);
+    this.recordOutcome({ request, count }, remaining);
+    if (remaining <= 0) this.context.unplacedSince.clear(request.jobId);
+    else if (request.isGang) this.reserveForGang(entry, remaining);
+    else this.waitOrPreempt(entry, remaining);
   }
 
   /** A replica that has to fetch its image is late by far more than one that waits for a task to stop. */
-  private placeReplicas(entry: PassRequest, count: number): number {
+  private placeReplicasOnWarmMachines(entry: PassRequest, count: number): number {
     const { request } = entry;
     const { now, usage } = this;
-    let open = this.placeWarm(entry, count);
-    if (open > 0) {
+    let remaining = this.placeOnWarmMachines(entry, count);
+    if (remaining > 0) {
       const warm = this.beingFreed.filter((capacity) => capacity.images?.has(request.image) === true);
-      open = this.waitFor(warm, { request, count: open });
+      remaining = this.claimCapacityBeingFreed(warm, { request, count: remaining });
     }
-    if (open > 0 && this.mayAct)
-      open -= this.context.preemption.preempt({ request, count: open }, { usage, now, warmOnly: true });
-    return open;
+    if (remaining > 0 && this.isLeader)
+      remaining -= this.context.preemption.preempt(
+        { request, count: remaining },
+        { usage, now, warmOnly: true },
+      );
+    return remaining;
   }
 
-  private noteOutcome(demand: CapacityDemand, open: number): void {
+  private recordOutcome(demand: CapacityDemand, remaining: number): void {
     const { nothingPlacedSince, attemptConflicts } = this.context;
     const { jobId } = demand.request;
-    if (open < demand.count) {
+    if (remaining < demand.count) {
       nothingPlacedSince.clear(jobId);
       attemptConflicts.onPlaced(jobId);
     } else {
-      nothingPlacedSince.note(jobId, this.now);
+      nothingPlacedSince.record(jobId, this.now);
       attemptConflicts.onUnplaced(demand, this.capacities, this.now);
     }
   }
@@ -116,50 +119,53 @@
     const { request } = entry;
     const { now, usage } = this;
     const key = `${equivalenceKey(request)}|promised`;
-    let waiting = count;
+    let remaining = count;
     if (!this.exhaustedKeys.has(key)) {
-      waiting = this.waitFor(this.beingFreed, { request, count });
-      if (waiting === count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+      remaining = this.claimCapacityBeingFreed(this.beingFreed, { request, count });
+      if (remaining === count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
     }
-    if (waiting <= 0) return;
+    if (remaining <= 0) return;
     // Places come free all the time: a moment's wait often saves the work that a stop would lose.
-    const isPatienceOver = this.noteUnplaced(entry);
-    if (this.mayAct && isPatienceOver)
-      waiting -= this.context.preemption.preempt(
-        { request, count: waiting },
+    const isPreemptionDue = this.recordUnplaced(entry);
+    if (this.isLeader && isPreemptionDue)
+      remaining -= this.context.preemption.preempt(
+        { request, count: remaining },
         { usage, now, warmOnly: false },
       );
     // What capacity is being freed for needs no machine.
-    if (waiting > 0) this.unplaced.push({ request, count: waiting });
+    if (remaining > 0) this.unplaced.push({ request, count: remaining });
   }
 
   /**
    * A gang without capacity for all of its tasks keeps what there is out of reach of what comes after it; what it lacks
    * is freed of lower work once it has waited, or rented.
    */
-  private gatherForGang(entry: PassRequest, count: number): void {
+  private reserveForGang(entry: PassRequest, count: number): void {
     const { request } = entry;
     const { now, usage } = this;
     const { gangReservations, options, preemption } = this.context;
-    const lacking = gangReservations.reserve(this.capacities, { request, count }, now);
-    let waiting = this.waitFor(this.beingFreed, lacking);
-    const isPatienceOver = this.noteUnplaced(entry);
-    const mayStop = options.holdsLeadership() && isPatienceOver;
-    const task = lacking.request;
-    if (waiting > 0 && mayStop)
-      waiting -= preemption.preempt({ request: task, count: waiting }, { usage, now, warmOnly: false });
-    if (waiting > 0) this.unplaced.push({ request: task, count: waiting });
+    const missing = gangReservations.reserve(this.capacities, { request, count }, now);
+    let remaining = this.claimCapacityBeingFreed(this.beingFreed, missing);
+    const isPreemptionDue = this.recordUnplaced(entry);
+    const shouldPreempt = options.holdsLeadership() && isPreemptionDue;
+    const taskRequest = missing.request;
+    if (remaining > 0 && shouldPreempt)
+      remaining -= preemption.preempt(
+        { request: taskRequest, count: remaining },
+        { usage, now, warmOnly: false },
+      );
+    if (remaining > 0) this.unplaced.push({ request: taskRequest, count: remaining });
   }
 
   /** Notes that work has found no capacity; returns whether that has been so for so long that others are stopped for it. */
-  private noteUnplaced({ request, isWithinGuarantee }: PassRequest): boolean {
+  private recordUnplaced({ request, isWithinGuarantee }: PassRequest): boolean {
     const { unplacedSince, objectives } = this.context;
-    const since = unplacedSince.note(request.jobId, this.now);
+    const since = unplacedSince.record(request.jobId, this.now);
     return this.now - since >= objectives.preemptAfterMs(request, isWithinGuarantee);
   }
 
   /** What comes into capacity being freed counts as used, or one task's guarantee would be claimed for all. */
-  private waitFor(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
+  private claimCapacityBeingFreed(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
     return fill(beingFreed, demand, {
       scarceZone: this.scarceZone,
       onPlaced: () => addUsage(this.usage, demand.request),
@@ -169,11 +175,11 @@
   /** Grants places for up to `count` tasks; returns how many were left. */
   private grantFrom(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
-    if (!this.mayAct || count <= 0) return count;
+    if (!this.isLeader || count <= 0) return count;
     const key = this.exhaustedKeyFor(request, capacities);
     if (key !== null && this.exhaustedKeys.has(key)) return count;
     if (request.isGang) return this.grantToGang(capacities, entry, count);
-    const left = fill(
+    const remaining = fill(
       capacities,
       { request, count },
       {
@@ -182,14 +188,14 @@
       },
     );
     // One that must be spread or joined may have left some for want of a zone, and not of capacity.
-    const isExhausted = request.zoneAllowance || request.zoneAffinity ? left === count : left > 0;
+    const isExhausted = request.zoneAllowance || request.zoneAffinity ? remaining === count : remaining > 0;
     if (key !== null && isExhausted && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
-    return left;
+    return remaining;
   }
 
   /** Null: what others like it did not find says nothing of this one. */
   private exhaustedKeyFor(request: ResourceRequest, capacities: FreeCapacity[]): string | null {
-    if (request.isGang || this.reservedJobs.has(request.jobId)) return null;
+    if (request.isGang || this.jobsWithReservation.has(request.jobId)) return null;
     return `${equivalenceKey(request)}|${capacities === this.capacities ? '' : request.image}`;
   }
 
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -17,11 +17,11 @@
   /** All tasks that end when one is stopped: those of its gang, or itself. */
   tasksStoppedWith(allocation: Allocation): readonly Allocation[] {
     if (!allocation.isGang) return [allocation];
-    this.tasksByJob ??= this.findTasks();
+    this.tasksByJob ??= this.indexByJob();
     return this.tasksByJob.get(allocation.jobId) ?? [allocation];
   }
 
-  private findTasks(): Map<string, Allocation[]> {
+  private indexByJob(): Map<string, Allocation[]> {
     const tasksByJob = new Map<string, Allocation[]>();
     for (const machine of this.state.machines.values())
       for (const allocation of machine.allocations.values()) {
--- a/src/scheduler/placement/scarce-zone.ts
+++ b/src/scheduler/placement/scarce-zone.ts
@@ -17,9 +17,7 @@
     const zone = zones.get(machine.zone);
     if (zone && !machine.isSpot) zone.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
   }
-  const [scarcest] = [...zones].sort(
-    ([, one], [, other]) => one.types - other.types || one.cpus - other.cpus,
-  );
+  const [scarcest] = [...zones].sort(([, a], [, b]) => a.types - b.types || a.cpus - b.cpus);
   return scarcest?.[0] ?? null;
 }
 
--- a/src/scheduler/placement/open-tasks.ts
+++ b/src/scheduler/placement/ungranted-tasks.ts
@@ -4,7 +4,7 @@
 import type { ClusterState } from '../cluster-state.js';
 
 /** Counts a request's tasks without those granted whose placement is not stored yet, as far as the leader knows. */
-export class OpenTasks {
+export class UngrantedTasks {
   constructor(
     private readonly state: ClusterState,
     /** Jobs whose owner has declined grants: until when they get none. */
@@ -16,11 +16,11 @@
     let count = request.taskCount;
     for (const id of this.state.openGrants.get(request.jobId) ?? [])
       if (id > request.lastProcessedGrantId) count--;
-    if (this.isPaused(request.jobId, now)) return 0;
+    if (this.isInDeclineBackoff(request.jobId, now)) return 0;
     return request.isGang && count < request.taskCount ? 0 : count;
   }
 
-  private isPaused(jobId: string, now: number): boolean {
+  private isInDeclineBackoff(jobId: string, now: number): boolean {
     const until = this.declinedUntil.get(jobId);
     if (until === undefined) return false;
     if (until > now) return true;
--- a/src/scheduler/placement/team-usage.ts
+++ b/src/scheduler/placement/usage-by-team.ts
@@ -3,10 +3,10 @@
 import type { ResourceRequest } from '../../model/placement.js';
 
 /** CPUs and GPUs by team. */
-export type TeamUsage = Map<string, { cpus: number; gpus: number }>;
+export type UsageByTeam = Map<string, { cpus: number; gpus: number }>;
 
 /** One more task of a request counts as running. */
-export function addUsage(usage: TeamUsage, request: ResourceRequest): void {
+export function addUsage(usage: UsageByTeam, request: ResourceRequest): void {
   const used = usage.get(request.team);
   if (!used) return;
   used.cpus += request.cpus;
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -6,7 +6,7 @@
 /** Share of an objective kept in hand. */
 export const OBJECTIVE_MARGIN_SHARE = 0.2;
 /** Multiple of the estimated run that is set aside for it: estimates may be too low. */
-const RUN_TIME_MARGIN = 1.75;
+const RUN_TIME_SAFETY_FACTOR = 1.75;
 /** Share of an objective on waiting after which lower work is stopped for it. */
 const PREEMPT_AFTER_SHARE = 0.25;
 /** So long work without an objective on waiting leaves other work running, if it can wait at all. */
@@ -50,7 +50,7 @@
     0,
     request.slackSeconds -
       (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN_SHARE -
-      RUN_TIME_MARGIN * request.estimatedRunSeconds -
+      RUN_TIME_SAFETY_FACTOR * request.estimatedRunSeconds -
       imageFetchSeconds,
   );
 }
