--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -1,4 +1,4 @@
-/** Keeps requests from machines that would refuse their tasks. */
+/** Avoids placing tasks on machines that would refuse them because of ended attempts. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { assignTasks } from '../../model/task-assignment.js';
@@ -8,16 +8,20 @@
 import { chooseForGang } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
-/** Work that ended attempts alone have kept waiting for so long asks for a higher token, under which they are removed. */
+/**
+ * How long ended attempts alone may block a job before a higher fencing token is requested, under which
+ * workers remove these attempts.
+ */
 const RAISE_TOKEN_AFTER_MS = 15_000;
-/** Choices of machines made for a gang before all machines are passed over that list any ended attempt of it. */
+/** Rounds of choosing machines for a gang before all machines that list its ended attempts are excluded. */
 const MAX_MATCHING_ROUNDS = 8;
 
 /**
- * Keeps work from machines that would refuse it, since they list ended attempts of the same tasks (`EndedAttempts`).
+ * Steers requests away from machines that still list an ended attempt of a task: such a machine refuses any
+ * other attempt of that task (see `EndedAttempts`).
  *
- * A gang gives its tasks to machines such that none meets its own ended attempt: one refusal ends the attempt of all of
- * them. A machine is passed over only if it would refuse each task that is left.
+ * A request excludes a machine only if the machine would refuse every remaining task. The tasks of a gang are
+ * matched to machines such that none is refused, since one refusal ends the attempt of the whole gang.
  */
 export class AttemptConflicts {
   private readonly blockedSince = new Map<string, number>();
@@ -28,18 +32,18 @@
     private readonly raiseFencingToken: (reason: string) => void,
   ) {}
 
-  /** Forgets what the last pass found. */
+  /** Clears the blocking machines found in the previous pass. */
   beginPass(): void {
     this.blockingMachines = new Set();
   }
 
-  /** Forgets jobs that no longer wait. */
+  /** Drops the entries of jobs that no longer wait, and publishes the blocking machines to `ClusterState`. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.blockedSince.keys()) if (!waitingJobs.has(job)) this.blockedSince.delete(job);
     this.state.blockingMachines = this.blockingMachines;
   }
 
-  /** Machines that would refuse each task that a request still has; null: none. */
+  /** Machines that would refuse every remaining task of a request; null: there are none. */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
@@ -47,7 +51,7 @@
     return names.size > 0 ? names : null;
   }
 
-  /** Capacities for all tasks of a gang, none of which meets its own ended attempt; null: there are none. */
+  /** Chooses one capacity per task of a gang such that no task is refused; null: no such choice was found. */
   chooseForGang(capacities: FreeCapacity[], { request, count }: CapacityDemand): FreeCapacity[] | null {
     const { scarceZone } = this.state;
     const excludedMachines = new Set(request.refusingMachines);
@@ -71,14 +75,17 @@
     return choose();
   }
 
-  /** The tasks of a job that each of these machines refuses. */
+  /** For each capacity, the tasks of the job that its machine would refuse. */
   private refusedTasks(capacities: FreeCapacity[], job: string): (ReadonlySet<number> | undefined)[] {
     return capacities.map(
       (capacity) => this.state.machines.get(capacity.machineName)?.endedTasks.get(job)?.tasks,
     );
   }
 
-  /** Nothing of a request was placed in this pass: notes whether it would have been but for ended attempts. */
+  /**
+   * Handles a request of which no task was placed. Requests a higher fencing token if ended attempts alone
+   * have prevented placement for too long.
+   */
   onUnplaced(demand: CapacityDemand, capacities: FreeCapacity[], now: number): void {
     const { request } = demand;
     const blocking = this.findBlockingMachines(demand, capacities);
@@ -95,7 +102,7 @@
       );
   }
 
-  /** Something of a job was placed. */
+  /** Handles the placement of at least one task of a job: ended attempts no longer block it. */
   onPlaced(job: string): void {
     this.blockedSince.delete(job);
   }
@@ -124,7 +131,7 @@
 function refusesAllTasks(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
   if (!ended) return false;
   if (request.isGang) return taskIndices(request.taskCount).every((task) => ended.tasks.has(task));
-  // Which tasks are left is not known: a machine that has refused one would refuse the next.
+  // The remaining tasks are not known: a machine that has refused one is assumed to refuse the next.
   if (!request.remainingTasks) return ended.hasRefusedAttempt;
   return request.remainingTasks.every((task) => ended.tasks.has(task));
 }
--- a/src/scheduler/placement/batch-profiles.ts
+++ b/src/scheduler/placement/batch-profiles.ts
@@ -1,25 +1,25 @@
-/** What the next job of a class with an objective on waiting is likely to need. */
+/** Estimates the demand of the next job of each class that has a wait-time objective. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { WaitObjectives } from './wait-objectives.js';
 
-/** How a class's mean number of tasks follows its newest job. */
+/** Weights of the exponential moving average of the task counts of a class. */
 const MEAN_WEIGHT = 0.9;
 const NEWEST_WEIGHT = 0.1;
 
-/** The newest job of a class, and the mean number of tasks of its jobs. */
+/** The newest request of a class, and the moving average of the task counts of the class's jobs. */
 export interface BatchProfile {
   request: ResourceRequest;
   meanTaskCount: number;
 }
 
-/** Learns profiles from the jobs that come. */
+/** Keeps a profile of each job class with a wait-time objective, updated from requests of array jobs. */
 export class BatchProfiles {
   private readonly profiles = new Map<string, BatchProfile>();
 
   constructor(private readonly objectives: WaitObjectives) {}
 
-  /** Jobs in `knownJobs` have been learnt from before. */
+  /** Updates the profiles with the requests of new jobs; jobs in `knownJobs` were counted before. */
   observe(requests: readonly ResourceRequest[], knownJobs: ReadonlySet<string>): void {
     for (const request of requests) {
       const { jobId, jobClass, taskCount } = request;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Highest priority first. */
+  /** All profiles, highest priority first. */
   byPriority(): BatchProfile[] {
     return [...this.profiles.values()].sort((a, b) => a.request.priority - b.request.priority);
   }
--- a/src/scheduler/placement/booting-capacity.ts
+++ b/src/scheduler/placement/booting-capacity.ts
@@ -1,12 +1,15 @@
-/** Capacity of rented machines that are about to come up. */
+/** Expected capacity of rented machines that are still booting. */
 
 import type { ClusterState } from '../cluster-state.js';
 import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 
-/** Multiple of a type's boot time after which a machine that is not up is no longer counted on: it may never come. */
+/**
+ * Multiple of a machine type's boot time after which a booting machine is overdue: it may never come up, so
+ * its capacity is no longer expected.
+ */
 const OVERDUE_BOOT_TIME_FACTOR = 1.6;
 
-/** Capacities of the machines that were rented and are about to come up. */
+/** Capacities of the machines that are booting and not overdue. */
 export function bootingCapacities(state: ClusterState, now: number): FreeCapacity[] {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
--- a/src/scheduler/placement/capacity-being-freed.ts
+++ b/src/scheduler/placement/capacity-being-freed.ts
@@ -1,14 +1,14 @@
-/** Capacity that stops under way will free. */
+/** Capacity of machines on which tasks are being stopped. */
 
 import type { ClusterState } from '../cluster-state.js';
 import { lastPossibleLeaseRenewalAt } from '../machine.js';
 import { addBack } from './capacity-filter.js';
 import type { FreeCapacity } from './free-capacity.js';
 
-/** A machine not heard for so long may not have heard of its stops. */
+/** A machine without a heartbeat for this long may not have received its stop commands. */
 const MAX_SILENCE_MS = 10_000;
 
-/** What will be free once the tasks being stopped are gone. */
+/** Free capacities of the machines with tasks being stopped, as they will be once these tasks are gone. */
 export function capacitiesBeingFreed(state: ClusterState, now: number): FreeCapacity[] {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machinesWithStops) {
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -1,10 +1,13 @@
-/** Which machines a request may use: by what is free, by the request's constraints, and by what is kept for others. */
+/**
+ * Decides which machines a request may use, by their free capacity, by the request's constraints, and by
+ * capacity that is withheld from the request or reserved for other jobs.
+ */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON, type Resources } from '../../model/resources.js';
 import type { FreeCapacity, MachineOffer } from './free-capacity.js';
 
-/** Whether one task with this demand has enough capacity. */
+/** Whether one task with this demand fits into the capacity. */
 export function fits(capacity: Resources, demand: Resources): boolean {
   return (
     capacity.cpus + EPSILON >= demand.cpus &&
@@ -13,21 +16,24 @@
   );
 }
 
-/** One task with this demand goes there. */
+/** Subtracts the demand of one task from the capacity. */
 export function subtract(capacity: Resources, demand: Resources): void {
   capacity.cpus -= demand.cpus;
   capacity.gpus -= demand.gpus;
   capacity.memoryGb -= demand.memoryGb;
 }
 
-/** This amount becomes free again. */
+/** Adds an amount that becomes free again to the capacity. */
 export function addBack(capacity: Resources, amount: Resources): void {
   capacity.cpus += amount.cpus;
   capacity.gpus += amount.gpus;
   capacity.memoryGb += amount.memoryGb;
 }
 
-/** Whether the request's own constraints let its tasks run on such a machine, whatever is free there. */
+/**
+ * Whether a machine meets the request's constraints on spot instances, machine types and zones, whatever is
+ * free on it.
+ */
 export function isAllowed(offer: MachineOffer, request: ResourceRequest): boolean {
   if (offer.isSpot && !request.spotAllowed) return false;
   if (request.machineTypes && !request.machineTypes.includes(offer.machineType)) return false;
@@ -35,22 +41,25 @@
   return !request.zoneAllowance || (request.zoneAllowance[offer.zone] ?? request.defaultZoneAllowance) > 0;
 }
 
-/** Whether a request passes this machine over for reasons of its own. */
+/**
+ * Whether a request excludes this machine: its job failed there recently, or the machine would refuse its
+ * tasks.
+ */
 export function isAvoided(request: ResourceRequest, machine: string): boolean {
   return request.avoidedMachines.includes(machine) || request.refusingMachines?.has(machine) === true;
 }
 
-/** Whether a request passes any machine over for reasons of its own: what it finds says nothing of others like it. */
+/** Whether a request excludes any machine. Its results then say nothing about equivalent requests. */
 export function avoidsAnyMachine(request: ResourceRequest): boolean {
   return request.avoidedMachines.length > 0 || request.refusingMachines !== undefined;
 }
 
-/** Work that has time and may use spot instances. */
+/** Whether a request is batch work that may use spot instances and has time to wait for one. */
 export function canWaitForSpot(request: ResourceRequest): boolean {
   return request.spotAllowed && !request.isService && (request.maxWaitSeconds ?? 0) > 0;
 }
 
-/** Whether a task of this request may go here now. */
+/** Whether a task of the request can be placed on this capacity now. */
 export function isFeasible(
   capacity: FreeCapacity,
   request: ResourceRequest,
@@ -67,8 +76,8 @@
 }
 
 function isWithheld(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): boolean {
-  // The ordinary machines of a zone that jobs which must be spread depend on are theirs; what can be stopped for them
-  // may use them meanwhile.
+  // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so other
+  // services may not use these machines. Batch tasks may, since they can be preempted.
   if (
     scarceZone === capacity.zone &&
     !capacity.isSpot &&
@@ -77,6 +86,7 @@
     request.zone === null
   )
     return true;
-  // A surplus machine is left to run empty, to be returned.
+  // Work that can wait for spot instances stays off surplus machines, so that they become empty and can be
+  // returned.
   return capacity.isSurplus && canWaitForSpot(request);
 }
--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -1,4 +1,4 @@
-/** Requests that find the same machines: what the first of them does not find, the others need not look for. */
+/** Equivalence classes of requests: if one request finds no capacity, equivalent ones need not search. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { canWaitForSpot } from './capacity-filter.js';
@@ -6,9 +6,10 @@
 const keyCache = new WeakMap<ResourceRequest, string>();
 
 /**
- * Requests of one key find capacity on the same machines, or on none: free capacity only shrinks in a pass, so that what the
- * first of them did not find the others need not look for. What ties a request to itself (machines it avoids, capacity
- * reserved for it) is not part of it.
+ * Key of a request's equivalence class. Requests with the same key can use the same machines. As free
+ * capacity only shrinks during a pass, the others need not search for what the first of them did not find.
+ * Properties of a single request, such as machines that it excludes or capacity reserved for its job, are not
+ * part of the key.
  */
 export function equivalenceKey(request: ResourceRequest): string {
   let key = keyCache.get(request);
--- a/src/scheduler/placement/fill-tasks.ts
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -1,22 +1,25 @@
-/** Fills free capacity with tasks of one request that may be placed one by one. */
+/** Fills free capacity with tasks of one request, each placed independently of the others. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { fits, isAllowed, isFeasible, subtract } from './capacity-filter.js';
 import { score } from './capacity-score.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
-/** Machines that the replicas of one job are spread over where there is a choice. */
+/** Number of machines over which the replicas of one job are spread if there is enough capacity. */
 const TARGET_MACHINES_PER_SERVICE = 4;
 
-/** How to fill. */
+/** Options for filling free capacity. */
 export interface FillOptions {
-  /** Zone whose ordinary machines are left to jobs that must be spread; null: none. */
+  /** Zone whose on-demand machines are left to jobs that must be spread over zones; null: none. */
   scarceZone: string | null;
-  /** Called for each task, after its demand was subtracted. */
+  /** Called for each placed task, after its demand was subtracted from the capacity. */
   onPlaced?: (capacity: FreeCapacity) => void;
 }
 
-/** Places up to `count` tasks, best machine first; subtracts them from the capacities. Returns how many were left. */
+/**
+ * Places up to `count` tasks, best machine first, and subtracts their demand from the capacities. Returns the
+ * number of tasks left.
+ */
 export function fillTasks(
   capacities: readonly FreeCapacity[],
   demand: CapacityDemand,
@@ -30,7 +33,7 @@
   private readonly count: number;
   private readonly scarceZone: string | null;
   private readonly zoneAllowance: Record<string, number> | null;
-  /** The request with what is left of its zones, and with the zone that its tasks are joined in. */
+  /** The request with its remaining zone allowance and, under zone affinity, the zone of its first task. */
   private readonly constrained: ResourceRequest;
   private readonly placedCounts = new Map<FreeCapacity, number>();
   private remaining: number;
@@ -56,7 +59,11 @@
     return this.remaining;
   }
 
-  /** Replicas of a job go to several machines: less is lost with one, and its image is in more places for the next. */
+  /**
+   * Limits on the tasks per machine, tried in turn. Replicas of a job are spread over several machines: fewer
+   * are lost with a machine, and more machines hold the image for the next replicas. The service reserve,
+   * which has no job ID, is not spread.
+   */
   private limitsPerMachine(): number[] {
     if (!this.request.isService || this.request.jobId === '') return [this.count];
     const evenShare = Math.max(1, Math.ceil(this.count / TARGET_MACHINES_PER_SERVICE));
@@ -77,7 +84,7 @@
     if (best) this.placeOn(best, maxPerMachine);
   }
 
-  /** Placing on one machine changes the score of no other: they are ranked once, and not for every task anew. */
+  /** Ranks the machines only once: placing a task on one machine does not change the score of another. */
   private placeRanked(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
     const ranked: { capacity: FreeCapacity; seconds: number }[] = [];
     for (const capacity of capacities)
@@ -100,7 +107,7 @@
     return this.placedCounts.get(capacity) ?? 0;
   }
 
-  /** The fuller a machine the better its score: the best one stays the best while a task fits. */
+  /** Places as many tasks as fit: a machine scores better the fuller it is, so the best stays the best. */
   private placeOn(capacity: FreeCapacity, maxPerMachine: number): void {
     const { request, constrained, zoneAllowance } = this;
     while (
--- a/src/scheduler/placement/fill.ts
+++ b/src/scheduler/placement/fill.ts
@@ -1,11 +1,14 @@
-/** Fills free capacity with tasks of one request: one by one, or all or none of a gang. */
+/** Fills free capacity with tasks of one request: independently of each other, or all or none for a gang. */
 
 import { slotsIn } from '../../model/resources.js';
 import { isFeasible, subtract } from './capacity-filter.js';
 import { type FillOptions, fillTasks } from './fill-tasks.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
-/** Places up to `count` tasks, all or none of a gang; subtracts them from the capacities. Returns how many were left. */
+/**
+ * Places up to `count` tasks, all or none for a gang, and subtracts their demand from the capacities. Returns
+ * the number of tasks left.
+ */
 export function fill(
   capacities: readonly FreeCapacity[],
   demand: CapacityDemand,
@@ -22,8 +25,8 @@
 }
 
 /**
- * The capacities for all tasks of a gang, one a task, or null; with one zone demanded, each zone is tried in turn.
- * Subtracts nothing.
+ * Chooses one capacity per task of a gang; null: not all tasks fit. Under zone affinity, tries each zone in
+ * turn. Leaves the capacities unchanged.
  */
 export function chooseForGang(
   capacities: readonly FreeCapacity[],
--- a/src/scheduler/placement/free-capacity.ts
+++ b/src/scheduler/placement/free-capacity.ts
@@ -1,18 +1,18 @@
-/** Free capacity of one machine, real or expected, as placement and autoscaling reckon with it. */
+/** Free capacity of one machine, actual or expected, as placement and autoscaling use it. */
 
 import type { MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
 
-/** A machine that may be rented or has been: its type, its zone, and whether it is a spot instance. */
+/** Type, zone and kind (on-demand or spot) of a machine that is rented or can be. */
 export interface MachineOffer {
   machineType: string;
   zone: string;
   isSpot: boolean;
 }
 
-/** What is free on one machine. Placing subtracts from it: each pass works on its own copies. */
+/** Free capacity of one machine. Placement subtracts from it, so each pass works on its own copies. */
 export interface FreeCapacity {
-  /** Empty: a machine that is not rented yet. */
+  /** Empty for a machine that is not rented yet. */
   machineName: string;
   machineType: string;
   zone: string;
@@ -21,23 +21,26 @@
   gpus: number;
   memoryGb: number;
   totalCpus: number;
-  /** Images that the machine holds, with their gigabytes; null: it holds none yet. */
+  /** Sizes in GB of the images that the machine holds, by image; null: it holds none yet. */
   images: ReadonlyMap<string, number> | null;
   imageFetchGbPerSecond: number;
-  /** Seconds added to its score: a machine not heard lately, or slow. */
+  /** Added to the machine's score, for example if its heartbeats are late or jobs have failed on it. */
   penaltySeconds: number;
   reservation: { jobId: string; priority: number } | null;
-  /** Ordinary, without replicas and no part of the reserve: kept only as long as work can't wait. */
+  /**
+   * An on-demand machine without service replicas and outside the service reserve, while there is no shortage
+   * of capacity: work that can wait for spot instances stays off it, so that it can be returned.
+   */
   isSurplus: boolean;
 }
 
-/** Tasks of a request that are still without a machine. */
+/** A number of tasks of a request that need capacity. */
 export interface CapacityDemand {
   request: ResourceRequest;
   count: number;
 }
 
-/** Capacity of a machine of this type with nothing on it; its name is empty while it is not rented. */
+/** Capacity of an empty machine of this type; the name is empty for a machine that is not rented. */
 export function emptyMachineCapacity(
   machineType: MachineType,
   machine: { name: string; zone: string; isSpot: boolean },
@@ -59,7 +62,7 @@
   };
 }
 
-/** Copies to place into on trial. */
+/** Copies capacities for trial placements. */
 export function copyCapacities(capacities: readonly FreeCapacity[]): FreeCapacity[] {
   return capacities.map((capacity) => ({ ...capacity }));
 }
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reserves machines for gangs that wait for capacity. */
+/** Reserves capacity for gangs that wait until all of their tasks fit. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
@@ -7,9 +7,9 @@
 import { fill } from './fill.js';
 import { type CapacityDemand, copyCapacities, type FreeCapacity } from './free-capacity.js';
 
-/** So long a gang that waits for machines keeps to the zone in which it began to gather them. */
+/** How long a waiting gang keeps the zone in which it reserves capacity before it chooses again. */
 const KEEP_ZONE_MS = 20_000;
-/** What a place on a booting machine, and one on a machine yet to be rented, counts against a free one. */
+/** Weights of slots on booting machines and on machines yet to be rented, relative to free slots. */
 const BOOTING_SLOT_WEIGHT = 0.75;
 const RENTABLE_SLOT_WEIGHT = 0.5;
 
@@ -19,35 +19,40 @@
 }
 
 /**
- * Reserves machines for gangs that wait.
+ * Reserves capacity for waiting gangs.
  *
- * A gang starts only once it has places for all of its tasks. Without reservations, smaller work takes each place as it
- * comes free, and a large gang may wait for ever. So a gang that finds too little capacity takes what there is out of the
- * pass, in the order of the queue, and only what it lacks is rented or freed. Reservations last for one pass and are
- * made anew by the next one in the order of then: two gangs can't reserve half of what each needs for good.
+ * A gang starts only once there are slots for all of its tasks. Without reservations, smaller requests would
+ * take each slot as it becomes free, and a large gang might wait forever. So a gang that finds too little
+ * capacity reserves what there is, in queue order, and only the missing slots are rented or freed by
+ * preemption. Reservations last for one pass, and the next pass makes new ones in its own order: two gangs
+ * can't block each other for good by each reserving half of what it needs.
  */
 export class GangReservations {
   private readonly zoneChoices = new Map<string, ZoneChoice>();
-  private readonly heldMachines = new Set<string>();
+  private readonly gangMachines = new Set<string>();
   private bootingCapacities: FreeCapacity[] | null = null;
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Ends the reservations of the last pass. */
+  /** Ends the reservations of the previous pass. */
   beginPass(): void {
-    this.heldMachines.clear();
+    this.gangMachines.clear();
     this.bootingCapacities = null;
   }
 
-  /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
+  /**
+   * Drops the zone choices of gangs that no longer wait, and publishes the machines with reservations to
+   * `ClusterState`, so that they are not returned as idle.
+   */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.heldMachines);
+    this.state.machinesHeldForGangs = new Set(this.gangMachines);
   }
 
   /**
-   * Subtracts what a gang can use from the capacities, in one zone if it must be in one. Returns what the gang lacks, as
-   * single tasks tied to the zone in which it gathers: what is rented or freed for it must lie there.
+   * Subtracts what a gang can use from the capacities, within one zone if the gang has zone affinity. Returns
+   * the missing slots as a demand for single tasks in that zone, since capacity must be rented or freed
+   * there.
    */
   reserve(capacities: FreeCapacity[], demand: CapacityDemand, now: number): CapacityDemand {
     const { request, count } = demand;
@@ -65,7 +70,7 @@
       { request: taskRequest, count },
       {
         scarceZone: this.state.scarceZone,
-        onPlaced: (capacity) => this.heldMachines.add(capacity.machineName),
+        onPlaced: (capacity) => this.gangMachines.add(capacity.machineName),
       },
     );
     return { request: taskRequest, count: missing };
@@ -81,7 +86,10 @@
     return zone;
   }
 
-  /** The zone in which the gang lacks least: by what is free, then by what is booting, then by what may be rented. */
+  /**
+   * The zone with the most slots for the gang. Free slots count fully, slots on booting machines less, and
+   * slots on machines yet to be rented least.
+   */
   private bestZone(
     capacities: FreeCapacity[],
     { request, count }: CapacityDemand,
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grants.ts
@@ -1,4 +1,4 @@
-/** Grants: places on machines that owners may give to tasks. */
+/** Issues grants: slots on machines that shard owners assign to tasks. */
 
 import type { Grant, PlacementSpec, ResourceRequest } from '../../model/placement.js';
 import { createAllocation } from '../allocation.js';
@@ -6,10 +6,10 @@
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** The owner decides which task takes the place: until it tells, a grant's allocation has none. */
+/** Task index of a grant's allocation: the shard owner decides later which task uses the slot. */
 const NO_TASK_INDEX = -1;
 
-/** Makes grants, each with an allocation that holds its place, and sends a pass's grants together. */
+/** Issues grants, each with an allocation that holds its slot, and sends the grants of a pass together. */
 export class GrantIssuer {
   private lastGrantId = 0;
   private readonly unsent = new Map<string, Grant[]>();
@@ -19,7 +19,7 @@
     private readonly state: ClusterState,
   ) {}
 
-  /** Grants one place to the owner of the request, sent by the next `sendAll`. */
+  /** Grants one slot to the shard owner of the request; the next `sendAll` sends the grant. */
   issue(machine: Machine, { request, instanceId }: QueuedRequest, now: number): void {
     const id = ++this.lastGrantId;
     this.allocate(machine, grantedPlacement(machine, request, id), now);
--- a/src/scheduler/placement/job-condition-times.ts
+++ b/src/scheduler/placement/job-condition-times.ts
@@ -1,15 +1,15 @@
-/** Times kept by job. */
+/** Start times of a condition, by job. */
 
-/** Since when something holds of jobs. */
+/** Records since when a condition has held for each job, in milliseconds of the clock. */
 export class JobConditionTimes {
   private readonly since = new Map<string, number>();
 
-  /** Milliseconds of the clock; undefined: it does not hold. */
+  /** Since when the condition has held for the job; undefined: it does not hold. */
   get(jobId: string): number | undefined {
     return this.since.get(jobId);
   }
 
-  /** It holds, since now if it did not before; returns since when. */
+  /** Records that the condition holds, since `now` if it did not before. Returns since when it holds. */
   record(jobId: string, now: number): number {
     const since = this.since.get(jobId) ?? now;
     this.since.set(jobId, since);
@@ -20,7 +20,7 @@
     this.since.delete(jobId);
   }
 
-  /** Forgets all other jobs. */
+  /** Drops all jobs that are not in `jobs`. */
   retain(jobs: ReadonlySet<string>): void {
     for (const jobId of this.since.keys()) if (!jobs.has(jobId)) this.since.delete(jobId);
   }
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -1,4 +1,4 @@
-/** The requests of a pass, in the order in which they are served. */
+/** Prepares the requests of a placement pass and puts them in the order in which they are served. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState, QueuedRequest } from '../cluster-state.js';
@@ -6,22 +6,23 @@
 import type { JobConditionTimes } from './job-condition-times.js';
 import type { UsageByTeam } from './usage-by-team.js';
 
-/** So long nothing of a job may find capacity before it takes what is kept for others. */
+/** How long a job may find no capacity at all before it may use capacity that is kept for other work. */
 const STARVED_AFTER_MS = 45_000;
 
-/** A request as a pass sees it. */
+/** A queued request, adjusted for one placement pass. */
 export interface PassRequest extends QueuedRequest {
+  /** Whether one more task stays within the guaranteed share of its team at the start of the pass. */
   isWithinGuarantee: boolean;
 }
 
-/** What a pass needs to know of a request besides the request. */
+/** Results of earlier passes that the requests of a pass are adjusted to. */
 export interface RequestHistory {
-  /** Since when nothing at all of a job has found capacity. */
+  /** Since when no task of a job has found capacity. */
   nothingPlacedSince: JobConditionTimes;
   attemptConflicts: AttemptConflicts;
 }
 
-/** Requests of current owners by priority, guarantee, missed objectives and place in the queue. */
+/** Requests of current shard owners, by priority, guaranteed share, missed objectives and queue position. */
 export function orderedRequests(
   state: ClusterState,
   history: RequestHistory,
@@ -36,11 +37,11 @@
       ordered.push({ request: adjusted, instanceId, isWithinGuarantee });
     }
   return ordered.sort(
-    (a, b) =>
-      a.request.priority - b.request.priority ||
-      Number(b.isWithinGuarantee) - Number(a.isWithinGuarantee) ||
-      a.request.missedObjectives - b.request.missedObjectives ||
-      a.request.queuePosition - b.request.queuePosition,
+    (left, right) =>
+      left.request.priority - right.request.priority ||
+      Number(right.isWithinGuarantee) - Number(left.isWithinGuarantee) ||
+      left.request.missedObjectives - right.request.missedObjectives ||
+      left.request.queuePosition - right.request.queuePosition,
   );
 }
 
@@ -51,12 +52,12 @@
 ): ResourceRequest {
   const since = nothingPlacedSince.get(request.jobId) ?? now;
   const isStarved = now - since > STARVED_AFTER_MS;
-  // A worker that lists an ended attempt of a task refuses the next: places taken there would come back again and again,
-  // each time at the cost of work stopped for it.
+  // A worker that lists an ended attempt of a task refuses the next attempt: slots granted there would be
+  // given back again and again, each time after other work may have been preempted for them.
   const refusingMachines = attemptConflicts.refusingMachines(request);
   if (!isStarved && !refusingMachines && !(isWithinGuarantee && request.maxWaitSeconds)) return request;
   const adjusted: ResourceRequest = { ...request, isStarved };
-  // A guarantee is to be had at once, whatever the objective allows.
+  // A team gets its guaranteed share at once, even where the objective leaves time to wait.
   if (isWithinGuarantee && adjusted.maxWaitSeconds) adjusted.maxWaitSeconds = 0;
   if (refusingMachines) adjusted.refusingMachines = refusingMachines;
   return adjusted;
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -1,4 +1,4 @@
-/** Gives free capacity to what owners request. */
+/** Places the tasks that shard owners request on free capacity. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { RateLimitedLog } from '../../model/rate-limited-log.js';
@@ -18,12 +18,12 @@
 import { UngrantedTasks } from './ungranted-tasks.js';
 import { maxWaitSeconds, WaitObjectives } from './wait-objectives.js';
 
-/** The scarce zone is found anew at most so often: it takes a look at every machine. */
+/** Minimum time between updates of the scarce zone: each looks at every machine. */
 const SCARCE_ZONE_INTERVAL_MS = 1000;
 
-/** Runs passes, and keeps what lives between them. */
+/** Runs placement passes and keeps the state that they share. */
 export class PlacementEngine {
-  /** Jobs whose owner has declined grants: until when they get none, in milliseconds of the clock. */
+  /** Until when jobs whose shard owner has declined grants get no new ones, in milliseconds of the clock. */
   readonly declinedUntil = new Map<string, number>();
   private readonly context: PlacementContext;
   private readonly batchProfiles: BatchProfiles;
@@ -52,7 +52,7 @@
     this.log = new RateLimitedLog(options.log, options.clock);
   }
 
-  /** All that an owner requests now, in place of what it requested before. */
+  /** Replaces all requests of a shard owner. */
   setRequests(instanceId: string, requests: ResourceRequest[]): void {
     const knownJobs = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
     for (const request of requests)
@@ -62,7 +62,7 @@
     for (const request of requests) if (request.isService) this.state.recordServiceProfile(request);
   }
 
-  /** Serves all requests once; returns the tasks for which machines are to be rented. */
+  /** Serves all requests once. Returns the tasks for which machines should be rented. */
   runPass(now: number): CapacityDemand[] {
     this.beginPass(now);
     const usage = this.state.usage();
@@ -101,7 +101,7 @@
     this.endReservations(waitingJobs, now);
   }
 
-  /** What was freed for a job is kept no longer once the job has what it requested, or the time for it is over. */
+  /** Ends reservations of freed capacity that have expired or whose job no longer waits. */
   private endReservations(waitingJobs: ReadonlySet<string>, now: number): void {
     for (const machine of this.state.machinesWithReservation) {
       const { reservation } = machine;
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -1,4 +1,4 @@
-/** One pass over all requests, in order of priority, guarantee and queue. */
+/** One pass over all requests, by priority, guaranteed share, missed objectives and queue position. */
 
 import type { BatchProfile } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
@@ -6,25 +6,25 @@
 import type { RequestPlacer } from './request-placer.js';
 import type { UngrantedTasks } from './ungranted-tasks.js';
 
-/** What a pass works on. */
+/** Input of a placement pass. */
 export interface PlacementPassInput {
   /** In the order in which they are served. */
   requests: readonly PassRequest[];
-  /** Highest priority first; the pass takes them off the list. */
+  /** Highest priority first; the pass removes those it has handled. */
   batchProfiles: BatchProfile[];
-  /** Mean jobs of each profile for which capacity is kept. */
+  /** Number of jobs of average size for which capacity is set aside, per profile. */
   reservedJobsPerProfile: number;
   placer: RequestPlacer;
   ungrantedTasks: UngrantedTasks;
   now: number;
 }
 
-/** Decides which request is served when; `RequestPlacer` serves it. */
+/** Decides in which order requests are served; `RequestPlacer` places their tasks. */
 export class PlacementPass {
-  /** Jobs that still have requests. */
+  /** Jobs that have requests in this pass. */
   readonly waitingJobs = new Set<string>();
   private readonly servedEarly = new Set<string>();
-  /** Requests of the present group that found too little where their image is. */
+  /** Requests of the current group that were tried on warm machines only, with their remaining tasks. */
   private deferred: { entry: PassRequest; count: number }[] = [];
 
   constructor(private readonly input: PlacementPassInput) {}
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Work that can wait goes first where its image is, as long as nothing that can't wait is before it: a fetch keeps a
-   * place about as long as a task does. What finds none takes its turn after the others of its group.
+   * Serves a request in its turn. If it can wait, its turn is limited to warm machines, which already hold
+   * its image: an image fetch occupies a slot for about as long as a task does. The remaining tasks are
+   * placed after the other requests of the group.
    */
   private serve(entry: PassRequest): void {
     const { request } = entry;
@@ -59,7 +60,10 @@
     this.deferred = [];
   }
 
-  /** Lower work leaves the capacity that the next job of a class with an objective on waiting will need. */
+  /**
+   * Sets capacity aside from requests of this priority for the next jobs of higher-priority classes that have
+   * a wait-time objective.
+   */
   private reserveForBatchProfiles(priority: number): void {
     const { batchProfiles, placer, reservedJobsPerProfile } = this.input;
     for (
@@ -79,7 +83,10 @@
     }
   }
 
-  /** Not for ever, or lower work would wait beside free machines where the cloud has no more. */
+  /**
+   * Places starved requests of lower priority than a profile before capacity is set aside for the profile:
+   * otherwise they would wait forever beside free machines while the cloud has no more to rent.
+   */
   private placeStarved(profilePriority: number): void {
     const { requests, ungrantedTasks, placer, now } = this.input;
     for (const entry of requests) {
@@ -93,6 +100,6 @@
   }
 }
 
-function isSameGroup(a: PassRequest, b: PassRequest): boolean {
-  return a.request.priority === b.request.priority && a.isWithinGuarantee === b.isWithinGuarantee;
+function isSameGroup(one: PassRequest, other: PassRequest): boolean {
+  return one.request.priority === other.request.priority && one.isWithinGuarantee === other.isWithinGuarantee;
 }
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -1,4 +1,4 @@
-/** What would have to be stopped on each machine for one task of a request, and what would be lost by it. */
+/** Finds the tasks to preempt on each machine so that one task of a request fits, and the cost of this. */
 
 import { EPSILON } from '../../model/resources.js';
 import { type Allocation, usesCapacity } from '../allocation.js';
@@ -9,23 +9,23 @@
 import type { PreemptionQuery, PreemptionRules } from './preemption-rules.js';
 import type { RunningGangs } from './running-gangs.js';
 
-/** Fetching a gigabyte of an image, in the CPU seconds of work in which losses are measured. */
+/** Cost of fetching one GB of an image, in CPU seconds of lost work. */
 const COST_PER_IMAGE_GB = 20;
-/** Stopping a task, for each step by which its priority is above the lowest. */
+/** Cost of preempting a task, in CPU seconds, per level of its priority above the lowest. */
 const COST_PER_PRIORITY = 30;
 const LOWEST_PRIORITY = 3;
 
-/** Tasks that may be stopped on a machine for one task of a request. */
+/** A machine, and the tasks to preempt there so that one task of a request fits. */
 export interface PreemptionCandidate {
   machine: Machine;
   victims: Allocation[];
-  /** What is lost by it, in CPU seconds. */
+  /** Lost work, image fetch and priorities of the victims, in CPU seconds. */
   cost: number;
 }
 
-/** Finds offers; keeps for the rest of a pass which machines have work that may be stopped. */
+/** Finds preemption candidates, using an index of machines that is built once per pass. */
 export class PreemptionCandidates {
-  /** By image; null: all, whatever they hold. Empty: not asked for in this pass. */
+  /** Usable machines with batch tasks, by held image; null: all of them. Empty until first used in a pass. */
   private readonly machinesByImage = new Map<string | null, Machine[]>();
 
   constructor(
@@ -34,12 +34,12 @@
     private readonly gangs: RunningGangs,
   ) {}
 
-  /** Forgets what the last pass found. */
+  /** Clears the index of the previous pass. */
   beginPass(): void {
     this.machinesByImage.clear();
   }
 
-  /** Offers of all machines, or of those that hold the request's image, cheapest last. */
+  /** Candidates on all machines, or only on warm ones, which hold the request's image; cheapest last. */
   findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionCandidate[] {
     const { request } = query;
     const candidates: PreemptionCandidate[] = [];
@@ -56,14 +56,15 @@
     return candidates.sort((a, b) => b.cost - a.cost);
   }
 
-  /** Null: nothing may be stopped there that would help. */
+  /** The candidate on this machine; null: preempting tasks there does not help the request. */
   candidateOn(machine: Machine, query: PreemptionQuery): PreemptionCandidate | null {
     const { request, now } = query;
     const machineType = this.state.machineTypes.get(machine.machineType);
     if (!machineType) return null;
     const capacity = emptyMachineCapacity(machineType, machine);
     capacity.isSurplus = this.state.isSurplus(machine, now);
-    // By the same question as placing: otherwise tasks would be stopped again and again for work that is then not let in.
+    // The same check as in placement: otherwise tasks would be preempted repeatedly for a request that can't
+    // use this machine.
     if (!isFeasible(capacity, request, this.state.scarceZone)) return null;
     const preemptible = this.preemptibleTasks(machine, capacity, query);
     const victims = this.chooseVictims(preemptible, capacity, query);
@@ -71,11 +72,14 @@
     return { machine, victims, cost: this.costOf(machine, victims, query) };
   }
 
-  /** Subtracts all that runs on the machine; returns the tasks that may be stopped, lowest and youngest first. */
+  /**
+   * Subtracts the allocations of a machine from its capacity. Returns the tasks that may be preempted, by
+   * priority, lowest first, then most recently started first.
+   */
   private preemptibleTasks(machine: Machine, capacity: FreeCapacity, query: PreemptionQuery): Allocation[] {
     const preemptible: Allocation[] = [];
     for (const allocation of machine.allocations.values()) {
-      // What is being freed was promised before.
+      // Includes tasks being stopped: what they free was already offered as capacity being freed.
       if (!usesCapacity(allocation)) continue;
       subtract(capacity, allocation);
       if (
@@ -88,7 +92,7 @@
     return preemptible.sort((a, b) => b.priority - a.priority || b.phaseSince - a.phaseSince);
   }
 
-  /** As many as it takes until one task fits; adds what they use to the capacity. */
+  /** Chooses victims until one task fits, adding what they use back to the capacity. */
   private chooseVictims(
     preemptible: readonly Allocation[],
     capacity: FreeCapacity,
@@ -98,7 +102,8 @@
     const chosenCpus = new Map<string, number>();
     for (const allocation of preemptible) {
       if (fits(capacity, query.request)) break;
-      // A team a little beyond its guarantee must not lose more than that: it would claim it back, and so for ever.
+      // A team slightly over its guaranteed share must not lose more than the excess: it would reclaim the
+      // difference, and the preemptions would never end.
       const alreadyChosen = chosenCpus.get(allocation.team) ?? 0;
       if (!this.rules.canPreempt(query, allocation, alreadyChosen)) continue;
       chosenCpus.set(allocation.team, alreadyChosen + allocation.cpus);
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -1,4 +1,4 @@
-/** Which running task may be stopped for which request. */
+/** Decides which running tasks may be preempted for which requests. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON } from '../../model/resources.js';
@@ -8,38 +8,50 @@
 import { bootingCapacities } from './booting-capacity.js';
 import type { UsageByTeam } from './usage-by-team.js';
 
-/** So long work waits before a gang of another team is stopped for its guarantee: all tasks of a gang stop with one. */
+/**
+ * How long a request waits before a gang of another team is preempted to reclaim a guaranteed share: all
+ * tasks of a gang stop with one.
+ */
 const RECLAIM_FROM_GANG_AFTER_MS = 30_000;
-/** Share of the machines that boot from which no work, and from which no gang, is stopped for a guarantee. */
+/**
+ * Booting machines as a share of all machines: from the first share on, no task is preempted to reclaim a
+ * guaranteed share, and from the second on, no gang.
+ */
 const MAX_BOOTING_SHARE = 0.15;
 const MAX_BOOTING_SHARE_FOR_GANGS = 0.05;
 
-/** What a search for tasks to stop is for. */
+/** The request that tasks are preempted for, and the state that the rules depend on. */
 export interface PreemptionQuery {
   request: ResourceRequest;
-  /** Changes while tasks are chosen. */
+  /** Updated while victims are chosen. */
   usage: UsageByTeam;
   now: number;
 }
 
-/** Holds what "Preemption" of the protocol allows. */
+/**
+ * Rules of preemption. Within a team, and for requests of priority 0, only the priorities count. Between
+ * teams, the guaranteed shares of both teams count as well.
+ */
 export class PreemptionRules {
-  /** In this pass: the share of machines that boot, once it was asked for. */
+  /** Booting machines as a share of all machines, computed once per pass; null: not yet. */
   private bootingShare: number | null = null;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    /** Since when a job's work has found no capacity. */
+    /** Since when some task of a job has found no capacity. */
     private readonly unplacedSince: (jobId: string) => number | undefined,
   ) {}
 
-  /** Forgets what the last pass found. */
+  /** Clears the share of booting machines of the previous pass. */
   beginPass(): void {
     this.bootingShare = null;
   }
 
-  /** `cpusAlreadyChosen`: CPUs of the same team's tasks that are to be stopped besides this one. */
+  /**
+   * Whether this task may be preempted. `cpusAlreadyChosen` are the CPUs of the other victims that were
+   * chosen from the same team.
+   */
   canPreempt(
     { request, usage }: PreemptionQuery,
     allocation: Allocation,
@@ -47,7 +59,7 @@
   ): boolean {
     if (allocation.desiredState !== 'run' || allocation.evictionRequestedAt || allocation.isFinalized)
       return false;
-    // Services give way to nothing below them, whatever team they belong to.
+    // Tasks of priority 0, such as services, are never preempted, whatever team they belong to.
     if (allocation.priority === 0) return false;
     if (allocation.team === request.team || request.priority === 0)
       return allocation.priority > request.priority;
@@ -56,15 +68,16 @@
     const isVictimOverGuarantee =
       !!team && !!used && used.cpus - cpusAlreadyChosen > team.guaranteedCpus + EPSILON;
     const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
-    // A guarantee goes before priority: were it otherwise, each of two teams could stop the other for ever.
+    // Guaranteed shares take precedence over priority: otherwise two teams could preempt each other forever.
     if (allocation.priority > request.priority) return isVictimOverGuarantee || isWithinGuarantee;
     return isVictimOverGuarantee && isWithinGuarantee && this.canReclaimGuarantee(request, allocation);
   }
 
   /**
-   * Work of no lower priority gives way to another team's guarantee, but not while many machines boot: there is soon
-   * capacity, and choosing what to stop for all that waits would take most of the leader's processor time. A gang gives
-   * way last, since all of its tasks stop with one.
+   * Whether a task of equal or higher priority may be preempted to reclaim the guaranteed share of another
+   * team. Not while many machines are booting: there will soon be capacity, and choosing victims for all
+   * waiting requests would take most of the leader's CPU time. Gangs are preempted last, since all tasks of a
+   * gang stop with one.
    */
   private canReclaimGuarantee(request: ResourceRequest, allocation: Allocation): boolean {
     this.bootingShare ??=
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -1,4 +1,4 @@
-/** Has running work stopped, so that other work finds capacity. */
+/** Preempts running tasks so that other requests find capacity. */
 
 import type { TaskAttempt } from '../../model/job.js';
 import type { ResourceRequest } from '../../model/placement.js';
@@ -14,27 +14,27 @@
 import { RunningGangs } from './running-gangs.js';
 import { addUsage, type UsageByTeam } from './usage-by-team.js';
 
-/** Pause after a search for work to stop that found none: it looks at every task of the fleet. */
+/** Pause after a search for victims that found none: each search looks at every task of the fleet. */
 const RETRY_AFTER_MS = 1000;
-/** Priorities up to this one search in each pass: services and urgent work count by seconds. */
+/** Services and requests of at least this priority search in every pass: for them every second counts. */
 const URGENT_PRIORITY = 1;
-/** So long what was freed for a job is kept for it. */
+/** How long capacity that was freed for a job is reserved for it. */
 const RESERVATION_MS = 5000;
 
-/** Where and when work may be stopped. */
+/** Team usage, time and machines that a search for victims works with. */
 export interface PreemptionScope {
-  /** Changed by what is stopped, and by what it is stopped for. */
+  /** Updated with the victims, and with the tasks that they are preempted for. */
   usage: UsageByTeam;
   now: number;
-  /** Only on machines that hold the request's image. */
+  /** Searches only warm machines, which hold the request's image. */
   warmOnly: boolean;
 }
 
-/** Chooses which work is stopped, least lost work first. */
+/** Chooses the tasks to preempt, those with the lowest cost first. */
 export class Preemption {
-  /** When no work to stop was found for a job. */
+  /** When the last search for victims for a job found none. */
   private readonly lastFailedAt = new Map<string, number>();
-  /** In this pass: kinds of requests that nothing can be stopped for. */
+  /** Equivalence classes of requests for which nothing more can be preempted in this pass. */
   private readonly exhaustedKeys = new Set<string>();
   private readonly rules: PreemptionRules;
   private readonly gangs: RunningGangs;
@@ -50,7 +50,7 @@
     this.candidates = new PreemptionCandidates(state, this.rules, this.gangs);
   }
 
-  /** Forgets what the last pass found. */
+  /** Clears the results of the previous pass. */
   beginPass(): void {
     this.exhaustedKeys.clear();
     this.rules.beginPass();
@@ -58,19 +58,19 @@
     this.candidates.beginPass();
   }
 
-  /** Forgets jobs that no longer wait. */
+  /** Drops the failed searches of jobs that no longer wait. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.lastFailedAt.keys()) if (!waitingJobs.has(job)) this.lastFailedAt.delete(job);
   }
 
-  /** Has lower work stopped so that `count` tasks find capacity. Returns how many will. */
+  /** Preempts tasks so that up to `count` tasks of a request find capacity. Returns how many of them will. */
   preempt({ request, count }: CapacityDemand, { usage, now, warmOnly }: PreemptionScope): number {
     const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
     if (!isWithinGuarantee && !this.hasLowerPriorityWork(request)) return 0;
-    // Each search looks at every machine: what one request could not be given, others like it can't be either.
+    // Each search looks at every machine: if one finds too few victims, equivalent requests need not search.
     const key = `${equivalenceKey(request)}|${isWithinGuarantee}|${warmOnly ? request.image : ''}`;
     if (this.exhaustedKeys.has(key)) return 0;
-    // Where each job has a size of its own, that saves nothing.
+    // If every job has its own task size, no requests are equivalent, so failed searches also pause per job.
     if (!isUrgent(request) && this.hasFailedRecently(request, now)) return 0;
     const query: PreemptionQuery = { request, usage, now };
     const candidates = this.candidates.findAll(query, warmOnly);
@@ -106,18 +106,18 @@
   ): void {
     addUsage(query.usage, query.request);
     this.reserve(candidate.machine, query);
-    for (const victim of candidate.victims) this.markForEviction(victim, query, victims);
+    for (const victim of candidate.victims) this.recordEvictions(victim, query, victims);
   }
 
-  /** What is freed is for this request; lower work would only have to be stopped again. */
+  /** Reserves freed capacity for the request: lower-priority work placed there would be preempted again. */
   private reserve(machine: Machine, { request, now }: PreemptionQuery): void {
     machine.reservation = { jobId: request.jobId, priority: request.priority, until: now + RESERVATION_MS };
     this.state.machinesWithReservation.add(machine);
     this.state.markChanged(machine);
   }
 
-  /** Notes that a task and all that stop with it are about to; adds those not noted before to `victims`. */
-  private markForEviction(victim: Allocation, { usage, now }: PreemptionQuery, victims: Allocation[]): void {
+  /** Records the eviction of a task and of all tasks that stop with it; adds the new ones to `victims`. */
+  private recordEvictions(victim: Allocation, { usage, now }: PreemptionQuery, victims: Allocation[]): void {
     for (const allocation of this.gangs.tasksStoppedWith(victim)) {
       if (allocation.evictionRequestedAt) continue;
       allocation.evictionRequestedAt = now;
@@ -130,7 +130,9 @@
     }
   }
 
-  /** Asks the owners of tasks to stop them: they know whether a task may save a checkpoint, and with how much grace. */
+  /**
+   * Asks the shard owners to stop tasks: they know whether a task saves checkpoints, and its grace period.
+   */
   private requestEvictions(victims: readonly Allocation[], reason: string): void {
     const tasksByOwner = new Map<string, TaskAttempt[]>();
     for (const { jobId, taskIndex, attempt, team } of victims) {
@@ -149,7 +151,7 @@
   return request.isService || request.priority <= URGENT_PRIORITY;
 }
 
-/** Keeps the cheapest last; among equals the new one becomes the last. */
+/** Inserts a candidate into a list with the cheapest last; among equal costs, the new one comes last. */
 function insertByCost(candidates: PreemptionCandidate[], candidate: PreemptionCandidate): void {
   let index = candidates.length;
   while (index > 0 && (candidates[index - 1]?.cost ?? Number.POSITIVE_INFINITY) < candidate.cost) index--;
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -1,4 +1,4 @@
-/** Serves single requests within one pass: grants places, waits for places being freed, has others freed. */
+/** Serves single requests within one pass: grants slots, claims slots being freed, and preempts tasks. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -17,14 +17,14 @@
 import { addUsage, type UsageByTeam } from './usage-by-team.js';
 import type { WaitObjectives } from './wait-objectives.js';
 
-/** What lives between passes. */
+/** Components and state that passes share. */
 export interface PlacementContext {
   options: SchedulerOptions;
   state: ClusterState;
   objectives: WaitObjectives;
-  /** Since when some of a job's work has found no capacity. */
+  /** Since when some task of a job has found no capacity. */
   unplacedSince: JobConditionTimes;
-  /** Since when nothing at all of a job has found capacity. */
+  /** Since when no task of a job has found capacity. */
   nothingPlacedSince: JobConditionTimes;
   grants: GrantIssuer;
   preemption: Preemption;
@@ -32,9 +32,9 @@
   attemptConflicts: AttemptConflicts;
 }
 
-/** Holds the capacities of one pass and takes from them. */
+/** Holds the free capacities of one pass and places tasks on them. */
 export class RequestPlacer {
-  /** Tasks for which machines are to be rented. */
+  /** Tasks for which machines should be rented. */
   readonly unplaced: CapacityDemand[] = [];
   private readonly usage: UsageByTeam;
   private readonly now: number;
@@ -42,9 +42,9 @@
   private readonly capacities: FreeCapacity[];
   private readonly capacitiesByImage = new Map<string, FreeCapacity[]>();
   private readonly beingFreed: FreeCapacity[];
-  /** Kinds of requests that find no capacity any more. */
+  /** Equivalence classes of requests that find no more capacity in this pass. */
   private readonly exhaustedKeys = new Set<string>();
-  /** Jobs with machines reserved for them: they may find what others like them don't. */
+  /** Jobs with reserved machines: they may find capacity where equivalent requests find none. */
   private readonly jobsWithReservation = new Set<string>();
   private readonly isLeader: boolean;
 
@@ -63,17 +63,17 @@
     this.isLeader = options.holdsLeadership();
   }
 
-  /** Keeps what these tasks would take out of reach of all requests served later. */
+  /** Sets aside the capacity that these tasks would take, so that requests served later do not get it. */
   reserveCapacity(demand: CapacityDemand): void {
     fill(this.capacities, demand, { scarceZone: this.scarceZone });
   }
 
-  /** Grants places on machines that hold the request's image; returns how many tasks are left. */
+  /** Grants slots on warm machines, which hold the request's image. Returns the number of tasks left. */
   placeOnWarmMachines(entry: PassRequest, count: number): number {
     return this.grantFrom(this.warmCapacities(entry.request.image), entry, count);
   }
 
-  /** Grants places wherever there are any; what is left waits, has others stopped, or is left to renting. */
+  /** Grants slots on any machine. The other tasks claim capacity being freed, preempt, or need rentals. */
   place(entry: PassRequest, count: number): void {
     const { request } = entry;
     let remaining = count;
@@ -85,7 +85,10 @@
     else this.waitOrPreempt(entry, remaining);
   }
 
-  /** A replica that has to fetch its image is late by far more than one that waits for a task to stop. */
+  /**
+   * Places replicas on warm machines, also where capacity is being freed or tasks can be preempted: fetching
+   * the image delays a replica far more than waiting for a task to stop. Returns the number of tasks left.
+   */
   private placeReplicasOnWarmMachines(entry: PassRequest, count: number): number {
     const { request } = entry;
     const { now, usage } = this;
@@ -114,31 +117,31 @@
     }
   }
 
-  /** Stops already under way are waited for before more is stopped. */
+  /** Claims capacity that is already being freed before it preempts more tasks. */
   private waitOrPreempt(entry: PassRequest, count: number): void {
     const { request } = entry;
     const { now, usage } = this;
-    const key = `${equivalenceKey(request)}|promised`;
+    const key = `${equivalenceKey(request)}|beingFreed`;
     let remaining = count;
     if (!this.exhaustedKeys.has(key)) {
       remaining = this.claimCapacityBeingFreed(this.beingFreed, { request, count });
       if (remaining === count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
     }
     if (remaining <= 0) return;
-    // Places come free all the time: a moment's wait often saves the work that a stop would lose.
+    // Slots become free all the time: a short wait often avoids the loss of work that preemption causes.
     const isPreemptionDue = this.recordUnplaced(entry);
     if (this.isLeader && isPreemptionDue)
       remaining -= this.context.preemption.preempt(
         { request, count: remaining },
         { usage, now, warmOnly: false },
       );
-    // What capacity is being freed for needs no machine.
+    // Tasks for which capacity is being freed need no rented machine.
     if (remaining > 0) this.unplaced.push({ request, count: remaining });
   }
 
   /**
-   * A gang without capacity for all of its tasks keeps what there is out of reach of what comes after it; what it lacks
-   * is freed of lower work once it has waited, or rented.
+   * Reserves the free capacity for a gang whose tasks do not all fit, so that later requests do not get it.
+   * The missing slots are freed by preemption once the gang has waited long enough, or rented.
    */
   private reserveForGang(entry: PassRequest, count: number): void {
     const { request } = entry;
@@ -157,14 +160,17 @@
     if (remaining > 0) this.unplaced.push({ request: taskRequest, count: remaining });
   }
 
-  /** Notes that work has found no capacity; returns whether that has been so for so long that others are stopped for it. */
+  /** Records that tasks found no capacity. Returns whether they have waited long enough to preempt others. */
   private recordUnplaced({ request, isWithinGuarantee }: PassRequest): boolean {
     const { unplacedSince, objectives } = this.context;
     const since = unplacedSince.record(request.jobId, this.now);
     return this.now - since >= objectives.preemptAfterMs(request, isWithinGuarantee);
   }
 
-  /** What comes into capacity being freed counts as used, or one task's guarantee would be claimed for all. */
+  /**
+   * Places tasks on capacity being freed, and returns the number of tasks left. The placed tasks count as
+   * usage: otherwise each further task would claim the same part of the guaranteed share.
+   */
   private claimCapacityBeingFreed(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
     return fill(beingFreed, demand, {
       scarceZone: this.scarceZone,
@@ -172,7 +178,7 @@
     });
   }
 
-  /** Grants places for up to `count` tasks; returns how many were left. */
+  /** Grants slots for up to `count` tasks. Returns the number of tasks left. */
   private grantFrom(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
     if (!this.isLeader || count <= 0) return count;
@@ -187,19 +193,20 @@
         onPlaced: (capacity) => this.grantOn(capacity, entry),
       },
     );
-    // One that must be spread or joined may have left some for want of a zone, and not of capacity.
+    // Under a zone allowance or zone affinity, tasks may be left for lack of an allowed zone, not of
+    // capacity.
     const isExhausted = request.zoneAllowance || request.zoneAffinity ? remaining === count : remaining > 0;
     if (key !== null && isExhausted && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
     return remaining;
   }
 
-  /** Null: what others like it did not find says nothing of this one. */
+  /** Key of the request in `exhaustedKeys`; null: results of equivalent requests do not apply to it. */
   private exhaustedKeyFor(request: ResourceRequest, capacities: FreeCapacity[]): string | null {
     if (request.isGang || this.jobsWithReservation.has(request.jobId)) return null;
     return `${equivalenceKey(request)}|${capacities === this.capacities ? '' : request.image}`;
   }
 
-  /** Places for all tasks of a gang, or for none. */
+  /** Grants slots for all tasks of a gang, or for none. Returns the number of tasks left. */
   private grantToGang(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
     const chosen = this.context.attemptConflicts.chooseForGang(capacities, { request, count });
@@ -213,7 +220,7 @@
 
   private grantOn(capacity: FreeCapacity, entry: PassRequest): void {
     const machine = this.context.state.machines.get(capacity.machineName);
-    if (!machine) throw new Error(`free capacity of an unknown machine ${capacity.machineName}`);
+    if (!machine) throw new Error(`free capacity refers to unknown machine ${capacity.machineName}`);
     addUsage(this.usage, entry.request);
     this.context.grants.issue(machine, entry, this.now);
   }
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -1,20 +1,20 @@
-/** Which tasks run as one gang. */
+/** Finds the running tasks of each gang. */
 
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 
-/** The running tasks of each gang, found when a pass first asks for them. */
+/** Running tasks of each gang, indexed on first use in a pass. */
 export class RunningGangs {
   private tasksByJob: Map<string, Allocation[]> | null = null;
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Forgets what the last pass found. */
+  /** Clears the index of the previous pass. */
   beginPass(): void {
     this.tasksByJob = null;
   }
 
-  /** All tasks that end when one is stopped: those of its gang, or itself. */
+  /** The tasks that stop together with this one: all tasks of its gang, or only the task itself. */
   tasksStoppedWith(allocation: Allocation): readonly Allocation[] {
     if (!allocation.isGang) return [allocation];
     this.tasksByJob ??= this.indexByJob();
--- a/src/scheduler/placement/scarce-zone.ts
+++ b/src/scheduler/placement/scarce-zone.ts
@@ -1,8 +1,11 @@
-/** The zone whose ordinary machines are left to jobs that must be spread over zones. */
+/** Finds the zone whose on-demand machines are left to jobs that must be spread over zones. */
 
 import type { ClusterState } from '../cluster-state.js';
 
-/** The zone with the fewest machine types, then the fewest ordinary CPUs; null while no job must be spread. */
+/**
+ * The zone with the fewest machine types, then the fewest on-demand CPUs; null if no service must be spread
+ * over zones or there is only one zone.
+ */
 export function findScarceZone(state: ClusterState): string | null {
   if (!hasSpreadService(state)) return null;
   const zones = new Map<string, { types: number; cpus: number }>();
@@ -17,7 +20,9 @@
     const zone = zones.get(machine.zone);
     if (zone && !machine.isSpot) zone.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
   }
-  const [scarcest] = [...zones].sort(([, a], [, b]) => a.types - b.types || a.cpus - b.cpus);
+  const [scarcest] = [...zones].sort(
+    ([, left], [, right]) => left.types - right.types || left.cpus - right.cpus,
+  );
   return scarcest?.[0] ?? null;
 }
 
--- a/src/scheduler/placement/ungranted-tasks.ts
+++ b/src/scheduler/placement/ungranted-tasks.ts
@@ -1,17 +1,23 @@
-/** How many tasks of a request are still to be granted a place. */
+/** Counts the tasks of a request that still need a grant. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
 
-/** Counts a request's tasks without those granted whose placement is not stored yet, as far as the leader knows. */
+/**
+ * Counts the tasks of a request minus those covered by open grants, whose placements are not stored yet as
+ * far as the leader knows.
+ */
 export class UngrantedTasks {
   constructor(
     private readonly state: ClusterState,
-    /** Jobs whose owner has declined grants: until when they get none. */
+    /** Until when jobs whose shard owner has declined grants get no new ones. */
     private readonly declinedUntil: Map<string, number>,
   ) {}
 
-  /** What its owner has taken in of the grants is no longer part of the request. */
+  /**
+   * Grants up to `lastProcessedGrantId` are not subtracted: the shard owner no longer requests what they
+   * cover. A gang with open grants needs no others, since all of its tasks are granted together.
+   */
   countOf(request: ResourceRequest, now: number): number {
     let count = request.taskCount;
     for (const id of this.state.openGrants.get(request.jobId) ?? [])
--- a/src/scheduler/placement/usage-by-team.ts
+++ b/src/scheduler/placement/usage-by-team.ts
@@ -1,11 +1,11 @@
-/** What each team uses, as a pass counts it: running tasks, and what it has placed or freed so far. */
+/** Usage of the teams during a pass: running tasks, plus tasks placed and minus tasks preempted so far. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 
-/** CPUs and GPUs by team. */
+/** CPUs and GPUs that each team uses. */
 export type UsageByTeam = Map<string, { cpus: number; gpus: number }>;
 
-/** One more task of a request counts as running. */
+/** Adds one task of a request to its team's usage. */
 export function addUsage(usage: UsageByTeam, request: ResourceRequest): void {
   const used = usage.get(request.team);
   if (!used) return;
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -1,18 +1,21 @@
-/** How long work may wait: by its objective, by its class's objective on waiting, by its team's guarantee. */
+/** How long requests may wait, by job objective, wait-time objective of the class and guaranteed share. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ServiceLevelObjective } from '../../model/team.js';
 
-/** Share of an objective kept in hand. */
+/** Share of an objective that is kept as a safety margin. */
 export const OBJECTIVE_MARGIN_SHARE = 0.2;
-/** Multiple of the estimated run that is set aside for it: estimates may be too low. */
+/** Multiple of the estimated run time that is allowed for the run: estimates may be too low. */
 const RUN_TIME_SAFETY_FACTOR = 1.75;
-/** Share of an objective on waiting after which lower work is stopped for it. */
+/** Share of a wait-time or guarantee objective after which a waiting request preempts other tasks. */
 const PREEMPT_AFTER_SHARE = 0.25;
-/** So long work without an objective on waiting leaves other work running, if it can wait at all. */
+/**
+ * Longest time, besides `maxWaitSeconds`, that a request without a wait-time objective leaves other tasks
+ * running.
+ */
 const MAX_PREEMPT_DELAY_SECONDS = 5;
 
-/** Objectives on waiting of job classes, and on how soon a guarantee is to be had. */
+/** Wait-time objectives of job classes, and the objective on how soon teams get their guaranteed share. */
 export class WaitObjectives {
   private readonly secondsByClass = new Map<string, number>();
   private guaranteeSeconds = Number.POSITIVE_INFINITY;
@@ -29,7 +32,7 @@
     return this.secondsByClass.has(jobClass);
   }
 
-  /** How long work waits for places to come free by themselves before others are stopped for it. */
+  /** How long a request waits for slots to become free before other tasks are preempted for it. */
   preemptAfterMs(request: ResourceRequest, isWithinGuarantee: boolean): number {
     if (request.isService) return 0;
     const classSeconds = this.secondsOf(request.jobClass);
@@ -43,7 +46,10 @@
   }
 }
 
-/** Slack less the run, with a margin, and less the fetch of its image; null: its objective sets no limit. */
+/**
+ * How long a request can wait without putting its objective at risk: its slack, less a safety margin, the run
+ * time and the image fetch. Null for services, for gangs, and if no objective limits the wait.
+ */
 export function maxWaitSeconds(request: ResourceRequest, imageFetchSeconds: number): number | null {
   if (request.slackSeconds === null || request.isService || request.isGang) return null;
   return Math.max(
