--- a/src/scheduler/placement/booting-capacity.ts
+++ b/src/scheduler/placement/booting-capacity.ts
@@ -4,8 +4,8 @@
 import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 
 /**
- * Multiple of a machine type's boot time after which a booting machine is overdue: it may never come up, so
- * its capacity is no longer expected.
+ * Multiple of a machine type's boot time after which a booting machine is overdue: its boot may have failed,
+ * so its capacity is no longer expected.
  */
 const OVERDUE_BOOT_TIME_FACTOR = 1.6;
 
@@ -13,10 +13,10 @@
 export function bootingCapacities(state: ClusterState, now: number): FreeCapacity[] {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
-    const type = state.machineTypes.get(machine.machineType);
-    if (machine.isUp || machine.isBeingDeleted || !type) continue;
-    if (now - machine.rentedAt > type.bootSeconds * OVERDUE_BOOT_TIME_FACTOR * 1000) continue;
-    capacities.push(emptyMachineCapacity(type, machine));
+    const machineType = state.machineTypes.get(machine.machineType);
+    if (machine.isUp || machine.isBeingDeleted || !machineType) continue;
+    if (now - machine.rentedAt > machineType.bootSeconds * OVERDUE_BOOT_TIME_FACTOR * 1000) continue;
+    capacities.push(emptyMachineCapacity(machineType, machine));
   }
   return capacities;
 }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -76,8 +76,8 @@
 }
 
 function isWithheld(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): boolean {
-  // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so other
-  // services may not use these machines. Batch tasks may, since they can be preempted.
+  // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so services that
+  // are neither spread nor tied to a zone may not use them. Batch tasks may, since they can be preempted.
   if (
     scarceZone === capacity.zone &&
     !capacity.isSpot &&
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -23,20 +23,20 @@
  *
  * A gang starts only once there are slots for all of its tasks. Without reservations, smaller requests would
  * take each slot as it becomes free, and a large gang might wait forever. So a gang that finds too little
- * capacity reserves what there is, in queue order, and only the missing slots are rented or freed by
+ * capacity reserves the available slots, in queue order, and only the missing ones are rented or freed by
  * preemption. Reservations last for one pass, and the next pass makes new ones in its own order: two gangs
- * can't block each other for good by each reserving half of what it needs.
+ * can't block each other permanently by each reserving half of what it needs.
  */
 export class GangReservations {
   private readonly zoneChoices = new Map<string, ZoneChoice>();
-  private readonly gangMachines = new Set<string>();
+  private readonly machinesForGangs = new Set<string>();
   private bootingCapacities: FreeCapacity[] | null = null;
 
   constructor(private readonly state: ClusterState) {}
 
   /** Ends the reservations of the previous pass. */
   beginPass(): void {
-    this.gangMachines.clear();
+    this.machinesForGangs.clear();
     this.bootingCapacities = null;
   }
 
@@ -46,7 +46,7 @@
    */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.gangMachines);
+    this.state.machinesHeldForGangs = new Set(this.machinesForGangs);
   }
 
   /**
@@ -70,7 +70,7 @@
       { request: taskRequest, count },
       {
         scarceZone: this.state.scarceZone,
-        onPlaced: (capacity) => this.gangMachines.add(capacity.machineName),
+        onPlaced: (capacity) => this.machinesForGangs.add(capacity.machineName),
       },
     );
     return { request: taskRequest, count: missing };
@@ -110,9 +110,9 @@
 
   private candidateZones(request: ResourceRequest): Set<string> {
     const zones = new Set<string>();
-    for (const type of this.state.machineTypes.values())
-      if (!request.machineTypes || request.machineTypes.includes(type.name))
-        for (const zone of type.zones) zones.add(zone);
+    for (const machineType of this.state.machineTypes.values())
+      if (!request.machineTypes || request.machineTypes.includes(machineType.name))
+        for (const zone of machineType.zones) zones.add(zone);
     return zones;
   }
 
@@ -124,10 +124,11 @@
   }
 
   private canRent(request: ResourceRequest, now: number): boolean {
-    for (const type of this.state.machineTypes.values()) {
+    for (const machineType of this.state.machineTypes.values()) {
       const zone = request.zone ?? '';
-      if (slotsIn(type, request) < 1 || !type.zones.includes(zone)) continue;
-      if (this.state.rentalBackoff.isOpen({ machineType: type.name, zone, isSpot: false }, now)) return true;
+      if (slotsIn(machineType, request) < 1 || !machineType.zones.includes(zone)) continue;
+      if (this.state.rentalBackoff.isOpen({ machineType: machineType.name, zone, isSpot: false }, now))
+        return true;
     }
     return false;
   }
--- a/src/scheduler/placement/job-condition-times.ts
+++ b/src/scheduler/placement/job-condition-times.ts
@@ -4,7 +4,7 @@
 export class JobConditionTimes {
   private readonly since = new Map<string, number>();
 
-  /** Since when the condition has held for the job; undefined: it does not hold. */
+  /** Returns since when the condition has held for the job; undefined: it does not hold. */
   get(jobId: string): number | undefined {
     return this.since.get(jobId);
   }
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -15,9 +15,9 @@
   isWithinGuarantee: boolean;
 }
 
-/** Results of earlier passes that the requests of a pass are adjusted to. */
+/** State from earlier passes by which requests are adjusted. */
 export interface RequestHistory {
-  /** Since when no task of a job has found capacity. */
+  /** Start times of the periods in which no task of a job has found capacity. */
   nothingPlacedSince: JobConditionTimes;
   attemptConflicts: AttemptConflicts;
 }
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -43,7 +43,8 @@
   /**
    * Serves a request in its turn. If it can wait, its turn is limited to warm machines, which already hold
    * its image: an image fetch occupies a slot for about as long as a task does. The remaining tasks are
-   * placed after the other requests of the group.
+   * placed after the other requests of the group, which share its priority and are all within or all beyond
+   * guaranteed shares.
    */
   private serve(entry: PassRequest): void {
     const { request } = entry;
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -39,7 +39,7 @@
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    /** Since when some task of a job has found no capacity. */
+    /** Returns since when some task of a job has found no capacity; undefined: all have found some. */
     private readonly unplacedSince: (jobId: string) => number | undefined,
   ) {}
 
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Whether this task may be preempted. `cpusAlreadyChosen` are the CPUs of the other victims that were
-   * chosen from the same team.
+   * Whether this task may be preempted. `cpusAlreadyChosen`: CPUs of the victims already chosen from its
+   * team.
    */
   canPreempt(
     { request, usage }: PreemptionQuery,
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -23,7 +23,7 @@
 
 /** Team usage, time and machines that a search for victims works with. */
 export interface PreemptionScope {
-  /** Updated with the victims, and with the tasks that they are preempted for. */
+  /** Updated with the CPUs of the victims, and with the tasks that they are preempted for. */
   usage: UsageByTeam;
   now: number;
   /** Searches only warm machines, which hold the request's image. */
@@ -130,9 +130,7 @@
     }
   }
 
-  /**
-   * Asks the shard owners to stop tasks: they know whether a task saves checkpoints, and its grace period.
-   */
+  /** Asks the shard owners to stop tasks: they know whether a task saves checkpoints and its grace period. */
   private requestEvictions(victims: readonly Allocation[], reason: string): void {
     const tasksByOwner = new Map<string, TaskAttempt[]>();
     for (const { jobId, taskIndex, attempt, team } of victims) {
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -22,9 +22,9 @@
   options: SchedulerOptions;
   state: ClusterState;
   objectives: WaitObjectives;
-  /** Since when some task of a job has found no capacity. */
+  /** Start times of the periods in which some task of a job has found no capacity. */
   unplacedSince: JobConditionTimes;
-  /** Since when no task of a job has found capacity. */
+  /** Start times of the periods in which no task of a job has found capacity. */
   nothingPlacedSince: JobConditionTimes;
   grants: GrantIssuer;
   preemption: Preemption;
--- a/src/scheduler/placement/usage-by-team.ts
+++ b/src/scheduler/placement/usage-by-team.ts
@@ -1,4 +1,4 @@
-/** Usage of the teams during a pass: running tasks, plus tasks placed and minus tasks preempted so far. */
+/** Usage of the teams during a pass: running tasks, plus tasks placed, minus the CPUs of preempted tasks. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -10,8 +10,8 @@
 /** Share of a wait-time or guarantee objective after which a waiting request preempts other tasks. */
 const PREEMPT_AFTER_SHARE = 0.25;
 /**
- * Longest time, besides `maxWaitSeconds`, that a request without a wait-time objective leaves other tasks
- * running.
+ * A request without a wait-time objective waits for this time, or for `maxWaitSeconds` if that is shorter,
+ * before it preempts other tasks.
  */
 const MAX_PREEMPT_DELAY_SECONDS = 5;
 
