--- a/src/scheduler/placement/booting-capacity.ts
+++ b/src/scheduler/placement/booting-capacity.ts
@@ -1,19 +1,22 @@
-/** Capacity of rented machines that are about to come up. */
+/** Expected capacity of rented machines that are still booting. */
 
 import type { ClusterState } from '../cluster-state.js';
 import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 
-/** Multiple of a type's boot time after which a machine that is not up is no longer counted on: it may never come. */
-const MAX_BOOT_TIME_MULTIPLE = 1.6;
+/**
+ * Multiple of a machine type's boot time after which a booting machine is overdue: its boot may have failed,
+ * so its capacity is no longer expected.
+ */
+const OVERDUE_BOOT_TIME_FACTOR = 1.6;
 
-/** Capacities of the machines that were rented and are about to come up. */
+/** Capacities of the machines that are booting and not overdue. */
 export function bootingCapacities(state: ClusterState, now: number): FreeCapacity[] {
   const capacities: FreeCapacity[] = [];
   for (const machine of state.machines.values()) {
-    const type = state.machineTypes.get(machine.machineType);
-    if (machine.isUp || machine.isBeingDeleted || !type) continue;
-    if (now - machine.rentedAt > type.bootSeconds * MAX_BOOT_TIME_MULTIPLE * 1000) continue;
-    capacities.push(emptyMachineCapacity(type, machine));
+    const machineType = state.machineTypes.get(machine.machineType);
+    if (machine.isUp || machine.isBeingDeleted || !machineType) continue;
+    if (now - machine.rentedAt > machineType.bootSeconds * OVERDUE_BOOT_TIME_FACTOR * 1000) continue;
+    capacities.push(emptyMachineCapacity(machineType, machine));
   }
   return capacities;
 }
--- a/src/scheduler/placement/fill-tasks.ts
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -1,22 +1,25 @@
-/** Fills free capacity with tasks of one request that may be placed one by one. */
+/** Fills free capacity with tasks of one request, each placed independently of the others. */
 
 import type { ResourceRequest } from '../../model/placement.js';
-import { fits, isAllowed, isOpenTo, subtract } from './capacity-filter.js';
+import { fits, isAllowed, isFeasible, subtract } from './capacity-filter.js';
 import { score } from './capacity-score.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
-/** Machines that the replicas of one job are spread over where there is a choice. */
-const MAX_MACHINES_PER_SERVICE = 4;
+/** Number of machines over which the replicas of one job are spread if there is enough capacity. */
+const TARGET_MACHINES_PER_SERVICE = 4;
 
-/** How to fill. */
+/** Options for filling free capacity. */
 export interface FillOptions {
-  /** Zone whose ordinary machines are left to jobs that must be spread; null: none. */
+  /** Zone whose on-demand machines are left to jobs that must be spread over zones; null: none. */
   scarceZone: string | null;
-  /** Called for each task, after its demand was subtracted. */
+  /** Called for each placed task, after its demand was subtracted from the capacity. */
   onPlaced?: (capacity: FreeCapacity) => void;
 }
 
-/** Places up to `count` tasks, best machine first; subtracts them from the capacities. Returns how many were left. */
+/**
+ * Places up to `count` tasks, best machine first, and subtracts their demand from the capacities. Returns the
+ * number of tasks left.
+ */
 export function fillTasks(
   capacities: readonly FreeCapacity[],
   demand: CapacityDemand,
@@ -30,9 +33,9 @@
   private readonly count: number;
   private readonly scarceZone: string | null;
   private readonly zoneAllowance: Record<string, number> | null;
-  /** The request with what is left of its zones, and with the zone that its tasks are joined in. */
+  /** The request with its remaining zone allowance and, under zone affinity, the zone of its first task. */
   private readonly constrained: ResourceRequest;
-  private readonly placedOn = new Map<FreeCapacity, number>();
+  private readonly placedCounts = new Map<FreeCapacity, number>();
   private remaining: number;
 
   constructor(
@@ -56,51 +59,55 @@
     return this.remaining;
   }
 
-  /** Replicas of a job go to several machines: less is lost with one, and its image is in more places for the next. */
+  /**
+   * Limits on the tasks per machine, tried in turn. Replicas of a job are spread over several machines: fewer
+   * are lost with a machine, and more machines hold the image for the next replicas. The service reserve,
+   * which has no job ID, is not spread.
+   */
   private limitsPerMachine(): number[] {
     if (!this.request.isService || this.request.jobId === '') return [this.count];
-    const spread = Math.max(1, Math.ceil(this.count / MAX_MACHINES_PER_SERVICE));
-    return spread < this.count ? [spread, this.count] : [this.count];
+    const evenShare = Math.max(1, Math.ceil(this.count / TARGET_MACHINES_PER_SERVICE));
+    return evenShare < this.count ? [evenShare, this.count] : [this.count];
   }
 
   private placeOne(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
     let best: FreeCapacity | null = null;
-    let lowest = Number.POSITIVE_INFINITY;
+    let lowestScore = Number.POSITIVE_INFINITY;
     for (const capacity of capacities) {
-      if (!this.isOpen(capacity, maxPerMachine)) continue;
+      if (!this.canPlaceOn(capacity, maxPerMachine)) continue;
       const seconds = score(capacity, this.constrained, this.scarceZone);
-      if (seconds < lowest) {
-        lowest = seconds;
+      if (seconds < lowestScore) {
+        lowestScore = seconds;
         best = capacity;
       }
     }
     if (best) this.placeOn(best, maxPerMachine);
   }
 
-  /** Placing on one machine changes the score of no other: they are ranked once, and not for every task anew. */
+  /** Ranks the machines only once: placing a task on one machine does not change the score of another. */
   private placeRanked(capacities: readonly FreeCapacity[], maxPerMachine: number): void {
     const ranked: { capacity: FreeCapacity; seconds: number }[] = [];
     for (const capacity of capacities)
-      if (this.isOpen(capacity, maxPerMachine))
+      if (this.canPlaceOn(capacity, maxPerMachine))
         ranked.push({ capacity, seconds: score(capacity, this.request, this.scarceZone) });
-    ranked.sort((one, other) => one.seconds - other.seconds);
+    ranked.sort((a, b) => a.seconds - b.seconds);
     for (const { capacity } of ranked) {
       if (this.remaining <= 0) break;
       this.placeOn(capacity, maxPerMachine);
     }
   }
 
-  private isOpen(capacity: FreeCapacity, maxPerMachine: number): boolean {
+  private canPlaceOn(capacity: FreeCapacity, maxPerMachine: number): boolean {
     return (
-      isOpenTo(capacity, this.constrained, this.scarceZone) && this.placedCount(capacity) < maxPerMachine
+      isFeasible(capacity, this.constrained, this.scarceZone) && this.placedCount(capacity) < maxPerMachine
     );
   }
 
   private placedCount(capacity: FreeCapacity): number {
-    return this.placedOn.get(capacity) ?? 0;
+    return this.placedCounts.get(capacity) ?? 0;
   }
 
-  /** The fuller a machine the better its score: the best one stays the best while a task fits. */
+  /** Places as many tasks as fit: a machine scores better the fuller it is, so the best stays the best. */
   private placeOn(capacity: FreeCapacity, maxPerMachine: number): void {
     const { request, constrained, zoneAllowance } = this;
     while (
@@ -115,7 +122,7 @@
         zoneAllowance[capacity.zone] = (zoneAllowance[capacity.zone] ?? request.defaultZoneAllowance) - 1;
       this.options.onPlaced?.(capacity);
       this.remaining--;
-      this.placedOn.set(capacity, this.placedCount(capacity) + 1);
+      this.placedCounts.set(capacity, this.placedCount(capacity) + 1);
     }
   }
 }
--- a/src/scheduler/placement/fill.ts
+++ b/src/scheduler/placement/fill.ts
@@ -1,11 +1,14 @@
-/** Fills free capacity with tasks of one request: one by one, or all or none of a gang. */
+/** Fills free capacity with tasks of one request: independently of each other, or all or none for a gang. */
 
 import { slotsIn } from '../../model/resources.js';
-import { isOpenTo, subtract } from './capacity-filter.js';
+import { isFeasible, subtract } from './capacity-filter.js';
 import { type FillOptions, fillTasks } from './fill-tasks.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
-/** Places up to `count` tasks, all or none of a gang; subtracts them from the capacities. Returns how many were left. */
+/**
+ * Places up to `count` tasks, all or none for a gang, and subtracts their demand from the capacities. Returns
+ * the number of tasks left.
+ */
 export function fill(
   capacities: readonly FreeCapacity[],
   demand: CapacityDemand,
@@ -22,28 +25,28 @@
 }
 
 /**
- * The capacities for all tasks of a gang, one a task, or null; with one zone demanded, each zone is tried in turn.
- * Subtracts nothing.
+ * Chooses one capacity per task of a gang; null: not all tasks fit. Under zone affinity, tries each zone in
+ * turn. Leaves the capacities unchanged.
  */
 export function chooseForGang(
   capacities: readonly FreeCapacity[],
   { request, count }: CapacityDemand,
   scarceZone: string | null,
 ): FreeCapacity[] | null {
-  const open = capacities.filter((capacity) => isOpenTo(capacity, request, scarceZone));
+  const feasible = capacities.filter((capacity) => isFeasible(capacity, request, scarceZone));
   const zones =
     request.zoneAffinity && request.zone === null
-      ? new Set(open.map((capacity) => capacity.zone))
+      ? new Set(feasible.map((capacity) => capacity.zone))
       : [request.zone];
   for (const zone of zones) {
-    const inZone = open.filter((capacity) => zone === null || capacity.zone === zone);
+    const inZone = feasible.filter((capacity) => zone === null || capacity.zone === zone);
     if (inZone.reduce((sum, capacity) => sum + slotsIn(capacity, request), 0) < count) continue;
     const originals = new Map(inZone.map((capacity) => [{ ...capacity }, capacity]));
     const chosen: FreeCapacity[] = [];
-    const task = { ...request, isGang: false, zone };
+    const taskRequest = { ...request, isGang: false, zone };
     const remaining = fillTasks(
       [...originals.keys()],
-      { request: task, count },
+      { request: taskRequest, count },
       {
         scarceZone,
         onPlaced: (copy) => {
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reserves machines for gangs that wait for capacity. */
+/** Reserves capacity for gangs that wait until all of their tasks fit. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { slotsIn } from '../../model/resources.js';
@@ -7,9 +7,9 @@
 import { fill } from './fill.js';
 import { type CapacityDemand, copyCapacities, type FreeCapacity } from './free-capacity.js';
 
-/** So long a gang that waits for machines keeps to the zone in which it began to gather them. */
+/** How long a waiting gang keeps the zone in which it reserves capacity before it chooses again. */
 const KEEP_ZONE_MS = 20_000;
-/** What a place on a booting machine, and one on a machine yet to be rented, counts against a free one. */
+/** Weights of slots on booting machines and on machines yet to be rented, relative to free slots. */
 const BOOTING_SLOT_WEIGHT = 0.75;
 const RENTABLE_SLOT_WEIGHT = 0.5;
 
@@ -19,40 +19,45 @@
 }
 
 /**
- * Reserves machines for gangs that wait.
+ * Reserves capacity for waiting gangs.
  *
- * A gang starts only once it has places for all of its tasks. Without reservations, smaller work takes each place as it
- * comes free, and a large gang may wait for ever. So a gang that finds too little capacity takes what there is out of the
- * pass, in the order of the queue, and only what it lacks is rented or freed. Reservations last for one pass and are
- * made anew by the next one in the order of then: two gangs can't reserve half of what each needs for good.
+ * A gang starts only once there are slots for all of its tasks. Without reservations, smaller requests would
+ * take each slot as it becomes free, and a large gang might wait forever. So a gang that finds too little
+ * capacity reserves the available slots, in queue order, and only the missing ones are rented or freed by
+ * preemption. Reservations last for one pass, and the next pass makes new ones in its own order: two gangs
+ * can't block each other permanently by each reserving half of what it needs.
  */
 export class GangReservations {
   private readonly zoneChoices = new Map<string, ZoneChoice>();
-  private readonly reservedMachines = new Set<string>();
+  private readonly machinesForGangs = new Set<string>();
   private bootingCapacities: FreeCapacity[] | null = null;
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Ends the reservations of the last pass. */
+  /** Ends the reservations of the previous pass. */
   beginPass(): void {
-    this.reservedMachines.clear();
+    this.machinesForGangs.clear();
     this.bootingCapacities = null;
   }
 
-  /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
+  /**
+   * Drops the zone choices of gangs that no longer wait, and publishes the machines with reservations to
+   * `ClusterState`, so that they are not returned as idle.
+   */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.reservedMachines);
+    this.state.machinesHeldForGangs = new Set(this.machinesForGangs);
   }
 
   /**
-   * Subtracts what a gang can use from the capacities, in one zone if it must be in one. Returns what the gang lacks, as
-   * single tasks tied to the zone in which it gathers: what is rented or freed for it must lie there.
+   * Subtracts what a gang can use from the capacities, within one zone if the gang has zone affinity. Returns
+   * the missing slots as a demand for single tasks in that zone, since capacity must be rented or freed
+   * there.
    */
   reserve(capacities: FreeCapacity[], demand: CapacityDemand, now: number): CapacityDemand {
     const { request, count } = demand;
-    const zone = this.zoneOf(capacities, demand, now);
-    const task: ResourceRequest = {
+    const zone = this.chooseZone(capacities, demand, now);
+    const taskRequest: ResourceRequest = {
       ...request,
       isGang: false,
       zoneAffinity: false,
@@ -62,49 +67,52 @@
     };
     const missing = fill(
       capacities,
-      { request: task, count },
+      { request: taskRequest, count },
       {
         scarceZone: this.state.scarceZone,
-        onPlaced: (capacity) => this.reservedMachines.add(capacity.machineName),
+        onPlaced: (capacity) => this.machinesForGangs.add(capacity.machineName),
       },
     );
-    return { request: task, count: missing };
+    return { request: taskRequest, count: missing };
   }
 
-  private zoneOf(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
+  private chooseZone(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
     const { request } = demand;
     if (!request.zoneAffinity || request.zone !== null) return request.zone;
-    const before = this.zoneChoices.get(request.jobId);
-    if (before && now - before.since < KEEP_ZONE_MS) return before.zone;
+    const previous = this.zoneChoices.get(request.jobId);
+    if (previous && now - previous.since < KEEP_ZONE_MS) return previous.zone;
     const zone = this.bestZone(capacities, demand, now);
     this.zoneChoices.set(request.jobId, { zone, since: now });
     return zone;
   }
 
-  /** The zone in which the gang lacks least: by what is free, then by what is booting, then by what may be rented. */
+  /**
+   * The zone with the most slots for the gang. Free slots count fully, slots on booting machines less, and
+   * slots on machines yet to be rented least.
+   */
   private bestZone(
     capacities: FreeCapacity[],
     { request, count }: CapacityDemand,
     now: number,
   ): string | null {
-    let best: { zone: string; score: number } | null = null;
-    for (const zone of this.zones(request)) {
-      const pinned: ResourceRequest = { ...request, isGang: false, zoneAffinity: false, zone };
-      const trial = copyCapacities(capacities);
-      const free = count - fill(trial, { request: pinned, count }, { scarceZone: null });
-      const booting = Math.min(count - free, this.bootingSlots(pinned, now));
-      const rentable = this.canRent(pinned, now) ? count - free - booting : 0;
-      const score = free + BOOTING_SLOT_WEIGHT * booting + RENTABLE_SLOT_WEIGHT * rentable;
-      if (!best || score > best.score) best = { zone, score };
+    let best: { zone: string; weightedSlots: number } | null = null;
+    for (const zone of this.candidateZones(request)) {
+      const pinnedRequest: ResourceRequest = { ...request, isGang: false, zoneAffinity: false, zone };
+      const trialCapacities = copyCapacities(capacities);
+      const free = count - fill(trialCapacities, { request: pinnedRequest, count }, { scarceZone: null });
+      const booting = Math.min(count - free, this.bootingSlots(pinnedRequest, now));
+      const rentable = this.canRent(pinnedRequest, now) ? count - free - booting : 0;
+      const weightedSlots = free + BOOTING_SLOT_WEIGHT * booting + RENTABLE_SLOT_WEIGHT * rentable;
+      if (!best || weightedSlots > best.weightedSlots) best = { zone, weightedSlots };
     }
     return best?.zone ?? null;
   }
 
-  private zones(request: ResourceRequest): Set<string> {
+  private candidateZones(request: ResourceRequest): Set<string> {
     const zones = new Set<string>();
-    for (const type of this.state.machineTypes.values())
-      if (!request.machineTypes || request.machineTypes.includes(type.name))
-        for (const zone of type.zones) zones.add(zone);
+    for (const machineType of this.state.machineTypes.values())
+      if (!request.machineTypes || request.machineTypes.includes(machineType.name))
+        for (const zone of machineType.zones) zones.add(zone);
     return zones;
   }
 
@@ -116,10 +124,10 @@
   }
 
   private canRent(request: ResourceRequest, now: number): boolean {
-    for (const type of this.state.machineTypes.values()) {
+    for (const machineType of this.state.machineTypes.values()) {
       const zone = request.zone ?? '';
-      if (slotsIn(type, request) < 1 || !type.zones.includes(zone)) continue;
-      if (this.state.rentalBackoff.allowsRequest({ machineType: type.name, zone, isSpot: false }, now))
+      if (slotsIn(machineType, request) < 1 || !machineType.zones.includes(zone)) continue;
+      if (this.state.rentalBackoff.allowsRequest({ machineType: machineType.name, zone, isSpot: false }, now))
         return true;
     }
     return false;
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -1,63 +1,64 @@
-/** The requests of a pass, in the order in which they are served. */
+/** Prepares the requests of a placement pass and puts them in the order in which they are served. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState, QueuedRequest } from '../cluster-state.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
-import type { JobTimes } from './job-times.js';
-import type { TeamUsage } from './team-usage.js';
+import type { JobConditionTimes } from './job-condition-times.js';
+import type { UsageByTeam } from './usage-by-team.js';
 
-/** So long nothing of a job may find capacity before it takes what is kept for others. */
+/** How long a job may find no capacity at all before it may use capacity that is kept for other work. */
 const STARVED_AFTER_MS = 45_000;
 
-/** A request as a pass sees it. */
+/** A queued request, adjusted for one placement pass. */
 export interface PassRequest extends QueuedRequest {
+  /** Whether one more task stays within the guaranteed share of its team at the start of the pass. */
   isWithinGuarantee: boolean;
 }
 
-/** What a pass needs to know of a request besides the request. */
+/** State from earlier passes by which requests are adjusted. */
 export interface RequestHistory {
-  /** Since when nothing at all of a job has found capacity. */
-  nothingPlacedSince: JobTimes;
+  /** Start times of the periods in which no task of a job has found capacity. */
+  nothingPlacedSince: JobConditionTimes;
   attemptConflicts: AttemptConflicts;
 }
 
-/** Requests of current owners by priority, guarantee, missed objectives and place in the queue. */
+/** Requests of current shard owners, by priority, guaranteed share, missed objectives and queue position. */
 export function orderedRequests(
   state: ClusterState,
   history: RequestHistory,
-  { usage, now }: { usage: TeamUsage; now: number },
+  { usage, now }: { usage: UsageByTeam; now: number },
 ): PassRequest[] {
   const ordered: PassRequest[] = [];
   for (const [instanceId, requests] of state.requests)
     for (const request of requests) {
       if (!state.isCurrentOwner(instanceId, request.team)) continue;
       const isWithinGuarantee = state.isWithinGuarantee(usage.get(request.team), request.team, request);
-      const inPass = requestInPass({ request, instanceId, isWithinGuarantee }, history, now);
-      ordered.push({ request: inPass, instanceId, isWithinGuarantee });
+      const adjusted = adjustForPass({ request, instanceId, isWithinGuarantee }, history, now);
+      ordered.push({ request: adjusted, instanceId, isWithinGuarantee });
     }
   return ordered.sort(
-    (one, other) =>
-      one.request.priority - other.request.priority ||
-      Number(other.isWithinGuarantee) - Number(one.isWithinGuarantee) ||
-      one.request.missedObjectives - other.request.missedObjectives ||
-      one.request.queuePosition - other.request.queuePosition,
+    (left, right) =>
+      left.request.priority - right.request.priority ||
+      Number(right.isWithinGuarantee) - Number(left.isWithinGuarantee) ||
+      left.request.missedObjectives - right.request.missedObjectives ||
+      left.request.queuePosition - right.request.queuePosition,
   );
 }
 
-function requestInPass(
+function adjustForPass(
   { request, isWithinGuarantee }: PassRequest,
   { nothingPlacedSince, attemptConflicts }: RequestHistory,
   now: number,
 ): ResourceRequest {
   const since = nothingPlacedSince.get(request.jobId) ?? now;
   const isStarved = now - since > STARVED_AFTER_MS;
-  // A worker that lists an ended attempt of a task refuses the next: places taken there would come back again and again,
-  // each time at the cost of work stopped for it.
+  // A worker that lists an ended attempt of a task refuses the next attempt: slots granted there would be
+  // given back again and again, each time after other work may have been preempted for them.
   const refusingMachines = attemptConflicts.refusingMachines(request);
   if (!isStarved && !refusingMachines && !(isWithinGuarantee && request.maxWaitSeconds)) return request;
-  const inPass: ResourceRequest = { ...request, isStarved };
-  // A guarantee is to be had at once, whatever the objective allows.
-  if (isWithinGuarantee && inPass.maxWaitSeconds) inPass.maxWaitSeconds = 0;
-  if (refusingMachines) inPass.refusingMachines = refusingMachines;
-  return inPass;
+  const adjusted: ResourceRequest = { ...request, isStarved };
+  // A team gets its guaranteed share at once, even where the objective leaves time to wait.
+  if (isWithinGuarantee && adjusted.maxWaitSeconds) adjusted.maxWaitSeconds = 0;
+  if (refusingMachines) adjusted.refusingMachines = refusingMachines;
+  return adjusted;
 }
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -1,4 +1,4 @@
-/** Gives free capacity to what owners request. */
+/** Places the tasks that shard owners request on free capacity. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { RateLimitedLog } from '../../model/rate-limited-log.js';
@@ -9,25 +9,25 @@
 import type { CapacityDemand } from './free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
 import { GrantIssuer } from './grants.js';
-import { JobTimes } from './job-times.js';
-import { OpenTasks } from './open-tasks.js';
+import { JobConditionTimes } from './job-condition-times.js';
 import { orderedRequests } from './pass-requests.js';
 import { PlacementPass } from './placement-pass.js';
 import { Preemption } from './preemption.js';
 import { type PlacementContext, RequestPlacer } from './request-placer.js';
 import { findScarceZone } from './scarce-zone.js';
+import { UngrantedTasks } from './ungranted-tasks.js';
 import { maxWaitSeconds, WaitObjectives } from './wait-objectives.js';
 
-/** The scarce zone is found anew at most so often: it takes a look at every machine. */
+/** Minimum time between updates of the scarce zone: each looks at every machine. */
 const SCARCE_ZONE_INTERVAL_MS = 1000;
 
-/** Runs passes, and keeps what lives between them. */
+/** Runs placement passes and keeps the state that they share. */
 export class PlacementEngine {
-  /** Jobs whose owner has declined grants: until when they get none, in milliseconds of the clock. */
+  /** Until when jobs whose shard owner has declined grants get no new ones, in milliseconds of the clock. */
   readonly declinedUntil = new Map<string, number>();
   private readonly context: PlacementContext;
   private readonly batchProfiles: BatchProfiles;
-  private readonly openTasks: OpenTasks;
+  private readonly ungrantedTasks: UngrantedTasks;
   private readonly log: RateLimitedLog;
 
   constructor(
@@ -35,34 +35,34 @@
     private readonly state: ClusterState,
   ) {
     const objectives = new WaitObjectives(options.objectives);
-    const unplacedSince = new JobTimes();
+    const unplacedSince = new JobConditionTimes();
     this.context = {
       options,
       state,
       objectives,
       unplacedSince,
-      nothingPlacedSince: new JobTimes(),
+      nothingPlacedSince: new JobConditionTimes(),
       grants: new GrantIssuer(options, state),
       preemption: new Preemption(options, state, (jobId) => unplacedSince.get(jobId)),
       gangReservations: new GangReservations(state),
       attemptConflicts: new AttemptConflicts(state, (reason) => options.raiseFencingToken(reason)),
     };
     this.batchProfiles = new BatchProfiles(objectives);
-    this.openTasks = new OpenTasks(state, this.declinedUntil);
+    this.ungrantedTasks = new UngrantedTasks(state, this.declinedUntil);
     this.log = new RateLimitedLog(options.log, options.clock);
   }
 
-  /** All that an owner requests now, in place of what it requested before. */
+  /** Replaces all requests of a shard owner. */
   setRequests(instanceId: string, requests: ResourceRequest[]): void {
     const knownJobs = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
     for (const request of requests)
       request.maxWaitSeconds = maxWaitSeconds(request, this.state.imageFetchSeconds(request));
-    this.batchProfiles.learn(requests, knownJobs);
+    this.batchProfiles.observe(requests, knownJobs);
     this.state.requests.set(instanceId, requests);
     for (const request of requests) if (request.isService) this.state.recordServiceProfile(request);
   }
 
-  /** Serves all requests once; returns the tasks for which machines are to be rented. */
+  /** Serves all requests once. Returns the tasks for which machines should be rented. */
   runPass(now: number): CapacityDemand[] {
     this.beginPass(now);
     const usage = this.state.usage();
@@ -73,7 +73,7 @@
       batchProfiles: this.batchProfiles.byPriority(),
       reservedJobsPerProfile: this.state.policy.reserveBatchJobs,
       placer,
-      openTasks: this.openTasks,
+      ungrantedTasks: this.ungrantedTasks,
       now,
     });
     pass.run();
@@ -101,13 +101,13 @@
     this.endReservations(waitingJobs, now);
   }
 
-  /** What was freed for a job is kept no longer once the job has what it requested, or the time for it is over. */
+  /** Ends reservations of freed capacity that have expired or whose job no longer waits. */
   private endReservations(waitingJobs: ReadonlySet<string>, now: number): void {
     for (const machine of this.state.machinesWithReservation) {
       const { reservation } = machine;
-      const isWaitedFor = reservation !== null && waitingJobs.has(reservation.jobId);
-      if (isWaitedFor && reservation.until > now) continue;
-      if (isWaitedFor)
+      const isJobWaiting = reservation !== null && waitingJobs.has(reservation.jobId);
+      if (isJobWaiting && reservation.until > now) continue;
+      if (isJobWaiting)
         this.log.info({ machine: machine.name, jobId: reservation.jobId }, 'freed capacity not used');
       machine.reservation = null;
       this.state.machinesWithReservation.delete(machine);
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -1,30 +1,30 @@
-/** One pass over all requests, in order of priority, guarantee and queue. */
+/** One pass over all requests, by priority, guaranteed share, missed objectives and queue position. */
 
 import type { BatchProfile } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
-import type { OpenTasks } from './open-tasks.js';
 import type { PassRequest } from './pass-requests.js';
 import type { RequestPlacer } from './request-placer.js';
+import type { UngrantedTasks } from './ungranted-tasks.js';
 
-/** What a pass works on. */
+/** Input of a placement pass. */
 export interface PlacementPassInput {
   /** In the order in which they are served. */
   requests: readonly PassRequest[];
-  /** Highest priority first; the pass takes them off the list. */
+  /** Highest priority first; the pass removes those it has handled. */
   batchProfiles: BatchProfile[];
-  /** Mean jobs of each profile for which capacity is kept. */
+  /** Number of jobs of average size for which capacity is set aside, per profile. */
   reservedJobsPerProfile: number;
   placer: RequestPlacer;
-  openTasks: OpenTasks;
+  ungrantedTasks: UngrantedTasks;
   now: number;
 }
 
-/** Decides which request is served when; `RequestPlacer` serves it. */
+/** Decides in which order requests are served; `RequestPlacer` places their tasks. */
 export class PlacementPass {
-  /** Jobs that still have requests. */
+  /** Jobs that have requests in this pass. */
   readonly waitingJobs = new Set<string>();
   private readonly servedEarly = new Set<string>();
-  /** Requests of the present group that found too little where their image is. */
+  /** Requests of the current group that were tried on warm machines only, with their remaining tasks. */
   private deferred: { entry: PassRequest; count: number }[] = [];
 
   constructor(private readonly input: PlacementPassInput) {}
@@ -34,24 +34,26 @@
     for (const entry of this.input.requests) {
       if (previous && !isSameGroup(previous, entry)) this.placeDeferred();
       previous = entry;
-      this.keepBackAbove(entry.request.priority);
+      this.reserveForBatchProfiles(entry.request.priority);
       this.serve(entry);
     }
     this.placeDeferred();
   }
 
   /**
-   * Work that can wait goes first where its image is, as long as nothing that can't wait is before it: a fetch keeps a
-   * place about as long as a task does. What finds none takes its turn after the others of its group.
+   * Serves a request in its turn. If it can wait, its turn is limited to warm machines, which already hold
+   * its image: an image fetch occupies a slot for about as long as a task does. The remaining tasks are
+   * placed after the other requests of the group, which share its priority and are all within or all beyond
+   * guaranteed shares.
    */
   private serve(entry: PassRequest): void {
     const { request } = entry;
     this.waitingJobs.add(request.jobId);
-    const { openTasks, placer, now } = this.input;
-    const count = this.servedEarly.has(request.jobId) ? 0 : openTasks.countOf(request, now);
+    const { ungrantedTasks, placer, now } = this.input;
+    const count = this.servedEarly.has(request.jobId) ? 0 : ungrantedTasks.countOf(request, now);
     if (count <= 0) return;
     if (request.isService || request.isGang || (request.maxWaitSeconds ?? 0) <= 0) placer.place(entry, count);
-    else this.deferred.push({ entry, count: placer.placeWarm(entry, count) });
+    else this.deferred.push({ entry, count: placer.placeOnWarmMachines(entry, count) });
   }
 
   private placeDeferred(): void {
@@ -59,8 +61,11 @@
     this.deferred = [];
   }
 
-  /** Lower work leaves the capacity that the next job of a class with an objective on waiting will need. */
-  private keepBackAbove(priority: number): void {
+  /**
+   * Sets capacity aside from requests of this priority for the next jobs of higher-priority classes that have
+   * a wait-time objective.
+   */
+  private reserveForBatchProfiles(priority: number): void {
     const { batchProfiles, placer, reservedJobsPerProfile } = this.input;
     for (
       let profile = batchProfiles[0];
@@ -75,17 +80,20 @@
         preferredMachine: '',
         zoneAllowance: null,
       };
-      placer.keepBack({ request, count: Math.round(profile.meanTaskCount * reservedJobsPerProfile) });
+      placer.reserveCapacity({ request, count: Math.round(profile.meanTaskCount * reservedJobsPerProfile) });
     }
   }
 
-  /** Not for ever, or lower work would wait beside free machines where the cloud has no more. */
-  private placeStarved(above: number): void {
-    const { requests, openTasks, placer, now } = this.input;
+  /**
+   * Places starved requests of lower priority than a profile before capacity is set aside for the profile:
+   * otherwise they would wait forever beside free machines while the cloud has no more to rent.
+   */
+  private placeStarved(profilePriority: number): void {
+    const { requests, ungrantedTasks, placer, now } = this.input;
     for (const entry of requests) {
       const { request } = entry;
-      if (!request.isStarved || request.priority <= above) continue;
-      const count = openTasks.countOf(request, now);
+      if (!request.isStarved || request.priority <= profilePriority) continue;
+      const count = ungrantedTasks.countOf(request, now);
       if (count <= 0) continue;
       placer.place(entry, count);
       this.servedEarly.add(request.jobId);
--- a/src/scheduler/placement/preemption-offers.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -1,32 +1,32 @@
-/** What would have to be stopped on each machine for one task of a request, and what would be lost by it. */
+/** Finds the tasks to preempt on each machine so that one task of a request fits, and the cost of this. */
 
 import { EPSILON } from '../../model/resources.js';
 import { type Allocation, usesCapacity } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
-import { addBack, fits, isOpenTo, subtract } from './capacity-filter.js';
+import { addBack, fits, isFeasible, subtract } from './capacity-filter.js';
 import { emptyMachineCapacity, type FreeCapacity } from './free-capacity.js';
 import type { PreemptionQuery, PreemptionRules } from './preemption-rules.js';
 import type { RunningGangs } from './running-gangs.js';
 
-/** Fetching a gigabyte of an image, in the CPU seconds of work in which losses are measured. */
+/** Cost of fetching one GB of an image, in CPU seconds of lost work. */
 const COST_PER_IMAGE_GB = 20;
-/** Stopping a task, for each step by which its priority is above the lowest. */
+/** Cost of preempting a task, in CPU seconds, per level of its priority above the lowest. */
 const COST_PER_PRIORITY = 30;
 const LOWEST_PRIORITY = 3;
 
-/** Tasks that may be stopped on a machine for one task of a request. */
-export interface PreemptionOffer {
+/** A machine, and the tasks to preempt there so that one task of a request fits. */
+export interface PreemptionCandidate {
   machine: Machine;
   victims: Allocation[];
-  /** What is lost by it, in CPU seconds. */
+  /** Lost work, image fetch and priorities of the victims, in CPU seconds. */
   cost: number;
 }
 
-/** Finds offers; keeps for the rest of a pass which machines have work that may be stopped. */
-export class PreemptionOffers {
-  /** By image; null: all, whatever they hold. Empty: not asked for in this pass. */
-  private readonly candidates = new Map<string | null, Machine[]>();
+/** Finds preemption candidates, using an index of machines that is built once per pass. */
+export class PreemptionCandidates {
+  /** Usable machines with batch tasks, by held image; null: all of them. Empty until first used in a pass. */
+  private readonly machinesByImage = new Map<string | null, Machine[]>();
 
   constructor(
     private readonly state: ClusterState,
@@ -34,48 +34,52 @@
     private readonly gangs: RunningGangs,
   ) {}
 
-  /** Forgets what the last pass found. */
+  /** Clears the index of the previous pass. */
   beginPass(): void {
-    this.candidates.clear();
+    this.machinesByImage.clear();
   }
 
-  /** Offers of all machines, or of those that hold the request's image, cheapest last. */
-  findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionOffer[] {
+  /** Candidates on all machines, or only on warm ones, which hold the request's image; cheapest last. */
+  findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionCandidate[] {
     const { request } = query;
-    const offers: PreemptionOffer[] = [];
-    for (const machine of this.candidateMachines(query.now, warmOnly ? request.image : null)) {
+    const candidates: PreemptionCandidate[] = [];
+    for (const machine of this.preemptibleMachines(query.now, warmOnly ? request.image : null)) {
       const { batch, free } = machine.totals;
       if (
         batch.cpus + free.cpus + EPSILON < request.cpus ||
         batch.memoryGb + free.memoryGb + EPSILON < request.memoryGb
       )
         continue;
-      const offer = this.offerOn(machine, query);
-      if (offer) offers.push(offer);
+      const candidate = this.candidateOn(machine, query);
+      if (candidate) candidates.push(candidate);
     }
-    return offers.sort((one, other) => other.cost - one.cost);
+    return candidates.sort((a, b) => b.cost - a.cost);
   }
 
-  /** Null: nothing may be stopped there that would help. */
-  offerOn(machine: Machine, query: PreemptionQuery): PreemptionOffer | null {
+  /** The candidate on this machine; null: preempting tasks there does not help the request. */
+  candidateOn(machine: Machine, query: PreemptionQuery): PreemptionCandidate | null {
     const { request, now } = query;
     const machineType = this.state.machineTypes.get(machine.machineType);
     if (!machineType) return null;
     const capacity = emptyMachineCapacity(machineType, machine);
     capacity.isSurplus = this.state.isSurplus(machine, now);
-    // By the same question as placing: otherwise tasks would be stopped again and again for work that is then not let in.
-    if (!isOpenTo(capacity, request, this.state.scarceZone)) return null;
+    // The same check as in placement: otherwise tasks would be preempted repeatedly for a request that can't
+    // use this machine.
+    if (!isFeasible(capacity, request, this.state.scarceZone)) return null;
     const preemptible = this.preemptibleTasks(machine, capacity, query);
     const victims = this.chooseVictims(preemptible, capacity, query);
     if (!fits(capacity, request) || victims.length === 0) return null;
     return { machine, victims, cost: this.costOf(machine, victims, query) };
   }
 
-  /** Subtracts all that runs on the machine; returns the tasks that may be stopped, lowest and youngest first. */
+  /**
+   * Subtracts the allocations of a machine from its capacity. Returns the tasks that may be preempted, by
+   * priority, lowest first, then most recently started first.
+   */
   private preemptibleTasks(machine: Machine, capacity: FreeCapacity, query: PreemptionQuery): Allocation[] {
     const preemptible: Allocation[] = [];
     for (const allocation of machine.allocations.values()) {
-      // What is being freed was promised before.
+      // Includes tasks being stopped: what they free was already offered as capacity being freed.
       if (!usesCapacity(allocation)) continue;
       subtract(capacity, allocation);
       if (
@@ -85,12 +89,10 @@
       )
         preemptible.push(allocation);
     }
-    return preemptible.sort(
-      (one, other) => other.priority - one.priority || other.phaseSince - one.phaseSince,
-    );
+    return preemptible.sort((a, b) => b.priority - a.priority || b.phaseSince - a.phaseSince);
   }
 
-  /** As many as it takes until one task fits; adds what they use to the capacity. */
+  /** Chooses victims until one task fits, adding what they use back to the capacity. */
   private chooseVictims(
     preemptible: readonly Allocation[],
     capacity: FreeCapacity,
@@ -100,7 +102,8 @@
     const chosenCpus = new Map<string, number>();
     for (const allocation of preemptible) {
       if (fits(capacity, query.request)) break;
-      // A team a little beyond its guarantee must not lose more than that: it would claim it back, and so for ever.
+      // A team slightly over its guaranteed share must not lose more than the excess: it would reclaim the
+      // difference, and the preemptions would never end.
       const alreadyChosen = chosenCpus.get(allocation.team) ?? 0;
       if (!this.rules.canPreempt(query, allocation, alreadyChosen)) continue;
       chosenCpus.set(allocation.team, alreadyChosen + allocation.cpus);
@@ -121,21 +124,21 @@
     return cost;
   }
 
-  private candidateMachines(now: number, image: string | null): readonly Machine[] {
-    if (this.candidates.size === 0) this.findCandidates(now);
-    return this.candidates.get(image) ?? [];
+  private preemptibleMachines(now: number, image: string | null): readonly Machine[] {
+    if (this.machinesByImage.size === 0) this.indexPreemptibleMachines(now);
+    return this.machinesByImage.get(image) ?? [];
   }
 
-  private findCandidates(now: number): void {
+  private indexPreemptibleMachines(now: number): void {
     const all: Machine[] = [];
-    this.candidates.set(null, all);
+    this.machinesByImage.set(null, all);
     for (const machine of this.state.machines.values()) {
       if (machine.totals.batch.cpus <= 0 || !this.state.isUsable(machine, now)) continue;
       all.push(machine);
       for (const image of machine.images.keys()) {
-        const holders = this.candidates.get(image);
+        const holders = this.machinesByImage.get(image);
         if (holders) holders.push(machine);
-        else this.candidates.set(image, [machine]);
+        else this.machinesByImage.set(image, [machine]);
       }
     }
   }
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -260,18 +260,18 @@
   harness.advance(1000);
   harness.scheduler.flush();
   const inside = harness.scheduler as unknown as {
-    placement: { context: { preemption: { offers: { offerOn: (...args: unknown[]) => unknown } } } };
+    placement: { context: { preemption: { candidates: { candidateOn: (...args: unknown[]) => unknown } } } };
     state: {
       fleetTotals: { changedMachines: Set<unknown> };
       capacities: { capacityOf: (...args: unknown[]) => unknown };
     };
   };
-  let offers = 0;
-  const machineOffers = inside.placement.context.preemption.offers;
-  const offerOn = machineOffers.offerOn.bind(machineOffers);
-  machineOffers.offerOn = (...args) => {
-    offers++;
-    return offerOn(...args);
+  let calls = 0;
+  const candidateFinder = inside.placement.context.preemption.candidates;
+  const candidateOn = candidateFinder.candidateOn.bind(candidateFinder);
+  candidateFinder.candidateOn = (...args) => {
+    calls++;
+    return candidateOn(...args);
   };
   // Three hundred replicas that no machine here may run: each used to look at all 1,900 machines.
   const replica = {
@@ -284,8 +284,8 @@
   harness.sendRequests(Array.from({ length: 300 }, (_, i) => makeResourceRequest(`wk-s${i}`, replica)));
   harness.advance(1000);
   harness.scheduler.flush();
-  expect(offers).toBeGreaterThan(0);
-  expect(offers).toBeLessThanOrEqual(2 * all.length);
+  expect(calls).toBeGreaterThan(0);
+  expect(calls).toBeLessThanOrEqual(2 * all.length);
   // A second before the next pass: nothing but the machine that reported is looked at again.
   inside.state.fleetTotals.changedMachines.clear();
   let capacities = 0;
@@ -323,14 +323,14 @@
   harness.advance(1000);
   harness.scheduler.flush();
   const inside = harness.scheduler as unknown as {
-    placement: { context: { preemption: { offers: { offerOn: (...args: unknown[]) => unknown } } } };
+    placement: { context: { preemption: { candidates: { candidateOn: (...args: unknown[]) => unknown } } } };
   };
-  let offers = 0;
-  const machineOffers = inside.placement.context.preemption.offers;
-  const offerOn = machineOffers.offerOn.bind(machineOffers);
-  machineOffers.offerOn = (...args) => {
-    offers++;
-    return offerOn(...args);
+  let calls = 0;
+  const candidateFinder = inside.placement.context.preemption.candidates;
+  const candidateOn = candidateFinder.candidateOn.bind(candidateFinder);
+  candidateFinder.candidateOn = (...args) => {
+    calls++;
+    return candidateOn(...args);
   };
   // Within blue's guarantee, each of a size of its own, and on no machine that is there.
   const request = (i: number) =>
@@ -342,11 +342,11 @@
     });
   const requests = Array.from({ length: 20 }, (_, i) => request(i));
   const pass = (ms: number) => {
-    offers = 0;
+    calls = 0;
     harness.sendRequests(requests);
     harness.advance(ms);
     harness.scheduler.flush();
-    return offers;
+    return calls;
   };
   const looks = Array.from({ length: 8 }, () => pass(600));
   expect(Math.max(...looks)).toBe(20 * all.length);
