--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-events.ts
@@ -1,4 +1,7 @@
-/** What the leader reports of placements: tasks that run, that have exited, and placements that are finalized otherwise. */
+/**
+ * Handles the leader's reports about placements: running tasks, exited tasks, and placements finalized
+ * otherwise.
+ */
 
 import type { Clock } from '../model/clock.js';
 import type { Logger } from '../model/logger.js';
@@ -11,16 +14,16 @@
 import { isOver, type OwnedJob, type Placement, placementSpecOf } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
-/** So long a machine gets none of a job's tasks after one has failed there. */
+/** How long a job avoids a machine on which one of its tasks has failed. */
 const AVOID_AFTER_FAILURE_MS = 60_000;
-/** Pause of a job after a failure; each further one in a row doubles it, up to the longest. */
-const FIRST_BACKOFF_MS = 500;
+/** Backoff of a job after its first failure; each further failure in a row doubles it, up to the maximum. */
+const INITIAL_BACKOFF_MS = 500;
 const MAX_BACKOFF_MS = 60_000;
 const MAX_BACKOFF_DOUBLINGS = 7;
 
 type PhaseEvent = Extract<AllocationEvent, { type: 'phase' }>;
 
-/** What the handler works with. */
+/** Settings and collaborators of an `AllocationEventHandler`. */
 export interface AllocationEventHandlerOptions {
   jobs: OwnedJobs;
   transactions: JobTransactions;
@@ -28,39 +31,41 @@
   updates: LeaderUpdates;
   clock: Clock;
   log: Logger;
+  /** Tasks per placement record. */
   tasksPerChunk: number;
+  /** Has the owner flushed soon. */
   wake(): void;
 }
 
-/** Counts finished tasks, lets failed jobs back off and gives open tasks back to the release queue. */
+/** Counts finished tasks, makes failing jobs back off, and returns unfinished tasks to the fan-out. */
 export class AllocationEventHandler {
-  private readonly limitedLog: RateLimitedLog;
+  private readonly rateLimitedLog: RateLimitedLog;
 
   constructor(private readonly options: AllocationEventHandlerOptions) {
-    this.limitedLog = new RateLimitedLog(options.log, options.clock);
+    this.rateLimitedLog = new RateLimitedLog(options.log, options.clock);
   }
 
-  /** One event; those of placements that are not known here as stored change nothing. */
+  /** Handles an event. One that matches no stored placement only has an effect if it repeats an exit. */
   handle(event: AllocationEvent): void {
     const job = this.options.jobs.get(event.jobId);
     const placement = job?.placements.get(event.taskIndex);
-    if (!job || !placement || !isOfPlacement(event, placement)) {
-      if (job && event.type === 'phase') this.onRepeatedEvent(job, event);
+    if (!job || !placement || !matchesStoredPlacement(event, placement)) {
+      if (job && event.type === 'phase') this.onUnmatchedEvent(job, event);
       return;
     }
     if (event.type === 'finalized') this.finalize(job, placement, { isListed: false });
     else if (event.phase === 'exited') this.onExited(job, placement, event);
-    else this.onPhase(job, placement, event);
+    else this.onPhaseChanged(job, placement, event);
   }
 
-  private onPhase(job: OwnedJob, placement: Placement, event: PhaseEvent): void {
+  private onPhaseChanged(job: OwnedJob, placement: Placement, event: PhaseEvent): void {
     const { transactions, log } = this.options;
     const isRunning = event.phase === 'running';
     if (isRunning === placement.isRunning) return;
     placement.isRunning = isRunning;
     job.runningTasks += isRunning ? 1 : -1;
     if (!isRunning) return;
-    // Users see `running` from the stored record; one write when the first task runs will do.
+    // Users see `running` in the stored counter record: one write is enough, when the first task runs.
     if (job.storedRunningTasks === 0) {
       job.storedRunningTasks = 1;
       job.counterDirty = true;
@@ -75,16 +80,16 @@
     this.options.log.debug({ jobId, taskIndex, machine, attempt, reason }, 'task exited');
     switch (reason) {
       case 'done':
-        if (job.spec.kind !== 'service') this.countFinished(job, placement);
+        if (job.spec.kind !== 'service') this.countFinishedTask(job, placement);
         break;
       case 'error':
       case 'unknown':
-        this.backOff(job, placement, event);
+        this.startBackoff(job, placement, event);
         break;
       case 'noCapacity':
       case 'attemptListed':
         job.avoidedMachines.set(placement.machine, this.options.clock.now() + AVOID_AFTER_REFUSAL_MS);
-        this.limitedLog.info({ jobId, taskIndex, attempt, machine, reason }, 'start refused');
+        this.rateLimitedLog.info({ jobId, taskIndex, attempt, machine, reason }, 'start refused');
         break;
       case 'stopped':
       case 'gangMemberLost':
@@ -95,33 +100,38 @@
     this.finalize(job, placement, { isListed: true });
   }
 
-  private countFinished(job: OwnedJob, placement: Placement): void {
+  private countFinishedTask(job: OwnedJob, placement: Placement): void {
     const { transactions } = this.options;
     if (job.counter.add(placement.taskIndex)) job.counterDirty = true;
-    // "When one is done, all are": the rest of a gang is counted with it, and finalized as it is reported.
+    // A gang is done as soon as one of its tasks is: the others are counted now and finalized when their
+    // exits are reported.
     if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.taskCount; task++) job.counter.add(task);
     transactions.scheduleWrite(job, job.counter.isComplete ? 0 : transactions.lazyDelayMs());
     job.failures = 0;
     job.preferredMachine = placement.machine;
   }
 
-  private backOff(job: OwnedJob, placement: Placement, event: PhaseEvent): void {
+  /** Holds the job back for a pause that grows with its failures, and makes it avoid the machine. */
+  private startBackoff(job: OwnedJob, placement: Placement, event: PhaseEvent): void {
     const { clock, updates, log } = this.options;
     const now = clock.now();
     job.failures++;
     job.avoidedMachines.set(placement.machine, now + AVOID_AFTER_FAILURE_MS);
     const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failures - 1);
-    const backoffMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings);
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** doublings);
     job.holdUntil = now + backoffMs;
     const { jobId, taskIndex, machine, exitReason: reason } = event;
     log.info({ jobId, taskIndex, machine, reason, backoffMs }, 'task failed');
     clock.after(backoffMs, () => {
-      updates.requestsChanged();
+      updates.invalidateRequests();
       this.options.wake();
     });
   }
 
-  /** `isListed`: its worker lists it, and may remove it once the outcome is stored. */
+  /**
+   * Ends a placement and schedules the write of its outcome. `isListed`: the worker still lists the task and
+   * may remove it once the outcome is stored.
+   */
   private finalize(job: OwnedJob, placement: Placement, { isListed }: { isListed: boolean }): void {
     const { jobs, transactions, stops, updates, tasksPerChunk } = this.options;
     const { taskIndex, attempt } = placement;
@@ -130,24 +140,28 @@
     job.attempts.set(taskIndex, Math.max(attempt, job.attempts.get(taskIndex) ?? 0));
     job.outcomesToStore.push({ placement, isListed });
     if (isOver(job)) transactions.scheduleWrite(job, 0);
-    // What the counter has is final by it; its old placement needs no write of its own.
+    // The counter record stores the outcome of a counted task; its placement record needs no write.
     if (!job.counter.has(taskIndex)) {
       job.dirtyChunks.add(Math.floor(taskIndex / tasksPerChunk));
       transactions.scheduleWrite(job, transactions.lazyDelayMs());
       job.fanOut.putBack(taskIndex);
       if (job.spec.kind === 'gang') stops.stopGang(job, 0);
     }
-    updates.requestsChanged();
+    updates.invalidateRequests();
   }
 
-  /** Reported again after its outcome was stored: the order to remove it was lost with an earlier leader. */
-  private onRepeatedEvent(job: OwnedJob, event: PhaseEvent): void {
+  /**
+   * Repeats the `forget` for an exit that is reported again although its outcome is stored: the first one was
+   * lost with an earlier leader.
+   */
+  private onUnmatchedEvent(job: OwnedJob, event: PhaseEvent): void {
     if (event.phase !== 'exited' || job.isReloading || !this.isOutcomeStored(job, event)) return;
-    this.options.updates.placementChanged(
+    this.options.updates.queuePlacement(
       placementSpecOf(job, { ...event, agentEpoch: 0 }, { desiredState: 'forget' }),
     );
   }
 
+  /** Whether the store has the outcome of this attempt and no change of its records is outstanding. */
   private isOutcomeStored(job: OwnedJob, { taskIndex, attempt }: PhaseEvent): boolean {
     const isLatestAttempt = (job.attempts.get(taskIndex) ?? 0) <= attempt;
     if (!job.counter.has(taskIndex) && isLatestAttempt && job.placements.has(taskIndex)) return false;
@@ -157,6 +171,6 @@
   }
 }
 
-function isOfPlacement(event: AllocationEvent, placement: Placement): boolean {
+function matchesStoredPlacement(event: AllocationEvent, placement: Placement): boolean {
   return placement.attempt === event.attempt && placement.machine === event.machine && placement.isStored;
 }
--- a/src/shard/cancellation-progress.ts
+++ b/src/shard/cancellation-progress.ts
@@ -1,28 +1,34 @@
-/** Up to which of the leader's timestamps all cancellations stored before have become stops here. */
+/** Tracks up to which of the leader's timestamps all earlier cancellations have become stops here. */
 
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 
-/** Matches the leader's timestamps with the reads of unfinished jobs made after they came. */
+/**
+ * Matches the leader's timestamps with later reads of the unfinished jobs. A read that was sent after a
+ * timestamp had arrived shows every cancellation that was stored before that timestamp was made.
+ */
 export class CancellationProgress {
   private readonly timestamps = new PeerTimestamps();
-  private takenUpTo = Number.NEGATIVE_INFINITY;
+  private lastTaken = Number.NEGATIVE_INFINITY;
 
-  /** A timestamp on the leader's clock has come at `receivedAt` on this one. */
+  /** Records a timestamp on the leader's clock, received at `receivedAt` on the local clock. */
   add(leaderTimestamp: number, receivedAt: number): void {
     this.timestamps.add(leaderTimestamp, receivedAt);
   }
 
-  /** Another leader has another clock. */
+  /** Discards all timestamps: another leader's timestamps are on another clock. */
   reset(): void {
     this.timestamps.clear();
-    this.takenUpTo = Number.NEGATIVE_INFINITY;
+    this.lastTaken = Number.NEGATIVE_INFINITY;
   }
 
-  /** The newest timestamp reached by a read sent at `freshAsOf`; null: it has been taken before, or there is none. */
-  takeReached(freshAsOf: number): number | null {
-    const reached = this.timestamps.latestReceivedBy(freshAsOf);
-    if (reached === null || reached <= this.takenUpTo) return null;
-    this.takenUpTo = reached;
-    return reached;
+  /**
+   * Returns the newest timestamp that had been received when a read was sent, or null if there is none or it
+   * was returned before.
+   */
+  takeLatest(readSentAt: number): number | null {
+    const latest = this.timestamps.latestReceivedBy(readSentAt);
+    if (latest === null || latest <= this.lastTaken) return null;
+    this.lastTaken = latest;
+    return latest;
   }
 }
--- a/src/shard/full-sync.ts
+++ b/src/shard/full-sync.ts
@@ -1,13 +1,13 @@
-/** The full state of an owner for the leader, which takes it as one when it has all chunks. */
+/** Builds full syncs: an owner's whole state in chunks, which the leader applies once it has all of them. */
 
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { ShardMessage } from '../model/shard-messages.js';
 import { type OwnedJob, placementSpecOf } from './owned-job.js';
 
-/** Most placements in one message, so that none is large. */
+/** The most placements in one chunk, which limits the size of a message. */
 const MAX_PLACEMENTS_PER_CHUNK = 400;
 
-/** What a full sync says, and who says it to which leader. */
+/** The content of a full sync from `instanceId` to the leader that holds `fencingToken`. */
 export interface FullSync {
   fencingToken: number;
   instanceId: string;
@@ -17,34 +17,36 @@
   requests: ResourceRequest[];
 }
 
-/** All placements that the leader must know of, in the order of the jobs. */
+/** All placements that the leader must know, grouped by job. */
 export function placementsToSync(jobs: Iterable<OwnedJob>): PlacementSpec[] {
   const placements: PlacementSpec[] = [];
   for (const job of jobs) {
-    // Without the places whose write is in flight or indeterminate the leader would give them to others.
+    // Placements whose write is in flight or indeterminate are included: the leader would otherwise grant
+    // their capacity to others.
     for (const placement of job.placements.values()) {
       const desiredState = placement.isStored ? placement.desiredState : 'pending';
       placements.push(placementSpecOf(job, placement, { desiredState }));
     }
-    // Finalized but not yet stored so: still ours, or the leader would have what nobody claims removed. A write that turns
-    // out not to have been executed would then bring the attempt back as one to be started.
+    // Finalized placements whose outcome is not stored yet are included too: otherwise the leader would have
+    // their workers remove them. If the write of the outcome then turned out not to have been executed, the
+    // attempt would come back as one to be started.
     for (const { placement, isListed } of [...job.outcomesToStore, ...job.outcomesInFlight])
       if (isListed) placements.push(placementSpecOf(job, placement, { desiredState: 'keep' }));
   }
   return placements;
 }
 
-/** The messages of a full sync; the requests come with the last one. */
+/** The messages of a full sync; the last chunk contains the requests. */
 export function fullSyncChunks({ placements, requests, ...sync }: FullSync): ShardMessage[] {
   const chunkCount = Math.max(1, Math.ceil(placements.length / MAX_PLACEMENTS_PER_CHUNK));
   return Array.from({ length: chunkCount }, (_, chunkIndex) => {
-    const from = chunkIndex * MAX_PLACEMENTS_PER_CHUNK;
+    const start = chunkIndex * MAX_PLACEMENTS_PER_CHUNK;
     return {
       type: 'fullSync',
       ...sync,
       chunkCount,
       chunkIndex,
-      placements: placements.slice(from, from + MAX_PLACEMENTS_PER_CHUNK),
+      placements: placements.slice(start, start + MAX_PLACEMENTS_PER_CHUNK),
       requests: chunkIndex === chunkCount - 1 ? requests : [],
     };
   });
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -1,46 +1,46 @@
-/** Which task of a job goes to which granted place. */
+/** Assigns tasks of a job to the grants that its owner has received. */
 
 import type { Grant } from '../model/placement.js';
 import { assignTasks } from '../model/task-assignment.js';
 import { type OwnedJob, zoneAllows } from './owned-job.js';
-import { type TeamUsage, tasksWithin } from './team-usage.js';
+import { countFittingTasks, type TeamUsage } from './team-usage.js';
 
-/** So long a machine gets none of a job's tasks after it has refused one, or would have. */
+/** How long a job avoids a machine that has refused one of its tasks, or would have. */
 export const AVOID_AFTER_REFUSAL_MS = 2000;
 
-/** What the assignment goes by, and what it does. */
+/** Inputs of an assignment, and the callback that carries it out. */
 export interface GrantAssignmentOptions {
   usage: TeamUsage;
-  /** Steady milliseconds. */
+  /** Monotonic time. */
   nowMs: number;
-  /** Places a task of the job on what is granted; its use counts from then on. */
+  /** Places a task on the granted machine. The placement must count toward the team's usage at once. */
   place(grant: Grant, taskIndex: number): void;
 }
 
 /**
- * Gives tasks of a job to the places that the leader has granted it, within the quota of its team and the zones that the job
- * allows. Returns the grants taken; the others go back to the leader.
+ * Assigns tasks of a job to its grants, within the quota of its team and the zones that the job allows.
+ * Returns the grants that were used; the caller returns the others to the leader.
  */
 export function assignGrants(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
   if (job.spec.kind === 'gang') return placeGang(job, grants, options);
   const { usage, nowMs } = options;
   return grants.filter((grant) => {
     if (!usage.admits(job.spec) || !zoneAllows(job, grant.zone)) return false;
-    const taskIndex = nextTask(job, grant, nowMs);
+    const taskIndex = takeNextTask(job, grant, nowMs);
     if (taskIndex < 0) return false;
     options.place(grant, taskIndex);
     return true;
   });
 }
 
-/** Takes all of these places for a gang, or none. */
+/** Uses all of the grants for a gang, or none of them. */
 function placeGang(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
-  if (!admitsGang(job, grants, options.usage)) return [];
+  if (!canPlaceGang(job, grants, options.usage)) return [];
   const { tasks } = assignTasks(
     Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
     grants.map((grant) => grant.endedTasks && new Set(grant.endedTasks)),
   );
-  // A machine that lists an ended attempt of its task would refuse it, and all others would be stopped.
+  // A machine that lists an ended attempt of its task would refuse it, which would stop the whole gang.
   if (tasks.includes(undefined)) return [];
   for (const [index, grant] of grants.entries()) {
     const task = tasks[index];
@@ -50,32 +50,37 @@
 }
 
 /**
- * Places for a gang are taken all or none: one with a part of its tasks placed would hold them until it gives up
- * waiting for the others.
+ * Whether the grants suffice for all tasks of a gang, within its quota and zones. A gang with only some of
+ * its tasks placed would hold their capacity until it gives up waiting for the others.
  */
-function admitsGang(job: OwnedJob, grants: Grant[], usage: TeamUsage): boolean {
+function canPlaceGang(job: OwnedJob, grants: Grant[], usage: TeamUsage): boolean {
   const { spec } = job;
   if (grants.length !== spec.taskCount || job.placements.size > 0) return false;
-  const left = usage.remaining(spec.team);
-  if (left === null || tasksWithin(left, spec) < spec.taskCount) return false;
-  const byZone = new Map<string, number>();
-  for (const { zone } of grants) byZone.set(zone, (byZone.get(zone) ?? 0) + 1);
-  if (spec.zone !== null && [...byZone.keys()].some((zone) => zone !== spec.zone)) return false;
-  if (spec.zoneAntiAffinity && Math.max(...byZone.values()) > Math.ceil(spec.taskCount / 2)) return false;
-  return !spec.zoneAffinity || byZone.size === 1;
+  const remaining = usage.remainingOf(spec.team);
+  if (remaining === null || countFittingTasks(remaining, spec) < spec.taskCount) return false;
+  const grantsByZone = new Map<string, number>();
+  for (const { zone } of grants) grantsByZone.set(zone, (grantsByZone.get(zone) ?? 0) + 1);
+  if (spec.zone !== null && [...grantsByZone.keys()].some((zone) => zone !== spec.zone)) return false;
+  if (spec.zoneAntiAffinity && Math.max(...grantsByZone.values()) > Math.ceil(spec.taskCount / 2))
+    return false;
+  return !spec.zoneAffinity || grantsByZone.size === 1;
 }
 
-/** The next task to be placed, other than those of which the machine lists an ended attempt; -1: none. */
-function nextTask(job: OwnedJob, { machine, endedTasks }: Grant, nowMs: number): number {
-  const isCounted = (task: number) => job.counter.has(task);
-  const isTaken = (task: number) => isCounted(task) || job.placements.has(task);
-  const refused: number[] = [];
-  let taskIndex = job.fanOut.takeNext(isTaken, isCounted);
+/**
+ * Takes the next task to be placed, skipping tasks of which the machine lists an ended attempt; -1: none. If
+ * only such tasks are left, the job avoids the machine for a while.
+ */
+function takeNextTask(job: OwnedJob, { machine, endedTasks }: Grant, nowMs: number): number {
+  const isFinished = (task: number) => job.counter.has(task);
+  const isTaken = (task: number) => isFinished(task) || job.placements.has(task);
+  const refusedTasks: number[] = [];
+  let taskIndex = job.fanOut.takeNext(isTaken, isFinished);
   while (taskIndex >= 0 && endedTasks?.includes(taskIndex)) {
-    refused.push(taskIndex);
-    taskIndex = job.fanOut.takeNext(isTaken, isCounted);
+    refusedTasks.push(taskIndex);
+    taskIndex = job.fanOut.takeNext(isTaken, isFinished);
   }
-  for (const task of refused) job.fanOut.putBack(task);
-  if (taskIndex < 0 && refused.length > 0) job.avoidedMachines.set(machine, nowMs + AVOID_AFTER_REFUSAL_MS);
+  for (const task of refusedTasks) job.fanOut.putBack(task);
+  if (taskIndex < 0 && refusedTasks.length > 0)
+    job.avoidedMachines.set(machine, nowMs + AVOID_AFTER_REFUSAL_MS);
   return taskIndex;
 }
--- a/src/shard/grant-intake.ts
+++ b/src/shard/grant-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in the places that the leader grants, and gives back those that are of no use. */
+/** Processes the grants of the leader: places tasks on them and returns those that cannot be used. */
 
 import type { Clock } from '../model/clock.js';
 import type { Grant } from '../model/placement.js';
@@ -9,43 +9,45 @@
 import type { OwnedJobs } from './owned-jobs.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** What the intake works with. */
+/** Settings and collaborators of a `GrantIntake`. */
 export interface GrantIntakeOptions {
   jobs: OwnedJobs;
   usage: TeamUsage;
   transactions: JobTransactions;
   updates: LeaderUpdates;
   clock: Clock;
+  /** Tasks per placement record. */
   tasksPerChunk: number;
 }
 
-/** Makes placements of grants; each is stored before its task is started. */
+/** Turns grants into placements. Each placement is stored before its task is started. */
 export class GrantIntake {
   constructor(private readonly options: GrantIntakeOptions) {}
 
-  /** Gives each grant to a task of its job, or back to the leader. */
-  take(grants: readonly Grant[]): void {
+  /** Uses each grant for a task of its job, or returns it to the leader. */
+  processGrants(grants: readonly Grant[]): void {
     const { jobs, updates } = this.options;
-    const byJob = new Map<string, Grant[]>();
+    const grantsByJob = new Map<string, Grant[]>();
     for (const grant of grants) {
-      updates.onGrantTaken(grant.id);
-      const offered = byJob.get(grant.jobId);
-      if (offered) offered.push(grant);
-      else byJob.set(grant.jobId, [grant]);
+      updates.onGrantProcessed(grant.id);
+      const jobGrants = grantsByJob.get(grant.jobId);
+      if (jobGrants) jobGrants.push(grant);
+      else grantsByJob.set(grant.jobId, [grant]);
     }
-    for (const [jobId, offered] of byJob) {
+    for (const [jobId, jobGrants] of grantsByJob) {
       const job = jobs.get(jobId);
-      const placed = new Set(job ? this.placeTasks(job, offered) : []);
-      for (const grant of offered) if (!placed.has(grant)) updates.releaseGrant(grant.id);
+      const placed = new Set(job ? this.placeTasks(job, jobGrants) : []);
+      for (const grant of jobGrants) if (!placed.has(grant)) updates.releaseGrant(grant.id);
     }
-    updates.requestsChanged();
+    updates.invalidateRequests();
   }
 
   /**
-   * Grants of an earlier leader are void; what was not yet sent to the key-value store goes back. What was sent and is
-   * indeterminate stays and counts: given back, its room would be granted to other jobs and the team exceed its quota.
+   * Removes the placements for which no write has been sent; called before a full sync, which voids their
+   * grants. Placements of a job with an indeterminate write stay and keep counting: if they were removed,
+   * their capacity would be granted to other jobs and the team would exceed its quota.
    */
-  returnUnsentPlacements(): void {
+  discardUnsentPlacements(): void {
     const { jobs, transactions } = this.options;
     for (const job of jobs.values()) {
       if (hasIndeterminateWrite(job)) continue;
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -94,7 +94,7 @@
     this.archived.add(jobId);
     if (this.archived.size > MAX_ARCHIVED_JOBS)
       for (const oldest of [...this.archived].slice(0, ARCHIVED_JOBS_FORGOTTEN)) this.archived.delete(oldest);
-    updates.requestsChanged();
+    updates.invalidateRequests();
   }
 
   /** A record of an unfinished job was put, as a watch or a list has shown. */
@@ -130,7 +130,7 @@
     if (!stored?.spec || !shards.isLoaded(stored.spec.team)) return;
     this.adopt(stored);
     log.debug({ jobId, taskCount: stored.spec.taskCount, team: stored.spec.team }, 'job released');
-    updates.requestsChanged();
+    updates.invalidateRequests();
     this.options.wake();
   }
 
@@ -149,7 +149,7 @@
     const jobs = [...found.values()].filter(({ spec }) => spec?.team === team);
     for (const job of jobs) this.adopt(job);
     this.options.usageLog.logLoadedShard(shard, jobs.length);
-    this.options.usageLog.checkQuota(team);
+    this.options.usageLog.logIfOverQuota(team);
   }
 
   /** Owns a job as it is stored, in place of what was known of it. */
@@ -167,7 +167,7 @@
     for (const placement of job.placements.values()) if (placement.isRunning) job.runningTasks++;
     job.fanOut.skipCounted((task) => job.counter.has(task));
     jobs.add(job);
-    if (!previous) releaseQueue.learn(spec);
+    if (!previous) releaseQueue.recordSize(spec);
     if (isOver(job)) transactions.scheduleWrite(job, 0);
   }
 
@@ -195,7 +195,7 @@
       placementChunks: stored?.placementChunks.size,
     };
     this.options.log.debug({ jobId, found: !!stored?.spec, revisions }, 'job reloaded');
-    this.options.usageLog.checkQuota(team);
+    this.options.usageLog.logIfOverQuota(team);
     this.options.updates.requestFullSync();
     this.options.wake();
   }
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -1,4 +1,4 @@
-/** Stops tasks: those of cancelled jobs, those that the leader evicts, and gangs that can't go on. */
+/** Stops tasks of cancelled jobs, tasks that the leader evicts, and gangs that cannot continue. */
 
 import { type TaskAttempt, taskKey } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
@@ -7,22 +7,26 @@
 import { hasIndeterminateWrite, type OwnedJob, type Placement, placementSpecOf } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
-/** What stopping works with. */
+/** Settings and collaborators of `JobStops`. */
 export interface JobStopsOptions {
   jobs: OwnedJobs;
   transactions: JobTransactions;
   updates: LeaderUpdates;
   log: Logger;
-  /** Added to the time that a task takes to save its progress. */
+  /** Added to the time that an evicted task needs to save its progress. */
   noticeGraceSeconds: number;
+  /** Has the owner flushed soon. */
   wake(): void;
 }
 
-/** Turns cancellations and evictions into stops. */
+/** Turns cancellations, evictions and failures of gangs into stops. */
 export class JobStops {
   constructor(private readonly options: JobStopsOptions) {}
 
-  /** The job's record says that it is cancelled. */
+  /**
+   * Stops a job whose record says that it is cancelled. Placements that cannot have been stored are removed
+   * at once.
+   */
   cancel(job: OwnedJob): void {
     if (job.cancelled) return;
     job.cancelled = true;
@@ -39,11 +43,14 @@
       jobs.removePlacement(job, placement, 'returned');
     }
     transactions.scheduleWrite(job, 0);
-    updates.requestsChanged();
+    updates.invalidateRequests();
     this.options.wake();
   }
 
-  /** The leader needs the room of a task: it may save its progress, and a gang goes as a whole. */
+  /**
+   * Stops a task whose capacity the leader needs, with time to save its progress if it saves checkpoints. A
+   * gang is stopped as a whole.
+   */
   evict({ jobId, taskIndex, attempt }: TaskAttempt, reason: string): void {
     const job = this.options.jobs.get(jobId);
     const placement = job?.placements.get(taskIndex);
@@ -56,17 +63,18 @@
     else this.stop(job, placement, graceSeconds);
   }
 
-  /** Stops all tasks of a gang: it starts anew as a whole, once all of them are finalized. */
+  /** Stops all tasks of a gang. The gang can start again once all of them are finalized. */
   stopGang(job: OwnedJob, graceSeconds: number): void {
     for (const placement of job.placements.values())
       if (placement.desiredState === 'run') this.stop(job, placement, graceSeconds);
   }
 
+  /** Marks a placement as stopped. If it is not stored yet, the stop is sent once it is. */
   private stop(job: OwnedJob, placement: Placement, gracePeriodSeconds: number): void {
     placement.desiredState = 'stop';
     if (!placement.isStored) return;
     const { grantId } = placement;
-    this.options.updates.placementChanged(
+    this.options.updates.queuePlacement(
       placementSpecOf(job, placement, { desiredState: 'stop', gracePeriodSeconds, grantId }),
     );
   }
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -1,6 +1,6 @@
 /**
- * What the owner sends the leader: its full state at first and whenever something may be lost, else what changes. Nothing but
- * full syncs is sent until the leader has accepted the latest one.
+ * Sends the owner's state to the leader: a full sync first and whenever messages may have been lost,
+ * otherwise only changes. Until the leader has accepted the latest full sync, nothing but full syncs is sent.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -12,108 +12,118 @@
 import type { OwnedShards } from './owned-shards.js';
 import type { WakeTimer } from './wake-timer.js';
 
-/** Least time between two lists of requests, and what each request in a list adds to it. */
+/** Minimum time between two request lists; each request in the list adds to it, up to the maximum. */
 const MIN_REQUESTS_INTERVAL_MS = 10;
 const REQUESTS_INTERVAL_MS_PER_REQUEST = 3;
 const MAX_REQUESTS_INTERVAL_MS = 300;
 
-/** What the updates are made of, and where they go. */
+/** Sources of the updates, and how they are sent. */
 export interface LeaderUpdatesOptions {
   instanceId: string;
   jobs: OwnedJobs;
   shards: OwnedShards;
   clock: Clock;
   wakeTimer: WakeTimer;
-  /** The sending time of the latest read of the unfinished jobs whose changes have been passed on here. */
+  /** When the latest read of unfinished jobs was sent whose changes have all been delivered to this owner. */
   openJobsFreshAsOf(): number;
-  /** The resource requests of all jobs; `lastProcessedGrantId`: the newest grant of this leader that they take into account. */
+  /**
+   * Builds the requests of all jobs. `lastProcessedGrantId`: the newest grant that they take into account.
+   */
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
-  /** Gives back the placements that no write has been sent for: a full sync voids their grants. */
-  returnUnsentPlacements(): void;
+  /** Removes placements for which no write has been sent, because a full sync voids their grants. */
+  discardUnsentPlacements(): void;
   send(message: ShardMessage): void;
 }
 
-/** Collects what changes, and sends it at the end of each batch of commands. */
+/** Collects changes and sends them to the leader at the end of each batch of commands. */
 export class LeaderUpdates {
-  /** The token of the leader followed; 0: none is known. */
+  /** Fencing token of the current leader; 0: no leader is known. */
   fencingToken = 0;
-  /** The leader has accepted the latest full sync. */
+  /** Whether the leader has accepted the latest full sync. */
   isSynced = false;
   private needsFullSync = false;
   private haveRequestsChanged = false;
-  private lastRequestsSent = '';
+  private lastRequestsJson = '';
   private nextRequestsAt = 0;
-  /** The newest grant of this leader that has been taken in. */
+  /** The newest grant of the current leader that has been processed. */
   private lastProcessedGrantId = 0;
   private syncNumber = 0;
-  /** Messages with placements since the last full sync. */
+  /** Number of `placements` messages sent since the last full sync. */
   private placementMessagesSent = 0;
   private placementsToSend: PlacementSpec[] = [];
   private tasksToRelease: ReleasedTask[] = [];
   private grantsToRelease: number[] = [];
-  private readonly cancellations = new CancellationProgress();
+  private readonly cancellationProgress = new CancellationProgress();
 
   constructor(private readonly options: LeaderUpdatesOptions) {}
 
-  /** A leader with a higher token is followed from now on, and knows nothing yet. */
+  /** Switches to a new leader, which has no state of this owner yet. */
   setLeader(fencingToken: number): void {
     this.fencingToken = fencingToken;
-    this.cancellations.reset();
+    this.cancellationProgress.reset();
     this.lastProcessedGrantId = 0;
     this.resync();
   }
 
-  /** Begins with the next send: a full sync, with nothing else until it is accepted. */
+  /** Makes the next send a full sync and blocks all other messages until it is accepted. */
   resync(): void {
     this.isSynced = false;
     this.needsFullSync = true;
   }
 
-  /** The next send is a full sync; until then the latest accepted one counts. */
+  /** Makes the next send a full sync. Until it is sent, the latest accepted sync stays valid. */
   requestFullSync(): void {
     this.needsFullSync = true;
   }
 
-  /** The leader has taken in a full sync, the latest one if it does not say which. False: an earlier one. */
+  /**
+   * Handles the leader's acceptance of a full sync; without a number, it refers to the latest one. Returns
+   * false and changes nothing if it refers to an earlier sync.
+   */
   onSyncAccepted(syncNumber: number | undefined): boolean {
-    // With another sync on its way, grants sent before that one is taken in are discarded by the leader and must be here:
-    // their places are granted again.
+    // A newer sync is on its way. When the leader applies it, the leader discards all grants that it sent
+    // before and grants their capacity again, so this owner must not use them either.
     if (syncNumber !== undefined && syncNumber !== this.syncNumber) return false;
     this.isSynced = true;
     this.haveRequestsChanged = true;
-    this.lastRequestsSent = '';
+    this.lastRequestsJson = '';
     return true;
   }
 
-  /** A time on the leader's clock: it is sent back once all cancellations stored before it have become stops. */
+  /**
+   * Records a time on the leader's clock. It is sent back once every cancellation that was stored before it
+   * has been turned into stops.
+   */
   onTimestamp(leaderTimestamp: number): void {
-    this.cancellations.add(leaderTimestamp, this.options.clock.now());
+    this.cancellationProgress.add(leaderTimestamp, this.options.clock.now());
   }
 
-  onGrantTaken(grantId: number): void {
+  /** Records a grant that has been received and is used or returned. */
+  onGrantProcessed(grantId: number): void {
     this.lastProcessedGrantId = Math.max(this.lastProcessedGrantId, grantId);
   }
 
-  placementChanged(placement: PlacementSpec): void {
+  /** Adds a new or changed placement to the next `placements` message. */
+  queuePlacement(placement: PlacementSpec): void {
     this.placementsToSend.push(placement);
   }
 
-  /** A grant is not used. */
+  /** Returns an unused grant to the leader. */
   releaseGrant(grantId: number): void {
     this.grantsToRelease.push(grantId);
   }
 
-  /** A placement is finalized, and its worker has nothing to remove. */
+  /** Tells the leader to drop a placement that its worker does not list. */
   releaseTask(task: ReleasedTask): void {
     this.tasksToRelease.push(task);
   }
 
-  /** The resource requests may have changed. */
-  requestsChanged(): void {
+  /** Has the resource requests rebuilt, since they may have changed. */
+  invalidateRequests(): void {
     this.haveRequestsChanged = true;
   }
 
-  /** Sends what has come together. */
+  /** Sends the collected changes, or a full sync if one is due. */
   send(): void {
     if (this.fencingToken === 0) return;
     if (this.needsFullSync) {
@@ -122,13 +132,13 @@
     }
     if (!this.isSynced) return;
     this.sendPlacements();
-    // After the stops that follow from what was read.
+    // After the placements: these include the stops that the coverage vouches for.
     this.sendCancellationCoverage();
     this.sendReleases();
     this.sendRequests();
   }
 
-  private get sender(): { fencingToken: number; instanceId: string } {
+  private get senderFields(): { fencingToken: number; instanceId: string } {
     return { fencingToken: this.fencingToken, instanceId: this.options.instanceId };
   }
 
@@ -137,12 +147,12 @@
     this.needsFullSync = false;
     this.placementsToSend = [];
     this.clearReleases();
-    this.options.returnUnsentPlacements();
+    this.options.discardUnsentPlacements();
     this.isSynced = false;
     this.placementMessagesSent = 0;
     this.syncNumber++;
     const chunks = fullSyncChunks({
-      ...this.sender,
+      ...this.senderFields,
       syncNumber: this.syncNumber,
       shardEpochs: shards.loadedEpochs,
       placements: placementsToSync(jobs.values()),
@@ -153,17 +163,17 @@
 
   private sendPlacements(): void {
     if (this.placementsToSend.length === 0) return;
-    this.options.send({ type: 'placements', ...this.sender, placements: this.placementsToSend });
+    this.options.send({ type: 'placements', ...this.senderFields, placements: this.placementsToSend });
     this.placementsToSend = [];
     this.placementMessagesSent++;
   }
 
   private sendCancellationCoverage(): void {
-    const leaderTimestamp = this.cancellations.takeReached(this.options.openJobsFreshAsOf());
+    const leaderTimestamp = this.cancellationProgress.takeLatest(this.options.openJobsFreshAsOf());
     if (leaderTimestamp === null) return;
     this.options.send({
       type: 'cancellationCoverage',
-      ...this.sender,
+      ...this.senderFields,
       syncNumber: this.syncNumber,
       placementMessages: this.placementMessagesSent,
       shardEpochs: this.options.shards.loadedEpochs,
@@ -174,7 +184,7 @@
   private sendReleases(): void {
     if (this.tasksToRelease.length + this.grantsToRelease.length === 0) return;
     const released = { tasks: this.tasksToRelease, grants: this.grantsToRelease };
-    this.options.send({ type: 'release', ...this.sender, ...released });
+    this.options.send({ type: 'release', ...this.senderFields, ...released });
     this.clearReleases();
   }
 
@@ -192,12 +202,12 @@
     }
     this.haveRequestsChanged = false;
     const requests = this.options.listRequests(this.lastProcessedGrantId);
-    // A long list is sent less often: it costs both sides, and few places come free between two of them.
+    // A long list is sent less often: it is costly for both sides, and little capacity is freed in between.
     const intervalMs = MIN_REQUESTS_INTERVAL_MS + requests.length * REQUESTS_INTERVAL_MS_PER_REQUEST;
     this.nextRequestsAt = now + Math.min(MAX_REQUESTS_INTERVAL_MS, intervalMs);
-    const text = JSON.stringify(requests);
-    if (text === this.lastRequestsSent) return;
-    this.lastRequestsSent = text;
-    this.options.send({ type: 'resourceRequests', ...this.sender, requests });
+    const requestsJson = JSON.stringify(requests);
+    if (requestsJson === this.lastRequestsJson) return;
+    this.lastRequestsJson = requestsJson;
+    this.options.send({ type: 'resourceRequests', ...this.senderFields, requests });
   }
 }
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -1,107 +1,118 @@
-/** In which order the jobs of a team are released, by their age, objectives, sizes and remaining work. */
+/** Orders the jobs of each team for release by their age, objectives, sizes and estimated remaining work. */
 
 import type { JobSpec } from '../model/job.js';
 import type { ServiceLevelObjective } from '../model/team.js';
 import { JobSizes } from './job-sizes.js';
 
-/** Longest time that a large array is moved back in its queue, and that a job of long tasks is moved forward. */
+/** Upper bound both on the delay of a job for its remaining work and on its advance for a long run time. */
 const MAX_SHIFT_MS = 60_000;
-/** Longest time that a job waits behind younger ones. */
-const MAX_WAIT_MS = 120_000;
-/** A queue in which a job has waited so long without having begun in full is overloaded. */
+/** Age after which a job no longer waits behind younger ones, unless its queue is overloaded. */
+const AGED_AFTER_MS = 120_000;
+/** A queue is overloaded if one of its jobs is not fully started after this time. */
 const OVERLOADED_AFTER_MS = 60_000;
-/** Objectives on finishing are given up once a job is older than this multiple of the last of them. */
-const OVERDUE_FACTOR = 3;
-/** Estimates of run times are often too low by half. */
-const ESTIMATE_MARGIN = 1.75;
-/** Tasks that a team is assumed to run at a time while it runs fewer. */
+/** Completion objectives are ignored once a job is older than this multiple of the longest of them. */
+const OBJECTIVE_EXPIRY_FACTOR = 3;
+/** Factor on estimated run times, which are often too low by half. */
+const ESTIMATE_SAFETY_FACTOR = 1.75;
+/** A team is assumed to run at least this many tasks in parallel. */
 const MIN_PARALLEL_TASKS = 10;
-/** In an overloaded queue: time within which users expect a job to begin in full. */
-const BEGIN_WITHIN_SECONDS = 240;
-/** In an overloaded queue: weight of the remaining work of a job that has begun in full. */
-const BEGUN_WORK_FACTOR = 2;
+/** In an overloaded queue: time after acceptance within which users expect a job to be fully started. */
+const FULL_START_TARGET_SECONDS = 240;
+/** In an overloaded queue: factor on the task count of a fully started job when its work is estimated. */
+const FULLY_STARTED_WORK_FACTOR = 2;
 /**
- * In an overloaded queue: time that a large gang waits before it precedes small jobs. It needs as many places at once as
- * a dozen small ones, which all begin in time before it, and it still begins within `BEGIN_WITHIN_SECONDS`.
+ * In an overloaded queue: time that a large gang waits before it precedes small jobs. It needs as much
+ * capacity at once as a dozen small gangs. If those go first, they all start in time, and the large gang
+ * still starts within `FULL_START_TARGET_SECONDS`.
  */
-const LARGE_GANG_AFTER_SECONDS = 90;
-/** In an overloaded queue: share of the running tasks up to which large jobs precede small ones. */
-const LARGE_JOBS_SHARE = 0.65;
-/** Least remaining work that a response ratio is taken of. */
+const LARGE_GANG_MIN_WAIT_SECONDS = 90;
+/** In an overloaded queue: large jobs precede small ones until they hold this share of its placed tasks. */
+const LARGE_JOBS_MAX_SHARE = 0.65;
+/** Lower bound on estimated work, which response ratios are divided by. */
 const MIN_WORK_SECONDS = 1;
-/** Position before all jobs that may still be moved back. */
-const LONG_WAIT_HEAD_START_MS = 10 * MAX_SHIFT_MS;
+/** Advance of an aged job, large enough to precede every job whose position may still be delayed. */
+const AGED_JOB_ADVANCE_MS = 10 * MAX_SHIFT_MS;
 
-/** What the order of release depends on, of a job that is neither done nor cancelled. */
+/** The state of a job, neither done nor cancelled, that the release order depends on. */
 export interface QueuedJob {
   spec: JobSpec;
   /** Revision at which the job was accepted. */
   acceptedRevision: number;
-  /** Tasks that are finished, and tasks that are placed now. */
   finishedTasks: number;
+  /** Tasks that have a placement now. */
   placedTasks: number;
+  /** Failed tasks since one last finished. */
   failures: number;
 }
 
-/** Place in the queue within a priority: by missed objectives first, by position second, lower first. */
+/** Sort key of a job within its priority: missed objectives first, then position; lower values go first. */
 export interface QueueKey {
-  /** 0 while the job can still meet its first objective or its deadline, more for each one missed. */
+  /**
+   * 0 while the job can still meet its shortest completion objective or its deadline, one more for each that
+   * it can no longer meet; 0 again once the job is aged or its objectives have expired.
+   */
   missedObjectives: number;
-  /** Time of day of its acceptance in ms, shifted by what the job still needs. */
+  /** Acceptance time of the job in wall-clock ms, shifted by its remaining work and its run time. */
   position: number;
 }
 
-/** What a team runs now and may run at most, in tasks of arrays and gangs. */
+/** How many tasks a team runs, and how many its quota admits. */
 export interface TeamLoad {
+  /** Placed tasks of its arrays and gangs. */
   runningTasks: number;
-  /** Most tasks of this job that the quota of its team admits at a time. */
-  maxParallel(spec: JobSpec): number;
-  /** Tasks like those of this job that the quota of its team admits at a time: infinite without a quota. */
+  /** The most tasks of this job that the team's quota admits in parallel. */
+  maxParallelTasks(spec: JobSpec): number;
+  /** How many tasks of this job's size the team's quota admits in parallel; infinite without a quota. */
   tasksAtQuota(spec: JobSpec): number;
 }
 
 /**
- * The order in which the jobs of a team are released.
+ * The order in which jobs are released. The jobs of one team and one priority form a queue, with a separate
+ * queue for services.
+ *
+ * Jobs are released in the order of their acceptance, with exceptions that apply until a job is older than
+ * `AGED_AFTER_MS`: a job that can still meet its objective precedes one that cannot, a job is delayed in
+ * proportion to the time that its remaining tasks would occupy the team's capacity, and advanced in
+ * proportion to the run time of one task, each by at most `MAX_SHIFT_MS`.
  *
- * Jobs are released in the order of their acceptance, with two exceptions that end after `MAX_WAIT_MS`: a job that can
- * still meet its objective precedes one that cannot, and large arrays are moved back by the time that they would occupy the
- * team's places.
+ * A queue in which a job is not fully started after `OVERLOADED_AFTER_MS` has more work than capacity. If
+ * such a queue were released by age, one large array would block every job behind it. Its jobs are therefore
+ * released by highest response ratio next, where the work of a job is what it takes to start it fully. Jobs
+ * that can still be fully started within `FULL_START_TARGET_SECONDS` precede the others. Among them, jobs
+ * that are large for their class go first until they hold `LARGE_JOBS_MAX_SHARE` of the placed tasks.
  *
- * A queue in which a job has not begun in full after `OVERLOADED_AFTER_MS` has more work than places. Release by age would
- * let one large array hold up every job behind it there, so the jobs of such a queue are released by response ratio
- * (highest response ratio next): the wait in multiples of the work that is left. Jobs that can still begin in full within
- * `BEGIN_WITHIN_SECONDS` precede the others, and among these the large ones of each class do as long as they run less than
- * their share.
+ * A job is fully started when all its tasks, or as many as its team's quota admits in parallel, are placed or
+ * finished.
  */
 export class ReleaseQueue {
-  /** Objectives on finishing by class in seconds, shortest first. */
-  private readonly finishObjectives = new Map<string, number[]>();
+  /** Completion objectives in seconds by job class, shortest first. */
+  private readonly completionObjectives = new Map<string, number[]>();
   private readonly sizes = new JobSizes();
 
   constructor(objectives: readonly ServiceLevelObjective[]) {
     for (const { kind, jobClass, withinSeconds } of objectives) {
       if (kind !== 'finished') continue;
-      const ofClass = [...(this.finishObjectives.get(jobClass) ?? []), withinSeconds];
-      this.finishObjectives.set(
+      const classObjectives = [...(this.completionObjectives.get(jobClass) ?? []), withinSeconds];
+      this.completionObjectives.set(
         jobClass,
-        ofClass.sort((a, b) => a - b),
+        classObjectives.sort((a, b) => a - b),
       );
     }
   }
 
-  /** The shortest objective on finishing of a job's class, if it has one. */
-  firstObjectiveSeconds(spec: JobSpec): number | undefined {
-    return this.finishObjectives.get(spec.jobClass)?.[0];
+  /** The shortest completion objective of the job's class, if it has any. */
+  shortestObjectiveSeconds(spec: JobSpec): number | undefined {
+    return this.completionObjectives.get(spec.jobClass)?.[0];
   }
 
-  /** A job has been accepted: what counts as large in its class depends on it. */
-  learn(spec: JobSpec): void {
+  /** Adds a job to the sizes that determine which jobs count as large in its class. */
+  recordSize(spec: JobSpec): void {
     this.sizes.learn(spec);
   }
 
   /**
-   * Sorts the jobs that have tasks to release by priority and key, and gives each its key. `jobs` are those of any
-   * teams that are neither done nor cancelled.
+   * Returns the jobs with open tasks, sorted by priority and sort key. `jobs` are unfinished jobs of any
+   * teams; those without open tasks count toward the share of large jobs.
    */
   sort<J extends QueuedJob>(
     jobs: readonly J[],
@@ -111,10 +122,10 @@
     const queues = new Map<string, J[]>();
     for (const job of jobs) {
       const { team, priority, kind } = job.spec;
-      const name = `${priority}|${kind === 'service'}|${team}`;
-      const queue = queues.get(name);
+      const queueId = `${priority}|${kind === 'service'}|${team}`;
+      const queue = queues.get(queueId);
       if (queue) queue.push(job);
-      else queues.set(name, [job]);
+      else queues.set(queueId, [job]);
     }
     const sorted = [...queues.values()].flatMap((queue) =>
       this.sortQueue(queue, wallMs, loadOf(queue[0]?.spec.team ?? '')),
@@ -128,38 +139,44 @@
     );
   }
 
-  /** Jobs of one team and priority. */
+  /** Orders the jobs of one queue; an overloaded queue is ranked by response ratio. */
   private sortQueue<J extends QueuedJob>(
     queue: J[],
     wallMs: number,
     load: TeamLoad,
   ): { job: J; key: QueueKey }[] {
     const waiting = queue.filter((job) => openTasks(job) > 0);
-    const keyed = waiting.map((job) => ({ job, key: this.key(job, wallMs, load) }));
-    if (!waiting.some((job) => isStarved(job, wallMs, load))) return keyed;
-    // The turns of this queue among those of other teams stay as they are; which of its jobs takes which changes.
-    const turns = keyed
+    const keyed = waiting.map((job) => ({ job, key: this.keyOf(job, wallMs, load) }));
+    if (!waiting.some((job) => indicatesOverload(job, wallMs, load))) return keyed;
+    // The set of keys stays the same, so that the queue neither gains nor loses against queues of other
+    // teams: only the assignment of the keys to its jobs changes.
+    const sortedKeys = keyed
       .map(({ key }) => key)
       .sort((a, b) => a.missedObjectives - b.missedObjectives || a.position - b.position);
     const ranked = this.byResponseRatio(waiting, {
-      largeHaveTheirShare: this.largeHaveTheirShare(queue),
+      isLargeJobShareReached: this.isLargeJobShareReached(queue),
       wallMs,
       load,
     });
-    return turns.flatMap((key, turn) => {
-      const job = ranked[turn];
+    return sortedKeys.flatMap((key, index) => {
+      const job = ranked[index];
       return job ? [{ job, key }] : [];
     });
   }
 
+  /** Ranks jobs by tier, then by response ratio, highest first. */
   private byResponseRatio<J extends QueuedJob>(
     waiting: J[],
-    { largeHaveTheirShare, wallMs, load }: { largeHaveTheirShare: boolean; wallMs: number; load: TeamLoad },
+    {
+      isLargeJobShareReached,
+      wallMs,
+      load,
+    }: { isLargeJobShareReached: boolean; wallMs: number; load: TeamLoad },
   ): J[] {
     const ranked = waiting.map((job) => {
-      const inTime = canBeginInTime(job, wallMs, load);
-      const goesFirst = inTime && !largeHaveTheirShare && this.isLargeAndDue(job.spec, wallMs);
-      return { job, tier: goesFirst ? 0 : inTime ? 1 : 2, ratio: responseRatio(job, wallMs, load) };
+      const startsInTime = canFullyStartInTime(job, wallMs, load);
+      const goesFirst = startsInTime && !isLargeJobShareReached && this.isLargeAndDue(job.spec, wallMs);
+      return { job, tier: goesFirst ? 0 : startsInTime ? 1 : 2, ratio: responseRatio(job, wallMs, load) };
     });
     ranked.sort(
       (one, other) =>
@@ -173,80 +190,87 @@
   private isLargeAndDue(spec: JobSpec, wallMs: number): boolean {
     return (
       this.sizes.isLarge(spec) &&
-      (spec.kind !== 'gang' || waitSeconds(spec, wallMs) >= LARGE_GANG_AFTER_SECONDS)
+      (spec.kind !== 'gang' || waitSeconds(spec, wallMs) >= LARGE_GANG_MIN_WAIT_SECONDS)
     );
   }
 
-  private largeHaveTheirShare(queue: readonly QueuedJob[]): boolean {
+  private isLargeJobShareReached(queue: readonly QueuedJob[]): boolean {
     let running = 0;
     let large = 0;
     for (const { spec, placedTasks } of queue) {
       running += placedTasks;
       if (this.sizes.isLarge(spec)) large += placedTasks;
     }
-    return large >= LARGE_JOBS_SHARE * running && large > 0;
+    return large >= LARGE_JOBS_MAX_SHARE * running && large > 0;
   }
 
-  private key(job: QueuedJob, wallMs: number, load: TeamLoad): QueueKey {
-    return { missedObjectives: this.missedObjectives(job, wallMs), position: position(job, wallMs, load) };
+  private keyOf(job: QueuedJob, wallMs: number, load: TeamLoad): QueueKey {
+    return { missedObjectives: this.missedObjectives(job, wallMs), position: positionOf(job, wallMs, load) };
   }
 
   private missedObjectives(job: QueuedJob, wallMs: number): number {
     const { spec } = job;
-    if (hasWaitedLong(job, wallMs)) return 0;
+    if (isAged(job, wallMs)) return 0;
     if (spec.deadlineSeconds !== null)
       return wallMs + spec.estimatedRunSeconds * 1000 <= spec.acceptedAtMs + spec.deadlineSeconds * 1000
         ? 0
         : 1;
-    const objectives = this.finishObjectives.get(spec.jobClass);
+    const objectives = this.completionObjectives.get(spec.jobClass);
     if (!objectives || spec.kind === 'service') return 0;
     const ageSeconds = (wallMs - spec.acceptedAtMs) / 1000;
-    if (ageSeconds > (objectives.at(-1) ?? 0) * OVERDUE_FACTOR) return 0;
-    const next = objectives.findIndex((seconds) => ageSeconds + spec.estimatedRunSeconds <= seconds);
-    return next < 0 ? objectives.length : next;
+    if (ageSeconds > (objectives.at(-1) ?? 0) * OBJECTIVE_EXPIRY_FACTOR) return 0;
+    const firstReachable = objectives.findIndex(
+      (seconds) => ageSeconds + spec.estimatedRunSeconds <= seconds,
+    );
+    return firstReachable < 0 ? objectives.length : firstReachable;
   }
 }
 
-function position(job: QueuedJob, wallMs: number, load: TeamLoad): number {
+function positionOf(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
   if (spec.kind === 'service') return spec.acceptedAtMs;
-  // Before all that may still be moved back, in the order of acceptance.
-  if (hasWaitedLong(job, wallMs)) return spec.acceptedAtMs - LONG_WAIT_HEAD_START_MS;
-  const parallel = parallelTasks(spec, load);
-  const backMs = (2000 * spec.estimatedRunSeconds * (spec.taskCount - job.finishedTasks)) / parallel;
-  // What must start first to be in time goes first: long tasks before short ones of the same age.
-  const forwardMs = ESTIMATE_MARGIN * spec.estimatedRunSeconds * 1000;
-  return spec.acceptedAtMs + Math.min(MAX_SHIFT_MS, backMs) - Math.min(MAX_SHIFT_MS, forwardMs);
+  // Aged jobs precede all jobs that may still be delayed, in the order of acceptance.
+  if (isAged(job, wallMs)) return spec.acceptedAtMs - AGED_JOB_ADVANCE_MS;
+  const parallel = estimateParallelTasks(spec, load);
+  const delayMs = (2000 * spec.estimatedRunSeconds * (spec.taskCount - job.finishedTasks)) / parallel;
+  // A job with long tasks must start earlier to finish in time than one of the same age with short tasks.
+  const advanceMs = ESTIMATE_SAFETY_FACTOR * spec.estimatedRunSeconds * 1000;
+  return spec.acceptedAtMs + Math.min(MAX_SHIFT_MS, delayMs) - Math.min(MAX_SHIFT_MS, advanceMs);
 }
 
-/** Tasks that run beside one another. Before any gang runs, the quota of its team tells how many will. */
-function parallelTasks(spec: JobSpec, load: TeamLoad): number {
-  const atQuota = spec.kind === 'gang' ? load.tasksAtQuota(spec) : 0;
-  return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(atQuota) ? atQuota : 0);
+/**
+ * Estimates how many tasks the team runs in parallel; before any gang runs, its quota tells how many will.
+ */
+function estimateParallelTasks(spec: JobSpec, load: TeamLoad): number {
+  const quotaTasks = spec.kind === 'gang' ? load.tasksAtQuota(spec) : 0;
+  return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(quotaTasks) ? quotaTasks : 0);
 }
 
 function openTasks(job: QueuedJob): number {
   return job.spec.taskCount - job.finishedTasks - job.placedTasks;
 }
 
-function hasWaitedLong(job: QueuedJob, wallMs: number): boolean {
-  return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > MAX_WAIT_MS && openTasks(job) > 0;
+function isAged(job: QueuedJob, wallMs: number): boolean {
+  return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS && openTasks(job) > 0;
 }
 
-/** Jobs that fail wherever they run wait for their users, not for room. */
-function isStarved(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
+/**
+ * Whether the wait of this job shows that its queue is overloaded. Failing jobs do not count: they need a fix
+ * by their users, not capacity.
+ */
+function indicatesOverload(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
   if (job.spec.kind === 'service' || job.failures > 0) return false;
-  return wallMs - job.spec.acceptedAtMs > OVERLOADED_AFTER_MS && tasksToBegin(job, load) > 0;
+  return wallMs - job.spec.acceptedAtMs > OVERLOADED_AFTER_MS && tasksToFullStart(job, load) > 0;
 }
 
-/** Tasks that must begin until all have, or as many as the quota of the team admits at a time: begun in full. */
-function tasksToBegin(job: QueuedJob, load: TeamLoad): number {
-  const inFull = Math.min(job.spec.taskCount, load.maxParallel(job.spec));
-  return Math.max(0, inFull - job.finishedTasks - job.placedTasks);
+/** Tasks still to be placed until the job is fully started; see `ReleaseQueue`. */
+function tasksToFullStart(job: QueuedJob, load: TeamLoad): number {
+  const fullStartTasks = Math.min(job.spec.taskCount, load.maxParallelTasks(job.spec));
+  return Math.max(0, fullStartTasks - job.finishedTasks - job.placedTasks);
 }
 
-/** Time that some tasks of a job take in the places that the team has now. */
-function workSeconds(spec: JobSpec, tasks: number, load: TeamLoad): number {
+/** Estimates how long this many tasks of a job take at the team's present parallelism. */
+function estimateWorkSeconds(spec: JobSpec, tasks: number, load: TeamLoad): number {
   const parallel = Math.max(MIN_PARALLEL_TASKS, load.runningTasks);
   return Math.max(MIN_WORK_SECONDS, (tasks * spec.estimatedRunSeconds) / parallel);
 }
@@ -255,16 +279,20 @@
   return Math.max(0, (wallMs - spec.acceptedAtMs) / 1000);
 }
 
-function canBeginInTime(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
-  const toBegin = tasksToBegin(job, load);
-  const beginSeconds = workSeconds(job.spec, toBegin, load);
-  return toBegin > 0 && waitSeconds(job.spec, wallMs) + beginSeconds <= BEGIN_WITHIN_SECONDS;
+function canFullyStartInTime(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
+  const tasksToStart = tasksToFullStart(job, load);
+  const startSeconds = estimateWorkSeconds(job.spec, tasksToStart, load);
+  return tasksToStart > 0 && waitSeconds(job.spec, wallMs) + startSeconds <= FULL_START_TARGET_SECONDS;
 }
 
-/** (wait + work) / work. */
+/** The response ratio of a job: (wait + work) / work. */
 function responseRatio(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
-  const toBegin = tasksToBegin(job, load);
-  const work = workSeconds(spec, toBegin > 0 ? toBegin : spec.taskCount * BEGUN_WORK_FACTOR, load);
-  return (waitSeconds(spec, wallMs) + work) / work;
+  const tasksToStart = tasksToFullStart(job, load);
+  const workSeconds = estimateWorkSeconds(
+    spec,
+    tasksToStart > 0 ? tasksToStart : spec.taskCount * FULLY_STARTED_WORK_FACTOR,
+    load,
+  );
+  return (waitSeconds(spec, wallMs) + workSeconds) / workSeconds;
 }
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -1,4 +1,4 @@
-/** What a shard owner asks the leader for. */
+/** Builds the resource requests that a shard owner sends to the leader. */
 
 import type { JobSpec } from '../model/job.js';
 import type { ResourceRequest } from '../model/placement.js';
@@ -7,28 +7,32 @@
 import { TeamBudget } from './team-budget.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Tasks left of a job up to which they are listed one by one. */
+/** The remaining tasks of a job are listed individually if there are no more than this. */
 const MAX_REMAINING_TASKS_LISTED = 16;
-/** Failures of a job in a row from which it is tried with one task at a time. */
-const FAILURES_TO_THROTTLE = 3;
+/** A job with this many failures since a task last finished runs only one task at a time. */
+const THROTTLE_AFTER_FAILURES = 3;
 
-/** What the requests follow from. */
+/** The jobs, teams and limits that requests are built from. */
 export interface RequestListInput {
   jobs: Iterable<OwnedJob>;
-  /** Teams whose jobs have been read. */
+  /** Teams whose shards are loaded. */
   teams: Iterable<string>;
   releaseQueue: ReleaseQueue;
   usage: TeamUsage;
-  /** Most tasks of one job asked for at a time: the pace of a large fan-out. */
+  /** The most tasks that one request asks for, which limits the pace of a large fan-out. */
   maxTasksPerRequest: number;
-  /** Steady milliseconds, and the time of day in milliseconds. */
+  /** Monotonic time. */
   nowMs: number;
+  /** Wall-clock time. */
   wallMs: number;
-  /** The newest grant taken in from the present leader. */
+  /** The newest grant of the current leader that has been processed. */
   lastProcessedGrantId: number;
 }
 
-/** What the jobs of an owner would start now if they had room, in the order of release and within the teams' quotas. */
+/**
+ * Requests what the jobs of an owner would start now if there were capacity, in release order and within the
+ * quotas of their teams.
+ */
 export function listRequests(input: RequestListInput): ResourceRequest[] {
   const { releaseQueue, usage, nowMs } = input;
   const queued = [...input.jobs]
@@ -48,24 +52,27 @@
     if (budget) budgets.set(team, budget);
   }
   const requests: ResourceRequest[] = [];
-  for (const { job, key } of releaseQueue.sort(queued, input.wallMs, (team) => usage.load(team))) {
+  for (const { job, key } of releaseQueue.sort(queued, input.wallMs, (team) => usage.loadOf(team))) {
     const budget = budgets.get(job.spec.team);
     if (!budget || job.owned.holdUntil > nowMs) continue;
     const tasks = tasksToRequest(job.owned, budget.tasksThatFit(job.spec), input.maxTasksPerRequest);
     if (tasks > 0) {
-      budget.take(job.spec, tasks);
+      budget.consume(job.spec, tasks);
       requests.push(makeRequest(job.owned, { key, taskCount: tasks }, input));
-    } else budget.reserve(job, input.wallMs);
+    } else budget.reserveForGang(job, input.wallMs);
   }
   return requests;
 }
 
-function tasksToRequest(job: OwnedJob, fitting: number, maxTasks: number): number {
+/** How many tasks to request for a job; 0: none. A gang requests all of its tasks or none. */
+function tasksToRequest(job: OwnedJob, fittingTasks: number, maxTasks: number): number {
   const { spec } = job;
   const openTasks = spec.taskCount - job.counter.count - job.placements.size;
-  if (spec.kind === 'gang') return job.placements.size > 0 || fitting < spec.taskCount ? 0 : openTasks;
-  const paced = Math.min(openTasks, fitting, maxTasks);
-  return job.failures >= FAILURES_TO_THROTTLE ? Math.min(paced, Math.max(0, 1 - job.placements.size)) : paced;
+  if (spec.kind === 'gang') return job.placements.size > 0 || fittingTasks < spec.taskCount ? 0 : openTasks;
+  const requestableTasks = Math.min(openTasks, fittingTasks, maxTasks);
+  return job.failures >= THROTTLE_AFTER_FAILURES
+    ? Math.min(requestableTasks, Math.max(0, 1 - job.placements.size))
+    : requestableTasks;
 }
 
 function makeRequest(
@@ -94,7 +101,7 @@
     spotAllowed: spec.spotAllowed,
     ...zoneConstraints(job),
     zoneAffinity: spec.zoneAffinity,
-    avoidedMachines: machinesToAvoid(job, input.nowMs),
+    avoidedMachines: listAvoidedMachines(job, input.nowMs),
     ...remainingTasks(job),
     preferredMachine: job.preferredMachine,
     maxWaitSeconds: null,
@@ -103,13 +110,14 @@
   };
 }
 
+/** The zones that the job's next tasks may use, given its present placements. */
 function zoneConstraints(
   job: OwnedJob,
 ): Pick<ResourceRequest, 'zone' | 'zoneAllowance' | 'defaultZoneAllowance'> {
   const { spec } = job;
   const defaultZoneAllowance = Math.ceil(spec.taskCount / 2);
   let zone = spec.zone;
-  // One task alone is spread anywhere, and must not count among those that need a second zone.
+  // A single task meets the spreading rule in any zone, and must not count as a job that needs a second zone.
   const zoneAllowance: Record<string, number> | null =
     spec.zoneAntiAffinity && spec.taskCount > 1 ? {} : null;
   for (const placement of job.placements.values()) {
@@ -120,7 +128,10 @@
   return { zone, zoneAllowance, defaultZoneAllowance };
 }
 
-/** See `ResourceRequest.remainingTasks`: a task that never had an attempt is listed nowhere. */
+/**
+ * Lists the remaining tasks if there are few and one of them has had an attempt: no machine can list an ended
+ * attempt of a task that never had one. See `ResourceRequest.remainingTasks`.
+ */
 function remainingTasks(job: OwnedJob): Pick<ResourceRequest, 'remainingTasks'> {
   const { spec, counter, placements, attempts, fanOut } = job;
   const openTasks = spec.taskCount - counter.count - placements.size;
@@ -129,7 +140,8 @@
   return remaining.some((task) => attempts.has(task)) ? { remainingTasks: remaining } : {};
 }
 
-function machinesToAvoid(job: OwnedJob, nowMs: number): string[] {
+/** The machines that the job avoids now; deletes expired entries. */
+function listAvoidedMachines(job: OwnedJob, nowMs: number): string[] {
   const machines: string[] = [];
   for (const [machine, until] of job.avoidedMachines) {
     if (until > nowMs) machines.push(machine);
@@ -138,14 +150,17 @@
   return machines;
 }
 
-/** Its objective or deadline, and what is left until then. */
+/**
+ * The job's deadline, or else its shortest completion objective, and the time left until then; both null if
+ * there is none or the time has passed.
+ */
 function objectiveSlack(
   spec: JobSpec,
   input: RequestListInput,
 ): Pick<ResourceRequest, 'objectiveSeconds' | 'slackSeconds'> {
   const objectiveSeconds =
     spec.deadlineSeconds ??
-    (spec.kind === 'service' ? undefined : input.releaseQueue.firstObjectiveSeconds(spec));
+    (spec.kind === 'service' ? undefined : input.releaseQueue.shortestObjectiveSeconds(spec));
   if (objectiveSeconds === undefined) return { objectiveSeconds: null, slackSeconds: null };
   const slackSeconds = objectiveSeconds - (input.wallMs - spec.acceptedAtMs) / 1000;
   return slackSeconds > 0
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -161,7 +161,7 @@
         this.resync();
         break;
       case 'grants':
-        this.grants.take(message.grants);
+        this.grants.processGrants(message.grants);
         break;
       case 'allocationEvents':
         for (const event of message.events) this.allocationEvents.handle(event);
@@ -182,7 +182,7 @@
     this.loader.loadShards();
     this.transactions.write();
     this.updates.send();
-    this.usageLog.update(this.shards.teams, this.jobs.values());
+    this.usageLog.logIfDue(this.shards.teams, this.jobs.values());
   }
 
   private onShardReleased(team: string): void {
@@ -206,7 +206,7 @@
       wakeTimer,
       openJobsFreshAsOf: () => this.options.openJobsFreshAsOf(),
       listRequests: (lastProcessedGrantId) => this.listRequests(lastProcessedGrantId),
-      returnUnsentPlacements: () => this.grants.returnUnsentPlacements(),
+      discardUnsentPlacements: () => this.grants.discardUnsentPlacements(),
       send: (message) => this.options.send(message),
     });
   }
--- a/src/shard/team-budget.ts
+++ b/src/shard/team-budget.ts
@@ -1,98 +1,109 @@
-/** What a team may still start, with room kept for gangs that have waited long. */
+/** The quota that a team's jobs may still request, with reservations for gangs that have waited long. */
 
 import type { JobSpec, Priority } from '../model/job.js';
 import type { QueuedJob } from './release-queue.js';
-import { type Amounts, type TeamUsage, tasksWithin } from './team-usage.js';
+import { countFittingTasks, type QuotaAmounts, type TeamUsage } from './team-usage.js';
 
 /**
- * Time after which a gang that does not fit into what its team may still use keeps the jobs behind it from taking that.
- * Smaller jobs would use up all that comes free, and a large gang would never begin.
+ * Age from which a gang that does not fit into its team's remaining quota reserves quota against the jobs
+ * behind it. Without a reservation, smaller jobs would use up all quota that becomes free, and a large gang
+ * would never start.
  */
 const RESERVE_AFTER_MS = 90_000;
 
-/** Share of a team's quota that work of lower priority may use although a gang waits: it must not starve either. */
+/** Share of a team's quota that lower-priority jobs may use while a gang waits: they must not starve. */
 const LOWER_PRIORITY_SHARE = 0.25;
 
+/** Quota reserved for waiting gangs of one priority. */
 interface Reservation {
   priority: Priority;
-  amounts: Amounts;
-  /** What work of lower priority may still take. */
-  lowerPriority: Amounts;
+  /** Total demand of these gangs. */
+  amounts: QuotaAmounts;
+  /** The quota that jobs of lower priority may still request. */
+  lowerPriorityAllowance: QuotaAmounts;
 }
 
-/** A team as its budget begins. */
-interface TeamState {
+/** The team of a budget, and the state that the budget works on. */
+interface TeamBudgetState {
   name: string;
-  /** What it may still take; what is asked for is subtracted. */
-  left: Amounts;
+  /** The remaining quota, less what has been requested under this budget. */
+  remaining: QuotaAmounts;
   usage: TeamUsage;
-  /** All its unfinished jobs. */
+  /** All unfinished jobs of the team. */
   jobs: readonly QueuedJob[];
 }
 
-/** What one team may still start within its quota, in the order of release, with reservations for gangs that wait. */
+/**
+ * The remaining quota of one team while its jobs are visited in release order. Each job consumes quota for
+ * the tasks that it requests; a gang that has waited long and does not fit reserves quota instead.
+ */
 export class TeamBudget {
   private reservation: Reservation | null = null;
 
-  private constructor(private readonly team: TeamState) {}
+  private constructor(private readonly team: TeamBudgetState) {}
 
-  /** Null: there is no such team. `jobs` are all its unfinished jobs. */
+  /** `jobs`: all unfinished jobs of the team. Returns null if there is no such team. */
   static forTeam(team: string, usage: TeamUsage, jobs: readonly QueuedJob[]): TeamBudget | null {
-    const left = usage.remaining(team);
-    return left && new TeamBudget({ name: team, left, usage, jobs });
+    const remaining = usage.remainingOf(team);
+    return remaining && new TeamBudget({ name: team, remaining, usage, jobs });
   }
 
-  /** Tasks of this job that fit now. */
+  /** How many tasks of this job the budget admits. */
   tasksThatFit(spec: JobSpec): number {
     const { reservation } = this;
-    const { left } = this.team;
-    if (!reservation) return tasksWithin(left, spec);
+    const { remaining } = this.team;
+    if (!reservation) return countFittingTasks(remaining, spec);
     if (spec.priority > reservation.priority)
-      return tasksWithin(least(left, reservation.lowerPriority), spec);
-    return tasksWithin(minus(left, reservation.amounts), spec);
+      return countFittingTasks(minimum(remaining, reservation.lowerPriorityAllowance), spec);
+    return countFittingTasks(difference(remaining, reservation.amounts), spec);
   }
 
-  /** Some tasks of a job are asked for: what they need is no longer left to the jobs behind it. */
-  take(spec: JobSpec, tasks: number): void {
-    subtract(this.team.left, spec, tasks);
+  /** Subtracts requested tasks of a job, so that their quota is not available to the jobs behind it. */
+  consume(spec: JobSpec, tasks: number): void {
+    subtractTasks(this.team.remaining, spec, tasks);
     if (this.reservation && spec.priority > this.reservation.priority)
-      subtract(this.reservation.lowerPriority, spec, tasks);
+      subtractTasks(this.reservation.lowerPriorityAllowance, spec, tasks);
   }
 
-  /** Keeps room free for a gang that has waited: from now on for jobs of its priority, and in part for lower ones. */
-  reserve(job: QueuedJob, wallMs: number): void {
+  /**
+   * Reserves quota for a gang that has waited long, unless it exceeds the whole quota of its team. Later jobs
+   * of the same priority can use only what is not reserved, later jobs of lower priority only their
+   * allowance. Only gangs of one priority reserve: that of the first gang that does.
+   */
+  reserveForGang(job: QueuedJob, wallMs: number): void {
     const { spec, placedTasks } = job;
     if (spec.kind !== 'gang' || placedTasks > 0 || wallMs - spec.acceptedAtMs < RESERVE_AFTER_MS) return;
     const { usage, name } = this.team;
-    if (usage.load(name).maxParallel(spec) < spec.taskCount) return;
+    if (usage.loadOf(name).maxParallelTasks(spec) < spec.taskCount) return;
     this.reservation ??= {
       priority: spec.priority,
       amounts: { cpus: 0, gpus: 0 },
-      lowerPriority: this.lowerAllowance(spec.priority),
+      lowerPriorityAllowance: this.initialLowerPriorityAllowance(spec.priority),
     };
     if (this.reservation.priority === spec.priority)
-      subtract(this.reservation.amounts, spec, -spec.taskCount);
+      subtractTasks(this.reservation.amounts, spec, -spec.taskCount);
   }
 
-  private lowerAllowance(priority: Priority): Amounts {
+  /** The share of the quota for jobs of lower priority, less what their placed tasks already use. */
+  private initialLowerPriorityAllowance(priority: Priority): QuotaAmounts {
     const { usage, name, jobs } = this.team;
     const quota = usage.quotaOf(name);
     const allowance = { cpus: quota.cpus * LOWER_PRIORITY_SHARE, gpus: quota.gpus * LOWER_PRIORITY_SHARE };
     for (const { spec, placedTasks } of jobs)
-      if (spec.priority > priority) subtract(allowance, spec, placedTasks);
+      if (spec.priority > priority) subtractTasks(allowance, spec, placedTasks);
     return allowance;
   }
 }
 
-function subtract(from: Amounts, spec: JobSpec, tasks: number): void {
+function subtractTasks(from: QuotaAmounts, spec: JobSpec, tasks: number): void {
   from.cpus -= tasks * spec.cpus;
   from.gpus -= tasks * spec.gpus;
 }
 
-function minus(from: Amounts, taken: Amounts): Amounts {
+function difference(from: QuotaAmounts, taken: QuotaAmounts): QuotaAmounts {
   return { cpus: from.cpus - taken.cpus, gpus: from.gpus - taken.gpus };
 }
 
-function least(one: Amounts, other: Amounts): Amounts {
+function minimum(one: QuotaAmounts, other: QuotaAmounts): QuotaAmounts {
   return { cpus: Math.min(one.cpus, other.cpus), gpus: Math.min(one.gpus, other.gpus) };
 }
--- a/src/shard/team-usage.ts
+++ b/src/shard/team-usage.ts
@@ -1,38 +1,40 @@
-/** What each team uses of its quota. */
+/** Tracks how much of its quota each team uses. */
 
 import type { JobSpec } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { TeamLoad } from './release-queue.js';
 
-/** Sums of decimal amounts are compared with this tolerance. */
+/** Tolerance of comparisons between sums of decimal amounts. */
 const EPSILON = 1e-9;
 
+/** Resources used by the placements of one team. */
 interface Usage {
   cpus: number;
   gpus: number;
-  /** Tasks of arrays and gangs. */
+  /** Placed tasks of arrays and gangs. */
   batchTasks: number;
 }
 
-/** CPUs and GPUs. */
-export interface Amounts {
+/** Amounts of the resources that a quota limits: CPUs and GPUs. */
+export interface QuotaAmounts {
   cpus: number;
   gpus: number;
 }
 
 /**
- * Why the count of a team changes. `granted`: a place was taken, to be stored. `loaded`: found in the stored records. `exited`: its
- * worker lists it so. `lost`: finalized without that. `returned`: never sent to the key-value store. `released`: its job is loaded
- * again, archived or no longer this owner's.
+ * Why a team's usage changes. `granted`: a task was placed on a grant. `loaded`: the placement was found in
+ * the stored records. `exited`: the worker reports that the task has exited. `lost`: the placement was
+ * finalized without such a report. `returned`: the placement was removed before it was sent to the key-value
+ * store. `released`: the job is loaded again, archived or no longer owned here.
  */
 export type UsageCause = 'granted' | 'loaded' | 'exited' | 'lost' | 'returned' | 'released';
 
-/** Tasks added and removed by cause. */
+/** Number of tasks added or removed, by cause. */
 export type UsageChanges = Partial<Record<UsageCause, number>>;
 
 /**
- * What the placements of each team take of its quota until they are finalized. Only the owner of a team's shard can store
- * placements of it.
+ * Counts what the placements of each team use until they are finalized. Only the owner of a team's shard can
+ * store placements of its jobs, so it need not count those of other controllers.
  */
 export class TeamUsage {
   private readonly used = new Map<string, Usage>();
@@ -40,21 +42,21 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** Placements of a job that count from now on. */
+  /** Adds placed tasks of a job. */
   add(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     if (tasks === 0) return;
-    this.change(spec, tasks);
+    this.adjust(spec, tasks);
     const changes = this.changes.get(spec.team) ?? {};
     changes[cause] = (changes[cause] ?? 0) + Math.abs(tasks);
     this.changes.set(spec.team, changes);
   }
 
-  /** Placements of a job that no longer count. */
+  /** Removes placed tasks of a job. */
   remove(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     this.add(spec, cause, -tasks);
   }
 
-  private change(spec: JobSpec, tasks: number): void {
+  private adjust(spec: JobSpec, tasks: number): void {
     const usage = this.usageOf(spec.team);
     usage.cpus += tasks * spec.cpus;
     usage.gpus += tasks * spec.gpus;
@@ -62,57 +64,57 @@
     this.used.set(spec.team, usage);
   }
 
-  /** A team's quota: infinite without one. */
-  quotaOf(team: string): Amounts {
-    const quota = this.teams.get(team);
+  /** A team's quota; infinite amounts where it has none. */
+  quotaOf(team: string): QuotaAmounts {
+    const settings = this.teams.get(team);
     return {
-      cpus: quota && quota.maxCpus > 0 ? quota.maxCpus : Number.POSITIVE_INFINITY,
-      gpus: quota && quota.maxGpus > 0 ? quota.maxGpus : Number.POSITIVE_INFINITY,
+      cpus: settings && settings.maxCpus > 0 ? settings.maxCpus : Number.POSITIVE_INFINITY,
+      gpus: settings && settings.maxGpus > 0 ? settings.maxGpus : Number.POSITIVE_INFINITY,
     };
   }
 
-  /** What a team may still take: infinite without a quota; null: there is no such team. */
-  remaining(team: string): Amounts | null {
+  /** The remaining quota of a team; infinite amounts where it has no quota, null if there is no such team. */
+  remainingOf(team: string): QuotaAmounts | null {
     if (!this.teams.has(team)) return null;
     const quota = this.quotaOf(team);
     const { cpus, gpus } = this.usageOf(team);
     return { cpus: quota.cpus - cpus, gpus: quota.gpus - gpus };
   }
 
-  /** Whether the quota of its team admits one more task of a job. */
+  /** Whether the team's quota admits one more task of the job. */
   admits(spec: JobSpec): boolean {
-    const left = this.remaining(spec.team);
-    return left !== null && tasksWithin(left, spec) >= 1;
+    const remaining = this.remainingOf(spec.team);
+    return remaining !== null && countFittingTasks(remaining, spec) >= 1;
   }
 
   /** Whether a team uses more than its quota. */
-  exceeds(team: string): boolean {
-    const left = this.remaining(team);
-    return left !== null && (left.cpus < -EPSILON || left.gpus < -EPSILON);
+  isOverQuota(team: string): boolean {
+    const remaining = this.remainingOf(team);
+    return remaining !== null && (remaining.cpus < -EPSILON || remaining.gpus < -EPSILON);
   }
 
-  /** What a team uses and may use, for logs; a maximum of null: it has no quota. */
+  /** A team's usage and quota as log fields; a maximum is null if there is no quota. */
   describe(team: string): { cpus: number; maxCpus: number | null; gpus: number; maxGpus: number | null } {
     const { cpus, gpus } = this.usageOf(team);
     const quota = this.quotaOf(team);
-    const finite = (amount: number) => (Number.isFinite(amount) ? amount : null);
-    return { cpus, maxCpus: finite(quota.cpus), gpus, maxGpus: finite(quota.gpus) };
+    const finiteOrNull = (amount: number) => (Number.isFinite(amount) ? amount : null);
+    return { cpus, maxCpus: finiteOrNull(quota.cpus), gpus, maxGpus: finiteOrNull(quota.gpus) };
   }
 
-  /** The changes of each team since the last call. */
+  /** Returns the changes of each team's usage since the last call. */
   takeChanges(): Map<string, UsageChanges> {
-    const taken = this.changes;
+    const changes = this.changes;
     this.changes = new Map();
-    return taken;
+    return changes;
   }
 
-  /** What the release queue looks at. */
-  load(team: string): TeamLoad {
+  /** The team's load as the release queue needs it. */
+  loadOf(team: string): TeamLoad {
     const quota = this.quotaOf(team);
     return {
       runningTasks: this.usageOf(team).batchTasks,
-      maxParallel: (spec) => Math.min(spec.taskCount, tasksWithin(quota, spec)),
-      tasksAtQuota: (spec) => tasksWithin(quota, spec),
+      maxParallelTasks: (spec) => Math.min(spec.taskCount, countFittingTasks(quota, spec)),
+      tasksAtQuota: (spec) => countFittingTasks(quota, spec),
     };
   }
 
@@ -121,10 +123,10 @@
   }
 }
 
-/** Tasks of a job that fit into these amounts. */
-export function tasksWithin(left: Amounts, spec: JobSpec): number {
+/** How many tasks of a job fit into the available amounts. */
+export function countFittingTasks(available: QuotaAmounts, spec: JobSpec): number {
   let tasks = Number.POSITIVE_INFINITY;
-  if (spec.cpus > 0) tasks = Math.min(tasks, Math.floor(left.cpus / spec.cpus + EPSILON));
-  if (spec.gpus > 0) tasks = Math.min(tasks, Math.floor(left.gpus / spec.gpus + EPSILON));
+  if (spec.cpus > 0) tasks = Math.min(tasks, Math.floor(available.cpus / spec.cpus + EPSILON));
+  if (spec.gpus > 0) tasks = Math.min(tasks, Math.floor(available.gpus / spec.gpus + EPSILON));
   return tasks;
 }
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -1,4 +1,4 @@
-/** Logs what the use of each team is made of. */
+/** Logs the usage of each team and its causes. */
 
 import type { Clock } from '../model/clock.js';
 import type { Logger } from '../model/logger.js';
@@ -7,37 +7,39 @@
 import type { OwnedShard } from './owned-shards.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Time between two summaries of a team's use. */
+/** Time between two summaries of all teams' usage. */
 const SUMMARY_INTERVAL_MS = 30_000;
-/** Changes of a team's use are logged together, at least so far apart. */
+/** Changes of usage are collected and logged at most once in this time. */
 const CHANGES_INTERVAL_MS = 250;
-/** Most jobs named in a line. */
+/** The most jobs named in one log line. */
 const MAX_JOBS_NAMED = 8;
 
-/** Each change by its cause (debug), a regular summary (info), and indeterminate writes (info, at a limited rate). */
+/** Logs changes by cause (debug), a regular summary (info), and indeterminate writes (info, rate-limited). */
 export class UsageLog {
-  private readonly limited: RateLimitedLog;
-  private summaryAt = Number.NEGATIVE_INFINITY;
-  private changesAt = Number.NEGATIVE_INFINITY;
+  private readonly rateLimitedLog: RateLimitedLog;
+  private lastSummaryAt = Number.NEGATIVE_INFINITY;
+  private lastChangesAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly usage: TeamUsage,
     private readonly clock: Clock,
     private readonly log: Logger,
   ) {
-    this.limited = new RateLimitedLog(log, clock);
+    this.rateLimitedLog = new RateLimitedLog(log, clock);
   }
 
-  /** Called after each batch of commands. */
-  update(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
+  /** Logs changes and the summary when they are due; called after each batch of commands. */
+  logIfDue(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
     const now = this.clock.now();
-    if (now - this.changesAt >= CHANGES_INTERVAL_MS) {
-      this.changesAt = now;
+    if (now - this.lastChangesAt >= CHANGES_INTERVAL_MS) {
+      this.lastChangesAt = now;
       this.logChanges();
     }
-    if (now - this.summaryAt < SUMMARY_INTERVAL_MS) return;
-    this.summaryAt = now;
-    const reloading = countBy([...jobs].filter((job) => job.isReloading).map((job) => job.spec.team));
+    if (now - this.lastSummaryAt < SUMMARY_INTERVAL_MS) return;
+    this.lastSummaryAt = now;
+    const reloading = countOccurrences(
+      [...jobs].filter((job) => job.isReloading).map((job) => job.spec.team),
+    );
     for (const team of teams)
       this.log.info(
         { team, ...this.usage.describe(team), reloadingJobs: reloading.get(team) ?? 0 },
@@ -45,34 +47,40 @@
       );
   }
 
-  /** A transaction without an answer: what it places counts until its outcome is known. */
+  /** Logs a transaction of unknown outcome: its placements count toward usage until the outcome is known. */
   logIndeterminateWrite(jobs: readonly OwnedJob[], fenceRevision: number): void {
     const unstored = jobs.flatMap((job) =>
       [...job.placements.values()].filter((placement) => !placement.isStored),
     );
-    this.limited.info({ ...named(jobs), placements: unstored.length, fenceRevision }, 'indeterminate write');
+    this.rateLimitedLog.info(
+      { ...jobFields(jobs), placements: unstored.length, fenceRevision },
+      'indeterminate write',
+    );
   }
 
-  /** What the records say of a job that had an indeterminate write: which of its placements were stored after all. */
-  logResolvedWrite(job: OwnedJob, before: OwnedJob, sinceMs: number): void {
-    const stored = [...before.placements.values()].filter(
+  /** Logs how many placements of an indeterminate write had been stored, by the reloaded records. */
+  logResolvedWrite(job: OwnedJob, previous: OwnedJob, reloadStartedMs: number): void {
+    const stored = [...previous.placements.values()].filter(
       ({ taskIndex, attempt, isStored }) => !isStored && job.placements.get(taskIndex)?.attempt === attempt,
     );
-    const afterMs = Math.round(this.clock.now() - sinceMs);
+    const afterMs = Math.round(this.clock.now() - reloadStartedMs);
     const { id: jobId, team } = job.spec;
     const fields = { jobId, team, storedPlacements: stored.length, afterMs };
-    this.limited.info(fields, 'indeterminate write resolved');
+    this.rateLimitedLog.info(fields, 'indeterminate write resolved');
   }
 
-  /** The jobs of a shard have been read. */
+  /** Logs that the jobs of a shard have been read. */
   logLoadedShard({ team, shardEpoch }: OwnedShard, jobs: number): void {
     this.log.info({ team, jobs, shardEpoch, ...this.usage.describe(team) }, 'shard loaded');
   }
 
-  /** Records that were reloaded may have a task whose end is not stored yet: it counts until its worker lists it so. */
-  checkQuota(team: string): void {
-    if (!this.usage.exceeds(team)) return;
-    this.limited.info({ team, ...this.usage.describe(team) }, 'team over quota');
+  /**
+   * Logs a team that uses more than its quota. This can happen after records are reloaded: they may still
+   * contain a task whose exit is not stored, which counts until its worker reports the exit.
+   */
+  logIfOverQuota(team: string): void {
+    if (!this.usage.isOverQuota(team)) return;
+    this.rateLimitedLog.info({ team, ...this.usage.describe(team) }, 'team over quota');
   }
 
   private logChanges(): void {
@@ -81,12 +89,12 @@
   }
 }
 
-function named(jobs: readonly OwnedJob[]): { jobs: string[]; jobCount: number } {
+function jobFields(jobs: readonly OwnedJob[]): { jobs: string[]; jobCount: number } {
   return { jobs: jobs.slice(0, MAX_JOBS_NAMED).map((job) => job.spec.id), jobCount: jobs.length };
 }
 
-function countBy(names: readonly string[]): Map<string, number> {
+function countOccurrences(values: readonly string[]): Map<string, number> {
   const counts = new Map<string, number>();
-  for (const name of names) counts.set(name, (counts.get(name) ?? 0) + 1);
+  for (const value of values) counts.set(value, (counts.get(value) ?? 0) + 1);
   return counts;
 }
--- a/src/shard/write-outcomes.ts
+++ b/src/shard/write-outcomes.ts
@@ -24,7 +24,7 @@
     const { updates, usage, log } = this.options;
     if (job.cancelled) placement.desiredState = 'stop';
     const { taskIndex, attempt, machine, desiredState, grantId } = placement;
-    updates.placementChanged(placementSpecOf(job, placement, { desiredState, grantId }));
+    updates.queuePlacement(placementSpecOf(job, placement, { desiredState, grantId }));
     const { id: jobId, team } = job.spec;
     const fields = { jobId, taskIndex, attempt, machine, team, grantId, ...usage.describe(team) };
     log.debug(fields, 'placement stored');
@@ -33,7 +33,7 @@
   onOutcomeStored(job: OwnedJob, { placement, isListed }: FinalizedPlacement): void {
     const { updates } = this.options;
     if (isListed) {
-      updates.placementChanged(placementSpecOf(job, placement, { desiredState: 'forget' }));
+      updates.queuePlacement(placementSpecOf(job, placement, { desiredState: 'forget' }));
       return;
     }
     const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
--- a/test/gang-quotas.test.ts
+++ b/test/gang-quotas.test.ts
@@ -37,14 +37,14 @@
   const budget = (wallMs: number) => {
     const of = TeamBudget.forTeam('red', usage, [gang, small, low, running])!;
     expect(of.tasksThatFit(gang.spec)).toBe(5);
-    of.reserve(gang, wallMs);
+    of.reserveForGang(gang, wallMs);
     return of;
   };
   expect(budget(89_000).tasksThatFit(small.spec)).toBe(5);
   const later = budget(91_000);
   expect(later.tasksThatFit(small.spec)).toBeLessThanOrEqual(0);
   expect(later.tasksThatFit(low.spec)).toBe(10);
-  later.take(low.spec, 10);
+  later.consume(low.spec, 10);
   expect(later.tasksThatFit(low.spec)).toBe(0);
 });
 
@@ -52,7 +52,7 @@
   const usage = new TeamUsage(new Map([['red', TEAM]]));
   const gang = queued({ kind: 'gang', taskCount: 11, cpus: 4 });
   const budget = TeamBudget.forTeam('red', usage, [gang])!;
-  budget.reserve(gang, 100_000);
+  budget.reserveForGang(gang, 100_000);
   expect(budget.tasksThatFit(queued({ taskCount: 2, cpus: 4 }).spec)).toBe(10);
 });
 
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -9,7 +9,7 @@
 const simulation = new ClusterSimulation(31);
 const load = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
-  maxParallel: () => limit,
+  maxParallelTasks: () => limit,
   tasksAtQuota: () => limit,
 });
 
@@ -24,7 +24,7 @@
 }
 
 function sortedIds(order: ReleaseQueue, jobs: QueuedJob[], nowS: number, running = 20): string[] {
-  for (const { spec } of jobs) order.learn(spec);
+  for (const { spec } of jobs) order.recordSize(spec);
   return order.sort(jobs, nowS * 1000, () => load(running)).map((entry) => entry.job.spec.id);
 }
 
