--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -24,7 +24,7 @@
   shards: OwnedShards;
   clock: Clock;
   wakeTimer: WakeTimer;
-  /** When the latest read of unfinished jobs was sent whose changes have all been delivered to this owner. */
+  /** Send time of the latest read of unfinished jobs whose changes have been delivered to this owner. */
   openJobsFreshAsOf(): number;
   /**
    * Builds the requests of all jobs. `lastProcessedGrantId`: the newest grant that they take into account.
@@ -57,7 +57,7 @@
 
   constructor(private readonly options: LeaderUpdatesOptions) {}
 
-  /** Switches to a new leader, which has no state of this owner yet. */
+  /** Switches to the leader with this higher token, which has no state of this owner yet. */
   setLeader(fencingToken: number): void {
     this.fencingToken = fencingToken;
     this.cancellationProgress.reset();
@@ -81,8 +81,9 @@
    * false and changes nothing if it refers to an earlier sync.
    */
   onSyncAccepted(syncNumber: number | undefined): boolean {
-    // A newer sync is on its way. When the leader applies it, the leader discards all grants that it sent
-    // before and grants their capacity again, so this owner must not use them either.
+    // If the leader accepted an earlier sync, a newer one is on its way. When it applies that one, it
+    // discards all grants that it sent before and grants their capacity again, so they must not be used here
+    // either.
     if (syncNumber !== undefined && syncNumber !== this.syncNumber) return false;
     this.isSynced = true;
     this.haveRequestsChanged = true;
@@ -132,7 +133,7 @@
     }
     if (!this.isSynced) return;
     this.sendPlacements();
-    // After the placements: these include the stops that the coverage vouches for.
+    // Sent after the placements, which include the stops that the coverage refers to.
     this.sendCancellationCoverage();
     this.sendReleases();
     this.sendRequests();
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -187,6 +187,7 @@
     return ranked.map(({ job }) => job);
   }
 
+  /** Whether the job is large for its class and, if it is a gang, has waited long enough to go first. */
   private isLargeAndDue(spec: JobSpec, wallMs: number): boolean {
     return (
       this.sizes.isLarge(spec) &&
@@ -194,6 +195,7 @@
     );
   }
 
+  /** Whether large jobs hold `LARGE_JOBS_MAX_SHARE` or more of the queue's placed tasks. */
   private isLargeJobShareReached(queue: readonly QueuedJob[]): boolean {
     let running = 0;
     let large = 0;
@@ -239,7 +241,7 @@
 }
 
 /**
- * Estimates how many tasks the team runs in parallel; before any gang runs, its quota tells how many will.
+ * Estimates how many tasks the team runs in parallel; before gangs run, the team's quota tells how many will.
  */
 function estimateParallelTasks(spec: JobSpec, load: TeamLoad): number {
   const quotaTasks = spec.kind === 'gang' ? load.tasksAtQuota(spec) : 0;
@@ -250,6 +252,7 @@
   return job.spec.taskCount - job.finishedTasks - job.placedTasks;
 }
 
+/** Whether the job has open tasks and is old enough to precede all younger ones. */
 function isAged(job: QueuedJob, wallMs: number): boolean {
   return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS && openTasks(job) > 0;
 }
