--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -99,7 +99,7 @@
     if (this.archivedJobIds.size > MAX_ARCHIVED_JOB_IDS)
       for (const oldest of [...this.archivedJobIds].slice(0, ARCHIVED_JOB_IDS_DROPPED))
         this.archivedJobIds.delete(oldest);
-    updates.requestsChanged();
+    updates.invalidateRequests();
   }
 
   /** Handles a put of a record of an unfinished job, as reported by a watch or a listing. */
@@ -136,7 +136,7 @@
     if (!stored?.spec || !shards.isLoaded(stored.spec.team)) return;
     this.addStoredJob(stored);
     log.debug({ jobId, taskCount: stored.spec.taskCount, team: stored.spec.team }, 'accepted job added');
-    updates.requestsChanged();
+    updates.invalidateRequests();
     this.options.wake();
   }
 
@@ -156,7 +156,7 @@
     const jobs = [...storedJobs.values()].filter(({ spec }) => spec?.team === team);
     for (const job of jobs) this.addStoredJob(job);
     this.options.usageLog.logLoadedShard(shard, jobs.length);
-    this.options.usageLog.checkQuota(team);
+    this.options.usageLog.logIfOverQuota(team);
   }
 
   /** Adds a job from its stored records, replacing the object for the same job if there is one. */
@@ -174,7 +174,7 @@
     for (const placement of job.placements.values()) if (placement.isRunning) job.runningTasks++;
     job.fanOut.skipCounted((task) => job.counter.has(task));
     jobs.add(job);
-    if (!previous) releaseQueue.learn(spec);
+    if (!previous) releaseQueue.recordSize(spec);
     if (isReadyToArchive(job)) transactions.scheduleWrite(job, 0);
   }
 
@@ -202,7 +202,7 @@
       placementChunks: stored?.placementChunks.size,
     };
     this.options.log.debug({ jobId, found: !!stored?.spec, revisions }, 'job reloaded');
-    this.options.usageLog.checkQuota(team);
+    this.options.usageLog.logIfOverQuota(team);
     this.options.updates.requestFullSync();
     this.options.wake();
   }
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -169,7 +169,7 @@
         this.resync();
         break;
       case 'grants':
-        this.grantIntake.take(message.grants);
+        this.grantIntake.processGrants(message.grants);
         break;
       case 'allocationEvents':
         for (const event of message.events) this.allocationEvents.handle(event);
@@ -190,7 +190,7 @@
     this.loader.loadShards();
     this.transactions.sendDueWrites();
     this.updates.send();
-    this.usageLog.update(this.shards.teams, this.jobs.values());
+    this.usageLog.logIfDue(this.shards.teams, this.jobs.values());
   }
 
   private onShardReleased(team: string): void {
@@ -214,7 +214,7 @@
       wakeTimer,
       openJobsFreshAsOf: () => this.options.openJobsFreshAsOf(),
       listRequests: (lastProcessedGrantId) => this.listRequests(lastProcessedGrantId),
-      returnUnsentPlacements: () => this.grantIntake.returnUnsentPlacements(),
+      discardUnsentPlacements: () => this.grantIntake.discardUnsentPlacements(),
       send: (message) => this.options.send(message),
     });
   }
