--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -200,8 +200,8 @@
       },
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      cancellationsKnown: (now) => coordinator.completeSince(now),
-      reachablePeers: () => this.peers.countInTouch(clock.now()),
+      knownCancellationWindow: (now) => coordinator.completeSince(now),
+      reachablePeerCount: () => this.peers.countInTouch(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -109,7 +109,7 @@
       return false;
     for (const [team, owner] of records.shardOwners()) {
       if (owner.instanceId !== instanceId || !teams.has(team)) continue;
-      if (scheduler.coverageSilenceMs(team, now) <= UNREACHABLE_AFTER_MS) continue;
+      if (scheduler.coverageAgeMs(team, now) <= UNREACHABLE_AFTER_MS) continue;
       log.info({ instanceId, team }, 'shard owner reports no cancellation coverage');
       this.unreachableUntil.set(instanceId, now + UNREACHABLE_PAUSE_MS);
       return true;
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -17,7 +17,7 @@
   /** Its worker has listed it as ended: it is never started again, whatever the worker lists later. */
   hasExited: boolean;
   isFinalized: boolean;
-  lastEventSent: string;
+  lastSentStatusKey: string;
   phaseSince: number;
   /** Since when it runs is known: this leader saw it before it ran, or sent its start. */
   isStartTimeKnown: boolean;
@@ -40,7 +40,7 @@
     reportedStatus: null,
     hasExited: false,
     isFinalized: false,
-    lastEventSent: '',
+    lastSentStatusKey: '',
     phaseSince: now,
     isStartTimeKnown: false,
     evictionRequestedAt: 0,
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -13,15 +13,20 @@
 import { createMachine, type Machine } from './machine.js';
 import type { FreeCapacity } from './placement/free-capacity.js';
 import type { SchedulerOptions } from './scheduler-options.js';
-import { type FleetSums, FleetTotals, isWithinGuarantee, type TeamUsage } from './state/fleet-totals.js';
-import { LeaseRenewal } from './state/lease-renewal.js';
+import {
+  type FleetTaskTotals,
+  FleetTotals,
+  isWithinGuarantee,
+  type ResourceUsage,
+} from './state/fleet-totals.js';
+import { LeaseRenewalGuard } from './state/lease-renewal.js';
 import { MachineCapacities } from './state/machine-capacities.js';
 import { OpenGrants } from './state/open-grants.js';
-import { requestLike } from './state/replica-request.js';
+import { requestFromPlacement } from './state/placement-request.js';
 import { type ShardOwnerRef, ShardOwners } from './state/shard-owners.js';
 
 /** A request with the instance that told it. */
-export interface QueuedRequest {
+export interface OwnerRequest {
   request: ResourceRequest;
   instanceId: string;
 }
@@ -44,7 +49,7 @@
   private readonly grants = new OpenGrants();
   private readonly fleetTotals: FleetTotals;
   private readonly capacities: MachineCapacities;
-  readonly leaseRenewal: LeaseRenewal;
+  readonly leaseRenewal: LeaseRenewalGuard;
   /** Machines to which something may have to be sent. */
   readonly machinesToContact = new Set<Machine>();
   /** Allocations whose owners were asked to stop them. */
@@ -77,7 +82,7 @@
     this.shardOwners = new ShardOwners(options.teams);
     this.fleetTotals = new FleetTotals(options, this.machines);
     this.capacities = new MachineCapacities(options.workerTiming.heartbeatIntervalSeconds, this);
-    this.leaseRenewal = new LeaseRenewal(options, this.machines);
+    this.leaseRenewal = new LeaseRenewalGuard(options, this.machines);
     this.policy = options.policy(this.policyInput());
   }
 
@@ -94,8 +99,8 @@
   }
 
   /** Every placement that is stored is known here. */
-  allSynced(): boolean {
-    return this.shardOwners.allSynced();
+  areAllOwnersSynced(): boolean {
+    return this.shardOwners.areAllSynced();
   }
 
   /** What this instance tells of the team counts. */
@@ -138,8 +143,8 @@
   }
 
   /** What one more task like this would ask for. */
-  requestLike(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
-    return requestLike(placement);
+  requestFromPlacement(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
+    return requestFromPlacement(placement);
   }
 
   /** Seconds that the slowest machine type needs to fetch an image; 0 as long as no type is known. */
@@ -159,7 +164,7 @@
 
   /** Where each open grant is. */
   get machinesByGrant(): Map<number, Machine> {
-    return this.grants.machines;
+    return this.grants.machinesByGrant;
   }
 
   /** The allocation that holds a grant's capacity; undefined: the grant is no longer open. */
@@ -197,7 +202,7 @@
         )
           continue;
         allocation.gracePeriodSeconds = 0;
-        this.leaseRenewal.noteStop(machine, allocation);
+        this.leaseRenewal.markForStop(machine, allocation);
         this.markChanged(machine);
         affected.push(machine);
       }
@@ -220,7 +225,7 @@
 
   /** Something on this machine has changed: its totals are made anew, and the next pass looks at it. */
   markChanged(machine: Machine): void {
-    this.fleetTotals.noteChange(machine);
+    this.fleetTotals.markChanged(machine);
     this.isDirty = true;
   }
 
@@ -235,8 +240,8 @@
   }
 
   /** Running tasks of the whole fleet, as of the last `refreshTotals`. */
-  get totals(): FleetSums {
-    return this.fleetTotals.sums;
+  get totals(): FleetTaskTotals {
+    return this.fleetTotals.taskTotals;
   }
 
   /** Machines that are up and have something free. */
@@ -250,13 +255,13 @@
   }
 
   /** What each team uses; a copy that the caller may count on in. */
-  usage(): Map<string, TeamUsage> {
+  usage(): Map<string, ResourceUsage> {
     return this.fleetTotals.usage();
   }
 
   /** Whether a team that uses so much would still be within its guarantee with a task of this size more. */
   isWithinGuarantee(
-    usage: TeamUsage | undefined,
+    usage: ResourceUsage | undefined,
     team: string,
     task: { cpus: number; gpus: number },
   ): boolean {
@@ -305,11 +310,11 @@
 
   /** Free capacity of the machines that have any. */
   freeCapacities(now: number): FreeCapacity[] {
-    return this.capacities.free(now);
+    return this.capacities.freeCapacities(now);
   }
 
   /** Capacity that services would find if lower work were stopped for them. */
   preemptibleCapacities(now: number): FreeCapacity[] {
-    return this.capacities.preemptible(now);
+    return this.capacities.preemptibleCapacities(now);
   }
 }
--- a/src/scheduler/ended-attempts.ts
+++ b/src/scheduler/ended-attempts.ts
@@ -13,7 +13,7 @@
 export const NO_ENDED_TASKS: ReadonlyMap<string, EndedTasks> = new Map();
 
 /** What is kept of a machine's list here. */
-export interface EndedTaskLister {
+export interface MachineWithEndedTasks {
   readonly name: string;
   /** By job: of which tasks it lists an ended attempt. */
   endedTasks: ReadonlyMap<string, EndedTasks>;
@@ -27,10 +27,10 @@
  * that are done are left out: they are never placed again.
  */
 export class EndedAttempts {
-  private readonly machines = new Map<string, Map<string, EndedTaskLister>>();
+  private readonly machinesByJob = new Map<string, Map<string, MachineWithEndedTasks>>();
 
   /** The list of a machine has changed; costs by its length. */
-  update(machine: EndedTaskLister, listed: readonly TaskStatus[]): void {
+  update(machine: MachineWithEndedTasks, listed: readonly TaskStatus[]): void {
     const current = endedTasksOf(listed);
     for (const job of machine.endedTasks.keys()) if (!current.has(job)) this.remove(job, machine);
     for (const job of current.keys()) this.add(job, machine);
@@ -38,25 +38,25 @@
   }
 
   /** Machines that list ended attempts of a job. */
-  machinesOf(job: string): Iterable<EndedTaskLister> {
-    return this.machines.get(job)?.values() ?? [];
+  machinesOf(jobId: string): Iterable<MachineWithEndedTasks> {
+    return this.machinesByJob.get(jobId)?.values() ?? [];
   }
 
   /** Whether any machine lists an ended attempt of a job. */
-  has(job: string): boolean {
-    return this.machines.has(job);
+  has(jobId: string): boolean {
+    return this.machinesByJob.has(jobId);
   }
 
-  private add(job: string, machine: EndedTaskLister): void {
-    const machines = this.machines.get(job);
+  private add(jobId: string, machine: MachineWithEndedTasks): void {
+    const machines = this.machinesByJob.get(jobId);
     if (machines) machines.set(machine.name, machine);
-    else this.machines.set(job, new Map([[machine.name, machine]]));
+    else this.machinesByJob.set(jobId, new Map([[machine.name, machine]]));
   }
 
-  private remove(job: string, machine: EndedTaskLister): void {
-    const machines = this.machines.get(job);
+  private remove(jobId: string, machine: MachineWithEndedTasks): void {
+    const machines = this.machinesByJob.get(jobId);
     machines?.delete(machine.name);
-    if (machines?.size === 0) this.machines.delete(job);
+    if (machines?.size === 0) this.machinesByJob.delete(jobId);
   }
 }
 
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -15,20 +15,20 @@
 /** Between two probes of one machine. */
 const PROBE_INTERVAL_MS = 2000;
 /** A machine from which two answers in a row got lost is not heard of any more than one that is silent. */
-const MISSED_ANSWERS_TO_DISTRUST = 2;
+const MISSED_ANSWERS_THRESHOLD = 2;
 /** So long after its lease a machine that answers but does not report is kept: it may lag in ending its tasks. */
-const RECEIVE_ONLY_GRACE_MS = 5000;
+const LEASE_EXPIRY_GRACE_MS = 5000;
 /** A machine may have asked a peer just before it found this controller. */
 const REDIRECT_MARGIN_MS = 2000;
 /** Multiple of the time without a heartbeat for which it counts that a machine asked a peer. */
-const REDIRECT_MEMORY_PERIODS = 2;
+const REDIRECT_VALIDITY_PERIODS = 2;
 /** Workers need so long, after a change of leader, to be redirected and to arrive. */
 const REDIRECT_SETTLING_MS = 6000;
 /** Part of a zone's machines that are silent when the zone is taken for cut off, and how many it must have. */
 const PARTITIONED_ZONE_SHARE = 0.6;
 const MIN_MACHINES_OF_PARTITIONED_ZONE = 3;
 /** So few machines fall silent or go astray without this controller being at fault. */
-const MAX_UNSUSPICIOUS_MACHINES = 2;
+const MAX_INDEPENDENT_FAILURES = 2;
 /** Part of the silent machines that may have asked peers while these still bear out that the machines are at fault. */
 const MAX_REDIRECTED_SHARE = 0.1;
 
@@ -43,15 +43,15 @@
 
 interface ZoneCount {
   silent: number;
-  all: number;
+  total: number;
 }
 
 /** Counts of one look at all machines. */
-interface Survey {
+interface LivenessSummary {
   readonly now: number;
   machines: number;
   /** With a heartbeat of late. */
-  heard: number;
+  responsive: number;
   /** Without one, but they answer direct commands. */
   answering: number;
   /** Without one, but they have asked a peer. */
@@ -79,7 +79,7 @@
   }
 
   /** Machines that asked peers, as those tell: alive, whatever this controller hears of them. */
-  onRedirected(names: readonly string[]): void {
+  onMachinesRedirected(names: readonly string[]): void {
     const now = this.options.clock.now();
     for (const name of names) {
       const machine = this.state.machines.get(name);
@@ -89,10 +89,10 @@
 
   /** Silent machines: called directly, then deleted, unless the fault may be here or a whole zone is cut off. */
   check(now: number): void {
-    const survey: Survey = {
+    const summary: LivenessSummary = {
       now,
       machines: 0,
-      heard: 0,
+      responsive: 0,
       answering: 0,
       redirected: 0,
       expired: [],
@@ -100,52 +100,52 @@
     };
     for (const machine of this.state.machines.values())
       if (!machine.isBeingDeleted && (machine.isUp || machine.allocations.size > 0))
-        this.surveyMachine(machine, survey);
-    this.judgeZones(survey.zones);
-    this.judge(survey);
+        this.checkMachine(machine, summary);
+    this.detectPartitionedZones(summary.zones);
+    this.handleUnresponsive(summary);
   }
 
-  private surveyMachine(machine: Machine, survey: Survey): void {
-    const { now } = survey;
-    const zone = countInZone(machine.zone, survey);
+  private checkMachine(machine: Machine, summary: LivenessSummary): void {
+    const { now } = summary;
+    const zone = countInZone(machine.zone, summary);
     // Heartbeats alone renew leases: a machine that only answers dies of its lease.
-    const proven = lastPossibleLeaseRenewalAt(machine);
-    const silentMs = this.silentMs(machine, proven, now);
+    const lastRenewalAt = lastPossibleLeaseRenewalAt(machine);
+    const unresponsiveMs = this.unresponsiveMs(machine, lastRenewalAt, now);
     if (machine.missedAnswers.count === 1) this.probe(machine, now);
-    if (silentMs < this.probeAfterMs) {
-      survey.heard++;
+    if (unresponsiveMs < this.probeAfterMs) {
+      summary.responsive++;
       return;
     }
-    const isAnswering = machine.lastHeardAt > proven && now - machine.lastHeardAt < this.probeAfterMs;
-    if (isAnswering) survey.answering++;
+    const isAnswering = machine.lastHeardAt > lastRenewalAt && now - machine.lastHeardAt < this.probeAfterMs;
+    if (isAnswering) summary.answering++;
     else zone.silent++;
     if (!machine.directCommands.inFlight) this.probe(machine, now);
-    if (this.isRedirected(machine, proven, now)) {
-      survey.redirected++;
-      if (silentMs < this.leaseMs) return;
+    if (this.isRedirected(machine, lastRenewalAt, now)) {
+      summary.redirected++;
+      if (unresponsiveMs < this.leaseMs) return;
     }
     // A machine that answers is left its tasks as long as they may live: the trouble may end before its lease does.
     const limitMs = isAnswering
-      ? this.leaseMs + RECEIVE_ONLY_GRACE_MS
+      ? this.leaseMs + LEASE_EXPIRY_GRACE_MS
       : this.state.policy.unresponsiveSeconds * 1000;
     const isUnreachable = machine.directCommands.failures > 0 || machine.address === '';
-    if (silentMs > limitMs && (isAnswering || isUnreachable)) survey.expired.push(machine);
+    if (unresponsiveMs > limitMs && (isAnswering || isUnreachable)) summary.expired.push(machine);
   }
 
-  private silentMs(machine: Machine, proven: number, now: number): number {
+  private unresponsiveMs(machine: Machine, lastRenewalAt: number, now: number): number {
     // One that is heard but does not hear counts as silent from when that began.
-    const alive =
-      machine.missedAnswers.count >= MISSED_ANSWERS_TO_DISTRUST
-        ? Math.min(proven, machine.missedAnswers.since)
-        : proven;
+    const lastAliveAt =
+      machine.missedAnswers.count >= MISSED_ANSWERS_THRESHOLD
+        ? Math.min(lastRenewalAt, machine.missedAnswers.since)
+        : lastRenewalAt;
     // Workers need some time to find a new leader.
-    return now - Math.max(alive, this.state.startedAt + this.heartbeatIntervalMs);
+    return now - Math.max(lastAliveAt, this.state.startedAt + this.heartbeatIntervalMs);
   }
 
-  private isRedirected(machine: Machine, proven: number, now: number): boolean {
+  private isRedirected(machine: Machine, lastRenewalAt: number, now: number): boolean {
     return (
-      machine.redirectedAt > proven + REDIRECT_MARGIN_MS &&
-      now - machine.redirectedAt < REDIRECT_MEMORY_PERIODS * this.probeAfterMs
+      machine.redirectedAt > lastRenewalAt + REDIRECT_MARGIN_MS &&
+      now - machine.redirectedAt < REDIRECT_VALIDITY_PERIODS * this.probeAfterMs
     );
   }
 
@@ -154,12 +154,12 @@
       this.actions.probe(machine);
   }
 
-  private judge(survey: Survey): void {
-    const { now, heard, redirected, expired } = survey;
+  private handleUnresponsive(summary: LivenessSummary): void {
+    const { now, responsive, redirected, expired } = summary;
     // They reach peers and not this controller: it was cut off from its workers, and to wait for them to fall silent one
     // after the other would delete them all.
     if (
-      redirected > Math.max(MAX_UNSUSPICIOUS_MACHINES, heard) &&
+      redirected > Math.max(MAX_INDEPENDENT_FAILURES, responsive) &&
       now - this.state.startedAt > this.probeAfterMs + REDIRECT_SETTLING_MS
     ) {
       this.options.resign('workers reach siblings only');
@@ -169,18 +169,22 @@
       this.selfSuspectedSince = 0;
       return;
     }
-    if (this.isMachinesFault(survey)) this.removeUnlessKept(expired, now);
-    else this.suspectSelf(survey);
+    if (this.areMachinesAtFault(summary)) this.removeUnlessKept(expired, now);
+    else this.suspectSelf(summary);
   }
 
-  private isMachinesFault({ machines, heard, redirected }: Survey): boolean {
-    const silent = machines - heard;
+  private areMachinesAtFault({ machines, responsive, redirected }: LivenessSummary): boolean {
+    const unresponsive = machines - responsive;
     const isMany =
-      silent > Math.max(MAX_UNSUSPICIOUS_MACHINES, machines * this.state.policy.maxUnresponsiveShare) &&
-      heard < silent;
+      unresponsive > Math.max(MAX_INDEPENDENT_FAILURES, machines * this.state.policy.maxUnresponsiveShare) &&
+      responsive < unresponsive;
     if (!isMany) return true;
     // Peers in reach to whom none of them has turned bear out that it is the machines.
-    return heard > 0 && this.options.reachablePeers() > 0 && redirected < silent * MAX_REDIRECTED_SHARE;
+    return (
+      responsive > 0 &&
+      this.options.reachablePeerCount() > 0 &&
+      redirected < unresponsive * MAX_REDIRECTED_SHARE
+    );
   }
 
   private removeUnlessKept(machines: readonly Machine[], now: number): void {
@@ -189,36 +193,40 @@
       if (!this.actions.keepsUnreachable(machine, capacities, now)) this.actions.remove(machine, 'silent');
   }
 
-  private suspectSelf({ now, machines, heard, answering, redirected, expired }: Survey): void {
-    const silent = machines - heard;
+  private suspectSelf({ now, machines, responsive, answering, redirected, expired }: LivenessSummary): void {
+    const unresponsive = machines - responsive;
     if (this.selfSuspectedSince === 0) {
       this.selfSuspectedSince = now;
       this.options.log.info(
-        { unresponsive: expired.length, heard, redirected },
+        { unresponsive: expired.length, heard: responsive, redirected },
         'many machines unresponsive at once: suspecting this controller',
       );
     }
     // What answers is in reach: then it is the workers that reach nobody, and another leader would hear no more.
-    if (heard === 0 && answering * 2 < silent && now - this.selfSuspectedSince > this.heartbeatIntervalMs) {
+    if (
+      responsive === 0 &&
+      answering * 2 < unresponsive &&
+      now - this.selfSuspectedSince > this.heartbeatIntervalMs
+    ) {
       this.selfSuspectedSince = now;
       this.options.resign('no machine can be heard');
       return;
     }
     // Past their lease their tasks are dead in any case.
     for (const machine of expired) {
-      const alive = Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
-      if (now - alive > this.leaseMs + RECEIVE_ONLY_GRACE_MS)
+      const lastAliveAt = Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
+      if (now - lastAliveAt > this.leaseMs + LEASE_EXPIRY_GRACE_MS)
         this.actions.remove(machine, 'silent past its lease');
     }
   }
 
   /** A zone that falls silent as a whole while others are heard is cut off, and may well go on working inside. */
-  private judgeZones(zones: Map<string, ZoneCount>): void {
+  private detectPartitionedZones(zones: Map<string, ZoneCount>): void {
     // What no list has told of yet has no zone.
     zones.delete('');
     const silentZones: string[] = [];
-    for (const [zone, { silent, all }] of zones)
-      if (all >= MIN_MACHINES_OF_PARTITIONED_ZONE && silent > all * PARTITIONED_ZONE_SHARE)
+    for (const [zone, { silent, total }] of zones)
+      if (total >= MIN_MACHINES_OF_PARTITIONED_ZONE && silent > total * PARTITIONED_ZONE_SHARE)
         silentZones.push(zone);
     const partitionedZones = silentZones.length < zones.size ? silentZones : [];
     for (const zone of partitionedZones)
@@ -227,13 +235,13 @@
   }
 }
 
-function countInZone(name: string, survey: Survey): ZoneCount {
-  survey.machines++;
-  let zone = survey.zones.get(name);
+function countInZone(name: string, summary: LivenessSummary): ZoneCount {
+  summary.machines++;
+  let zone = summary.zones.get(name);
   if (!zone) {
-    zone = { silent: 0, all: 0 };
-    survey.zones.set(name, zone);
+    zone = { silent: 0, total: 0 };
+    summary.zones.set(name, zone);
   }
-  zone.all++;
+  zone.total++;
   return zone;
 }
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -49,7 +49,7 @@
     if (this.options.machineTypes().length === 0 || !this.options.holdsLeadership()) return;
     const expectedCapacities = [...bootingCapacities(this.state, now), ...this.renter.requestedCapacities()];
     const demand = this.rentalDemand(now, unplaced);
-    if (demand.length > 0 && this.isSettled(now) && this.state.allSynced()) {
+    if (demand.length > 0 && this.isSettled(now) && this.state.areAllOwnersSynced()) {
       const rentals = planRentals({
         unplaced: demand,
         expectedCapacities,
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -41,7 +41,7 @@
 
   /** Removes empty machines that neither the unplaced work nor the reserve of services needs. */
   returnIdle(now: number, unplaced: readonly CapacityDemand[]): void {
-    if (!this.state.allSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
+    if (!this.state.areAllOwnersSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
     this.state.refreshTotals();
     const idle = this.findIdle(now);
     if (idle.size === 0) return;
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -103,7 +103,7 @@
     return (
       now >= this.nextAt &&
       this.options.holdsLeadership() &&
-      this.state.allSynced() &&
+      this.state.areAllOwnersSynced() &&
       now - this.state.startedAt >= MIN_LEADERSHIP_MS
     );
   }
--- a/src/scheduler/fleet/replica-request.ts
+++ b/src/scheduler/fleet/replica-request.ts
@@ -13,7 +13,7 @@
 ): ResourceRequest {
   const isTied = state.scarceZone === machine.zone;
   return {
-    ...state.requestLike(allocation),
+    ...state.requestFromPlacement(allocation),
     zone: isTied ? machine.zone : null,
     zoneAllowance: isTied ? {} : null,
   };
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -26,12 +26,12 @@
 
 /** The totals of a machine without allocations and of unknown type. */
 export function emptyTotals(): MachineTotals {
-  const none = () => ({ cpus: 0, gpus: 0, memoryGb: 0 });
+  const zero = () => ({ cpus: 0, gpus: 0, memoryGb: 0 });
   return {
     isTypeKnown: false,
-    free: none(),
-    batch: none(),
-    stopping: none(),
+    free: zero(),
+    batch: zero(),
+    stopping: zero(),
     teams: [],
     replicas: 0,
     replicaCpus: 0,
--- a/src/scheduler/owners/allocation-events.ts
+++ b/src/scheduler/owners/allocation-events.ts
@@ -19,9 +19,9 @@
   /** Its status, if that was not told before. */
   emitStatus(machine: Machine, allocation: Allocation): void {
     if (isWithoutStoredPlacement(allocation)) return;
-    const status = statusText(allocation);
-    if (status === '' || status === allocation.lastEventSent || !this.state.isSynced(allocation.team)) return;
-    allocation.lastEventSent = status;
+    const key = statusKey(allocation);
+    if (key === '' || key === allocation.lastSentStatusKey || !this.state.isSynced(allocation.team)) return;
+    allocation.lastSentStatusKey = key;
     const { reportedStatus } = allocation;
     if (allocation.isFinalized) this.emitFinalized(allocation.team, allocation, machine.name);
     else if (reportedStatus)
@@ -63,7 +63,7 @@
 }
 
 /** Tells apart what an owner may be told of an allocation; empty: nothing yet. */
-function statusText({ isFinalized, reportedStatus }: Allocation): string {
+function statusKey({ isFinalized, reportedStatus }: Allocation): string {
   if (isFinalized) return 'finalized';
   return reportedStatus ? `${reportedStatus.phase}/${reportedStatus.exitReason ?? ''}` : '';
 }
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-intake.ts
@@ -21,7 +21,7 @@
   apply(placement: PlacementSpec): Allocation | null {
     if (placement.isService)
       this.state.recordServiceProfile({
-        ...this.state.requestLike(placement),
+        ...this.state.requestFromPlacement(placement),
         zoneAllowance: placement.spreadOverZones ? {} : null,
       });
     if (this.state.deletedMachines.has(placement.machine)) {
@@ -30,13 +30,13 @@
     }
     const machine = this.state.getOrCreateMachine(placement.machine);
     this.state.markChanged(machine);
-    this.dropGrantOf(placement, machine);
-    const allocation = this.takeOver(placement, machine);
+    this.removeGrantOf(placement, machine);
+    const allocation = this.upsert(placement, machine);
     if (
       allocation.desiredState === 'stop' ||
       (allocation.desiredState === 'run' && this.options.isCancelled(allocation.jobId))
     )
-      this.state.leaseRenewal.noteStop(machine, allocation);
+      this.state.leaseRenewal.markForStop(machine, allocation);
     if (isForgotten(machine, allocation)) {
       this.state.removeAllocation(machine, allocation);
       return null;
@@ -50,18 +50,18 @@
   }
 
   /** The placement is stored: it takes the place of its grant. */
-  private dropGrantOf(placement: PlacementSpec, machine: Machine): void {
+  private removeGrantOf(placement: PlacementSpec, machine: Machine): void {
     if (placement.grantId <= 0) return;
     const grant = machine.allocations.get(grantKey(placement.grantId));
     if (grant?.jobId === placement.jobId) this.state.removeAllocation(machine, grant);
   }
 
-  private takeOver(placement: PlacementSpec, machine: Machine): Allocation {
+  private upsert(placement: PlacementSpec, machine: Machine): Allocation {
     const key = taskKey(placement.jobId, placement.taskIndex, placement.attempt);
-    const known = machine.allocations.get(key);
-    if (known) {
-      this.update(known, placement);
-      return known;
+    const existing = machine.allocations.get(key);
+    if (existing) {
+      this.update(existing, placement);
+      return existing;
     }
     // Also one that is to be removed and that this leader never knew: only the worker's list matters.
     const allocation = createAllocation(placement, this.options.clock.now());
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -36,8 +36,8 @@
   /** Takes over which instance owns which team, by the stored records. */
   setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
     for (const [team, { instanceId, shardEpoch }] of records) {
-      const known = this.state.owners.get(team);
-      if (known && known.instanceId === instanceId && known.shardEpoch === shardEpoch) continue;
+      const current = this.state.owners.get(team);
+      if (current && current.instanceId === instanceId && current.shardEpoch === shardEpoch) continue;
       this.state.owners.set(team, {
         instanceId,
         shardEpoch,
@@ -55,7 +55,7 @@
   }
 
   /** What a team's present owner says no longer counts. */
-  suspend(team: string): void {
+  suspendOwner(team: string): void {
     const owner = this.state.owners.get(team);
     if (owner) owner.isSynced = false;
   }
@@ -77,17 +77,17 @@
   }
 
   /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
-  coverageSilenceMs(team: string, now: number): number {
+  coverageAgeMs(team: string, now: number): number {
     const since = this.state.owners.get(team)?.since ?? now;
     return now - Math.max(since, this.state.leaseRenewal.watermarks.watermarkOf(team));
   }
 
   /** Returns whether it may have changed anything that a pass goes by. */
-  receive(message: ShardMessage): boolean {
+  handle(message: ShardMessage): boolean {
     if (message.fencingToken !== this.state.fencingToken) return false;
     switch (message.type) {
       case 'fullSync':
-        return this.receiveChunk(message);
+        return this.handleSyncChunk(message);
       case 'resourceRequests':
         this.parts.engine.setRequests(message.instanceId, message.requests);
         return true;
@@ -106,7 +106,7 @@
     }
   }
 
-  private receiveChunk(chunk: SyncChunk): boolean {
+  private handleSyncChunk(chunk: SyncChunk): boolean {
     const { instanceId, syncNumber } = chunk;
     const result = this.syncAssembly.add(chunk);
     switch (result.kind) {
@@ -126,7 +126,7 @@
   /** `lastChunk` names the sync; `placements` are those of all its chunks. */
   private applyFullSync(lastChunk: SyncChunk, placements: PlacementSpec[]): void {
     const { instanceId, syncNumber } = lastChunk;
-    const teams = this.noteSynced(lastChunk);
+    const teams = this.markSynced(lastChunk);
     this.options.log.debug(
       { instanceId, teams: [...teams], placements: placements.length },
       'full sync applied',
@@ -135,7 +135,7 @@
     for (const placement of placements) {
       if (!teams.has(placement.team)) continue;
       const allocation = this.parts.placements.apply(placement);
-      if (allocation) allocation.lastEventSent = '';
+      if (allocation) allocation.lastSentStatusKey = '';
     }
     const { fencingToken } = this.state;
     this.options.send(instanceId, { type: 'syncAccepted', fencingToken, syncNumber });
@@ -150,7 +150,7 @@
   }
 
   /** The teams of which the sync tells all, since the sender owns them under the epoch it names. */
-  private noteSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
+  private markSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
     const teams = new Set<string>();
     for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
       const owner = this.state.owners.get(team);
--- a/src/scheduler/owners/sync-assembly.ts
+++ b/src/scheduler/owners/sync-assembly.ts
@@ -14,7 +14,7 @@
 
 interface SyncInProgress {
   syncNumber: number;
-  nextChunk: number;
+  nextChunkIndex: number;
   placements: PlacementSpec[];
 }
 
@@ -28,15 +28,15 @@
    */
   add(chunk: SyncChunk): AssemblyResult {
     const { instanceId, syncNumber, chunkIndex, chunkCount } = chunk;
-    const begun = this.inProgress.get(instanceId);
+    const pending = this.inProgress.get(instanceId);
     this.inProgress.delete(instanceId);
     let placements: PlacementSpec[];
     if (chunkIndex === 0) placements = [...chunk.placements];
-    else if (begun?.syncNumber === syncNumber && begun.nextChunk === chunkIndex)
-      placements = [...begun.placements, ...chunk.placements];
+    else if (pending?.syncNumber === syncNumber && pending.nextChunkIndex === chunkIndex)
+      placements = [...pending.placements, ...chunk.placements];
     else return { kind: 'chunkLost' };
     if (chunkIndex === chunkCount - 1) return { kind: 'complete', placements };
-    this.inProgress.set(instanceId, { syncNumber, nextChunk: chunkIndex + 1, placements });
+    this.inProgress.set(instanceId, { syncNumber, nextChunkIndex: chunkIndex + 1, placements });
     return { kind: 'partial' };
   }
 }
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grants.ts
@@ -2,7 +2,7 @@
 
 import type { Grant, PlacementSpec, ResourceRequest } from '../../model/placement.js';
 import { createAllocation } from '../allocation.js';
-import type { ClusterState, QueuedRequest } from '../cluster-state.js';
+import type { ClusterState, OwnerRequest } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
@@ -20,7 +20,7 @@
   ) {}
 
   /** Grants one place to the owner of the request, sent by the next `sendAll`. */
-  issue(machine: Machine, { request, instanceId }: QueuedRequest, now: number): void {
+  issue(machine: Machine, { request, instanceId }: OwnerRequest, now: number): void {
     const id = ++this.lastGrantId;
     this.allocate(machine, grantedPlacement(machine, request, id), now);
     const endedTasks = machine.endedTasks.get(request.jobId)?.tasks;
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -1,7 +1,7 @@
 /** The requests of a pass, in the order in which they are served. */
 
 import type { ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, QueuedRequest } from '../cluster-state.js';
+import type { ClusterState, OwnerRequest } from '../cluster-state.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
 import type { JobTimes } from './job-times.js';
 import type { TeamUsage } from './team-usage.js';
@@ -10,7 +10,7 @@
 const STARVED_AFTER_MS = 45_000;
 
 /** A request as a pass sees it. */
-export interface PassRequest extends QueuedRequest {
+export interface PassRequest extends OwnerRequest {
   isWithinGuarantee: boolean;
 }
 
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -37,13 +37,13 @@
   /** A higher token was seen: another leader acts. */
   onHigherToken(token: number): void;
   /** Peers heard from a moment ago. */
-  reachablePeers(): number;
+  reachablePeerCount(): number;
   /** What the leader before this one had told of cancellations. */
   inheritedCoverage(): CancellationCoverage | null;
   /** Known here to be stored as cancelled, whatever its owner has read. */
-  isCancelled(job: string): boolean;
+  isCancelled(jobId: string): boolean;
   /** All that any user was told to be cancelled between the two times is known here. */
-  cancellationsKnown(now: number): { since: number; at: number };
+  knownCancellationWindow(now: number): { since: number; at: number };
   /** Nothing but this controller's own network explains what is observed. */
   resign(reason: string): void;
   /** Held-back commands stand in the way of a stop: a higher token would end them. */
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -23,11 +23,11 @@
 import { WorkerCommands } from './workers/worker-commands.js';
 
 /** A pass that takes long is made less often, so that what comes meanwhile shares the next one. */
-const PASS_PAUSE_PER_DURATION = 5;
+const PASS_PAUSE_FACTOR = 5;
 const MIN_PASS_PAUSE_MS = 30;
 const MAX_PASS_PAUSE_MS = 500;
 /** Scaling looks at the whole fleet: less often when that takes long. */
-const SCALING_INTERVAL_PER_DURATION = 40;
+const SCALING_INTERVAL_FACTOR = 40;
 const MIN_SCALING_INTERVAL_MS = 1000;
 const MAX_SCALING_INTERVAL_MS = 3000;
 
@@ -45,7 +45,7 @@
   private readonly machineList: MachineList;
   private readonly draining: MachineDraining;
   private nextPassAt = 0;
-  private passScheduled = false;
+  private isPassScheduled = false;
   private nextScalingAt = 0;
 
   constructor(private readonly options: SchedulerOptions) {
@@ -103,7 +103,7 @@
 
   /** Before a team's record is changed: what its present owner says no longer counts. */
   suspendOwner(team: string): void {
-    this.owners.suspend(team);
+    this.owners.suspendOwner(team);
   }
 
   /** Asks an instance for all it holds. */
@@ -113,14 +113,14 @@
 
   /** A shard owner's message; one to another leader is ignored. */
   onShardMessage(message: ShardMessage): void {
-    if (!this.owners.receive(message)) return;
+    if (!this.owners.handle(message)) return;
     this.state.isDirty = true;
     this.options.wake();
   }
 
   /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
-  coverageSilenceMs(team: string, now: number): number {
-    return this.owners.coverageSilenceMs(team, now);
+  coverageAgeMs(team: string, now: number): number {
+    return this.owners.coverageAgeMs(team, now);
   }
 
   // ---- cancellations --------------------------------------------------------------------------------
@@ -145,7 +145,7 @@
 
   /** Machines that asked peers, as those tell. */
   onMachinesRedirected(names: string[]): void {
-    this.failureDetector.onRedirected(names);
+    this.failureDetector.onMachinesRedirected(names);
   }
 
   // ---- work at the end of each batch of events, and from time to time --------------------------------
@@ -161,10 +161,10 @@
   }
 
   private schedulePass(now: number): void {
-    if (this.passScheduled) return;
-    this.passScheduled = true;
+    if (this.isPassScheduled) return;
+    this.isPassScheduled = true;
     this.options.clock.after(Math.max(1, this.nextPassAt - now), () => {
-      this.passScheduled = false;
+      this.isPassScheduled = false;
       this.options.wake();
     });
   }
@@ -174,15 +174,15 @@
     this.state.isDirty = false;
     const unplaced = this.placement.runPass(now);
     if (now >= this.nextScalingAt) {
-      const scalingBegan = clock.now();
+      const scalingStartedAt = clock.now();
       this.fleet.scaleFleet(now, unplaced);
-      const interval = (clock.now() - scalingBegan) * SCALING_INTERVAL_PER_DURATION;
+      const interval = (clock.now() - scalingStartedAt) * SCALING_INTERVAL_FACTOR;
       this.nextScalingAt = now + clamp(interval, MIN_SCALING_INTERVAL_MS, MAX_SCALING_INTERVAL_MS);
     }
     this.deletion.flush(now);
-    const ended = clock.now();
+    const endedAt = clock.now();
     this.nextPassAt =
-      ended + clamp((ended - now) * PASS_PAUSE_PER_DURATION, MIN_PASS_PAUSE_MS, MAX_PASS_PAUSE_MS);
+      endedAt + clamp((endedAt - now) * PASS_PAUSE_FACTOR, MIN_PASS_PAUSE_MS, MAX_PASS_PAUSE_MS);
   }
 
   /** Checks what time alone brings about; the next `flush` makes a pass. */
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -8,13 +8,13 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 /** CPUs and GPUs that the tasks of a team take. */
-export interface TeamUsage {
+export interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
 
 /** Running tasks of the whole fleet. */
-export interface FleetSums {
+export interface FleetTaskTotals {
   services: number;
   serviceCpus: number;
   batchTasks: number;
@@ -32,10 +32,15 @@
   readonly machinesWithCapacity = new Set<Machine>();
   /** Machines that are up and on which something is being stopped. */
   readonly machinesWithStops = new Set<Machine>();
-  readonly sums: FleetSums = { services: 0, serviceCpus: 0, batchTasks: 0, runningByPriority: [0, 0, 0, 0] };
+  readonly taskTotals: FleetTaskTotals = {
+    services: 0,
+    serviceCpus: 0,
+    batchTasks: 0,
+    runningByPriority: [0, 0, 0, 0],
+  };
   machineTypes = new Map<string, MachineType>();
   private machineTypeList: MachineType[] = [];
-  private readonly usedByTeam = new Map<string, TeamUsage>();
+  private readonly usageByTeam = new Map<string, ResourceUsage>();
 
   constructor(
     private readonly options: Pick<SchedulerOptions, 'machineTypes' | 'clock' | 'teams'>,
@@ -43,7 +48,7 @@
   ) {}
 
   /** Something on this machine has changed: it is summed up anew by the next `refresh`. */
-  noteChange(machine: Machine): void {
+  markChanged(machine: Machine): void {
     this.changedMachines.add(machine);
   }
 
@@ -78,30 +83,30 @@
 
   private add(totals: MachineTotals, sign: 1 | -1): void {
     for (const { team, cpus, gpus } of totals.teams) {
-      const usage = this.usedByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+      const usage = this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
       usage.cpus += sign * cpus;
       usage.gpus += sign * gpus;
-      this.usedByTeam.set(team, usage);
+      this.usageByTeam.set(team, usage);
     }
-    this.sums.services += sign * totals.replicas;
-    this.sums.serviceCpus += sign * totals.replicaCpus;
-    this.sums.batchTasks += sign * totals.batchTasks;
+    this.taskTotals.services += sign * totals.replicas;
+    this.taskTotals.serviceCpus += sign * totals.replicaCpus;
+    this.taskTotals.batchTasks += sign * totals.batchTasks;
     for (const priority of PRIORITIES)
-      this.sums.runningByPriority[priority] += sign * totals.runningByPriority[priority];
+      this.taskTotals.runningByPriority[priority] += sign * totals.runningByPriority[priority];
   }
 
   /** What each team uses; a copy that the caller may count on in. */
-  usage(): Map<string, TeamUsage> {
-    const usage = new Map<string, TeamUsage>();
+  usage(): Map<string, ResourceUsage> {
+    const usage = new Map<string, ResourceUsage>();
     for (const team of this.options.teams.keys())
-      usage.set(team, { ...(this.usedByTeam.get(team) ?? { cpus: 0, gpus: 0 }) });
+      usage.set(team, { ...(this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 }) });
     return usage;
   }
 }
 
 /** Whether a team that uses so much would still be within its guarantee with a task of this size more. */
 export function isWithinGuarantee(
-  usage: TeamUsage | undefined,
+  usage: ResourceUsage | undefined,
   team: Team | undefined,
   task: { cpus: number; gpus: number },
 ): boolean {
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -10,11 +10,11 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 /** How far cancellations have become stops, by team, and which leases may be renewed by it. */
-export class LeaseRenewal {
+export class LeaseRenewalGuard {
   readonly watermarks: CancellationWatermarks;
   private readonly renewalWindowMs: number;
   /** Machines on which something may have to be stopped yet. */
-  private readonly machinesStopping = new Set<Machine>();
+  private readonly machinesWithPendingStops = new Set<Machine>();
 
   constructor(
     private readonly options: SchedulerOptions,
@@ -34,7 +34,7 @@
    * watermark of every team with tasks there; what was cancelled later ends with this lease, in time.
    */
   canRenew(machine: Machine, now: number): boolean {
-    if (!this.watermarks.hasAllTeams) return this.inheritedCoverageSuffices(machine, now);
+    if (!this.watermarks.hasAllTeams) return this.inheritedCoverageAllowsRenewal(machine, now);
     if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
       return now - this.lowestWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
@@ -48,19 +48,19 @@
   }
 
   /** Is to be stopped. */
-  noteStop(machine: Machine, allocation: Allocation): void {
+  markForStop(machine: Machine, allocation: Allocation): void {
     allocation.desiredState = 'stop';
-    this.machinesStopping.add(machine);
+    this.machinesWithPendingStops.add(machine);
   }
 
   /** For peers: see `CancellationCoverage`. Null as long as some owner has not told what it holds. */
   coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     if (!this.watermarks.hasAllTeams) return null;
     const pendingMachines: string[] = [];
-    for (const machine of this.machinesStopping) {
+    for (const machine of this.machinesWithPendingStops) {
       if (this.machines.get(machine.name) === machine && hasPendingStop(machine))
         pendingMachines.push(machine.name);
-      else this.machinesStopping.delete(machine);
+      else this.machinesWithPendingStops.delete(machine);
     }
     return { completeUntil: this.lowestWatermark(this.options.clock.now()), pendingMachines };
   }
@@ -69,13 +69,13 @@
    * Before all owners have told what they hold nobody knows what is on a machine: then what the last leader told of
    * cancellations must do.
    */
-  private inheritedCoverageSuffices(machine: Machine, now: number): boolean {
+  private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
     const coverage = this.options.inheritedCoverage();
-    const known = this.options.cancellationsKnown(now);
+    const knownWindow = this.options.knownCancellationWindow(now);
     // What users were told since is known by name: its tasks are stopped wherever a heartbeat lists them.
     const completeUntil =
-      coverage && coverage.completeUntil >= known.since
-        ? Math.max(coverage.completeUntil, known.at)
+      coverage && coverage.completeUntil >= knownWindow.since
+        ? Math.max(coverage.completeUntil, knownWindow.at)
         : (coverage?.completeUntil ?? 0);
     return allowsLeaseRenewal(coverage && { ...coverage, completeUntil }, {
       machine: machine.name,
@@ -89,9 +89,9 @@
    * or, from there on, by what all controllers have told one another.
    */
   private watermark(team: string, now: number): number {
-    const ofOwner = this.watermarks.watermarkOf(team);
-    const known = this.options.cancellationsKnown(now);
-    return ofOwner >= known.since ? Math.max(ofOwner, known.at) : ofOwner;
+    const ownerWatermark = this.watermarks.watermarkOf(team);
+    const knownWindow = this.options.knownCancellationWindow(now);
+    return ownerWatermark >= knownWindow.since ? Math.max(ownerWatermark, knownWindow.at) : ownerWatermark;
   }
 
   private lowestWatermark(now: number): number {
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -6,12 +6,12 @@
 import { emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 
 /** One missed heartbeat with room for its way makes a machine quiet. */
-const QUIET_AFTER_INTERVALS = 1.25;
-const QUIET_MARGIN_SECONDS = 1;
+const OVERDUE_AFTER_INTERVALS = 1.25;
+const OVERDUE_MARGIN_SECONDS = 1;
 /** Multiple of that time after which a machine gets nothing new. */
-const UNUSABLE_AFTER_QUIET_PERIODS = 1.6;
+const UNUSABLE_AFTER_OVERDUE_PERIODS = 1.6;
 /** What it counts against a machine that it is quiet, and that jobs failed on it, in seconds of delay. */
-const QUIET_PENALTY_SECONDS = 10;
+const OVERDUE_PENALTY_SECONDS = 10;
 const FAILED_JOBS_PENALTY_SECONDS = 20;
 
 /** What the capacities of machines rest on. */
@@ -29,13 +29,14 @@
 /** Free capacities by machine. */
 export class MachineCapacities {
   /** So long, in ms, a machine may go without a heartbeat before it counts as quiet. */
-  readonly quietMs: number;
+  readonly overdueAfterMs: number;
 
   constructor(
     heartbeatIntervalSeconds: number,
     private readonly context: CapacityContext,
   ) {
-    this.quietMs = (heartbeatIntervalSeconds * QUIET_AFTER_INTERVALS + QUIET_MARGIN_SECONDS) * 1000;
+    this.overdueAfterMs =
+      (heartbeatIntervalSeconds * OVERDUE_AFTER_INTERVALS + OVERDUE_MARGIN_SECONDS) * 1000;
   }
 
   /** Fit to be given work. A machine not heard of lately gets nothing new. */
@@ -52,7 +53,7 @@
     if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
     // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
     return (
-      now - lastPossibleLeaseRenewalAt(machine) <= this.quietMs * UNUSABLE_AFTER_QUIET_PERIODS &&
+      now - lastPossibleLeaseRenewalAt(machine) <= this.overdueAfterMs * UNUSABLE_AFTER_OVERDUE_PERIODS &&
       !runsUnknownTask(machine)
     );
   }
@@ -65,7 +66,7 @@
     capacity.images = machine.images;
     if (machine.reservation && machine.reservation.until > now) capacity.reservation = machine.reservation;
     capacity.penaltySeconds =
-      (now - lastPossibleLeaseRenewalAt(machine) > this.quietMs ? QUIET_PENALTY_SECONDS : 0) +
+      (now - lastPossibleLeaseRenewalAt(machine) > this.overdueAfterMs ? OVERDUE_PENALTY_SECONDS : 0) +
       (machine.failedJobs.size > 0 ? FAILED_JOBS_PENALTY_SECONDS : 0);
     capacity.isSurplus = this.isSurplus(machine, now);
     capacity.cpus = machine.totals.free.cpus;
@@ -85,7 +86,7 @@
   }
 
   /** Free capacity of the machines that have any. */
-  free(now: number): FreeCapacity[] {
+  freeCapacities(now: number): FreeCapacity[] {
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machinesWithCapacity) {
@@ -96,7 +97,7 @@
   }
 
   /** Capacity that services would find if lower work were stopped for them. */
-  preemptible(now: number): FreeCapacity[] {
+  preemptibleCapacities(now: number): FreeCapacity[] {
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machines.values()) {
--- a/src/scheduler/state/replica-request.ts
+++ b/src/scheduler/state/placement-request.ts
@@ -3,7 +3,7 @@
 import type { PlacementSpec, ResourceRequest } from '../../model/placement.js';
 
 /** What one more task like this would ask for, as far as its placement tells. */
-export function requestLike(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
+export function requestFromPlacement(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
   return {
     jobId: placement.jobId,
     team: placement.team,
--- a/src/scheduler/state/shard-owners.ts
+++ b/src/scheduler/state/shard-owners.ts
@@ -24,7 +24,7 @@
   }
 
   /** Every placement that is stored is known here. */
-  allSynced(): boolean {
+  areAllSynced(): boolean {
     for (const team of this.teams.keys()) if (!this.isSynced(team)) return false;
     return true;
   }
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -101,7 +101,7 @@
   }
 
   private addForUnknownTasks(machine: Machine, commands: WorkerCommand[]): void {
-    const allSynced = this.state.allSynced();
+    const allSynced = this.state.areAllOwnersSynced();
     const holdsLeadership = this.options.holdsLeadership();
     for (const [key, since] of machine.unknownTasks) {
       if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -102,8 +102,8 @@
       onHigherToken: () => {},
       inheritedCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
-      cancellationsKnown: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
-      reachablePeers: () => this.peers.count,
+      knownCancellationWindow: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
+      reachablePeerCount: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
