--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -201,7 +201,7 @@
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
       knownCancellationWindow: (now) => coordinator.completeSince(now),
-      reachablePeerCount: () => this.peers.countInTouch(clock.now()),
+      reachablePeers: () => this.peers.countInTouch(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -1,36 +1,41 @@
-/** Capacity taken on a machine: placements as the leader tracks them, and grants that are not yet stored as placements. */
+/** Allocations: the capacity that placements and grants take on a machine. */
 
 import { taskKey } from '../model/job.js';
 import type { PlacementSpec } from '../model/placement.js';
 import type { TaskStatus } from '../model/worker-messages.js';
 
-/** A placement as the leader tracks it: capacity taken on a machine, and what its worker should do. Times in ms. */
+/**
+ * A placement or grant as the leader tracks it: the capacity it takes on its machine, and what its worker
+ * should do. Times in ms.
+ */
 export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
   key: string;
-  /** `hold`: granted, not yet told to be stored. */
+  /** `hold`: granted, but its owner has not yet reported a stored placement. */
   desiredState: PlacementSpec['desiredState'] | 'hold';
-  /** Sequence of the heartbeat whose answer carries its start, until a later heartbeat comes; -1: none. */
+  /** Sequence of the heartbeat whose answer carried its start, until a later heartbeat arrives; -1: none. */
   startHeartbeatSequence: number;
-  /** A direct command with its start is under way. */
+  /** Whether a direct command that starts it is in flight. */
   isDirectStartInFlight: boolean;
   reportedStatus: TaskStatus | null;
-  /** Its worker has listed it as ended: it is never started again, whatever the worker lists later. */
+  /** Whether its worker last listed it as exited: it is not started again, even if it is no longer listed. */
   hasExited: boolean;
   isFinalized: boolean;
+  /** The status last sent to its owner, to send each change once; empty: none. */
   lastSentStatusKey: string;
+  /** When it began to run; before that, when it was created. Reset when it becomes `forget`. */
   phaseSince: number;
-  /** Since when it runs is known: this leader saw it before it ran, or sent its start. */
+  /** Whether `phaseSince` is the start of its run: this leader saw it before it ran, or sent its start. */
   isStartTimeKnown: boolean;
-  /** When its owner was asked to stop it; 0: not. */
+  /** When its owner was asked to stop it; 0: never. */
   evictionRequestedAt: number;
 }
 
-/** The key of a grant among the allocations of its machine. */
+/** The key of a grant in `Machine.allocations`. */
 export function grantKey(grantId: number): string {
   return `grant#${grantId}`;
 }
 
-/** A placement that the leader did not know before. */
+/** Creates the allocation of a placement that the leader did not know before. */
 export function createAllocation(placement: PlacementSpec, now: number): Allocation {
   return {
     ...placement,
@@ -47,12 +52,12 @@
   };
 }
 
-/** Capacity promised or asked for, without a stored placement: its worker has never been told of it. */
+/** Whether no placement is known to be stored for this allocation: its worker has never been told of it. */
 export function isWithoutStoredPlacement(allocation: Allocation): boolean {
   return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
 }
 
-/** Takes capacity of its machine: until its worker says that it ended, or it is finalized. */
+/** Whether an allocation uses capacity: until its worker reports that it has exited, or it is finalized. */
 export function usesCapacity(allocation: Allocation): boolean {
   return (
     !allocation.isFinalized &&
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader knows of the cluster: machines, the allocations on them, shard owners and what they ask for. It composes
- * the parts that keep sums, grants, cancellations and capacities.
+ * The leader's view of the cluster: machines with their allocations, shard owners, and resource requests. It
+ * delegates totals, open grants, lease renewal and capacities to the classes in `state/`.
  */
 
 import type { TaskAttempt } from '../model/job.js';
@@ -25,54 +25,63 @@
 import { requestFromPlacement } from './state/placement-request.js';
 import { type ShardOwnerRef, ShardOwners } from './state/shard-owners.js';
 
-/** A request with the instance that told it. */
+/** A resource request, and the instance that sent it. */
 export interface OwnerRequest {
   request: ResourceRequest;
   instanceId: string;
 }
 
-/** Pause after a refused rental, and the longest one after refusals in a row. */
+/** Initial and maximum pause after refused rentals; it grows with each consecutive refusal. */
 const RENTAL_BACKOFF_MS = 5000;
 const MAX_RENTAL_BACKOFF_MS = 15_000;
-/** Stands in for a boot time as long as no machine type is known. */
+/** Boot time assumed while no machine type is known. */
 const DEFAULT_BOOT_SECONDS = 30;
-/** Bounds fetch times where a type is listed without a speed. */
+/** Lower bound of the fetch speed, which limits fetch times if a machine type is listed without one. */
 const MIN_IMAGE_FETCH_GB_PER_SECOND = 0.01;
 
-/** Machines, allocations, owners, requests and grants, as of now. Times in ms on this controller's clock. */
+/** Machines, allocations, shard owners, requests and grants. Times in ms on this controller's clock. */
 export class ClusterState {
   readonly fencingToken: number;
   readonly machines = new Map<string, Machine>();
+  /** Names of machines whose deletion the cloud has confirmed. */
   readonly deletedMachines = new Set<string>();
   private readonly shardOwners: ShardOwners;
+  /** Resource requests by the instance that sent them. */
   readonly requests = new Map<string, ResourceRequest[]>();
   private readonly grants = new OpenGrants();
   private readonly fleetTotals: FleetTotals;
   private readonly capacities: MachineCapacities;
   readonly leaseRenewal: LeaseRenewalGuard;
-  /** Machines to which something may have to be sent. */
+  /** Machines to which commands may have to be sent by the next flush. */
   readonly machinesToContact = new Set<Machine>();
-  /** Allocations whose owners were asked to stop them. */
+  /** Allocations that their owners were asked to stop. */
   readonly evictions = new Set<Allocation>();
+  /** The zone whose on-demand machines are kept for services that must be spread over zones; null: none. */
   scarceZone: string | null = null;
   scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
-  /** Zones most of whose machines are unresponsive while others are heard: cut off rather than dead. */
+  /** Zones in which most machines are silent while other zones are not: partitioned rather than failed. */
   partitionedZones = new Set<string>();
-  /** Ordinary machines without replicas that the reserve lies on. */
+  /** Names of the machines that hold the capacity reserve of services. */
   reserveMachines = new Set<string>();
-  /** Until then work is short of places. */
+  /** Until this time capacity counts as short, and no machine is surplus. */
   shortageUntil = 0;
   readonly machinesWithReservation = new Set<Machine>();
   readonly endedAttempts = new EndedAttempts();
-  /** Machines whose ended attempts alone keep work waiting: they are removed without waiting for others. */
+  /**
+   * Names of machines whose ended attempts alone keep work waiting. These attempts are removed at once,
+   * without waiting for more of them to share the message.
+   */
   blockingMachines: ReadonlySet<string> = new Set();
-  /** Machines with places that a waiting gang has gathered: they are kept although they are empty. */
-  machinesHeldForGangs: ReadonlySet<string> = new Set();
-  /** Refused rentals. */
+  /** Names of machines reserved for waiting gangs, which are not returned although they are idle. */
+  machinesReservedForGangs: ReadonlySet<string> = new Set();
+  /** Offers that are not rented for now, because the cloud refused them. */
   readonly rentalBackoff = new RentalBackoff(RENTAL_BACKOFF_MS, MAX_RENTAL_BACKOFF_MS);
   readonly startedAt: number;
+  /** Resource needs of known services; see {@link recordServiceProfile}. */
   readonly serviceProfiles = new Map<string, { request: ResourceRequest; recordedAt: number }>();
+  /** Whether something has changed since the last placement pass. */
   isDirty = true;
+  /** Whether the cloud's list of machines has been read at least once. */
   hasMachineList = false;
   policy: Policy;
 
@@ -88,27 +97,30 @@
 
   // ---- owners ---------------------------------------------------------------------------------------
 
-  /** Shard owners by team. */
+  /** Shard owners, by team. */
   get owners(): Map<string, ShardOwnerRef> {
     return this.shardOwners.byTeam;
   }
 
-  /** The team's owner has told all it holds. */
+  /** Whether the full sync of the team's owner has been applied. */
   isSynced(team: string): boolean {
     return this.shardOwners.isSynced(team);
   }
 
-  /** Every placement that is stored is known here. */
+  /** Whether all teams' owners are synced, so that every stored placement is known here. */
   areAllOwnersSynced(): boolean {
-    return this.shardOwners.areAllSynced();
+    return this.shardOwners.areAllOwnersSynced();
   }
 
-  /** What this instance tells of the team counts. */
+  /** Whether this instance owns the team and is synced, so that its messages about the team are valid. */
   isCurrentOwner(instanceId: string, team: string): boolean {
     return this.shardOwners.isCurrentOwner(instanceId, team);
   }
 
-  /** Asks the owners of these to stop them: they know whether a task may save, and with how much grace. */
+  /**
+   * Asks the owners of these allocations to stop them. Owners know whether a task may save a checkpoint, and
+   * with which grace period.
+   */
   requestEvictions(allocations: Allocation[], now: number, reason: string): void {
     const tasksByOwner = new Map<string, TaskAttempt[]>();
     for (const allocation of allocations) {
@@ -133,8 +145,9 @@
   // ---- services -------------------------------------------------------------------------------------
 
   /**
-   * What services need, by image and by whether they must be spread: one kind must not hide the other, and a new
-   * leader learns both from the replicas that run, not only from those that wait.
+   * Records the resource needs of a service. Profiles are kept by image and by whether replicas must be
+   * spread over zones, so that neither kind of service hides the other. Running replicas are recorded too: a
+   * new leader must not depend on waiting ones.
    */
   recordServiceProfile(request: ResourceRequest): void {
     const key = `${request.image}|${request.zoneAllowance !== null}`;
@@ -142,12 +155,12 @@
     this.serviceProfiles.set(key, { request, recordedAt: this.options.clock.now() });
   }
 
-  /** What one more task like this would ask for. */
+  /** The resource request of one more task like this placement. */
   requestFromPlacement(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
     return requestFromPlacement(placement);
   }
 
-  /** Seconds that the slowest machine type needs to fetch an image; 0 as long as no type is known. */
+  /** Seconds that the slowest machine type needs to fetch an image; 0 while no type is known. */
   imageFetchSeconds({ imageGb }: { imageGb: number }): number {
     let slowest = Number.POSITIVE_INFINITY;
     for (const machineType of this.options.machineTypes())
@@ -157,23 +170,23 @@
 
   // ---- allocations and grants -----------------------------------------------------------------------
 
-  /** Grants not yet told to be stored, by job. */
+  /** Ids of the grants without a stored placement, by job. */
   get openGrants(): Map<string, Set<number>> {
     return this.grants.byJob;
   }
 
-  /** Where each open grant is. */
+  /** The machine of each open grant, by grant id. */
   get machinesByGrant(): Map<number, Machine> {
     return this.grants.machinesByGrant;
   }
 
-  /** The allocation that holds a grant's capacity; undefined: the grant is no longer open. */
+  /** The allocation of a grant; undefined if the grant is no longer open. */
   allocationOfGrant(id: number): Allocation | undefined {
     return this.grants.allocationOf(id);
   }
 
-  /** These grants no longer hold capacity. */
-  dropGrants(ids: number[]): void {
+  /** Removes grants, which frees their capacity. */
+  removeGrants(ids: number[]): void {
     for (const id of ids) {
       const machine = this.machinesByGrant.get(id);
       const allocation = this.grants.allocationOf(id);
@@ -182,7 +195,7 @@
     this.isDirty = true;
   }
 
-  /** It no longer takes capacity, whatever it was. */
+  /** Removes an allocation in any state from its machine, and from the open grants and evictions. */
   removeAllocation(machine: Machine, allocation: Allocation): void {
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
@@ -190,12 +203,15 @@
     this.markChanged(machine);
   }
 
-  /** Stored as cancelled: stopping its tasks is always right, whoever owns them. Returns where some may run. */
+  /**
+   * Marks the tasks of a job for stopping. The job is stored as cancelled, so this is correct whoever owns
+   * its shard. Returns the machines on which its tasks may run.
+   */
   cancel(jobId: string): Machine[] {
     const affected: Machine[] = [];
     for (const machine of this.machines.values())
       for (const allocation of machine.allocations.values()) {
-        // Also one that is stopped to make room, and may be saving.
+        // A task that is already being stopped may still be saving a checkpoint: its grace period ends now.
         if (
           allocation.jobId !== jobId ||
           (allocation.desiredState !== 'run' && allocation.desiredState !== 'stop')
@@ -211,7 +227,7 @@
 
   // ---- machines and totals --------------------------------------------------------------------------
 
-  /** The machine of this name; one not heard of before begins here. */
+  /** Returns the machine of this name, and creates it if it was not known before. */
   getOrCreateMachine(name: string): Machine {
     let machine = this.machines.get(name);
     if (!machine) {
@@ -223,13 +239,13 @@
     return machine;
   }
 
-  /** Something on this machine has changed: its totals are made anew, and the next pass looks at it. */
+  /** Marks a machine as changed: the next refresh recomputes its totals, and a placement pass is due. */
   markChanged(machine: Machine): void {
     this.fleetTotals.markChanged(machine);
     this.isDirty = true;
   }
 
-  /** Sums up what has changed. */
+  /** Recomputes the totals of the machines that have changed. */
   refreshTotals(): void {
     this.fleetTotals.refresh();
   }
@@ -239,27 +255,27 @@
     return this.fleetTotals.machineTypes;
   }
 
-  /** Running tasks of the whole fleet, as of the last `refreshTotals`. */
+  /** Totals of the tasks in the whole fleet, as of the last `refreshTotals`. */
   get totals(): FleetTaskTotals {
     return this.fleetTotals.taskTotals;
   }
 
-  /** Machines that are up and have something free. */
+  /** Machines that are up and have free CPUs. */
   get machinesWithCapacity(): Set<Machine> {
     return this.fleetTotals.machinesWithCapacity;
   }
 
-  /** Machines that are up and on which something is being stopped. */
+  /** Machines that are up and on which tasks are being stopped. */
   get machinesWithStops(): Set<Machine> {
     return this.fleetTotals.machinesWithStops;
   }
 
-  /** What each team uses; a copy that the caller may count on in. */
+  /** The resources in use by each team, as a copy that the caller may modify. */
   usage(): Map<string, ResourceUsage> {
     return this.fleetTotals.usage();
   }
 
-  /** Whether a team that uses so much would still be within its guarantee with a task of this size more. */
+  /** Whether one more task of this size would keep a team within its guaranteed resources. */
   isWithinGuarantee(
     usage: ResourceUsage | undefined,
     team: string,
@@ -268,7 +284,7 @@
     return isWithinGuarantee(usage, this.options.teams.get(team), task);
   }
 
-  /** What the policy's expressions may use. */
+  /** The variables of the policy's expressions. */
   policyInput(): PolicyInput {
     let queued = 0;
     let queuedCpus = 0;
@@ -293,27 +309,27 @@
 
   // ---- capacities -----------------------------------------------------------------------------------
 
-  /** Fit to be given work. */
+  /** Whether new work may be placed on a machine. */
   isUsable(machine: Machine, now: number): boolean {
     return this.capacities.isUsable(machine, now);
   }
 
-  /** What is free on a machine; null: its type is not known. */
+  /** The free capacity of a machine; null while its type is not known. */
   capacityOf(machine: Machine, now: number): FreeCapacity | null {
     return this.capacities.capacityOf(machine, now);
   }
 
-  /** See `FreeCapacity.isSurplus`. */
+  /** See {@link FreeCapacity.isSurplus}. */
   isSurplus(machine: Machine, now: number): boolean {
     return this.capacities.isSurplus(machine, now);
   }
 
-  /** Free capacity of the machines that have any. */
+  /** The free capacity of each usable machine that has any. */
   freeCapacities(now: number): FreeCapacity[] {
     return this.capacities.freeCapacities(now);
   }
 
-  /** Capacity that services would find if lower work were stopped for them. */
+  /** The capacity of each usable machine that is free or could be freed by preempting batch tasks. */
   preemptibleCapacities(now: number): FreeCapacity[] {
     return this.capacities.preemptibleCapacities(now);
   }
--- a/src/scheduler/ended-attempts.ts
+++ b/src/scheduler/ended-attempts.ts
@@ -1,43 +1,44 @@
-/** Ended attempts that machines still list: they decide which tasks a machine would refuse. */
+/** Ended attempts that machines still list. They determine which tasks a machine would refuse. */
 
 import type { TaskStatus } from '../model/worker-messages.js';
 
-/** The tasks of one job of which a machine lists an ended attempt. */
+/** The tasks of one job that have an ended attempt on a machine. */
 export interface EndedTasks {
   readonly tasks: ReadonlySet<number>;
-  /** One of them is an attempt that the machine refused as `attemptListed`. */
+  /** Whether the machine refused one of these attempts as `attemptListed`. */
   readonly hasRefusedAttempt: boolean;
 }
 
-/** Shared by all machines that list none. */
+/** Shared by all machines that list no ended attempts. */
 export const NO_ENDED_TASKS: ReadonlyMap<string, EndedTasks> = new Map();
 
-/** What is kept of a machine's list here. */
+/** The part of a machine that `EndedAttempts` reads and updates. */
 export interface MachineWithEndedTasks {
   readonly name: string;
-  /** By job: of which tasks it lists an ended attempt. */
+  /** Tasks with a listed ended attempt, by job. */
   endedTasks: ReadonlyMap<string, EndedTasks>;
 }
 
 /**
- * Ended attempts that machines list, by job.
+ * Index of the machines that list ended attempts, by job.
  *
- * A machine refuses a task of which it lists another attempt, ended or not, as `attemptListed`. An ended attempt stays listed until it
- * is removed, and one that was started directly may only be removed under a higher token (see `WorkerCommands`). Tasks
- * that are done are left out: they are never placed again.
+ * A machine that lists any attempt of a task, ended or not, refuses another attempt of it as `attemptListed`.
+ * An ended attempt stays listed until the worker is told to forget it, and one that was started by a direct
+ * command may only be forgotten under a higher fencing token (see `WorkerCommands`). Tasks that are done are
+ * left out: they are never placed again.
  */
 export class EndedAttempts {
   private readonly machinesByJob = new Map<string, Map<string, MachineWithEndedTasks>>();
 
-  /** The list of a machine has changed; costs by its length. */
+  /** Replaces a machine's previous list, in time linear in the lengths of both lists. */
   update(machine: MachineWithEndedTasks, listed: readonly TaskStatus[]): void {
     const current = endedTasksOf(listed);
-    for (const job of machine.endedTasks.keys()) if (!current.has(job)) this.remove(job, machine);
-    for (const job of current.keys()) this.add(job, machine);
+    for (const jobId of machine.endedTasks.keys()) if (!current.has(jobId)) this.remove(jobId, machine);
+    for (const jobId of current.keys()) this.add(jobId, machine);
     machine.endedTasks = current;
   }
 
-  /** Machines that list ended attempts of a job. */
+  /** The machines that list ended attempts of a job. */
   machinesOf(jobId: string): Iterable<MachineWithEndedTasks> {
     return this.machinesByJob.get(jobId)?.values() ?? [];
   }
@@ -62,13 +63,13 @@
 
 function endedTasksOf(listed: readonly TaskStatus[]): ReadonlyMap<string, EndedTasks> {
   let byJob: Map<string, { tasks: Set<number>; hasRefusedAttempt: boolean }> | null = null;
-  for (const { jobId: job, taskIndex, phase, exitReason: reason } of listed) {
-    if (phase !== 'exited' || reason === 'done') continue;
+  for (const { jobId, taskIndex, phase, exitReason } of listed) {
+    if (phase !== 'exited' || exitReason === 'done') continue;
     byJob ??= new Map();
-    const ended = byJob.get(job) ?? { tasks: new Set(), hasRefusedAttempt: false };
+    const ended = byJob.get(jobId) ?? { tasks: new Set(), hasRefusedAttempt: false };
     ended.tasks.add(taskIndex);
-    if (reason === 'attemptListed') ended.hasRefusedAttempt = true;
-    byJob.set(job, ended);
+    if (exitReason === 'attemptListed') ended.hasRefusedAttempt = true;
+    byJob.set(jobId, ended);
   }
   return byJob ?? NO_ENDED_TASKS;
 }
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -1,7 +1,8 @@
 /**
- * Tells machines that have failed from those that can't be reached. Silence alone is no proof: peers that hear of a
- * machine, zones that fall silent as a whole, and how many are silent at once decide whether a machine is deleted, left
- * its lease, or whether this controller is the one that is cut off.
+ * Detects failed machines, and distinguishes them from machines that are only unreachable. Missing heartbeats
+ * alone are no proof of a failure: whether peers hear of a machine, whether its whole zone is silent, and how
+ * many machines are unresponsive at once decide if a machine is deleted, if it is kept until its lease
+ * expires, or if this controller is the one that is partitioned.
  */
 
 import type { ClusterState } from './cluster-state.js';
@@ -9,60 +10,68 @@
 import type { FreeCapacity } from './placement/free-capacity.js';
 import type { SchedulerOptions } from './scheduler-options.js';
 
-/** One missed heartbeat with room for its way: then a machine is probed. */
+/** A machine is probed after one missed heartbeat, with a margin for the message delay. */
 const PROBE_AFTER_INTERVALS = 1.25;
 const PROBE_MARGIN_MS = 1000;
-/** Between two probes of one machine. */
+/** Minimum interval between two probes of a machine. */
 const PROBE_INTERVAL_MS = 2000;
-/** A machine from which two answers in a row got lost is not heard of any more than one that is silent. */
+/** Consecutive missed answers from which a machine counts as unresponsive although its heartbeats arrive. */
 const MISSED_ANSWERS_THRESHOLD = 2;
-/** So long after its lease a machine that answers but does not report is kept: it may lag in ending its tasks. */
+/** Time after a lease expires in which the worker may still be ending its tasks. */
 const LEASE_EXPIRY_GRACE_MS = 5000;
-/** A machine may have asked a peer just before it found this controller. */
+/** Tolerance for a redirect by a peer just before the machine reached this controller. */
 const REDIRECT_MARGIN_MS = 2000;
-/** Multiple of the time without a heartbeat for which it counts that a machine asked a peer. */
+/** Multiple of `probeAfterMs` for which a redirect by a peer is evidence that the machine is alive. */
 const REDIRECT_VALIDITY_PERIODS = 2;
-/** Workers need so long, after a change of leader, to be redirected and to arrive. */
+/** Time that workers need, after a change of leader, to be redirected to the new one. */
 const REDIRECT_SETTLING_MS = 6000;
-/** Part of a zone's machines that are silent when the zone is taken for cut off, and how many it must have. */
+/** Share of silent machines above which a zone counts as partitioned, and its minimum number of machines. */
 const PARTITIONED_ZONE_SHARE = 0.6;
 const MIN_MACHINES_OF_PARTITIONED_ZONE = 3;
-/** So few machines fall silent or go astray without this controller being at fault. */
+/**
+ * Number of machines that may be unresponsive or redirected at once without this controller being suspected.
+ */
 const MAX_INDEPENDENT_FAILURES = 2;
-/** Part of the silent machines that may have asked peers while these still bear out that the machines are at fault. */
+/** Share of the unresponsive machines that peers may have redirected if the machines are at fault. */
 const MAX_REDIRECTED_SHARE = 0.1;
 
-/** What follows from a suspicion; carried out by the scheduler. */
+/** Actions of the failure detector, which other parts of the scheduler implement. */
 export interface FailureActions {
-  /** Calls a worker directly. */
+  /** Sends a direct command to a worker, whose answer shows that it can be reached. */
   probe(machine: Machine): void;
   remove(machine: Machine, reason: string): void;
-  /** Whether a silent machine is left its lease, since its replicas would find no room elsewhere. */
+  /**
+   * Whether an unreachable machine is kept for now, because its replicas would find no capacity elsewhere or
+   * its zone is partitioned.
+   */
   keepsUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean;
 }
 
+/** Machines of one zone. */
 interface ZoneCount {
+  /** Machines that neither send heartbeats nor answer direct commands. */
   silent: number;
   total: number;
 }
 
-/** Counts of one look at all machines. */
+/** The result of one check of all machines. */
 interface LivenessSummary {
   readonly now: number;
   machines: number;
-  /** With a heartbeat of late. */
-  responsive: number;
-  /** Without one, but they answer direct commands. */
+  /** Machines with a recent heartbeat, except those that do not receive the answers. */
+  live: number;
+  /** Machines without a recent heartbeat that answer direct commands. */
   answering: number;
-  /** Without one, but they have asked a peer. */
+  /** Machines without a recent heartbeat that a peer has redirected. */
   redirected: number;
-  /** Silent for so long that they would be deleted. */
+  /** Machines that have been unresponsive for longer than allowed: candidates for deletion. */
   readonly expired: Machine[];
   readonly zones: Map<string, ZoneCount>;
 }
 
-/** Suspects machines, zones and this controller itself. Times in ms. */
+/** Decides whether machines, zones or this controller itself are at fault. Times in ms. */
 export class FailureDetector {
+  /** When this controller was first suspected of being at fault itself; 0: it is not suspected. */
   private selfSuspectedSince = 0;
   private readonly heartbeatIntervalMs: number;
   private readonly leaseMs: number;
@@ -78,7 +87,9 @@
     this.probeAfterMs = this.heartbeatIntervalMs * PROBE_AFTER_INTERVALS + PROBE_MARGIN_MS;
   }
 
-  /** Machines that asked peers, as those tell: alive, whatever this controller hears of them. */
+  /**
+   * Records machines that peers have redirected: they are alive even if their heartbeats do not arrive here.
+   */
   onMachinesRedirected(names: readonly string[]): void {
     const now = this.options.clock.now();
     for (const name of names) {
@@ -87,12 +98,15 @@
     }
   }
 
-  /** Silent machines: called directly, then deleted, unless the fault may be here or a whole zone is cut off. */
+  /**
+   * Probes unresponsive machines and later deletes them, unless this controller may be at fault or
+   * {@link FailureActions.keepsUnreachable} keeps them.
+   */
   check(now: number): void {
     const summary: LivenessSummary = {
       now,
       machines: 0,
-      responsive: 0,
+      live: 0,
       answering: 0,
       redirected: 0,
       expired: [],
@@ -108,12 +122,12 @@
   private checkMachine(machine: Machine, summary: LivenessSummary): void {
     const { now } = summary;
     const zone = countInZone(machine.zone, summary);
-    // Heartbeats alone renew leases: a machine that only answers dies of its lease.
+    // Only heartbeats renew leases: a machine that only answers direct commands loses its lease.
     const lastRenewalAt = lastPossibleLeaseRenewalAt(machine);
     const unresponsiveMs = this.unresponsiveMs(machine, lastRenewalAt, now);
     if (machine.missedAnswers.count === 1) this.probe(machine, now);
     if (unresponsiveMs < this.probeAfterMs) {
-      summary.responsive++;
+      summary.live++;
       return;
     }
     const isAnswering = machine.lastHeardAt > lastRenewalAt && now - machine.lastHeardAt < this.probeAfterMs;
@@ -124,7 +138,8 @@
       summary.redirected++;
       if (unresponsiveMs < this.leaseMs) return;
     }
-    // A machine that answers is left its tasks as long as they may live: the trouble may end before its lease does.
+    // A machine that answers direct commands keeps its tasks while its lease may be valid: its heartbeats may
+    // arrive again before the lease expires.
     const limitMs = isAnswering
       ? this.leaseMs + LEASE_EXPIRY_GRACE_MS
       : this.state.policy.unresponsiveSeconds * 1000;
@@ -133,7 +148,7 @@
   }
 
   private unresponsiveMs(machine: Machine, lastRenewalAt: number, now: number): number {
-    // One that is heard but does not hear counts as silent from when that began.
+    // A machine that does not receive answers counts as unresponsive from the first missed answer on.
     const lastAliveAt =
       machine.missedAnswers.count >= MISSED_ANSWERS_THRESHOLD
         ? Math.min(lastRenewalAt, machine.missedAnswers.since)
@@ -155,11 +170,11 @@
   }
 
   private handleUnresponsive(summary: LivenessSummary): void {
-    const { now, responsive, redirected, expired } = summary;
-    // They reach peers and not this controller: it was cut off from its workers, and to wait for them to fall silent one
-    // after the other would delete them all.
+    const { now, live, redirected, expired } = summary;
+    // More workers reach peers than this controller, so this controller is partitioned from them. If it
+    // waited, one machine after the other would expire, and all of them would be deleted.
     if (
-      redirected > Math.max(MAX_INDEPENDENT_FAILURES, responsive) &&
+      redirected > Math.max(MAX_INDEPENDENT_FAILURES, live) &&
       now - this.state.startedAt > this.probeAfterMs + REDIRECT_SETTLING_MS
     ) {
       this.options.resign('workers reach siblings only');
@@ -173,56 +188,54 @@
     else this.suspectSelf(summary);
   }
 
-  private areMachinesAtFault({ machines, responsive, redirected }: LivenessSummary): boolean {
-    const unresponsive = machines - responsive;
+  private areMachinesAtFault({ machines, live, redirected }: LivenessSummary): boolean {
+    const overdue = machines - live;
     const isMany =
-      unresponsive > Math.max(MAX_INDEPENDENT_FAILURES, machines * this.state.policy.maxUnresponsiveShare) &&
-      responsive < unresponsive;
+      overdue > Math.max(MAX_INDEPENDENT_FAILURES, machines * this.state.policy.maxUnresponsiveShare) &&
+      live < overdue;
     if (!isMany) return true;
-    // Peers in reach to whom none of them has turned bear out that it is the machines.
-    return (
-      responsive > 0 &&
-      this.options.reachablePeerCount() > 0 &&
-      redirected < unresponsive * MAX_REDIRECTED_SHARE
-    );
+    // This controller still receives heartbeats, and reachable peers have redirected hardly any of the
+    // unresponsive machines, so the machines are at fault.
+    return live > 0 && this.options.reachablePeers() > 0 && redirected < overdue * MAX_REDIRECTED_SHARE;
   }
 
   private removeUnlessKept(machines: readonly Machine[], now: number): void {
     const capacities = this.state.preemptibleCapacities(now);
     for (const machine of machines)
-      if (!this.actions.keepsUnreachable(machine, capacities, now)) this.actions.remove(machine, 'silent');
+      if (!this.actions.keepsUnreachable(machine, capacities, now))
+        this.actions.remove(machine, 'unresponsive');
   }
 
-  private suspectSelf({ now, machines, responsive, answering, redirected, expired }: LivenessSummary): void {
-    const unresponsive = machines - responsive;
+  private suspectSelf({ now, machines, live, answering, redirected, expired }: LivenessSummary): void {
+    const overdue = machines - live;
     if (this.selfSuspectedSince === 0) {
       this.selfSuspectedSince = now;
       this.options.log.info(
-        { unresponsive: expired.length, heard: responsive, redirected },
+        { unresponsive: expired.length, heard: live, redirected },
         'many machines unresponsive at once: suspecting this controller',
       );
     }
-    // What answers is in reach: then it is the workers that reach nobody, and another leader would hear no more.
-    if (
-      responsive === 0 &&
-      answering * 2 < unresponsive &&
-      now - this.selfSuspectedSince > this.heartbeatIntervalMs
-    ) {
+    // If at least half of the unresponsive machines answer direct commands, their workers cannot reach any
+    // controller: another leader would receive no heartbeats either.
+    if (live === 0 && answering * 2 < overdue && now - this.selfSuspectedSince > this.heartbeatIntervalMs) {
       this.selfSuspectedSince = now;
-      this.options.resign('no machine can be heard');
+      this.options.resign('no heartbeats from any machine');
       return;
     }
-    // Past their lease their tasks are dead in any case.
+    // Machines whose lease has expired are removed all the same: their tasks have ended in any case.
     for (const machine of expired) {
       const lastAliveAt = Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
       if (now - lastAliveAt > this.leaseMs + LEASE_EXPIRY_GRACE_MS)
-        this.actions.remove(machine, 'silent past its lease');
+        this.actions.remove(machine, 'unresponsive past its lease');
     }
   }
 
-  /** A zone that falls silent as a whole while others are heard is cut off, and may well go on working inside. */
+  /**
+   * Finds the zones in which most machines are silent, unless that holds for all zones. Such a zone is
+   * probably partitioned, and tasks in it may continue to run.
+   */
   private detectPartitionedZones(zones: Map<string, ZoneCount>): void {
-    // What no list has told of yet has no zone.
+    // The zone of a machine is empty until a heartbeat or the cloud's list names it.
     zones.delete('');
     const silentZones: string[] = [];
     for (const [zone, { silent, total }] of zones)
@@ -230,11 +243,13 @@
         silentZones.push(zone);
     const partitionedZones = silentZones.length < zones.size ? silentZones : [];
     for (const zone of partitionedZones)
-      if (!this.state.partitionedZones.has(zone)) this.options.log.info({ zone }, 'zone seems to be cut off');
+      if (!this.state.partitionedZones.has(zone))
+        this.options.log.info({ zone }, 'zone appears to be partitioned');
     this.state.partitionedZones = new Set(partitionedZones);
   }
 }
 
+/** Counts a machine in its zone and in the total, and returns the counts of the zone. */
 function countInZone(name: string, summary: LivenessSummary): ZoneCount {
   summary.machines++;
   let zone = summary.zones.get(name);
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -66,7 +66,7 @@
   }
 
   private hasIdledLong(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
-    if (this.state.machinesHeldForGangs.has(machine.name)) return false;
+    if (this.state.machinesReservedForGangs.has(machine.name)) return false;
     const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
     return now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
   }
--- a/src/scheduler/image-locations.ts
+++ b/src/scheduler/image-locations.ts
@@ -1,18 +1,19 @@
 /**
- * Which machines hold which images, as far as tasks that ran there tell. The leader learns it and tells its peers, so that
- * the next leader need not learn it again. Only the choice of machines rests on it: it may be wrong or old.
+ * The images cached on each machine, as inferred from the tasks that ran there. The leader replicates them to
+ * its peers, so that the next leader knows them too. They only influence the choice of machines, so they may
+ * be wrong or outdated.
  */
 
 import type { ImageLocation } from '../model/image-location.js';
 
-/** Images by machine, with the changes that peers have not been told of yet. */
+/** Images by machine, and the changes not yet sent to peers. */
 export class ImageLocations {
   /** Sizes in GB by image, by machine. */
   private readonly sizesByMachine = new Map<string, Map<string, number>>();
   private added: ImageLocation[] = [];
   private removedMachines: string[] = [];
 
-  /** A task that ran on this machine has left its image there. */
+  /** Records that a task which ran on a machine has left its image there. */
   add(machine: string, image: string, sizeGb: number): void {
     if (this.sizesByMachine.get(machine)?.has(image)) return;
     const location: ImageLocation = { machine, image, sizeGb };
@@ -20,17 +21,17 @@
     this.added.push(location);
   }
 
-  /** The machine is gone. */
+  /** Removes a machine that was deleted. */
   removeMachine(machine: string): void {
     if (this.sizesByMachine.delete(machine)) this.removedMachines.push(machine);
   }
 
-  /** Sizes in GB of the images on a machine; undefined: nothing is known of it. */
+  /** Sizes in GB of the images on a machine; undefined if no image is known there. */
   imagesOf(machine: string): ReadonlyMap<string, number> | undefined {
     return this.sizesByMachine.get(machine);
   }
 
-  /** What has changed since the last call. */
+  /** Returns the changes since the last call. */
   takeChanges(): { added: ImageLocation[]; removedMachines: string[] } {
     const changes = { added: this.added, removedMachines: this.removedMachines };
     this.added = [];
@@ -38,7 +39,7 @@
     return changes;
   }
 
-  /** All that is known, for a peer that may have missed some of it. */
+  /** Returns all known locations, for a peer that may have missed changes. */
   all(): ImageLocation[] {
     const locations: ImageLocation[] = [];
     for (const [machine, images] of this.sizesByMachine)
@@ -46,10 +47,10 @@
     return locations;
   }
 
-  /** Takes over what a peer has told. */
+  /** Applies the changes received from a peer. */
   apply(added: readonly ImageLocation[], removedMachines: readonly string[]): void {
     for (const location of added) this.set(location);
-    // A machine's name is never used again: one that is gone stays gone, whatever was learnt of it just before.
+    // Names of machines are never reused, so a removal takes precedence over an addition.
     for (const machine of removedMachines) this.sizesByMachine.delete(machine);
   }
 
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -1,30 +1,32 @@
-/** What the allocations of one machine come to. */
+/** Totals of the allocations on one machine. */
 
 import type { Resources } from '../model/resources.js';
 import { type Allocation, usesCapacity } from './allocation.js';
 
-/** Sums over the allocations of a machine. */
+/** Totals over the allocations of a machine. */
 export interface MachineTotals {
-  /** Its type was known: `free` means something. */
+  /** Whether the machine's type was known, so that `free` is valid. */
   isTypeKnown: boolean;
+  /** Capacity that no allocation uses. */
   free: Resources;
-  /** Taken by arrays and gangs, which may be stopped for services. */
+  /** Used by array and gang tasks below the highest priority, which may be preempted for services. */
   batch: Resources;
-  /** Taken by tasks that are being stopped. */
+  /** Used by tasks that are being stopped, or that their owners were asked to stop. */
   stopping: Resources;
+  /** Resources in use, by team. */
   teams: { team: string; cpus: number; gpus: number }[];
   replicas: number;
   replicaCpus: number;
   batchTasks: number;
-  /** Allocations whose outcome is not stored yet: a machine without any is empty, whatever it still lists as ended. */
+  /** Allocations without a stored outcome. A machine with none is empty, even if it lists ended attempts. */
   unfinishedTasks: number;
-  /** Something may have to be sent at once: a start or a stop. */
+  /** Whether a start or stop command may have to be sent. */
   hasPendingCommands: boolean;
-  /** Allocations that are to run, by priority. */
+  /** Number of allocations that use capacity and are to run, by priority. */
   runningByPriority: [number, number, number, number];
 }
 
-/** The totals of a machine without allocations and of unknown type. */
+/** Returns the totals of a machine of unknown type without allocations. */
 export function emptyTotals(): MachineTotals {
   const zero = () => ({ cpus: 0, gpus: 0, memoryGb: 0 });
   return {
@@ -42,7 +44,7 @@
   };
 }
 
-/** Sums up allocations on a machine of this size; undefined: its type is not known. */
+/** Computes the totals of a machine of this size; undefined: the machine's type is not known. */
 export function totalsOf(allocations: Iterable<Allocation>, size: Resources | undefined): MachineTotals {
   const totals = emptyTotals();
   if (size) {
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -1,33 +1,34 @@
-/** A rented machine as the leader knows it: what its worker said, what is placed there, and how it is spoken to. */
+/** A rented machine as the leader knows it: its worker's reports, its allocations, and its commands. */
 
 import type { Heartbeat, TaskStatus } from '../model/worker-messages.js';
 import type { Allocation } from './allocation.js';
 import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
 import { emptyTotals, type MachineTotals } from './machine-totals.js';
 
-/** Commands sent straight to a worker, and not with the answer to a heartbeat. Times in ms. */
+/** State of the commands sent to a worker directly instead of in the answer to a heartbeat. Times in ms. */
 export interface DirectCommandState {
   inFlight: boolean;
   lastSentAt: number;
-  /** Calls in a row that brought no answer. */
+  /** Consecutive calls without an answer. */
   failures: number;
-  /** Starts sent without an answer, with the fencing token they were sent under: they may still arrive. */
+  /** Starts that were not answered and may still arrive: the token they were sent under, by task key. */
   indeterminateStarts: Map<string, number>;
+  /** When the first of the present `indeterminateStarts` was added. */
   indeterminateSince: number;
-  /** Attempts that this leader started directly: a late repeat of the command would start them once more. */
+  /** Attempts that this leader started directly: a late duplicate of the command could start them again. */
   startedAttempts: Set<string>;
 }
 
-/** Signs in a row that what is sent to a machine does not reach it, although it is heard. Time in ms. */
+/** Consecutive heartbeats that show that the answers to earlier ones did not arrive. Time in ms. */
 export interface MissedAnswers {
   count: number;
   since: number;
 }
 
-/** Run times of the tasks on a machine against their estimates. */
+/** Run times of the tasks on a machine relative to their estimates. */
 export interface SpeedMeasurement {
   runs: number;
-  /** Moving mean of run time divided by estimate. */
+  /** Moving average of run time divided by estimated run time. */
   meanSlowdown: number;
 }
 
@@ -39,52 +40,58 @@
   zone: string;
   isSpot: boolean;
   agentEpoch: number;
+  /** Sequence of the newest message: a heartbeat, or the answer to a direct command. */
   sequence: number;
-  /** Sequence of the newest heartbeat that came as one, and not as the answer to a direct command. */
+  /** Sequence of the newest heartbeat, without answers to direct commands. */
   heartbeatSequence: number;
+  /** The highest fencing token that its worker has reported. */
   fencingToken: number;
-  /** Any sign of life; heartbeats alone; first seen to be up. */
+  /** When the last heartbeat or answer to a direct command arrived. */
   lastHeardAt: number;
   lastHeartbeatAt: number;
+  /** When this leader first saw the machine up. */
   upSince: number;
-  /** The last heartbeat was answered, with a renewal of its lease. */
+  /** Whether the answer to its last heartbeat renewed its lease. */
   wasLeaseRenewed: boolean;
-  /** Last asked a peer, which sent it here. */
+  /** When a peer last reported that it had redirected this machine. */
   redirectedAt: number;
   isUp: boolean;
-  /** Has shown this leader's fencing token: what it was heard to say is no late copy from before. */
+  /** Whether its worker has reported this leader's token, so that its state is not from a late copy. */
   hasCurrentToken: boolean;
   missedAnswers: MissedAnswers;
   rentedAt: number;
-  /** The cloud lists it as running, whether or not its worker was heard. */
+  /** Whether the cloud lists it as running, even if its worker has not reported yet. */
   isListedAsRunning: boolean;
+  /** When the cloud takes the machine away; null: it has given no notice. */
   evictionDeadline: number | null;
+  /** Allocations by key, grants included. */
   allocations: Map<string, Allocation>;
-  /** What its worker lists, by task key. */
+  /** The tasks that its worker lists, by task key. */
   tasks: Map<string, TaskStatus>;
   directCommands: DirectCommandState;
   /** Sizes in GB by image, least recently used first. */
   images: Map<string, number>;
   isBeingDeleted: boolean;
-  /** Given no new work: jobs fail on it, or it is far slower than others. */
+  /** Whether it gets no new work because jobs fail on it or it is far slower than others. */
   isQuarantined: boolean;
-  /** Being emptied, to be returned. */
+  /** Whether it gets no new work because it is being emptied to be returned. */
   isDraining: boolean;
+  /** When its last unfinished allocation ended, or since when it is known or up. */
   idleSince: number;
-  /** When a task of each job last failed there. */
+  /** When a task of each job last failed on it, by job. */
   failedJobs: Map<string, number>;
-  /** By job: of which tasks it lists an ended attempt. */
+  /** Tasks with a listed ended attempt, by job. */
   endedTasks: ReadonlyMap<string, EndedTasks>;
-  /** Since when it lists tasks that no owner has claimed. */
+  /** Listed tasks without an allocation, by task key: since when they are listed. */
   unknownTasks: Map<string, number>;
-  /** Capacity being freed here by stops is for this job. */
+  /** The job for which tasks are preempted here: the freed capacity is reserved for it. */
   reservation: { jobId: string; priority: number; until: number } | null;
   speed: SpeedMeasurement;
-  /** What its allocations come to, kept by `ClusterState.refreshTotals`. */
+  /** Totals of its allocations, as of the last `ClusterState.refreshTotals`. */
   totals: MachineTotals;
 }
 
-/** A machine of which nothing but its name is known. */
+/** Creates a machine of which only the name is known. */
 export function createMachine(name: string, now: number): Machine {
   return {
     name,
@@ -131,12 +138,15 @@
   };
 }
 
-/** Since when it may have gone without a renewal of its lease: direct commands renew none. */
+/**
+ * The latest time at which a machine's lease may have been renewed: by its last heartbeat, or before this
+ * leader first saw it up. Direct commands do not renew leases.
+ */
 export function lastPossibleLeaseRenewalAt(machine: Machine): number {
   return Math.max(machine.lastHeartbeatAt, machine.upSince);
 }
 
-/** Newer than all that was heard of this machine? */
+/** Whether a heartbeat is newer than every earlier message of this machine. */
 export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
     heartbeat.agentEpoch > machine.agentEpoch ||
@@ -144,7 +154,7 @@
   );
 }
 
-/** Runs something nobody claims: how much capacity it takes is not known. */
+/** Whether a machine runs a task without an allocation: the capacity that the task uses is not known. */
 export function runsUnknownTask(machine: Machine): boolean {
   for (const key of machine.unknownTasks.keys())
     if (!machine.allocations.has(key) && machine.tasks.get(key)?.phase !== 'exited') return true;
--- a/src/scheduler/owners/allocation-events.ts
+++ b/src/scheduler/owners/allocation-events.ts
@@ -1,4 +1,4 @@
-/** Tells shard owners what became of their placements. */
+/** Reports the status of placements to their shard owners. */
 
 import type { TaskAttempt } from '../../model/job.js';
 import type { AllocationEvent } from '../../model/placement.js';
@@ -7,7 +7,10 @@
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** Events not yet sent, by owner. An owner that has not told all it holds gets none: its full sync asks for all of them. */
+/**
+ * Collects events for each owner until the next `flush`. Owners that are not synced get none: once their full
+ * sync has been applied, the status of all their allocations is sent.
+ */
 export class AllocationEvents {
   private readonly unsent = new Map<string, AllocationEvent[]>();
 
@@ -16,7 +19,7 @@
     private readonly state: ClusterState,
   ) {}
 
-  /** Its status, if that was not told before. */
+  /** Adds an event with the allocation's status, unless that status was sent before. */
   emitStatus(machine: Machine, allocation: Allocation): void {
     if (isWithoutStoredPlacement(allocation)) return;
     const key = statusKey(allocation);
@@ -37,7 +40,7 @@
       });
   }
 
-  /** This attempt does not run there, and never will. */
+  /** Adds an event that an attempt has ended on its machine and will never run there again. */
   emitFinalized(team: string, { jobId, taskIndex, attempt }: TaskAttempt, machine: string): void {
     this.emit(team, { type: 'finalized', jobId, taskIndex, attempt, machine });
   }
@@ -50,7 +53,7 @@
     else this.unsent.set(owner.instanceId, [event]);
   }
 
-  /** Sends what has come up since the last call. */
+  /** Sends the events added since the last call. */
   flush(): void {
     for (const [instanceId, events] of this.unsent)
       this.options.send(instanceId, {
@@ -62,7 +65,7 @@
   }
 }
 
-/** Tells apart what an owner may be told of an allocation; empty: nothing yet. */
+/** Identifies the status of an allocation that its owner may be sent; empty while there is none. */
 function statusKey({ isFinalized, reportedStatus }: Allocation): string {
   if (isFinalized) return 'finalized';
   return reportedStatus ? `${reportedStatus.phase}/${reportedStatus.exitReason ?? ''}` : '';
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in single placements as their owners tell them. */
+/** Handles the placements that shard owners report. */
 
 import { taskKey } from '../../model/job.js';
 import type { PlacementSpec } from '../../model/placement.js';
@@ -9,7 +9,7 @@
 import { finalizeIfMissing } from '../workers/finalization.js';
 import type { AllocationEvents } from './allocation-events.js';
 
-/** Makes allocations of placements, and changes those that are there. */
+/** Creates and updates the allocations of reported placements. */
 export class PlacementIntake {
   constructor(
     private readonly options: SchedulerOptions,
@@ -17,7 +17,10 @@
     private readonly events: AllocationEvents,
   ) {}
 
-  /** The allocation as it stands afterwards; null: there is none, as nothing of the placement is left. */
+  /**
+   * Applies a reported placement. Returns its allocation, or null if none is left: the machine was deleted,
+   * or its worker has already forgotten the attempt.
+   */
   apply(placement: PlacementSpec): Allocation | null {
     if (placement.isService)
       this.state.recordServiceProfile({
@@ -49,7 +52,7 @@
     return allocation;
   }
 
-  /** The placement is stored: it takes the place of its grant. */
+  /** Removes the allocation of a placement's grant, which the placement's own allocation replaces. */
   private removeGrantOf(placement: PlacementSpec, machine: Machine): void {
     if (placement.grantId <= 0) return;
     const grant = machine.allocations.get(grantKey(placement.grantId));
@@ -63,7 +66,8 @@
       this.update(existing, placement);
       return existing;
     }
-    // Also one that is to be removed and that this leader never knew: only the worker's list matters.
+    // A placement to be forgotten needs an allocation even if this leader never knew it: only the worker's
+    // list shows whether the attempt still has to be removed there.
     const allocation = createAllocation(placement, this.options.clock.now());
     machine.allocations.set(key, allocation);
     allocation.reportedStatus = machine.tasks.get(key) ?? null;
@@ -74,7 +78,7 @@
   private update(allocation: Allocation, placement: PlacementSpec): void {
     if (placement.desiredState === 'forget' && allocation.desiredState !== 'forget')
       allocation.phaseSince = this.options.clock.now();
-    // A stop is not taken back.
+    // A stop is never reverted to a run.
     if (!(allocation.desiredState === 'stop' && placement.desiredState === 'run'))
       allocation.desiredState = placement.desiredState;
     allocation.gracePeriodSeconds = placement.gracePeriodSeconds;
@@ -82,7 +86,7 @@
   }
 }
 
-/** To be removed from its worker, which does not list it, and no start of it is on its way. */
+/** Whether an attempt to be forgotten is gone: its worker does not list it, and no start is in flight. */
 function isForgotten(machine: Machine, allocation: Allocation): boolean {
   return (
     allocation.desiredState === 'forget' &&
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -1,4 +1,4 @@
-/** What shard owners tell the leader: full syncs, placements, requests, releases, and how far cancellations are covered. */
+/** Handles shard owners' messages: full syncs, placements, requests, releases and cancellation coverage. */
 
 import { taskKey } from '../../model/job.js';
 import type { PlacementSpec } from '../../model/placement.js';
@@ -10,15 +10,15 @@
 import type { PlacementIntake } from './placement-intake.js';
 import { SyncAssembly, type SyncChunk } from './sync-assembly.js';
 
-/** Pause between two requests for full syncs that are missing. */
+/** Interval at which missing full syncs are requested again. */
 const SYNC_REQUEST_INTERVAL_MS = 1500;
-/** So long nothing is offered to a job whose owner can't use a grant: what it asks for is about to change. */
+/** Pause without grants for a job whose owner released one unused: its request is about to change. */
 const DECLINED_PAUSE_MS = 300;
 
 type CoverageMessage = Extract<ShardMessage, { type: 'cancellationCoverage' }>;
 type ReleaseMessage = Extract<ShardMessage, { type: 'release' }>;
 
-/** Takes in what owners tell, and asks them again for what was lost. */
+/** Applies shard owners' messages to the cluster state, and requests a full sync if messages were lost. */
 export class ShardOwnerIntake {
   private readonly syncAssembly = new SyncAssembly();
   private nextSyncRequestAt = 0;
@@ -33,41 +33,41 @@
     },
   ) {}
 
-  /** Takes over which instance owns which team, by the stored records. */
+  /** Updates which instance owns which team, from the stored records. */
   setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
     for (const [team, { instanceId, shardEpoch }] of records) {
-      const current = this.state.owners.get(team);
-      if (current && current.instanceId === instanceId && current.shardEpoch === shardEpoch) continue;
+      const existing = this.state.owners.get(team);
+      if (existing && existing.instanceId === instanceId && existing.shardEpoch === shardEpoch) continue;
       this.state.owners.set(team, {
         instanceId,
         shardEpoch,
         isSynced: false,
         since: this.options.clock.now(),
       });
-      this.state.dropGrants(
+      this.state.removeGrants(
         [...this.state.machinesByGrant.keys()].filter(
           (id) => this.state.allocationOfGrant(id)?.team === team,
         ),
       );
-      // Its owner may have learnt of the record, and told all it holds, before this leader did.
+      // The owner's full sync was ignored if it arrived before this leader knew of the record.
       this.sendSyncRequest(instanceId);
     }
   }
 
-  /** What a team's present owner says no longer counts. */
+  /** Treats a team's present owner as not synced: its placements and requests for the team are ignored. */
   suspendOwner(team: string): void {
     const owner = this.state.owners.get(team);
     if (owner) owner.isSynced = false;
   }
 
-  /** Asks an instance for all it holds; until it has told that, what it says of its teams does not count. */
+  /** Requests a full sync from an instance, whose placements and requests are ignored until it arrives. */
   requestSync(instanceId: string): void {
     for (const owner of this.state.owners.values())
       if (owner.instanceId === instanceId) owner.isSynced = false;
     this.sendSyncRequest(instanceId);
   }
 
-  /** Messages may be lost with a connection: who has not told all it holds is asked again. */
+  /** Repeats the requests to owners that are not synced: messages may be lost with a connection. */
   requestMissingSyncs(now: number): void {
     if (now < this.nextSyncRequestAt) return;
     this.nextSyncRequestAt = now + SYNC_REQUEST_INTERVAL_MS;
@@ -76,13 +76,15 @@
     for (const instanceId of instanceIds) this.sendSyncRequest(instanceId);
   }
 
-  /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
+  /**
+   * The age, in ms, of a team's cancellation watermark, or the time since its owner became known if shorter.
+   */
   coverageAgeMs(team: string, now: number): number {
     const since = this.state.owners.get(team)?.since ?? now;
     return now - Math.max(since, this.state.leaseRenewal.watermarks.watermarkOf(team));
   }
 
-  /** Returns whether it may have changed anything that a pass goes by. */
+  /** Handles a message. Returns whether it may have changed something that matters to a placement pass. */
   handle(message: ShardMessage): boolean {
     if (message.fencingToken !== this.state.fencingToken) return false;
     switch (message.type) {
@@ -123,7 +125,7 @@
     }
   }
 
-  /** `lastChunk` names the sync; `placements` are those of all its chunks. */
+  /** Applies a full sync: `lastChunk` identifies it, and `placements` are those of all its chunks. */
   private applyFullSync(lastChunk: SyncChunk, placements: PlacementSpec[]): void {
     const { instanceId, syncNumber } = lastChunk;
     const teams = this.markSynced(lastChunk);
@@ -149,7 +151,7 @@
         if (teams.has(allocation.team)) this.parts.events.emitStatus(machine, allocation);
   }
 
-  /** The teams of which the sync tells all, since the sender owns them under the epoch it names. */
+  /** Marks the teams that the sender owns under the epochs it names as synced, and returns them. */
   private markSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
     const teams = new Set<string>();
     for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
@@ -161,7 +163,7 @@
     return teams;
   }
 
-  /** What the owner of these teams no longer holds is gone, and so are the grants it was given before. */
+  /** Removes the teams' allocations that the sync does not list, and all grants issued before it. */
   private removeUnlisted(teams: ReadonlySet<string>, placements: readonly PlacementSpec[]): void {
     const listed = new Set<string>();
     for (const placement of placements)
@@ -173,7 +175,10 @@
           this.state.removeAllocation(machine, allocation);
   }
 
-  /** A message with a stop may be lost with its connection: then the watermark stays, and all is told again. */
+  /**
+   * Advances the watermarks of the sender's teams. If a message since its last full sync was lost, it may
+   * have contained a stop: then the watermarks stay as they are, and another full sync is requested.
+   */
   private advanceWatermarks(message: CoverageMessage): void {
     const { instanceId, syncNumber, placementMessages, shardEpochs, leaderTimestamp } = message;
     const { watermarks } = this.state.leaseRenewal;
@@ -206,7 +211,7 @@
       const allocation = this.state.allocationOfGrant(id);
       if (allocation) this.parts.engine.declinedUntil.set(allocation.jobId, until);
     }
-    this.state.dropGrants(grants);
+    this.state.removeGrants(grants);
   }
 
   private sendSyncRequest(instanceId: string): void {
--- a/src/scheduler/owners/sync-assembly.ts
+++ b/src/scheduler/owners/sync-assembly.ts
@@ -1,4 +1,4 @@
-/** Puts the chunks of full syncs together. */
+/** Assembles the chunks of full syncs. */
 
 import type { PlacementSpec } from '../../model/placement.js';
 import type { ShardMessage } from '../../model/shard-messages.js';
@@ -6,7 +6,7 @@
 /** One chunk of a shard owner's full sync. */
 export type SyncChunk = Extract<ShardMessage, { type: 'fullSync' }>;
 
-/** What a chunk has brought: all placements, some of them, or the proof that another chunk was lost. */
+/** The result of adding a chunk: the sync is complete, still partial, or void because a chunk was lost. */
 export type AssemblyResult =
   | { kind: 'complete'; placements: PlacementSpec[] }
   | { kind: 'partial' }
@@ -18,13 +18,14 @@
   placements: PlacementSpec[];
 }
 
-/** Full syncs of which not all chunks have come, by owner. */
+/** Keeps the incomplete full sync of each owner. */
 export class SyncAssembly {
   private readonly inProgress = new Map<string, SyncInProgress>();
 
   /**
-   * A connection made anew between two chunks loses any of them: then the sync is void, or tasks in the lost chunk would
-   * be taken for nobody's and stopped.
+   * Adds the next chunk of an owner's sync. Chunks can be lost if the connection is re-established between
+   * them. A sync with a lost chunk is void: if it were applied, the tasks in that chunk would count as
+   * unknown and be stopped.
    */
   add(chunk: SyncChunk): AssemblyResult {
     const { instanceId, syncNumber, chunkIndex, chunkCount } = chunk;
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -42,7 +42,7 @@
   /** Forgets gangs that no longer wait, and keeps the machines reserved in this pass from being returned as idle. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.reservedMachines);
+    this.state.machinesReservedForGangs = new Set(this.reservedMachines);
   }
 
   /**
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -1,4 +1,4 @@
-/** What the leader's scheduler is given: settings, ports and what it asks its controller for. */
+/** Options of the leader's scheduler: settings, ports, and callbacks to its controller. */
 
 import type { CancellationCoverage } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
@@ -11,18 +11,19 @@
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
 import type { ImageLocations } from './image-locations.js';
 
-/** Settings, ports and callbacks of a scheduler; one scheduler acts under one fencing token. */
+/** Settings, ports and callbacks of a scheduler, which acts under a single fencing token. */
 export interface SchedulerOptions {
   instanceId: string;
   fencingToken: number;
   teams: Map<string, Team>;
   workerTiming: { heartbeatIntervalSeconds: number; leaseSeconds: number; cancellationSeconds: number };
+  /** How long changes may take to show up in the cloud's list of machines. */
   machineListLagSeconds: number;
-  /** Calls a second that the cloud takes. */
+  /** Calls per second that the cloud accepts. */
   cloudCallsPerSecond: number;
   images: ImageLocations;
   objectives: ServiceLevelObjective[];
-  /** The first leader ever finds no machines of an earlier one on their way. */
+  /** Whether this is the cluster's first leader, so that no earlier one's machines can appear later. */
   isFirstLeader: boolean;
   clock: Clock;
   log: Logger;
@@ -30,22 +31,27 @@
   workers: WorkerCommandPort;
   machineTypes(): MachineType[];
   policy(input: PolicyInput): Policy;
-  /** Still known to be the leader: new starts, rentals and deletions are allowed. */
+  /** Whether this controller certainly still leads, so that starts, rentals and deletions are allowed. */
   holdsLeadership(): boolean;
+  /** Sends a message to a shard owner. */
   send(instanceId: string, message: LeaderMessage): void;
+  /** Requests a `flush` of the scheduler. */
   wake(): void;
-  /** A higher token was seen: another leader acts. */
+  /** A worker has reported a higher fencing token, so there is a newer leader. */
   onHigherToken(token: number): void;
-  /** Peers heard from a moment ago. */
-  reachablePeerCount(): number;
-  /** What the leader before this one had told of cancellations. */
+  /** The number of peers heard from recently. */
+  reachablePeers(): number;
+  /** The newest cancellation coverage of any leader; null: none is known. */
   inheritedCoverage(): CancellationCoverage | null;
-  /** Known here to be stored as cancelled, whatever its owner has read. */
+  /** Whether a job is known to be stored as cancelled, even if its shard owner has not read that yet. */
   isCancelled(jobId: string): boolean;
-  /** All that any user was told to be cancelled between the two times is known here. */
+  /**
+   * The period in which every cancellation confirmed to a user by any controller is known here; empty if `at`
+   * is before `since`.
+   */
   knownCancellationWindow(now: number): { since: number; at: number };
-  /** Nothing but this controller's own network explains what is observed. */
+  /** Gives up leadership, because this controller's own network seems to be at fault. */
   resign(reason: string): void;
-  /** Held-back commands stand in the way of a stop: a higher token would end them. */
+  /** Has this leader re-elected under a higher fencing token, which invalidates commands still in flight. */
   raiseFencingToken(reason: string): void;
 }
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * The elected leader's scheduler: it composes what takes in heartbeats and owners' messages, places work, sends commands
- * and keeps the fleet. It stores nothing; owners and workers tell it all.
+ * The elected leader's scheduler. It composes the classes that handle heartbeats and shard owners' messages,
+ * place tasks, send commands to workers and scale the fleet. It stores nothing: its state is rebuilt from
+ * what shard owners, workers, peers and the cloud report.
  */
 
 import type { Policy } from '../model/policy.js';
@@ -22,16 +23,18 @@
 import { Reconciler } from './workers/reconciler.js';
 import { WorkerCommands } from './workers/worker-commands.js';
 
-/** A pass that takes long is made less often, so that what comes meanwhile shares the next one. */
+/**
+ * The pause after a placement pass is a multiple of its duration: slow passes handle more changes at once.
+ */
 const PASS_PAUSE_FACTOR = 5;
 const MIN_PASS_PAUSE_MS = 30;
 const MAX_PASS_PAUSE_MS = 500;
-/** Scaling looks at the whole fleet: less often when that takes long. */
+/** Scaling looks at the whole fleet, so its interval is a multiple of its duration. */
 const SCALING_INTERVAL_FACTOR = 40;
 const MIN_SCALING_INTERVAL_MS = 1000;
 const MAX_SCALING_INTERVAL_MS = 3000;
 
-/** The leader's work under one fencing token. Its methods are called one at a time, from the controller's event loop. */
+/** The scheduler of one leadership term. The controller's event loop calls its methods one at a time. */
 export class Scheduler {
   private readonly state: ClusterState;
   private readonly placement: PlacementEngine;
@@ -79,7 +82,7 @@
     this.draining = new MachineDraining(state);
   }
 
-  /** Bars what leaders before this one have sent. */
+  /** The fencing token of this term: workers that have seen it drop commands of earlier leaders. */
   get fencingToken(): number {
     return this.state.fencingToken;
   }
@@ -91,66 +94,74 @@
 
   // ---- shard owners ---------------------------------------------------------------------------------
 
-  /** The team's owner has told all it holds. */
+  /** Whether the full sync of the team's owner has been applied. */
   isSynced(team: string): boolean {
     return this.state.isSynced(team);
   }
 
-  /** Takes over which instance owns which team, by the stored records. */
+  /** Updates which instance owns which team, from the stored records. */
   setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
     this.owners.setOwners(records);
   }
 
-  /** Before a team's record is changed: what its present owner says no longer counts. */
+  /** Ignores a team's present owner from now on, because the team's ownership record is about to change. */
   suspendOwner(team: string): void {
     this.owners.suspendOwner(team);
   }
 
-  /** Asks an instance for all it holds. */
+  /** Requests a full sync from an instance. */
   requestSync(instanceId: string): void {
     this.owners.requestSync(instanceId);
   }
 
-  /** A shard owner's message; one to another leader is ignored. */
+  /** Handles a message of a shard owner. Messages that were meant for another leader are ignored. */
   onShardMessage(message: ShardMessage): void {
     if (!this.owners.handle(message)) return;
     this.state.isDirty = true;
     this.options.wake();
   }
 
-  /** How long, in ms, a team's owner has told of no cancellations; it counts from when it got the team. */
+  /**
+   * The age, in ms, of a team's cancellation watermark, or the time since its owner became known if shorter.
+   */
   coverageAgeMs(team: string, now: number): number {
     return this.owners.coverageAgeMs(team, now);
   }
 
   // ---- cancellations --------------------------------------------------------------------------------
 
-  /** A peer has stored a cancellation. Also without the key-value store: its stops ride with answers at once. */
+  /**
+   * Handles a cancellation that this controller or a peer has stored. Its tasks are stopped at once, without
+   * waiting for their shard owner to read it, and so also while the key-value store is unavailable.
+   */
   onJobCancelled(jobId: string): void {
     for (const machine of this.state.cancel(jobId)) this.state.machinesToContact.add(machine);
     this.options.wake();
   }
 
-  /** How far cancellations have become stops, for peers; null as long as some owner has not told what it holds. */
+  /** The cancellation coverage to send to peers; null while some team has no watermark yet. */
   coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     return this.state.leaseRenewal.coverage();
   }
 
   // ---- workers --------------------------------------------------------------------------------------
 
-  /** Null: answer that this controller does not lead; `later`: nothing that would renew the worker's lease. */
+  /**
+   * Handles a worker's heartbeat. Returns null if another leader is active, and `later` if the worker's lease
+   * must not be renewed.
+   */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
     return this.heartbeats.handle(heartbeat);
   }
 
-  /** Machines that asked peers, as those tell. */
+  /** Handles a peer's report of machines that it has redirected. */
   onMachinesRedirected(names: string[]): void {
     this.failureDetector.onMachinesRedirected(names);
   }
 
-  // ---- work at the end of each batch of events, and from time to time --------------------------------
+  // ---- work at the end of each batch of events, and at intervals ------------------------------------
 
-  /** Sends what has come up, and makes a pass if something has changed and the last pass is long enough ago. */
+  /** Sends pending events and commands, and runs or schedules a placement pass if something has changed. */
   flush(): void {
     const now = this.options.clock.now();
     this.events.flush();
@@ -185,7 +196,7 @@
       endedAt + clamp((endedAt - now) * PASS_PAUSE_FACTOR, MIN_PASS_PAUSE_MS, MAX_PASS_PAUSE_MS);
   }
 
-  /** Checks what time alone brings about; the next `flush` makes a pass. */
+  /** Runs all time-based checks, and requests a placement pass from the next `flush`. */
   tick(): void {
     const now = this.options.clock.now();
     this.fleet.logFleet(now);
@@ -206,7 +217,7 @@
     this.options.wake();
   }
 
-  /** For logs and tests. */
+  /** Counts for status reports and tests. */
   stats(): Record<string, number> {
     let machinesUp = 0;
     let entries = 0;
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -1,4 +1,7 @@
-/** Sums over the whole fleet, kept by what changes, so that a pass costs by the changes and not by the size of the fleet. */
+/**
+ * Totals over the whole fleet. They are updated incrementally, so that the cost of a pass depends on the
+ * number of changed machines and not on the size of the fleet.
+ */
 
 import type { MachineType } from '../../model/machine-type.js';
 import { EPSILON } from '../../model/resources.js';
@@ -7,30 +10,31 @@
 import { emptyTotals, type MachineTotals, totalsOf } from '../machine-totals.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** CPUs and GPUs that the tasks of a team take. */
+/** CPUs and GPUs in use by the tasks of a team. */
 export interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
 
-/** Running tasks of the whole fleet. */
+/** Totals of the tasks that use capacity, over the whole fleet. */
 export interface FleetTaskTotals {
+  /** Number of service replicas. */
   services: number;
   serviceCpus: number;
   batchTasks: number;
-  /** Tasks that are to run, by priority. */
+  /** Number of tasks that are to run, by priority. */
   runningByPriority: [number, number, number, number];
 }
 
 const PRIORITIES = [0, 1, 2, 3] as const;
 
-/** Totals of the fleet by team and priority, and the machines with something free or about to be. */
+/** Keeps the fleet's totals, and the sets of machines with capacity that is free or about to be freed. */
 export class FleetTotals {
-  /** Machines whose allocations changed since they were last summed up. */
+  /** Machines that have changed since the last `refresh`. */
   private readonly changedMachines = new Set<Machine>();
-  /** Machines that are up and have something free. */
+  /** Machines that are up and have free CPUs. */
   readonly machinesWithCapacity = new Set<Machine>();
-  /** Machines that are up and on which something is being stopped. */
+  /** Machines that are up and on which tasks are being stopped. */
   readonly machinesWithStops = new Set<Machine>();
   readonly taskTotals: FleetTaskTotals = {
     services: 0,
@@ -38,6 +42,7 @@
     batchTasks: 0,
     runningByPriority: [0, 0, 0, 0],
   };
+  /** Machine types by name, as of the last `refresh`. */
   machineTypes = new Map<string, MachineType>();
   private machineTypeList: MachineType[] = [];
   private readonly usageByTeam = new Map<string, ResourceUsage>();
@@ -47,12 +52,12 @@
     private readonly machines: ReadonlyMap<string, Machine>,
   ) {}
 
-  /** Something on this machine has changed: it is summed up anew by the next `refresh`. */
+  /** Marks a machine as changed: the next `refresh` recomputes its totals. */
   markChanged(machine: Machine): void {
     this.changedMachines.add(machine);
   }
 
-  /** Sums up what has changed. */
+  /** Recomputes the totals of the machines that have changed, or of all if the machine types have changed. */
   refresh(): void {
     const list = this.options.machineTypes();
     if (list !== this.machineTypeList) {
@@ -95,7 +100,7 @@
       this.taskTotals.runningByPriority[priority] += sign * totals.runningByPriority[priority];
   }
 
-  /** What each team uses; a copy that the caller may count on in. */
+  /** The resources in use by each team, as a copy that the caller may modify. */
   usage(): Map<string, ResourceUsage> {
     const usage = new Map<string, ResourceUsage>();
     for (const team of this.options.teams.keys())
@@ -104,7 +109,7 @@
   }
 }
 
-/** Whether a team that uses so much would still be within its guarantee with a task of this size more. */
+/** Whether one more task of this size would keep a team with this usage within its guaranteed resources. */
 export function isWithinGuarantee(
   usage: ResourceUsage | undefined,
   team: Team | undefined,
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -1,4 +1,8 @@
-/** Whether workers' leases may be renewed: only as far as all that users were told to be cancelled has become stops. */
+/**
+ * Decides whether workers' leases may be renewed. A lease is renewed only if all cancellations confirmed to
+ * users up to a recent time have become stops, so that no task outlives its cancellation for longer than
+ * promised.
+ */
 
 import {
   allowsLeaseRenewal,
@@ -9,11 +13,11 @@
 import { type Machine, runsUnknownTask } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** How far cancellations have become stops, by team, and which leases may be renewed by it. */
+/** Tracks up to when cancellations have become stops, by team, and which leases may therefore be renewed. */
 export class LeaseRenewalGuard {
   readonly watermarks: CancellationWatermarks;
   private readonly renewalWindowMs: number;
-  /** Machines on which something may have to be stopped yet. */
+  /** Machines on which a stop may still be pending. */
   private readonly machinesWithPendingStops = new Set<Machine>();
 
   constructor(
@@ -24,19 +28,21 @@
     this.renewalWindowMs = renewalWindowMs(options.workerTiming);
   }
 
-  /** All that was cancelled before some moment young enough has become stops for this team. */
+  /** Whether the team's effective watermark is recent enough for lease renewals and starts. */
   isUpToDate(team: string, now: number): boolean {
-    return now - this.watermark(team, now) <= this.renewalWindowMs;
+    return now - this.effectiveWatermark(team, now) <= this.renewalWindowMs;
   }
 
   /**
-   * May this machine's lease be renewed? The answer that does it carries the stops for what was cancelled before the
-   * watermark of every team with tasks there; what was cancelled later ends with this lease, in time.
+   * Whether this machine's lease may be renewed. The renewing answer also carries the stops of all
+   * cancellations before the effective watermarks of the teams with tasks on the machine. Tasks cancelled
+   * later end when this lease expires, at the latest, which is within `cancellationSeconds` because the
+   * watermarks are recent.
    */
   canRenew(machine: Machine, now: number): boolean {
     if (!this.watermarks.hasAllTeams) return this.inheritedCoverageAllowsRenewal(machine, now);
     if (machine.unknownTasks.size > 0 && runsUnknownTask(machine))
-      return now - this.lowestWatermark(now) <= this.renewalWindowMs;
+      return now - this.lowestEffectiveWatermark(now) <= this.renewalWindowMs;
     const teams = new Set<string>();
     for (const allocation of machine.allocations.values())
       if (allocation.desiredState !== 'forget' && !isWithoutStoredPlacement(allocation))
@@ -47,13 +53,13 @@
     return false;
   }
 
-  /** Is to be stopped. */
+  /** Marks an allocation for stopping. */
   markForStop(machine: Machine, allocation: Allocation): void {
     allocation.desiredState = 'stop';
     this.machinesWithPendingStops.add(machine);
   }
 
-  /** For peers: see `CancellationCoverage`. Null as long as some owner has not told what it holds. */
+  /** The cancellation coverage to send to peers; null while some team has no watermark yet. */
   coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     if (!this.watermarks.hasAllTeams) return null;
     const pendingMachines: string[] = [];
@@ -62,17 +68,18 @@
         pendingMachines.push(machine.name);
       else this.machinesWithPendingStops.delete(machine);
     }
-    return { completeUntil: this.lowestWatermark(this.options.clock.now()), pendingMachines };
+    return { completeUntil: this.lowestEffectiveWatermark(this.options.clock.now()), pendingMachines };
   }
 
   /**
-   * Before all owners have told what they hold nobody knows what is on a machine: then what the last leader told of
-   * cancellations must do.
+   * Whether the coverage inherited from earlier leaders allows the renewal. It is used while some team has no
+   * watermark, because the tasks on a machine are not all known until then.
    */
   private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
     const coverage = this.options.inheritedCoverage();
     const knownWindow = this.options.knownCancellationWindow(now);
-    // What users were told since is known by name: its tasks are stopped wherever a heartbeat lists them.
+    // The jobs cancelled within the known period are known by id: their tasks are stopped when a heartbeat
+    // lists them.
     const completeUntil =
       coverage && coverage.completeUntil >= knownWindow.since
         ? Math.max(coverage.completeUntil, knownWindow.at)
@@ -85,18 +92,20 @@
   }
 
   /**
-   * Before this time whatever users were told to be cancelled has become stops for a team: by what its owner has read,
-   * or, from there on, by what all controllers have told one another.
+   * The time before which all cancellations of a team that were confirmed to users have become stops. The
+   * owner's coverage reaches up to its watermark. If the cancellations announced between controllers are
+   * known without a gap from there on, the time extends to the end of the known period.
    */
-  private watermark(team: string, now: number): number {
+  private effectiveWatermark(team: string, now: number): number {
     const ownerWatermark = this.watermarks.watermarkOf(team);
     const knownWindow = this.options.knownCancellationWindow(now);
     return ownerWatermark >= knownWindow.since ? Math.max(ownerWatermark, knownWindow.at) : ownerWatermark;
   }
 
-  private lowestWatermark(now: number): number {
+  private lowestEffectiveWatermark(now: number): number {
     let lowest = Number.POSITIVE_INFINITY;
-    for (const team of this.options.teams.keys()) lowest = Math.min(lowest, this.watermark(team, now));
+    for (const team of this.options.teams.keys())
+      lowest = Math.min(lowest, this.effectiveWatermark(team, now));
     return lowest;
   }
 }
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -1,34 +1,34 @@
-/** What machines have to offer to new work: which are fit to be given any, and what is free on them. */
+/** The capacity that machines offer to new work: which machines are usable, and how much of each is free. */
 
 import type { MachineType } from '../../model/machine-type.js';
 import { EPSILON } from '../../model/resources.js';
 import { lastPossibleLeaseRenewalAt, type Machine, runsUnknownTask } from '../machine.js';
 import { emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 
-/** One missed heartbeat with room for its way makes a machine quiet. */
+/** A heartbeat is overdue after one missed interval, with a margin for the message delay. */
 const OVERDUE_AFTER_INTERVALS = 1.25;
 const OVERDUE_MARGIN_SECONDS = 1;
-/** Multiple of that time after which a machine gets nothing new. */
+/** Multiple of that time after which a machine gets no new work. */
 const UNUSABLE_AFTER_OVERDUE_PERIODS = 1.6;
-/** What it counts against a machine that it is quiet, and that jobs failed on it, in seconds of delay. */
+/** Score penalties for a machine whose heartbeat is overdue, and for one on which jobs failed. */
 const OVERDUE_PENALTY_SECONDS = 10;
 const FAILED_JOBS_PENALTY_SECONDS = 20;
 
-/** What the capacities of machines rest on. */
+/** The cluster state from which capacities are computed. */
 export interface CapacityContext {
   readonly machines: ReadonlyMap<string, Machine>;
   readonly machineTypes: ReadonlyMap<string, MachineType>;
   readonly machinesWithCapacity: ReadonlySet<Machine>;
-  /** Ordinary machines without replicas that the reserve lies on. */
+  /** Names of the machines that hold the capacity reserve of services. */
   readonly reserveMachines: ReadonlySet<string>;
-  /** Until then work is short of places. */
+  /** Until this time capacity counts as short, and no machine is surplus. */
   readonly shortageUntil: number;
   refreshTotals(): void;
 }
 
-/** Free capacities by machine. */
+/** Computes the capacity of each machine for new work. */
 export class MachineCapacities {
-  /** So long, in ms, a machine may go without a heartbeat before it counts as quiet. */
+  /** Milliseconds without a heartbeat after which a machine's heartbeat is overdue. */
   readonly overdueAfterMs: number;
 
   constructor(
@@ -39,7 +39,7 @@
       (heartbeatIntervalSeconds * OVERDUE_AFTER_INTERVALS + OVERDUE_MARGIN_SECONDS) * 1000;
   }
 
-  /** Fit to be given work. A machine not heard of lately gets nothing new. */
+  /** Whether new work may be placed on a machine. A machine without a recent heartbeat gets none. */
   isUsable(machine: Machine, now: number): boolean {
     if (
       !machine.isUp ||
@@ -51,14 +51,14 @@
     )
       return false;
     if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
-    // One that only answers direct commands gets nothing new: all that is placed there dies at the end of its lease.
+    // A machine that only answers direct commands is not usable: tasks on it would end with its lease.
     return (
       now - lastPossibleLeaseRenewalAt(machine) <= this.overdueAfterMs * UNUSABLE_AFTER_OVERDUE_PERIODS &&
       !runsUnknownTask(machine)
     );
   }
 
-  /** What is free on a machine; null: its type is not known. */
+  /** The free capacity of a machine; null while its type is not known. */
   capacityOf(machine: Machine, now: number): FreeCapacity | null {
     const machineType = this.context.machineTypes.get(machine.machineType);
     if (!machineType || !machine.totals.isTypeKnown) return null;
@@ -75,7 +75,7 @@
     return capacity;
   }
 
-  /** See `FreeCapacity.isSurplus`. */
+  /** See {@link FreeCapacity.isSurplus}. */
   isSurplus(machine: Machine, now: number): boolean {
     return (
       !machine.isSpot &&
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Free capacity of the machines that have any. */
+  /** The free capacity of each usable machine that has any. */
   freeCapacities(now: number): FreeCapacity[] {
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
@@ -96,7 +96,7 @@
     return capacities;
   }
 
-  /** Capacity that services would find if lower work were stopped for them. */
+  /** The capacity of each usable machine that is free or could be freed by preempting batch tasks. */
   preemptibleCapacities(now: number): FreeCapacity[] {
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
--- a/src/scheduler/state/open-grants.ts
+++ b/src/scheduler/state/open-grants.ts
@@ -1,19 +1,20 @@
-/** Grants whose owners have not told yet that a placement is stored for them. */
+/** Open grants: those for which the owner has not yet reported a stored placement. */
 
 import { type Allocation, grantKey } from '../allocation.js';
 import type { Machine } from '../machine.js';
 
-/** Open grants by job and by number. */
+/** Index of the open grants by job and by id. */
 export class OpenGrants {
+  /** Grant ids by job. */
   readonly byJob = new Map<string, Set<number>>();
   readonly machinesByGrant = new Map<number, Machine>();
 
-  /** The allocation that holds the grant's capacity; undefined: the grant is no longer open. */
+  /** The allocation of a grant; undefined if the grant is no longer open. */
   allocationOf(grantId: number): Allocation | undefined {
     return this.machinesByGrant.get(grantId)?.allocations.get(grantKey(grantId));
   }
 
-  /** Its allocation is gone. */
+  /** Removes the grant of an allocation that was removed. */
   remove(allocation: Allocation): void {
     this.machinesByGrant.delete(allocation.grantId);
     const grantIds = this.byJob.get(allocation.jobId);
--- a/src/scheduler/state/placement-request.ts
+++ b/src/scheduler/state/placement-request.ts
@@ -1,8 +1,11 @@
-/** A running task as a request of its own. */
+/** Derives a resource request from a placement. */
 
 import type { PlacementSpec, ResourceRequest } from '../../model/placement.js';
 
-/** What one more task like this would ask for, as far as its placement tells. */
+/**
+ * The resource request of one more task like this placement; what a placement does not contain gets a neutral
+ * value.
+ */
 export function requestFromPlacement(placement: Omit<PlacementSpec, 'desiredState'>): ResourceRequest {
   return {
     jobId: placement.jobId,
--- a/src/scheduler/state/shard-owners.ts
+++ b/src/scheduler/state/shard-owners.ts
@@ -1,4 +1,4 @@
-/** Which controllers own which teams' shards, as the leader knows it. */
+/** The controllers that own the teams' shards, as known to the leader. */
 
 import type { Team } from '../../model/team.js';
 
@@ -6,9 +6,9 @@
 export interface ShardOwnerRef {
   instanceId: string;
   shardEpoch: number;
-  /** Has told all it holds under this epoch. */
+  /** Whether its full sync under this epoch has been applied. */
   isSynced: boolean;
-  /** When this controller learnt of it, in ms. */
+  /** When this controller learned of the ownership, in ms. */
   since: number;
 }
 
@@ -18,18 +18,18 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** The team's owner has told all it holds. */
+  /** Whether the full sync of the team's owner has been applied. */
   isSynced(team: string): boolean {
     return this.byTeam.get(team)?.isSynced === true;
   }
 
-  /** Every placement that is stored is known here. */
-  areAllSynced(): boolean {
+  /** Whether all teams' owners are synced, so that every stored placement is known here. */
+  areAllOwnersSynced(): boolean {
     for (const team of this.teams.keys()) if (!this.isSynced(team)) return false;
     return true;
   }
 
-  /** What this instance tells of the team counts. */
+  /** Whether this instance owns the team and is synced, so that its messages about the team are valid. */
   isCurrentOwner(instanceId: string, team: string): boolean {
     const owner = this.byTeam.get(team);
     return owner?.instanceId === instanceId && owner.isSynced;
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -103,7 +103,7 @@
       inheritedCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       knownCancellationWindow: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
-      reachablePeerCount: () => this.peers.count,
+      reachablePeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
