--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -200,7 +200,7 @@
       },
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      knownCancellationWindow: (now) => coordinator.completeSince(now),
+      knownCancellationPeriod: (now) => coordinator.completeSince(now),
       reachablePeers: () => this.peers.countInTouch(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -76,7 +76,7 @@
   isQuarantined: boolean;
   /** Whether it gets no new work because it is being emptied to be returned. */
   isDraining: boolean;
-  /** When its last unfinished allocation ended, or since when it is known or up. */
+  /** When the machine last became empty; before that, when it came up or became known. */
   idleSince: number;
   /** When a task of each job last failed on it, by job. */
   failedJobs: Map<string, number>;
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -49,7 +49,7 @@
    * The period in which every cancellation confirmed to a user by any controller is known here; empty if `at`
    * is before `since`.
    */
-  knownCancellationWindow(now: number): { since: number; at: number };
+  knownCancellationPeriod(now: number): { since: number; at: number };
   /** Gives up leadership, because this controller's own network seems to be at fault. */
   resign(reason: string): void;
   /** Has this leader re-elected under a higher fencing token, which invalidates commands still in flight. */
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -77,12 +77,12 @@
    */
   private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
     const coverage = this.options.inheritedCoverage();
-    const knownWindow = this.options.knownCancellationWindow(now);
+    const knownPeriod = this.options.knownCancellationPeriod(now);
     // The jobs cancelled within the known period are known by id: their tasks are stopped when a heartbeat
     // lists them.
     const completeUntil =
-      coverage && coverage.completeUntil >= knownWindow.since
-        ? Math.max(coverage.completeUntil, knownWindow.at)
+      coverage && coverage.completeUntil >= knownPeriod.since
+        ? Math.max(coverage.completeUntil, knownPeriod.at)
         : (coverage?.completeUntil ?? 0);
     return allowsLeaseRenewal(coverage && { ...coverage, completeUntil }, {
       machine: machine.name,
@@ -98,8 +98,8 @@
    */
   private effectiveWatermark(team: string, now: number): number {
     const ownerWatermark = this.watermarks.watermarkOf(team);
-    const knownWindow = this.options.knownCancellationWindow(now);
-    return ownerWatermark >= knownWindow.since ? Math.max(ownerWatermark, knownWindow.at) : ownerWatermark;
+    const knownPeriod = this.options.knownCancellationPeriod(now);
+    return ownerWatermark >= knownPeriod.since ? Math.max(ownerWatermark, knownPeriod.at) : ownerWatermark;
   }
 
   private lowestEffectiveWatermark(now: number): number {
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -102,7 +102,7 @@
       onHigherToken: () => {},
       inheritedCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
-      knownCancellationWindow: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
+      knownCancellationPeriod: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
       reachablePeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
