--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -41,7 +41,7 @@
 
   /** Returns idle machines that neither unplaced work nor the service reserve needs. */
   deleteIdle(now: number, unplaced: readonly CapacityDemand[]): void {
-    if (!this.state.allSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
+    if (!this.state.areAllOwnersSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
     this.state.refreshTotals();
     const idle = this.findIdle(now);
     if (idle.size === 0) return;
@@ -69,7 +69,7 @@
   }
 
   private isIdleLongEnough(machine: Machine, maxIdleMs: ReadonlyMap<string, number>, now: number): boolean {
-    if (this.state.machinesHeldForGangs.has(machine.name)) return false;
+    if (this.state.machinesReservedForGangs.has(machine.name)) return false;
     const maxMs = maxIdleMs.get(machine.machineType) ?? DEFAULT_IDLE_MS;
     return now - machine.idleSince >= (this.isSurplus(machine, now) ? maxMs * SURPLUS_IDLE_SHARE : maxMs);
   }
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -108,7 +108,7 @@
     return (
       now >= this.nextSearchAt &&
       this.options.holdsLeadership() &&
-      this.state.allSynced() &&
+      this.state.areAllOwnersSynced() &&
       now - this.state.startedAt >= MIN_LEADERSHIP_MS
     );
   }
--- a/src/scheduler/fleet/replica-request.ts
+++ b/src/scheduler/fleet/replica-request.ts
@@ -13,7 +13,7 @@
 ): ResourceRequest {
   const isPinnedToZone = state.scarceZone === machine.zone;
   return {
-    ...state.requestLike(allocation),
+    ...state.requestFromPlacement(allocation),
     zone: isPinnedToZone ? machine.zone : null,
     zoneAllowance: isPinnedToZone ? {} : null,
   };
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -46,7 +46,7 @@
    */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
-    this.state.machinesHeldForGangs = new Set(this.machinesForGangs);
+    this.state.machinesReservedForGangs = new Set(this.machinesForGangs);
   }
 
   /**
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -1,7 +1,7 @@
 /** Prepares the requests of a placement pass and puts them in the order in which they are served. */
 
 import type { ResourceRequest } from '../../model/placement.js';
-import type { ClusterState, QueuedRequest } from '../cluster-state.js';
+import type { ClusterState, OwnerRequest } from '../cluster-state.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
 import type { JobConditionTimes } from './job-condition-times.js';
 import type { UsageByTeam } from './usage-by-team.js';
@@ -10,7 +10,7 @@
 const STARVED_AFTER_MS = 45_000;
 
 /** A queued request, adjusted for one placement pass. */
-export interface PassRequest extends QueuedRequest {
+export interface PassRequest extends OwnerRequest {
   /** Whether one more task stays within the guaranteed share of its team at the start of the pass. */
   isWithinGuarantee: boolean;
 }
