--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -46,8 +46,8 @@
   | { type: 'storeUnreachable' };
 
 /** Most final answers kept, and how many of the oldest go at a time. */
-const MAX_FINAL_RECORDS = 20000;
-const EVICTED_FINAL_RECORDS = 5000;
+const MAX_CACHED_FINAL_RECORDS = 20000;
+const FINAL_RECORD_EVICTION_COUNT = 5000;
 /** A submission without an answer is sent again so often; the store takes only one of them. */
 const SUBMIT_RETRIES = 1;
 /** A cancellation that other writes came before is tried again so often. */
@@ -56,7 +56,7 @@
 const ROUNDING_TOLERANCE = 1e-9;
 
 const STORE_UNREACHABLE: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
-const TYPES_UNKNOWN: ApiAnswer = { type: 'unavailable', reason: 'machine types not known yet' };
+const MACHINE_TYPES_UNKNOWN: ApiAnswer = { type: 'unavailable', reason: 'machine types not known yet' };
 const STATE_CHANGED: ApiAnswer = { type: 'unavailable', reason: 'state changed meanwhile' };
 
 /**
@@ -71,14 +71,14 @@
   /** Accepts a job once its record is stored; a repeat gets the present state of the job accepted first. */
   submitJob(spec: JobSpec, callback: AnswerCallback): void {
     const { teams, openJobs } = this.options;
-    const areTypesKnown = this.options.machineTypes().length > 0;
-    const rejection = areTypesKnown || !teams.has(spec.team) ? this.rejectionReason(spec) : null;
+    const areMachineTypesKnown = this.options.machineTypes().length > 0;
+    const rejection = areMachineTypesKnown || !teams.has(spec.team) ? this.rejectionReason(spec) : null;
     if (rejection !== null) {
-      this.answerUnlessMissing(spec.id, { type: 'rejected', reason: rejection }, callback);
+      this.answerExistingJobOr(spec.id, { type: 'rejected', reason: rejection }, callback);
       return;
     }
-    if (!areTypesKnown) {
-      this.answerUnlessMissing(spec.id, TYPES_UNKNOWN, callback);
+    if (!areMachineTypesKnown) {
+      this.answerExistingJobOr(spec.id, MACHINE_TYPES_UNKNOWN, callback);
       return;
     }
     if (openJobs.isFailing) {
@@ -103,9 +103,11 @@
   private rejectionReason(spec: JobSpec): string | null {
     const team = this.options.teams.get(spec.team);
     if (!team) return `unknown team ${spec.team}`;
-    const tasksAtOnce = spec.kind === 'array' ? 1 : spec.taskCount;
-    if (exceedsQuota(spec.cpus * tasksAtOnce, team.maxCpus)) return 'needs more CPUs than its team may use';
-    if (exceedsQuota(spec.gpus * tasksAtOnce, team.maxGpus)) return 'needs more GPUs than its team may use';
+    const concurrentTasks = spec.kind === 'array' ? 1 : spec.taskCount;
+    if (exceedsQuota(spec.cpus * concurrentTasks, team.maxCpus))
+      return 'needs more CPUs than its team may use';
+    if (exceedsQuota(spec.gpus * concurrentTasks, team.maxGpus))
+      return 'needs more GPUs than its team may use';
     const fits = this.options
       .machineTypes()
       .some((type) => isAllowedOn(spec, type) && slotsIn(type, spec) >= 1);
@@ -130,16 +132,16 @@
         } else if (result.kind === 'indeterminate' && retriesLeft > 0) {
           this.storeJob(spec, retriesLeft - 1, callback);
         } else if (result.kind === 'conflict') {
-          this.answerUnlessMissing(spec.id, STATE_CHANGED, callback);
+          this.answerExistingJobOr(spec.id, STATE_CHANGED, callback);
         } else callback(STORE_UNREACHABLE);
       },
     );
   }
 
   /** The state of a job once accepted, whatever its repeat holds; for a job that was never accepted the given answer. */
-  private answerUnlessMissing(jobId: string, otherwise: ApiAnswer, callback: AnswerCallback): void {
+  private answerExistingJobOr(jobId: string, fallback: ApiAnswer, callback: AnswerCallback): void {
     this.lookUp(jobId, URGENCY.read, (lookup) =>
-      callback(lookup.type === 'missing' ? otherwise : this.answerFor(jobId, lookup)),
+      callback(lookup.type === 'missing' ? fallback : this.answerFor(jobId, lookup)),
     );
   }
 
@@ -153,7 +155,7 @@
       this.storeCancellation(jobId, lookup, (result) => {
         if (result.ok) {
           this.options.log.debug({ jobId }, 'job cancelled');
-          callback(this.rememberFinal(jobId, { isDone: false, finishedTasks: answer.finishedTasks }));
+          callback(this.cacheFinalRecord(jobId, { isDone: false, finishedTasks: answer.finishedTasks }));
         } else if ((result.kind === 'conflict' || result.kind === 'indeterminate') && retriesLeft > 0) {
           this.tryCancel(jobId, retriesLeft - 1, callback);
         } else callback(STORE_UNREACHABLE);
@@ -193,14 +195,14 @@
         callback({ type: 'storeUnreachable' });
         return;
       }
-      const lookup = this.lookUpInCopy(jobId);
+      const lookup = this.lookUpOpenJob(jobId);
       if (lookup) callback(lookup);
       else this.lookUpFinal(jobId, urgency, callback);
     });
   }
 
   /** Right after a read of the open jobs; null: not among them. */
-  private lookUpInCopy(jobId: string): JobLookup | null {
+  private lookUpOpenJob(jobId: string): JobLookup | null {
     // Final here meanwhile: a cancellation may have been answered while the read was on its way.
     const final = this.finalRecords.get(jobId);
     if (final) return { type: 'final', final };
@@ -224,7 +226,7 @@
       else if (!result.value) callback({ type: 'missing' });
       else {
         const final = finalRecord.decode(result.value.value);
-        this.rememberFinal(jobId, final);
+        this.cacheFinalRecord(jobId, final);
         callback({ type: 'final', final });
       }
     });
@@ -245,19 +247,19 @@
 
   private answerForOpenJob(jobId: string, { job, counter }: OpenJob): ApiAnswer {
     const finishedTasks = counter?.finishedTasks ?? 0;
-    if (job.cancelled === true) return this.rememberFinal(jobId, { isDone: false, finishedTasks });
+    if (job.cancelled === true) return this.cacheFinalRecord(jobId, { isDone: false, finishedTasks });
     if (counter && isComplete(job.spec, counter))
-      return this.rememberFinal(jobId, { isDone: true, finishedTasks });
+      return this.cacheFinalRecord(jobId, { isDone: true, finishedTasks });
     const running = counter?.runningTasks ?? 0;
     const state = finishedTasks + running > 0 ? 'running' : 'queued';
     return { type: 'job', created: false, state, finishedTasks, runningTasks: running };
   }
 
-  private rememberFinal(jobId: string, final: FinalRecord): ApiAnswer {
+  private cacheFinalRecord(jobId: string, final: FinalRecord): ApiAnswer {
     this.finalRecords.set(jobId, final);
     if (!final.isDone) this.options.onCancelled(jobId);
-    if (this.finalRecords.size > MAX_FINAL_RECORDS)
-      for (const oldest of [...this.finalRecords.keys()].slice(0, EVICTED_FINAL_RECORDS))
+    if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS)
+      for (const oldest of [...this.finalRecords.keys()].slice(0, FINAL_RECORD_EVICTION_COUNT))
         this.finalRecords.delete(oldest);
     return finalAnswer(final);
   }
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -45,8 +45,8 @@
   }
 
   /** How many cancellations this process has announced to its peers. */
-  get announcedHere(): number {
-    return this.log.announcedHere;
+  get announcedCount(): number {
+    return this.log.announcedCount;
   }
 
   /** Whether a job is known to be stored as cancelled. */
@@ -55,8 +55,8 @@
   }
 
   /** Any cancellation that a user was told of between the two times is known here. */
-  completeSince(now: number): { since: number; at: number } {
-    return this.log.completeSince(now);
+  completeInterval(now: number): { since: number; until: number } {
+    return this.log.completeInterval(now);
   }
 
   /**
@@ -69,7 +69,7 @@
     this.options.messenger.broadcast({
       type: 'cancelled',
       jobId,
-      cancellationNumber: this.log.announcedHere,
+      cancellationNumber: this.log.announcedCount,
     });
   }
 
@@ -87,7 +87,7 @@
   onPeerHeartbeat(process: PeerProcess, heartbeat: PeerHeartbeat, now: number): void {
     const { latestTimestamp, coverage } = heartbeat;
     const { instanceId } = this.options;
-    this.log.acknowledge(
+    this.log.recordHeartbeat(
       process,
       {
         announced: heartbeat.cancellationsAnnounced,
@@ -97,7 +97,7 @@
     );
     // A timestamp of an earlier process here is a time on another clock.
     if (coverage?.instanceId !== instanceId) return;
-    this.inherit({
+    this.retainIfNewer({
       completeUntil: Math.min(now, coverage.timestamp),
       pendingMachines: coverage.pendingMachines && new Set(coverage.pendingMachines),
     });
@@ -119,8 +119,11 @@
       });
     const coverage = scheduler.coverage();
     if (coverage) {
-      const pending = machinesToName(coverage);
-      this.inherit({ completeUntil: coverage.completeUntil, pendingMachines: pending && new Set(pending) });
+      const pending = pendingMachinesForMessage(coverage);
+      this.retainIfNewer({
+        completeUntil: coverage.completeUntil,
+        pendingMachines: pending && new Set(pending),
+      });
     }
     return coverage;
   }
@@ -131,7 +134,7 @@
     if (!coverage || !peer) return null;
     const timestamp = peer.timestamps.latestReceivedBy(coverage.completeUntil);
     if (timestamp === null) return null;
-    return { instanceId: peer.instanceId, timestamp, pendingMachines: machinesToName(coverage) };
+    return { instanceId: peer.instanceId, timestamp, pendingMachines: pendingMachinesForMessage(coverage) };
   }
 
   /** The newest timestamp that has come from a peer. */
@@ -141,13 +144,13 @@
     return peer && timestamp !== null ? { instanceId: peer.instanceId, timestamp } : null;
   }
 
-  private inherit(coverage: CancellationCoverage): void {
+  private retainIfNewer(coverage: CancellationCoverage): void {
     if (!this.latestCoverage || coverage.completeUntil >= this.latestCoverage.completeUntil)
       this.latestCoverage = coverage;
   }
 }
 
 /** Null, any machine, if there are too many to name. */
-function machinesToName({ pendingMachines }: LeaderCoverage): string[] | null {
+function pendingMachinesForMessage({ pendingMachines }: LeaderCoverage): string[] | null {
   return pendingMachines.length > MAX_MACHINES_PER_MESSAGE ? null : pendingMachines;
 }
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -1,7 +1,7 @@
 /** The cancellations that users were told of. */
 
 /** Jobs remembered as cancelled: shard owners read of them within moments unless there is an outage. */
-const MAX_JOBS = 5000;
+const MAX_CANCELLED_JOBS = 5000;
 
 /** One process of a peer. */
 export interface PeerProcess {
@@ -9,12 +9,12 @@
   instanceId: string;
 }
 
-interface PeerLog {
+interface PeerProgress {
   instanceId: string;
   /** Since when nothing that it announced is missing here. */
   completeSinceMs: number;
   /** Cancellations of it that were taken in. */
-  received: number;
+  receivedCount: number;
   /** All that it told its users before this time on our clock is known here. */
   completeUntilMs: number;
 }
@@ -26,27 +26,27 @@
  * from here, and how many cancellations it had announced by then.
  */
 export class CancellationLog {
-  private ownCount = 0;
-  private readonly jobs = new Set<string>();
-  private readonly peers = new Map<string, PeerLog>();
+  private ownAnnouncements = 0;
+  private readonly cancelledJobs = new Set<string>();
+  private readonly peers = new Map<string, PeerProgress>();
 
   constructor(private readonly peerNames: readonly string[]) {}
 
   /** How many cancellations this process has announced: the number of the latest. */
-  get announcedHere(): number {
-    return this.ownCount;
+  get announcedCount(): number {
+    return this.ownAnnouncements;
   }
 
   /** Whether a job is known to be cancelled. */
   has(jobId: string): boolean {
-    return this.jobs.has(jobId);
+    return this.cancelledJobs.has(jobId);
   }
 
   /** A user is about to be told by this process. False: it was known, and is not announced again. */
   recordOwn(jobId: string): boolean {
-    if (this.jobs.has(jobId)) return false;
-    this.ownCount++;
-    this.remember(jobId);
+    if (this.cancelledJobs.has(jobId)) return false;
+    this.ownAnnouncements++;
+    this.addJob(jobId);
     return true;
   }
 
@@ -57,59 +57,59 @@
     now: number,
   ): void {
     const { cancellationNumber } = announcement;
-    this.remember(announcement.jobId);
+    this.addJob(announcement.jobId);
     const peer = this.peers.get(process.nodeName);
     // If one is missing, what it was stays unknown until shard owners have read of it.
-    if (peer?.instanceId === process.instanceId && cancellationNumber === peer.received + 1)
-      peer.received = cancellationNumber;
-    else this.startOver(process, cancellationNumber, now);
+    if (peer?.instanceId === process.instanceId && cancellationNumber === peer.receivedCount + 1)
+      peer.receivedCount = cancellationNumber;
+    else this.resetPeer(process, cancellationNumber, now);
   }
 
   /**
    * A peer's heartbeat: how many cancellations it has announced, and the newest timestamp of this process that it had by
    * then (null: none).
    */
-  acknowledge(
+  recordHeartbeat(
     process: PeerProcess,
     heartbeat: { announced: number; latestTimestamp: number | null },
     now: number,
   ): void {
     const { announced, latestTimestamp } = heartbeat;
     const peer = this.peers.get(process.nodeName);
-    if (peer?.instanceId !== process.instanceId || peer.received !== announced)
-      this.startOver(process, announced, now);
+    if (peer?.instanceId !== process.instanceId || peer.receivedCount !== announced)
+      this.resetPeer(process, announced, now);
     else if (latestTimestamp !== null)
       peer.completeUntilMs = Math.max(peer.completeUntilMs, Math.min(latestTimestamp, now));
   }
 
   /** All that anybody was told between `since` and `at` is known here. */
-  completeSince(now: number): { since: number; at: number } {
+  completeInterval(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
-    let at = now;
+    let until = now;
     for (const nodeName of this.peerNames) {
       const peer = this.peers.get(nodeName);
-      if (!peer) return { since: now, at: Number.NEGATIVE_INFINITY };
+      if (!peer) return { since: now, until: Number.NEGATIVE_INFINITY };
       since = Math.max(since, peer.completeSinceMs);
-      at = Math.min(at, peer.completeUntilMs);
+      until = Math.min(until, peer.completeUntilMs);
     }
-    return { since, at };
+    return { since, until };
   }
 
   /** From now on nothing of this process is missing; what came before may be. */
-  private startOver({ nodeName, instanceId }: PeerProcess, received: number, now: number): void {
+  private resetPeer({ nodeName, instanceId }: PeerProcess, receivedCount: number, now: number): void {
     this.peers.set(nodeName, {
       instanceId,
       completeSinceMs: now,
-      received,
+      receivedCount: receivedCount,
       completeUntilMs: Number.NEGATIVE_INFINITY,
     });
   }
 
-  private remember(jobId: string): void {
-    this.jobs.add(jobId);
-    for (const oldest of this.jobs) {
-      if (this.jobs.size <= MAX_JOBS) break;
-      this.jobs.delete(oldest);
+  private addJob(jobId: string): void {
+    this.cancelledJobs.add(jobId);
+    for (const oldest of this.cancelledJobs) {
+      if (this.cancelledJobs.size <= MAX_CANCELLED_JOBS) break;
+      this.cancelledJobs.delete(oldest);
     }
   }
 }
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -11,8 +11,8 @@
 import { OPEN_JOBS_PREFIX } from '../store/keyspace.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { CancellationCoordinator } from './cancellation-coordinator.js';
-import { CommandQueue, type CommandQueueOptions } from './command-queue.js';
 import type { ControllerOptions } from './controller-options.js';
+import { EventQueue, type EventQueueOptions } from './event-queue.js';
 import { ImageReplication } from './image-replication.js';
 import { LeaderElection } from './leader-election.js';
 import { Leadership } from './leadership.js';
@@ -49,7 +49,7 @@
 };
 
 /** What the command queue calls. */
-type CommandLoop = Pick<CommandQueueOptions, 'execute' | 'onBatchEnd'>;
+type EventCallbacks = Pick<EventQueueOptions, 'handleEvent' | 'onBatchEnd'>;
 
 /**
  * The parts of one controller. Each mutable field belongs to one part, which alone changes it. They are created in an order
@@ -58,7 +58,7 @@
 export class ControllerParts {
   /** Users' requests. */
   readonly api: JobApi;
-  readonly queue: CommandQueue;
+  readonly queue: EventQueue;
   readonly storeContact: StoreContact;
   readonly records: SystemRecords;
   readonly openJobs: WatchCache;
@@ -71,7 +71,7 @@
   readonly images: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
-  readonly owner: ShardOwner;
+  readonly shardOwner: ShardOwner;
   readonly workerHeartbeats: WorkerHeartbeats;
   readonly peerHeartbeats: PeerHeartbeatSender;
   readonly peerMessages: PeerMessageHandler;
@@ -81,11 +81,11 @@
 
   constructor(
     private readonly options: ControllerOptions,
-    loop: CommandLoop,
+    callbacks: EventCallbacks,
   ) {
     const { clock } = options;
     this.teams = new Map(options.teams.map((team) => [team.name, team]));
-    this.queue = new CommandQueue({ clock, ...loop });
+    this.queue = new EventQueue({ clock, ...callbacks });
     this.storeContact = new StoreContact(clock, this.queue);
     this.store = this.storeContact.observe(options.store);
     this.cloud = queuedCloud(options.cloud, this.queue);
@@ -99,7 +99,7 @@
     this.images = new ImageReplication(this.messenger, this.leadership);
     this.assignment = this.createAssignment();
     this.machineTypes = this.createMachineTypes();
-    this.owner = this.createShardOwner();
+    this.shardOwner = this.createShardOwner();
     this.workerHeartbeats = this.createWorkerHeartbeats();
     this.peerHeartbeats = this.createPeerHeartbeats();
     this.peerMessages = this.createPeerMessages();
@@ -117,7 +117,7 @@
     const owned = new Map<string, number>();
     for (const [team, { instanceId, shardEpoch }] of owners)
       if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
-    this.owner.setShards(owned);
+    this.shardOwner.setShards(owned);
     this.openJobs.setFollowed(owned.size > 0);
     this.leadership.scheduler?.setOwners(owners);
   }
@@ -141,7 +141,7 @@
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
       isFollowed: false,
       onChange: (key, value, modRevision) => {
-        if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
+        if (value !== undefined) this.shardOwner.onOpenJobChanged({ key, value, modRevision });
       },
     });
   }
@@ -168,7 +168,7 @@
       clock,
       log,
       createScheduler: (fencingToken) => this.createScheduler(fencingToken),
-      onLeaderKnown: (fencingToken) => this.owner.setLeader(fencingToken),
+      onLeaderKnown: (fencingToken) => this.shardOwner.setLeader(fencingToken),
       onStarted: (scheduler) => this.onLeadingStarted(scheduler),
     });
   }
@@ -192,7 +192,7 @@
       workers: queuedWorkers(options.workers, this.queue),
       machineTypes: () => this.machineTypes.machineTypes,
       policy: options.policy,
-      holdsLeadership: () => leadership.leadsUnder(fencingToken) && this.lease.isSurelyValid(clock.now()),
+      holdsLeadership: () => leadership.leadsUnder(fencingToken) && this.lease.isCertainlyValid(clock.now()),
       send: (instanceId, message) => this.messenger.sendToShardOwner(instanceId, message),
       wake: () => this.queue.wake(),
       onHigherToken: (higherToken) => {
@@ -200,8 +200,8 @@
       },
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      cancellationsKnown: (now) => coordinator.completeSince(now),
-      reachablePeers: () => this.peers.countInTouch(clock.now()),
+      cancellationsKnown: (now) => coordinator.completeInterval(now),
+      reachablePeers: () => this.peers.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
@@ -233,7 +233,7 @@
       queue,
       records,
       leadership,
-      deliverToShardOwner: (message) => this.owner.onLeaderMessage(message),
+      deliverToShardOwner: (message) => this.shardOwner.onLeaderMessage(message),
     });
   }
 
@@ -322,7 +322,7 @@
 
   private createPeerMessages(): PeerMessageHandler {
     const { nodeName, instanceId, clock } = this.options;
-    const { records, leadership, peers, coordinator, images, owner } = this;
+    const { records, leadership, peers, coordinator, images, shardOwner } = this;
     return new PeerMessageHandler({
       nodeName,
       instanceId,
@@ -332,7 +332,7 @@
       peers,
       coordinator,
       images,
-      owner,
+      shardOwner,
     });
   }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -5,9 +5,9 @@
 import type { HeartbeatResult } from '../model/heartbeat-result.js';
 import type { LeaderRecord } from '../model/records.js';
 import type { Heartbeat } from '../model/worker-messages.js';
-import type { Command } from './command-queue.js';
 import type { ControllerOptions } from './controller-options.js';
 import { ControllerParts } from './controller-parts.js';
+import type { ControllerEvent } from './event-queue.js';
 
 /** What a controller is doing, for logs and tests. */
 export interface ControllerStatus {
@@ -16,7 +16,7 @@
   scheduler: Record<string, number> | null;
   /** Teams whose shard this controller owns. */
   teams: string[];
-  owner: { jobs: number; placed: number };
+  shardOwner: { jobs: number; placed: number };
   machineTypeCount: number;
 }
 
@@ -32,7 +32,7 @@
 
   constructor(private readonly options: ControllerOptions) {
     this.parts = new ControllerParts(options, {
-      execute: (command) => this.execute(command),
+      handleEvent: (event) => this.handleEvent(event),
       onBatchEnd: () => this.flush(),
     });
   }
@@ -54,8 +54,8 @@
   }
 
   /** Takes a command into the next batch. */
-  push(command: Command): void {
-    this.parts.queue.push(command);
+  push(event: ControllerEvent): void {
+    this.parts.queue.push(event);
   }
 
   /** Answers a worker at once. */
@@ -77,35 +77,35 @@
 
   /** For logs and tests. */
   status(): ControllerStatus {
-    const { leadership, owner, machineTypes } = this.parts;
+    const { leadership, shardOwner, machineTypes } = this.parts;
     return {
       leader: leadership.leader,
       scheduler: leadership.scheduler?.stats() ?? null,
-      teams: owner.ownedTeams,
-      owner: owner.stats(),
+      teams: shardOwner.ownedTeams,
+      shardOwner: shardOwner.stats(),
       machineTypeCount: machineTypes.machineTypes.length,
     };
   }
 
-  private execute(command: Command): void {
-    switch (command.type) {
+  private handleEvent(event: ControllerEvent): void {
+    switch (event.type) {
       case 'callback':
-        command.run();
+        event.run();
         break;
       case 'tick':
         this.tick();
         break;
       case 'peerMessage':
-        this.parts.peerMessages.onMessage(command.message);
+        this.parts.peerMessages.onMessage(event.message);
         break;
       case 'peerConnection':
-        if (command.isUp) this.parts.peerMessages.onConnected(command.nodeName);
+        if (event.isUp) this.parts.peerMessages.onConnected(event.nodeName);
         break;
     }
   }
 
   private flush(): void {
-    this.parts.owner.flush();
+    this.parts.shardOwner.flush();
     this.parts.leadership.scheduler?.flush();
   }
 
@@ -115,7 +115,7 @@
     const { coordinator, images, peerHeartbeats } = this.parts;
     lease.renew(now);
     election.campaignIfVacant(now);
-    election.withdrawStaleRecord(now);
+    election.deleteStaleRecord(now);
     assignment.assign(now);
     machineTypes.refresh(now);
     leadership.scheduler?.tick();
@@ -127,6 +127,6 @@
   /** A peer in touch was answered by the store, by so much later than this controller. */
   private lagsBehindPeers(lagMs: number): boolean {
     const { peers, storeContact } = this.parts;
-    return peers.hasStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
+    return peers.hasPeerWithStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
   }
 }
--- a/src/controller/command-queue.ts
+++ b/src/controller/event-queue.ts
@@ -5,16 +5,16 @@
 import type { ResultCallback } from '../model/result.js';
 
 /** What can happen to a controller. */
-export type Command =
+export type ControllerEvent =
   | { type: 'peerMessage'; message: PeerMessage }
   | { type: 'peerConnection'; nodeName: string; isUp: boolean }
   | { type: 'callback'; run: () => void }
   | { type: 'tick' };
 
 /** What a command queue needs. */
-export interface CommandQueueOptions {
+export interface EventQueueOptions {
   clock: Clock;
-  execute(command: Command): void;
+  handleEvent(event: ControllerEvent): void;
   /** Called after the commands of each batch: the time to send what follows from all of them. */
   onBatchEnd(): void;
 }
@@ -28,15 +28,15 @@
  * among the other commands, sees the state that all earlier ones have left, and what follows from it is flushed with
  * the same batch. That also makes simulated clusters reproducible.
  */
-export class CommandQueue {
-  private readonly commands: Command[] = [];
+export class EventQueue {
+  private readonly events: ControllerEvent[] = [];
   private batchScheduled = false;
 
-  constructor(private readonly options: CommandQueueOptions) {}
+  constructor(private readonly options: EventQueueOptions) {}
 
   /** Appends a command to the next batch. */
-  push(command: Command): void {
-    this.commands.push(command);
+  push(event: ControllerEvent): void {
+    this.events.push(event);
     this.wake();
   }
 
@@ -48,13 +48,13 @@
   }
 
   /** A callback that, when it is called, runs as a command of the next batch. */
-  enqueued<T>(callback: ResultCallback<T>): ResultCallback<T> {
+  asEvent<T>(callback: ResultCallback<T>): ResultCallback<T> {
     return (result) => this.push({ type: 'callback', run: () => callback(result) });
   }
 
   private runBatch(): void {
     this.batchScheduled = false;
-    for (const command of this.commands.splice(0)) this.options.execute(command);
+    for (const event of this.events.splice(0)) this.options.handleEvent(event);
     this.options.onBatchEnd();
   }
 }
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -6,7 +6,7 @@
 import type { PeerMessenger } from './peer-messenger.js';
 
 /** Most facts about images in one message. */
-const MAX_IMAGE_FACTS_PER_MESSAGE = 2000;
+const MAX_IMAGE_LOCATIONS_PER_MESSAGE = 2000;
 
 /** Sends what the leader learns of images to the peers, and takes it in where another controller leads. */
 export class ImageReplication {
@@ -28,11 +28,11 @@
 
   /** Sends all that is known to a peer, which may have missed any part of it. */
   sendAll(nodeName: string): void {
-    const facts = this.locations.all();
-    for (let start = 0; start < facts.length; start += MAX_IMAGE_FACTS_PER_MESSAGE)
+    const allLocations = this.locations.all();
+    for (let start = 0; start < allLocations.length; start += MAX_IMAGE_LOCATIONS_PER_MESSAGE)
       this.messenger.send(nodeName, {
         type: 'images',
-        added: facts.slice(start, start + MAX_IMAGE_FACTS_PER_MESSAGE),
+        added: allLocations.slice(start, start + MAX_IMAGE_LOCATIONS_PER_MESSAGE),
         removedMachines: [],
       });
   }
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -5,22 +5,22 @@
 import type { LeaderRecord } from '../model/records.js';
 import { FENCING_TOKEN_KEY, LEADER_KEY } from '../store/keyspace.js';
 import { leaderRecord, tokenRecord } from '../store/record-codec.js';
-import type { CommandQueue } from './command-queue.js';
+import type { EventQueue } from './event-queue.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
 import type { SystemRecords } from './system-records.js';
 
 /** Least pause between two campaigns of one controller, and most of what is added to it at random. */
-const CAMPAIGN_PAUSE_MS = 300;
-const CAMPAIGN_SPREAD_MS = 300;
+const MIN_CAMPAIGN_INTERVAL_MS = 300;
+const CAMPAIGN_JITTER_MS = 300;
 /** Once the leader is gone controllers campaign after a random part of the first, and not later than the second. */
-const FIRST_CAMPAIGN_SPREAD_MS = 100;
-const FIRST_CAMPAIGN_AFTER_MS = 110;
+const FIRST_CAMPAIGN_JITTER_MS = 100;
+const FIRST_CAMPAIGN_DEADLINE_MS = 110;
 /** A controller that resigned leaves the election to the others for so long. */
 const RESIGNATION_PAUSE_MS = 20000;
 /** Least time between two raises of the fencing token: each makes all owners tell the leader everything again. */
-const TOKEN_RAISE_INTERVAL_MS = 15000;
-const WITHDRAWAL_INTERVAL_MS = 1000;
+const MIN_TOKEN_RAISE_INTERVAL_MS = 15000;
+const STALE_RECORD_DELETION_INTERVAL_MS = 1000;
 
 /** What the election needs. */
 export interface LeaderElectionOptions {
@@ -28,7 +28,7 @@
   nodeName: string;
   store: KeyValueStore;
   clock: Clock;
-  queue: CommandQueue;
+  queue: EventQueue;
   records: SystemRecords;
   lease: NodeLease;
   leadership: Leadership;
@@ -37,11 +37,11 @@
 /** Campaigns, resigns, and writes all that this controller writes of the leader record. */
 export class LeaderElection {
   private campaignInFlight = false;
-  private barredUntil = 0;
+  private resignedUntil = 0;
   private nextCampaignAt = 0;
   private nextTokenRaiseAt = 0;
-  private nextWithdrawalAt = 0;
-  private withdrawalInFlight = false;
+  private nextStaleRecordDeletionAt = 0;
+  private staleRecordDeletionInFlight = false;
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
@@ -52,7 +52,7 @@
       !lease.isGranted ||
       !records.isReady ||
       this.campaignInFlight ||
-      now < this.barredUntil ||
+      now < this.resignedUntil ||
       now < this.nextCampaignAt
     )
       return;
@@ -83,33 +83,33 @@
   resign(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
     if (!leadership.leadsUnder(fencingToken)) return;
-    const { leaderRevision } = leadership;
-    this.barredUntil = clock.now() + RESIGNATION_PAUSE_MS;
+    const { leaderRecordRevision } = leadership;
+    this.resignedUntil = clock.now() + RESIGNATION_PAUSE_MS;
     leadership.stepDown(reason);
-    this.deleteLeaderRecord(leaderRevision, () => {});
+    this.deleteLeaderRecord(leaderRecordRevision, () => {});
   }
 
   /**
    * Deletes a leader record that still names this instance after it has resigned: the first deletion was lost. As long
    * as the record stands nobody can be elected, and the lease it hangs on is kept.
    */
-  withdrawStaleRecord(now: number): void {
+  deleteStaleRecord(now: number): void {
     const { records, leadership, instanceId } = this.options;
     if (
       leadership.scheduler ||
       this.campaignInFlight ||
-      this.withdrawalInFlight ||
-      now < this.nextWithdrawalAt
+      this.staleRecordDeletionInFlight ||
+      now < this.nextStaleRecordDeletionAt
     )
       return;
     const current = records.leader();
     if (!current) return;
     const { record, modRevision } = current;
     if (record.instanceId !== instanceId || record.fencingToken > leadership.leaderTerm) return;
-    this.nextWithdrawalAt = now + WITHDRAWAL_INTERVAL_MS;
-    this.withdrawalInFlight = true;
+    this.nextStaleRecordDeletionAt = now + STALE_RECORD_DELETION_INTERVAL_MS;
+    this.staleRecordDeletionInFlight = true;
     this.deleteLeaderRecord(modRevision, () => {
-      this.withdrawalInFlight = false;
+      this.staleRecordDeletionInFlight = false;
     });
   }
 
@@ -118,16 +118,16 @@
     const { leadership, clock } = this.options;
     const now = clock.now();
     if (!leadership.leadsUnder(fencingToken) || this.campaignInFlight || now < this.nextTokenRaiseAt) return;
-    this.nextTokenRaiseAt = now + TOKEN_RAISE_INTERVAL_MS;
-    this.campaign(leadership.leaderRevision, reason);
+    this.nextTokenRaiseAt = now + MIN_TOKEN_RAISE_INTERVAL_MS;
+    this.campaign(leadership.leaderRecordRevision, reason);
   }
 
   private onLeaderGone(): void {
     const { leadership, clock, queue } = this.options;
     leadership.stepDown('leader record gone');
     // At random, so that controllers don't all campaign at once.
-    this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_SPREAD_MS;
-    clock.after(FIRST_CAMPAIGN_AFTER_MS, () =>
+    this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_JITTER_MS;
+    clock.after(FIRST_CAMPAIGN_DEADLINE_MS, () =>
       queue.push({ type: 'callback', run: () => this.campaignIfVacant(clock.now()) }),
     );
   }
@@ -137,7 +137,7 @@
     const highest = records.fencingToken();
     const fencingToken = highest.fencingToken + 1;
     this.campaignInFlight = true;
-    this.nextCampaignAt = clock.now() + CAMPAIGN_PAUSE_MS + clock.random() * CAMPAIGN_SPREAD_MS;
+    this.nextCampaignAt = clock.now() + MIN_CAMPAIGN_INTERVAL_MS + clock.random() * CAMPAIGN_JITTER_MS;
     const record: LeaderRecord = { instanceId, nodeName, fencingToken };
     store.compareAndSwap(
       {
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -21,7 +21,7 @@
 export class Leadership {
   private currentScheduler: Scheduler | null = null;
   private knownLeader: LeaderRecord = { instanceId: '', nodeName: '', fencingToken: 0 };
-  private ownTerm = 0;
+  private lastTerm = 0;
   private startedAtMs = 0;
   private ownRecordRevision = 0;
 
@@ -39,7 +39,7 @@
 
   /** Fencing token of the last term of this process; 0 if it has never led. */
   get leaderTerm(): number {
-    return this.ownTerm;
+    return this.lastTerm;
   }
 
   /** When the last term of this process began. */
@@ -48,7 +48,7 @@
   }
 
   /** Revision of the leader record of that term: a write that names it fails once another controller leads. */
-  get leaderRevision(): number {
+  get leaderRecordRevision(): number {
     return this.ownRecordRevision;
   }
 
@@ -61,8 +61,8 @@
   start(record: LeaderRecord, recordRevision: number, reason: string): void {
     const { fencingToken } = record;
     if (this.currentScheduler && this.currentScheduler.fencingToken >= fencingToken) return;
-    if (fencingToken < this.knownLeader.fencingToken || fencingToken <= this.ownTerm) return;
-    this.ownTerm = fencingToken;
+    if (fencingToken < this.knownLeader.fencingToken || fencingToken <= this.lastTerm) return;
+    this.lastTerm = fencingToken;
     this.startedAtMs = this.options.clock.now();
     this.ownRecordRevision = recordRevision;
     this.options.log.info({ fencingToken, reason }, 'leading');
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -29,36 +29,36 @@
 
 /** Knows the machine types, and keeps them up to date. */
 export class MachineTypeCatalog {
-  private known: MachineType[] = [];
-  private askedAt = Number.NEGATIVE_INFINITY;
+  private currentTypes: MachineType[] = [];
+  private requestedAt = Number.NEGATIVE_INFINITY;
   private requestInFlight = false;
 
   constructor(private readonly options: MachineTypeCatalogOptions) {}
 
   /** The types last known; empty until the first answer. */
   get machineTypes(): MachineType[] {
-    return this.known;
+    return this.currentTypes;
   }
 
   /** Asks the cloud, if that is due here. */
   refresh(now: number): void {
-    const interval = this.known.length > 0 ? REFRESH_INTERVAL_MS : FIRST_REFRESH_INTERVAL_MS;
-    if (this.requestInFlight || now - this.askedAt < interval) return;
+    const interval = this.currentTypes.length > 0 ? REFRESH_INTERVAL_MS : FIRST_REFRESH_INTERVAL_MS;
+    if (this.requestInFlight || now - this.requestedAt < interval) return;
     // Whoever doesn't lead reads the record, also while the cloud is down.
     if (!this.options.leadership.scheduler) {
-      if (this.known.length > 0 || this.options.storeContact.ageMs(now) > MAX_STORE_SILENCE_MS) return;
+      if (this.currentTypes.length > 0 || this.options.storeContact.ageMs(now) > MAX_STORE_SILENCE_MS) return;
     }
     this.requestInFlight = true;
-    this.askedAt = now;
+    this.requestedAt = now;
     this.options.cloud.listMachineTypes((result) => {
       this.requestInFlight = false;
-      if (result.ok && result.value.length > 0) this.takeAnswer(result.value);
+      if (result.ok && result.value.length > 0) this.applyListedTypes(result.value);
     });
   }
 
   /** Asks the cloud also if it was asked a moment ago: a new leader has to store what it knows. */
   refreshNow(): void {
-    this.askedAt = Number.NEGATIVE_INFINITY;
+    this.requestedAt = Number.NEGATIVE_INFINITY;
     this.refresh(this.options.clock.now());
   }
 
@@ -66,13 +66,13 @@
   onRecordChanged(): void {
     if (this.options.leadership.scheduler) return;
     const stored = this.options.records.machineTypes();
-    if (stored) this.known = stored;
+    if (stored) this.currentTypes = stored;
   }
 
-  private takeAnswer(types: MachineType[]): void {
+  private applyListedTypes(types: MachineType[]): void {
     const { records, leadership } = this.options;
-    const hasChanged = comparable(types) !== comparable(this.known);
-    this.known = types;
+    const hasChanged = comparisonKey(types) !== comparisonKey(this.currentTypes);
+    this.currentTypes = types;
     if (leadership.scheduler && (hasChanged || !records.hasMachineTypes)) this.storeTypes(types);
   }
 
@@ -80,7 +80,7 @@
     const { store, leadership } = this.options;
     store.compareAndSwap(
       {
-        preconditions: [{ key: LEADER_KEY, modRevision: leadership.leaderRevision }],
+        preconditions: [{ key: LEADER_KEY, modRevision: leadership.leaderRecordRevision }],
         operations: [{ type: 'put', key: MACHINE_TYPES_KEY, value: machineTypesRecord.encode(types) }],
       },
       URGENCY.placement,
@@ -90,6 +90,6 @@
 }
 
 /** Prices change all the time and are not worth a write: those who read the record don't rent. */
-function comparable(types: MachineType[]): string {
+function comparisonKey(types: MachineType[]): string {
   return JSON.stringify(types.map((type) => ({ ...type, hourlyPrice: 0, hourlySpotPrice: 0 })));
 }
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -42,7 +42,7 @@
   }
 
   /** Whether the store keeps the lease in any case: counted from when its last renewal was sent. */
-  isSurelyValid(now: number): boolean {
+  isCertainlyValid(now: number): boolean {
     return now - this.renewedAt < this.options.ttlMs;
   }
 
@@ -63,11 +63,11 @@
     this.options.store.keepLeaseAlive(this.leaseId, (result) => {
       this.requestInFlight = false;
       if (result.ok) this.renewedAt = now;
-      else if (result.kind === 'notFound') this.onGone();
+      else if (result.kind === 'notFound') this.onLeaseNotFound();
     });
   }
 
-  private onGone(): void {
+  private onLeaseNotFound(): void {
     this.options.log.info({}, 'lease lost');
     this.leaseId = 0;
     this.options.onLost();
@@ -84,16 +84,16 @@
         return;
       }
       const predecessor = result.value ? nodeRecord.decode(result.value.value) : undefined;
-      const takeLease = () => this.takeLease(result.value?.modRevision ?? 0);
+      const acquireLease = () => this.acquireLease(result.value?.modRevision ?? 0);
       if (predecessor && predecessor.instanceId !== instanceId && !this.predecessorLeaseRevoked) {
         this.predecessorLeaseRevoked = true;
-        store.revokeLease(predecessor.leaseId, takeLease);
-      } else takeLease();
+        store.revokeLease(predecessor.leaseId, acquireLease);
+      } else acquireLease();
     });
   }
 
   /** The write names the record that was read: carried out late it would bring back an older lease, and go with it. */
-  private takeLease(nodeRecordRevision: number): void {
+  private acquireLease(nodeRecordRevision: number): void {
     const sentAt = this.options.clock.now();
     this.options.store.grantLease(this.options.ttlMs, (result) => {
       if (result.ok) this.writeNodeRecord(nodeRecordRevision, { leaseId: result.value, sentAt });
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -38,7 +38,7 @@
         redirectedMachines: nodeName === leader.nodeName ? redirectedMachines : [],
         timestamp: now,
         latestTimestamp: coordinator.latestTimestampFrom(nodeName),
-        cancellationsAnnounced: coordinator.announcedHere,
+        cancellationsAnnounced: coordinator.announcedCount,
         coverage: coordinator.coverageForPeer(nodeName, coverage),
       });
   }
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -19,7 +19,7 @@
   peers: PeerRegistry;
   coordinator: CancellationCoordinator;
   images: ImageReplication;
-  owner: ShardOwner;
+  shardOwner: ShardOwner;
 }
 
 /** Hands each message to the part that it is for; it keeps nothing of its own. */
@@ -28,7 +28,7 @@
 
   /** Handles a message, unless a later one of the same peer has been handled. */
   onMessage(message: PeerMessage): void {
-    const { instanceId, leadership, coordinator, images, owner } = this.options;
+    const { instanceId, leadership, coordinator, images, shardOwner } = this.options;
     const { body } = message;
     const now = this.options.clock.now();
     const peer = this.options.peers.record(message, now);
@@ -47,15 +47,15 @@
         if (body.recipient === instanceId) leadership.scheduler?.onShardMessage(body.message);
         break;
       case 'toShardOwner':
-        if (body.recipient === instanceId) owner.onLeaderMessage(body.message);
+        if (body.recipient === instanceId) shardOwner.onLeaderMessage(body.message);
         break;
     }
   }
 
   /** The connection to a peer was made anew: what was under way may be lost, so everything is sent again. */
   onConnected(nodeName: string): void {
-    const { records, leadership, images, owner } = this.options;
-    if (leadership.leader.nodeName === nodeName) owner.resync();
+    const { records, leadership, images, shardOwner } = this.options;
+    if (leadership.leader.nodeName === nodeName) shardOwner.resync();
     const { scheduler } = leadership;
     if (!scheduler) return;
     for (const [instanceId, liveNodeName] of records.liveInstances())
@@ -71,14 +71,14 @@
   }): void {
     const { message, heartbeat, peer, now } = received;
     const { leadership, peers, coordinator } = this.options;
-    this.stepDownForLaterLeader(heartbeat);
+    this.stepDownForNewerLeader(heartbeat);
     peer.timestamps.add(heartbeat.timestamp, now);
     coordinator.onPeerHeartbeat(message, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
-    peers.addLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
+    peers.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
-  private stepDownForLaterLeader(heartbeat: PeerHeartbeat): void {
+  private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
     if (
       leadership.scheduler &&
--- a/src/controller/peer-messenger.ts
+++ b/src/controller/peer-messenger.ts
@@ -2,7 +2,7 @@
 
 import type { PeerMessageBody, PeerTransport } from '../model/peer-message.js';
 import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
-import type { CommandQueue } from './command-queue.js';
+import type { EventQueue } from './event-queue.js';
 import type { Leadership } from './leadership.js';
 import type { SystemRecords } from './system-records.js';
 
@@ -12,7 +12,7 @@
   instanceId: string;
   peerNames: readonly string[];
   transport: PeerTransport;
-  queue: CommandQueue;
+  queue: EventQueue;
   records: SystemRecords;
   leadership: Leadership;
   deliverToShardOwner(message: LeaderMessage): void;
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -7,10 +7,10 @@
 export interface Peer {
   readonly instanceId: string;
   /** When its last message came, on this controller's clock. */
-  readonly heardAt: number;
+  readonly lastHeardAt: number;
   readonly lastSequence: number;
   /** When the store last answered it, on this controller's clock as far as the delay of its message allows. */
-  readonly storeContactAt: number;
+  readonly lastStoreContactAt: number;
   /** Its timestamps, by when they came. */
   readonly timestamps: PeerTimestamps;
 }
@@ -22,7 +22,7 @@
 }
 
 /** So long after its last message a peer counts as in touch. */
-const IN_TOUCH_MS = 3000;
+const RECENTLY_HEARD_MS = 3000;
 
 /** Keeps what each peer's last process told of itself, and passes over late and repeated messages. */
 export class PeerRegistry {
@@ -41,7 +41,7 @@
   }
 
   /** Takes note of a peer's leader. */
-  addLeaderHint(hint: LeaderHint): void {
+  recordLeaderHint(hint: LeaderHint): void {
     if (hint.fencingToken > this.latestHint.fencingToken) this.latestHint = hint;
   }
 
@@ -55,12 +55,12 @@
     if (known && !isSameProcess) this.supersededInstances.add(known.instanceId);
     const peer: Peer = {
       instanceId: message.instanceId,
-      heardAt: now,
+      lastHeardAt: now,
       lastSequence: message.sequence,
-      storeContactAt:
+      lastStoreContactAt:
         message.body.type === 'heartbeat'
           ? now - message.body.storeContactAgeMs
-          : (known?.storeContactAt ?? Number.NEGATIVE_INFINITY),
+          : (known?.lastStoreContactAt ?? Number.NEGATIVE_INFINITY),
       timestamps: isSameProcess ? known.timestamps : new PeerTimestamps(),
     };
     this.peers.set(message.nodeName, peer);
@@ -68,23 +68,23 @@
   }
 
   /** How many peers are in touch. */
-  countInTouch(now: number): number {
+  countRecentlyHeard(now: number): number {
     let count = 0;
-    for (const peer of this.peers.values()) if (now - peer.heardAt < IN_TOUCH_MS) count++;
+    for (const peer of this.peers.values()) if (now - peer.lastHeardAt < RECENTLY_HEARD_MS) count++;
     return count;
   }
 
   /** Whether a peer in touch was answered by the store after this time. */
-  hasStoreContactAfter(time: number, now: number): boolean {
+  hasPeerWithStoreContactAfter(time: number, now: number): boolean {
     for (const peer of this.peers.values())
-      if (now - peer.heardAt < IN_TOUCH_MS && peer.storeContactAt > time) return true;
+      if (now - peer.lastHeardAt < RECENTLY_HEARD_MS && peer.lastStoreContactAt > time) return true;
     return false;
   }
 
   /** Whether a peer was heard, and was answered by the store, within so many milliseconds. */
-  hasConnectedPeer(withinMs: number, now: number): boolean {
+  hasPeerWithRecentStoreContact(withinMs: number, now: number): boolean {
     for (const peer of this.peers.values())
-      if (now - peer.heardAt < withinMs && now - peer.storeContactAt < withinMs) return true;
+      if (now - peer.lastHeardAt < withinMs && now - peer.lastStoreContactAt < withinMs) return true;
     return false;
   }
 }
--- a/src/controller/queued-ports.ts
+++ b/src/controller/queued-ports.ts
@@ -2,22 +2,21 @@
 
 import type { CloudProvider } from '../model/cloud-provider.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
-import type { CommandQueue } from './command-queue.js';
+import type { EventQueue } from './event-queue.js';
 
 /** The cloud, with answers that run as commands. */
-export function queuedCloud(cloud: CloudProvider, queue: CommandQueue): CloudProvider {
+export function queuedCloud(cloud: CloudProvider, queue: EventQueue): CloudProvider {
   return {
-    listMachineTypes: (callback) => cloud.listMachineTypes(queue.enqueued(callback)),
-    rentMachines: (request, callback) => cloud.rentMachines(request, queue.enqueued(callback)),
-    deleteMachines: (names, callback) => cloud.deleteMachines(names, queue.enqueued(callback)),
-    listMachines: (since, callback) => cloud.listMachines(since, queue.enqueued(callback)),
+    listMachineTypes: (callback) => cloud.listMachineTypes(queue.asEvent(callback)),
+    rentMachines: (request, callback) => cloud.rentMachines(request, queue.asEvent(callback)),
+    deleteMachines: (names, callback) => cloud.deleteMachines(names, queue.asEvent(callback)),
+    listMachines: (since, callback) => cloud.listMachines(since, queue.asEvent(callback)),
   };
 }
 
 /** Direct commands to workers, with answers that run as commands. */
-export function queuedWorkers(workers: WorkerCommandPort, queue: CommandQueue): WorkerCommandPort {
+export function queuedWorkers(workers: WorkerCommandPort, queue: EventQueue): WorkerCommandPort {
   return {
-    sendCommands: (address, batch, callback) =>
-      workers.sendCommands(address, batch, queue.enqueued(callback)),
+    sendCommands: (address, batch, callback) => workers.sendCommands(address, batch, queue.asEvent(callback)),
   };
 }
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -14,15 +14,15 @@
 import type { ShardOwnership, SystemRecords } from './system-records.js';
 
 /** A controller not heard for so long gets no shards and loses those that it has. */
-const OUT_OF_TOUCH_MS = 3500;
+const MAX_PEER_SILENCE_MS = 3500;
 /** A new leader moves no shard for the sake of balance so long. */
-const REBALANCE_AFTER_START_MS = 5000;
+const FIRST_REBALANCE_DELAY_MS = 5000;
 /** So long an owner may report no cancellation coverage while the store answers. */
-const UNREACHABLE_AFTER_MS = 10000;
+const MAX_COVERAGE_SILENCE_MS = 10000;
 /** So long an owner that was found unreachable gets no shard. */
-const UNREACHABLE_PAUSE_MS = 60000;
+const UNREACHABLE_EXCLUSION_MS = 60000;
 /** The store counts as answering for so long after its last answer. */
-const STORE_ANSWERS_WITHIN_MS = 1000;
+const MAX_STORE_CONTACT_AGE_MS = 1000;
 
 /** What the assignment needs. */
 export interface ShardAssignmentOptions {
@@ -63,18 +63,18 @@
     const counts = this.eligibleOwners(scheduler, now);
     if (!counts.has(instanceId)) return;
     const owners = records.shardOwners();
-    let moves = this.assignOrphans(owners, counts);
+    let moves = this.assignUnownedShards(owners, counts);
     if (moves.size === 0 && now >= this.nextRebalanceAt) {
       this.nextRebalanceAt = now + scheduler.policy.rebalanceIntervalSeconds * 1000;
       moves = this.rebalance(owners, counts);
     }
-    if (moves.size > 0) this.write(scheduler, owners, moves);
+    if (moves.size > 0) this.writeOwners(scheduler, owners, moves);
   }
 
   /** A term of this controller has begun: shards without a reachable owner are assigned at once, others later. */
   onLeadingStarted(): void {
     this.assign(this.options.clock.now());
-    this.nextRebalanceAt = this.options.leadership.leadingSince + REBALANCE_AFTER_START_MS;
+    this.nextRebalanceAt = this.options.leadership.leadingSince + FIRST_REBALANCE_DELAY_MS;
   }
 
   private eligibleOwners(scheduler: Scheduler, now: number): ShardCounts {
@@ -83,11 +83,11 @@
     for (const [instanceId, nodeName] of records.liveInstances()) {
       const peer = peers.get(nodeName);
       // A new leader has heard nobody yet, and a record names who was alive a moment ago.
-      const isTrusted = instanceId === self || now - leadership.leadingSince < OUT_OF_TOUCH_MS;
+      const isPresumedAlive = instanceId === self || now - leadership.leadingSince < MAX_PEER_SILENCE_MS;
       if (
-        isTrusted ||
+        isPresumedAlive ||
         (peer?.instanceId === instanceId &&
-          now - peer.heardAt < OUT_OF_TOUCH_MS &&
+          now - peer.lastHeardAt < MAX_PEER_SILENCE_MS &&
           !this.isUnreachable(scheduler, instanceId, now))
       )
         counts.set(instanceId, 0);
@@ -103,33 +103,33 @@
     const { records, leadership, storeContact, teams, log } = this.options;
     if (now < (this.unreachableUntil.get(instanceId) ?? 0)) return true;
     if (
-      storeContact.ageMs(now) > STORE_ANSWERS_WITHIN_MS ||
-      now - leadership.leadingSince < UNREACHABLE_AFTER_MS
+      storeContact.ageMs(now) > MAX_STORE_CONTACT_AGE_MS ||
+      now - leadership.leadingSince < MAX_COVERAGE_SILENCE_MS
     )
       return false;
     for (const [team, owner] of records.shardOwners()) {
       if (owner.instanceId !== instanceId || !teams.has(team)) continue;
-      if (scheduler.coverageSilenceMs(team, now) <= UNREACHABLE_AFTER_MS) continue;
+      if (scheduler.coverageSilenceMs(team, now) <= MAX_COVERAGE_SILENCE_MS) continue;
       log.info({ instanceId, team }, 'shard owner reports no cancellation coverage');
-      this.unreachableUntil.set(instanceId, now + UNREACHABLE_PAUSE_MS);
+      this.unreachableUntil.set(instanceId, now + UNREACHABLE_EXCLUSION_MS);
       return true;
     }
     return false;
   }
 
   /** Counts the shards that stay, and spreads the others. */
-  private assignOrphans(owners: Map<string, ShardOwnership>, counts: ShardCounts): Map<string, string> {
-    const orphans: string[] = [];
+  private assignUnownedShards(owners: Map<string, ShardOwnership>, counts: ShardCounts): Map<string, string> {
+    const unownedTeams: string[] = [];
     for (const team of [...this.options.teams.keys()].sort()) {
       const owner = owners.get(team);
-      if (owner && counts.has(owner.instanceId)) addShard(counts, owner.instanceId);
-      else orphans.push(team);
+      if (owner && counts.has(owner.instanceId)) incrementCount(counts, owner.instanceId);
+      else unownedTeams.push(team);
     }
     const moves = new Map<string, string>();
-    for (const team of orphans) {
+    for (const team of unownedTeams) {
       const { instanceId } = this.leastLoaded(counts);
       moves.set(team, instanceId);
-      addShard(counts, instanceId);
+      incrementCount(counts, instanceId);
     }
     return moves;
   }
@@ -153,7 +153,11 @@
     return least;
   }
 
-  private write(scheduler: Scheduler, owners: Map<string, ShardOwnership>, moves: Map<string, string>): void {
+  private writeOwners(
+    scheduler: Scheduler,
+    owners: Map<string, ShardOwnership>,
+    moves: Map<string, string>,
+  ): void {
     const { store, leadership, log, maxTransactionOperations } = this.options;
     const batch = [...moves].slice(0, maxTransactionOperations);
     for (const [team] of batch) scheduler.suspendOwner(team);
@@ -161,7 +165,7 @@
     store.compareAndSwap(
       {
         preconditions: [
-          { key: LEADER_KEY, modRevision: leadership.leaderRevision },
+          { key: LEADER_KEY, modRevision: leadership.leaderRecordRevision },
           ...batch.map(([team]) => ({
             key: teamKey(team),
             modRevision: owners.get(team)?.shardEpoch ?? 0,
@@ -183,7 +187,7 @@
   }
 }
 
-function addShard(counts: ShardCounts, instanceId: string): void {
+function incrementCount(counts: ShardCounts, instanceId: string): void {
   counts.set(instanceId, (counts.get(instanceId) ?? 0) + 1);
 }
 
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -51,12 +51,15 @@
   private answerAsFollower(heartbeat: Heartbeat): HeartbeatResult {
     const { leadership, peers, nodeName, clock } = this.options;
     const { leader } = leadership;
-    if (this.keepsLeaseWhileIsolated(heartbeat, clock.now()))
+    if (this.mayRenewWhileIsolated(heartbeat, clock.now()))
       return { type: 'accepted', fencingToken: leader.fencingToken, commands: [] };
     this.redirectedMachines.add(heartbeat.machine);
     const hint = peers.leaderHint;
-    const latest = hint.fencingToken > leader.fencingToken ? hint.nodeName : leader.nodeName;
-    return { type: 'redirected', leaderName: latest !== '' && latest !== nodeName ? latest : null };
+    const latestLeaderName = hint.fencingToken > leader.fencingToken ? hint.nodeName : leader.nodeName;
+    return {
+      type: 'redirected',
+      leaderName: latestLeaderName !== '' && latestLeaderName !== nodeName ? latestLeaderName : null,
+    };
   }
 
   /**
@@ -65,7 +68,7 @@
    * of cancellations, and not where it still had something to stop: the worker may have been cut off from it, and not
    * from here, long before the leader was.
    */
-  private keepsLeaseWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
+  private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, coordinator, workerTiming } = this.options;
     if (heartbeat.fencingToken > leadership.leader.fencingToken || !this.isIsolated(now)) return false;
     return allowsLeaseRenewal(coordinator.inheritedCoverage, {
@@ -79,14 +82,14 @@
   private isIsolated(now: number): boolean {
     const { leadership, peers, storeContact } = this.options;
     const { leader } = leadership;
-    const leaderAsPeer = peers.get(leader.nodeName);
-    if (!leaderAsPeer || leaderAsPeer.instanceId !== leader.instanceId) return false;
+    const leaderPeer = peers.get(leader.nodeName);
+    if (!leaderPeer || leaderPeer.instanceId !== leader.instanceId) return false;
     if (
       peers.leaderHint.fencingToken > leader.fencingToken ||
       storeContact.ageMs(now) < ISOLATED_AFTER_MS ||
-      now - leaderAsPeer.heardAt < ISOLATED_AFTER_MS
+      now - leaderPeer.lastHeardAt < ISOLATED_AFTER_MS
     )
       return false;
-    return !peers.hasConnectedPeer(ISOLATED_AFTER_MS, now);
+    return !peers.hasPeerWithRecentStoreContact(ISOLATED_AFTER_MS, now);
   }
 }
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -43,7 +43,7 @@
   /** Known here to be stored as cancelled, whatever its owner has read. */
   isCancelled(job: string): boolean;
   /** All that any user was told to be cancelled between the two times is known here. */
-  cancellationsKnown(now: number): { since: number; at: number };
+  cancellationsKnown(now: number): { since: number; until: number };
   /** Nothing but this controller's own network explains what is observed. */
   resign(reason: string): void;
   /** Held-back commands stand in the way of a stop: a higher token would end them. */
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -75,7 +75,7 @@
     // What users were told since is known by name: its tasks are stopped wherever a heartbeat lists them.
     const completeUntil =
       coverage && coverage.completeUntil >= known.since
-        ? Math.max(coverage.completeUntil, known.at)
+        ? Math.max(coverage.completeUntil, known.until)
         : (coverage?.completeUntil ?? 0);
     return allowsLeaseRenewal(coverage && { ...coverage, completeUntil }, {
       machine: machine.name,
@@ -91,7 +91,7 @@
   private watermark(team: string, now: number): number {
     const ofOwner = this.watermarks.watermarkOf(team);
     const known = this.options.cancellationsKnown(now);
-    return ofOwner >= known.since ? Math.max(ofOwner, known.at) : ofOwner;
+    return ofOwner >= known.since ? Math.max(ofOwner, known.until) : ofOwner;
   }
 
   private lowestWatermark(now: number): number {
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -177,23 +177,23 @@
 
 test('announcements of peers count from when none is missing, and only up to the timestamp they acknowledged', () => {
   const log = new CancellationLog(['b', 'c']);
-  expect(log.completeSince(100).at).toBe(Number.NEGATIVE_INFINITY);
-  log.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
-  log.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: null }, 110);
-  log.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 200 }, 205);
-  log.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 180 }, 206);
-  expect(log.completeSince(210)).toEqual({ since: 110, at: 180 });
+  expect(log.completeInterval(100).until).toBe(Number.NEGATIVE_INFINITY);
+  log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
+  log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: null }, 110);
+  log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 200 }, 205);
+  log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 180 }, 206);
+  expect(log.completeInterval(210)).toEqual({ since: 110, until: 180 });
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-1', cancellationNumber: 5 }, 215);
-  log.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
-  log.acknowledge({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
-  expect([log.has('wk-1'), log.completeSince(220)]).toEqual([true, { since: 110, at: 212 }]);
+  log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
+  log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
+  expect([log.has('wk-1'), log.completeInterval(220)]).toEqual([true, { since: 110, until: 212 }]);
   // The sixth was lost: from the seventh on nothing is missing again.
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-3', cancellationNumber: 7 }, 230);
-  expect(log.completeSince(231)).toEqual({ since: 230, at: Number.NEGATIVE_INFINITY });
-  log.acknowledge({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
-  log.acknowledge({ nodeName: 'c', instanceId: 'c2' }, { announced: 0, latestTimestamp: 234 }, 235);
-  expect(log.completeSince(236)).toEqual({ since: 235, at: Number.NEGATIVE_INFINITY });
-  expect([log.recordOwn('wk-9'), log.recordOwn('wk-9'), log.announcedHere]).toEqual([true, false, 1]);
+  expect(log.completeInterval(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
+  log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
+  log.recordHeartbeat({ nodeName: 'c', instanceId: 'c2' }, { announced: 0, latestTimestamp: 234 }, 235);
+  expect(log.completeInterval(236)).toEqual({ since: 235, until: Number.NEGATIVE_INFINITY });
+  expect([log.recordOwn('wk-9'), log.recordOwn('wk-9'), log.announcedCount]).toEqual([true, false, 1]);
 });
 
 test('a controller cut off with its zone does not renew a worker that lost the leader long before and runs cancelled tasks', () => {
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -102,7 +102,7 @@
       onHigherToken: () => {},
       inheritedCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
-      cancellationsKnown: (at) => ({ since: at, at: Number.NEGATIVE_INFINITY }),
+      cancellationsKnown: (at) => ({ since: at, until: Number.NEGATIVE_INFINITY }),
       reachablePeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
