--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -1,4 +1,4 @@
-/** Users' requests about their jobs: submission, question, cancellation. */
+/** Users' requests about their jobs: submission, status query and cancellation. */
 
 import type { AnswerCallback, JobService } from '../model/controller-service.js';
 import { DependencyCounter } from '../model/dependency-counter.js';
@@ -16,43 +16,46 @@
 import { counterRecord, finalRecord, jobRecord } from '../store/record-codec.js';
 import type { WatchCache } from '../store/watch-cache.js';
 
-/** What the API needs. */
+/** Dependencies and callbacks of the job API. */
 export interface JobApiOptions {
   store: KeyValueStore;
-  /** A copy of the records under `open/`. */
+  /** Local copy of the records under `open/`. */
   openJobs: WatchCache;
   teams: ReadonlyMap<string, Team>;
-  /** The machine types that the cloud offers; empty until they are known. */
+  /** Returns the machine types that the cloud offers; empty until they are known. */
   machineTypes(): MachineType[];
   log: Logger;
-  /** A user is about to be told that a job is cancelled. */
+  /** Called before a user is told that a job is cancelled. */
   onCancelled(jobId: string): void;
 }
 
 interface OpenJob {
   job: JobRecord;
   jobRevision: number;
-  /** Null until the first of its tasks is placed. */
+  /** Null until the first task of the job is placed. */
   counter: CounterRecord | null;
-  /** 0 while there is no counter. */
+  /** Revision of the counter record; 0 while there is none. */
   counterRevision: number;
 }
 
-/** What the store holds of a job. */
+/** Result of looking up a job in the store. */
 type JobLookup =
   | ({ type: 'open' } & OpenJob)
   | { type: 'final'; final: FinalRecord }
   | { type: 'missing' }
   | { type: 'storeUnreachable' };
 
-/** Most final answers kept, and how many of the oldest go at a time. */
+/** Maximum number of cached final records, and how many of the oldest are evicted when it is exceeded. */
 const MAX_CACHED_FINAL_RECORDS = 20000;
 const FINAL_RECORD_EVICTION_COUNT = 5000;
-/** A submission without an answer is sent again so often; the store takes only one of them. */
+/**
+ * How often a submission is repeated after an indeterminate write; its preconditions let only one write
+ * succeed.
+ */
 const SUBMIT_RETRIES = 1;
-/** A cancellation that other writes came before is tried again so often. */
+/** How often a cancellation is repeated after a conflict with other writes or an indeterminate write. */
 const CANCEL_RETRIES = 6;
-/** Sums of resources may be off by rounding. */
+/** Tolerance for rounding errors in sums of resources. */
 const ROUNDING_TOLERANCE = 1e-9;
 
 const STORE_UNREACHABLE: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
@@ -60,15 +63,18 @@
 const STATE_CHANGED: ApiAnswer = { type: 'unavailable', reason: 'state changed meanwhile' };
 
 /**
- * Answers users from what the store holds when they ask, on any controller. Only final answers are kept here: they never
- * change. A request that can't be answered truthfully gets `unavailable`, never a guess.
+ * Answers users on any controller, from the store's contents at the time of the request. Only final records
+ * are cached, because they never change. A request that cannot be answered reliably gets `unavailable`, not a
+ * guess.
  */
 export class JobApi implements JobService {
   private readonly finalRecords = new Map<string, FinalRecord>();
 
   constructor(private readonly options: JobApiOptions) {}
 
-  /** Accepts a job once its record is stored; a repeat gets the present state of the job accepted first. */
+  /**
+   * Accepts a job once its record is stored. A repeated submission gets the state of the job accepted first.
+   */
   submitJob(spec: JobSpec, callback: AnswerCallback): void {
     const { teams, openJobs } = this.options;
     const areMachineTypesKnown = this.options.machineTypes().length > 0;
@@ -89,17 +95,17 @@
     this.storeJob(spec, SUBMIT_RETRIES, callback);
   }
 
-  /** The present state of a job, also for a submission that is malformed but names one. */
+  /** Answers with the state of a job. Also used for a malformed submission that contains a job id. */
   getJob(jobId: string, callback: AnswerCallback): void {
     this.lookUp(jobId, URGENCY.read, (lookup) => callback(this.answerFor(jobId, lookup)));
   }
 
-  /** Cancels a job, unless it is final; the answer tells what it is then. */
+  /** Cancels a job unless its state is final, and answers with the resulting state. */
   cancelJob(jobId: string, callback: AnswerCallback): void {
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
 
-  /** Why the job can never run; null: some allowed machine type holds a task. */
+  /** Returns why the job can never run, or null if it can. */
   private rejectionReason(spec: JobSpec): string | null {
     const team = this.options.teams.get(spec.team);
     if (!team) return `unknown team ${spec.team}`;
@@ -138,7 +144,10 @@
     );
   }
 
-  /** The state of a job once accepted, whatever its repeat holds; for a job that was never accepted the given answer. */
+  /**
+   * Answers with the state of the job if it was accepted before, whatever the repeated submission contains,
+   * and with `fallback` if it was not.
+   */
   private answerExistingJobOr(jobId: string, fallback: ApiAnswer, callback: AnswerCallback): void {
     this.lookUp(jobId, URGENCY.read, (lookup) =>
       callback(lookup.type === 'missing' ? fallback : this.answerFor(jobId, lookup)),
@@ -163,7 +172,10 @@
     });
   }
 
-  /** Fails if the job or its counter has changed since: it may be done by now, and users never see that taken back. */
+  /**
+   * Stores a cancellation, unless the job or its counter has changed since they were read: the job may be
+   * done by now, and a job that users have seen as done must never become cancelled.
+   */
   private storeCancellation(jobId: string, open: OpenJob, callback: ResultCallback<number>): void {
     const cancelled: JobRecord = {
       spec: open.job.spec,
@@ -189,7 +201,7 @@
       callback({ type: 'final', final });
       return;
     }
-    // One read of what has changed answers all questions that came before it was sent.
+    // One read of the changes serves all requests that arrived before it was sent.
     this.options.openJobs.linearizableRead((ok) => {
       if (!ok) {
         callback({ type: 'storeUnreachable' });
@@ -201,9 +213,12 @@
     });
   }
 
-  /** Right after a read of the open jobs; null: not among them. */
+  /**
+   * Looks up a job in the copy of the open jobs, which has just been refreshed. Returns null if it is not
+   * there.
+   */
   private lookUpOpenJob(jobId: string): JobLookup | null {
-    // Final here meanwhile: a cancellation may have been answered while the read was on its way.
+    // A cancellation may have been confirmed while the read was in progress, which made the job final.
     const final = this.finalRecords.get(jobId);
     if (final) return { type: 'final', final };
     const { items } = this.options.openJobs;
@@ -219,7 +234,10 @@
     };
   }
 
-  /** Moved to its final record in one transaction: not open (any more), then it is there or was never. */
+  /**
+   * Looks up the final record of a job that is not open. One transaction replaces the open records by the
+   * final record, so a job without either was never accepted.
+   */
   private lookUpFinal(jobId: string, urgency: Urgency, callback: (lookup: JobLookup) => void): void {
     this.options.store.get(finalKey(jobId), urgency, (result) => {
       if (!result.ok) callback({ type: 'storeUnreachable' });
@@ -265,7 +283,7 @@
   }
 }
 
-/** A quota of 0 is none. */
+/** Returns whether a need exceeds a quota; a quota of 0 means no limit. */
 function exceedsQuota(needed: number, quota: number): boolean {
   return quota > 0 && needed > quota + ROUNDING_TOLERANCE;
 }
@@ -277,7 +295,10 @@
   );
 }
 
-/** Whether all tasks are counted as done; the bitmap decides, the number only spares reading it. */
+/**
+ * Returns whether all tasks are finished. The bitmap is decisive; checking the count first avoids decoding
+ * it.
+ */
 function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Cancellations between controllers: which ones users were told of, and up to when all of them are known to have become
- * stops. A worker's lease is renewed only by that, so that no task outlives its cancellation for longer than promised.
+ * Exchanges job cancellations and cancellation coverage between controllers. A worker's lease is renewed only
+ * as far as the coverage allows, so no task runs for longer than `cancellationSeconds` after the user was
+ * told that its job is cancelled.
  */
 
 import type { CancellationCoverage } from '../model/cancellation-coverage.js';
@@ -11,16 +12,19 @@
 import type { PeerRegistry } from './peer-registry.js';
 import type { SystemRecords } from './system-records.js';
 
-/** Most machines named in one message: 200 KB, five times a fleet of 4,000 machines. */
+/** Maximum number of machine names in one message: about 200 KB, and five times a fleet of 4,000 machines. */
 export const MAX_MACHINES_PER_MESSAGE = 20000;
 
-/** The leader's coverage: what was cancelled before `completeUntil`, on its clock, has ended or is being stopped on these machines. */
+/**
+ * Cancellation coverage computed by the leader: the tasks of every job cancelled before `completeUntil`, on
+ * the leader's clock, have ended or are being stopped on one of the `pendingMachines`.
+ */
 export interface LeaderCoverage {
   completeUntil: number;
   pendingMachines: string[];
 }
 
-/** What the coordinator needs. */
+/** Settings and dependencies of the cancellation coordinator. */
 export interface CancellationCoordinatorOptions {
   instanceId: string;
   peerNames: readonly string[];
@@ -30,7 +34,7 @@
   messenger: PeerMessenger;
 }
 
-/** Passes cancellations and coverage on to peers, and keeps what they pass on. */
+/** Sends cancellations and coverage to peers, and stores those received from them. */
 export class CancellationCoordinator {
   private readonly log: CancellationLog;
   private latestCoverage: CancellationCoverage | null = null;
@@ -39,29 +43,32 @@
     this.log = new CancellationLog(options.peerNames);
   }
 
-  /** The newest coverage of any leader, in times of this controller's clock; it stays true whoever leads. */
+  /**
+   * The newest coverage computed by any leader, in times of this controller's clock; null if there is none.
+   * It remains valid after the leader changes.
+   */
   get inheritedCoverage(): CancellationCoverage | null {
     return this.latestCoverage;
   }
 
-  /** How many cancellations this process has announced to its peers. */
+  /** Number of cancellations that this process has announced to its peers. */
   get announcedCount(): number {
     return this.log.announcedCount;
   }
 
-  /** Whether a job is known to be stored as cancelled. */
+  /** Returns whether a job is known to be stored as cancelled. */
   isCancelled(jobId: string): boolean {
     return this.log.has(jobId);
   }
 
-  /** Any cancellation that a user was told of between the two times is known here. */
+  /** Returns an interval: every cancellation confirmed to a user within it is known to this controller. */
   completeInterval(now: number): { since: number; until: number } {
     return this.log.completeInterval(now);
   }
 
   /**
-   * A user is about to be told that a job is cancelled. Whoever leads, now or next, may stop its tasks at once, before
-   * their shard owner reads of it.
+   * Announces a cancellation that is about to be confirmed to a user. The current leader and any later one
+   * can then stop the job's tasks at once, before the shard owner has read the cancellation from the store.
    */
   announce(jobId: string): void {
     if (!this.log.recordOwn(jobId)) return;
@@ -73,7 +80,7 @@
     });
   }
 
-  /** A peer has announced a cancellation. */
+  /** Records a cancellation announced by a peer, and stops the job's tasks if this controller leads. */
   onPeerCancellation(
     process: PeerProcess,
     message: Extract<PeerMessageBody, { type: 'cancelled' }>,
@@ -83,7 +90,7 @@
     this.options.leadership.scheduler?.onJobCancelled(message.jobId);
   }
 
-  /** Takes in what a peer's heartbeat says of cancellations. */
+  /** Applies the cancellation state contained in a peer's heartbeat. */
   onPeerHeartbeat(process: PeerProcess, heartbeat: PeerHeartbeat, now: number): void {
     const { latestTimestamp, coverage } = heartbeat;
     const { instanceId } = this.options;
@@ -95,7 +102,7 @@
       },
       now,
     );
-    // A timestamp of an earlier process here is a time on another clock.
+    // A timestamp issued by an earlier process on this node refers to a different clock.
     if (coverage?.instanceId !== instanceId) return;
     this.retainIfNewer({
       completeUntil: Math.min(now, coverage.timestamp),
@@ -104,8 +111,9 @@
   }
 
   /**
-   * The leader sends its owners a timestamp, up to which they answer for cancellations, and keeps what is covered for
-   * whoever leads next. Null unless this controller leads and knows all shards.
+   * On the leader, sends a timestamp to every shard owner, which later reports that the cancellations stored
+   * before it are covered, and retains the current coverage for use after a change of leader. Returns the
+   * coverage; null unless this controller leads and has coverage of every shard.
    */
   updateCoverage(now: number): LeaderCoverage | null {
     const { leadership, records, messenger } = this.options;
@@ -128,7 +136,10 @@
     return coverage;
   }
 
-  /** The leader's coverage in terms of a peer's own clock; null if none of its timestamps lies within. */
+  /**
+   * Converts the leader's coverage to a peer's own clock, as the newest timestamp that had been received from
+   * the peer by `completeUntil`. Returns null if there is no such timestamp.
+   */
   coverageForPeer(nodeName: string, coverage: LeaderCoverage | null): PeerHeartbeat['coverage'] {
     const peer = this.options.peers.get(nodeName);
     if (!coverage || !peer) return null;
@@ -137,7 +148,7 @@
     return { instanceId: peer.instanceId, timestamp, pendingMachines: pendingMachinesForMessage(coverage) };
   }
 
-  /** The newest timestamp that has come from a peer. */
+  /** Returns the newest timestamp received from a peer, or null if there is none. */
   latestTimestampFrom(nodeName: string): PeerHeartbeat['latestTimestamp'] {
     const peer = this.options.peers.get(nodeName);
     const timestamp = peer?.timestamps.latestReceivedBy(Number.POSITIVE_INFINITY) ?? null;
@@ -150,7 +161,7 @@
   }
 }
 
-/** Null, any machine, if there are too many to name. */
+/** Returns the machines to name in a message; null, which stands for any machine, if there are too many. */
 function pendingMachinesForMessage({ pendingMachines }: LeaderCoverage): string[] | null {
   return pendingMachines.length > MAX_MACHINES_PER_MESSAGE ? null : pendingMachines;
 }
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -1,29 +1,37 @@
-/** The cancellations that users were told of. */
+/** Cancellations that were confirmed to users by any controller. */
 
-/** Jobs remembered as cancelled: shard owners read of them within moments unless there is an outage. */
+/**
+ * Maximum number of cancelled jobs kept. Older ones can be dropped because shard owners read a cancellation
+ * from the store within moments, except during a store outage.
+ */
 const MAX_CANCELLED_JOBS = 5000;
 
-/** One process of a peer. */
+/** Identifies one process of a peer. */
 export interface PeerProcess {
   nodeName: string;
   instanceId: string;
 }
 
+/**
+ * How far the announcements of a peer's current process are known here. Times are on this controller's clock.
+ */
 interface PeerProgress {
   instanceId: string;
-  /** Since when nothing that it announced is missing here. */
+  /** Time since which no announcement of the process has been missed. */
   completeSinceMs: number;
-  /** Cancellations of it that were taken in. */
+  /** Number of the process's announcements up to here, including those missed before `completeSinceMs`. */
   receivedCount: number;
-  /** All that it told its users before this time on our clock is known here. */
+  /** Every cancellation that the process confirmed from `completeSinceMs` until this time is known here. */
   completeUntilMs: number;
 }
 
 /**
- * Cancellations that users were told of, by this controller or by peers that announce them. While the store is out nobody
- * can learn of another one, so what this one knows is all there is as long as every peer is in touch: the workers keep
- * their leases through an outage of any length. It rests on order, not on clocks: a peer names the newest timestamp it had
- * from here, and how many cancellations it had announced by then.
+ * Records the cancellations confirmed to users by this controller and by the peers that announce theirs.
+ * During a store outage no controller can confirm a cancellation that is not stored yet, so this log stays
+ * complete while every peer is connected, and workers can keep their leases through an outage of any length.
+ * Completeness is derived from the order of messages, not from comparing clocks: a peer's heartbeat contains
+ * the newest timestamp that it had received from this controller, and how many cancellations it had announced
+ * by then.
  */
 export class CancellationLog {
   private ownAnnouncements = 0;
@@ -32,17 +40,22 @@
 
   constructor(private readonly peerNames: readonly string[]) {}
 
-  /** How many cancellations this process has announced: the number of the latest. */
+  /**
+   * Number of cancellations announced by this process, which is also the number of its latest announcement.
+   */
   get announcedCount(): number {
     return this.ownAnnouncements;
   }
 
-  /** Whether a job is known to be cancelled. */
+  /** Returns whether a job is known to be cancelled. */
   has(jobId: string): boolean {
     return this.cancelledJobs.has(jobId);
   }
 
-  /** A user is about to be told by this process. False: it was known, and is not announced again. */
+  /**
+   * Records a cancellation that this process is about to confirm to a user. Returns false if the cancellation
+   * was already known; it is then not announced again.
+   */
   recordOwn(jobId: string): boolean {
     if (this.cancelledJobs.has(jobId)) return false;
     this.ownAnnouncements++;
@@ -50,7 +63,7 @@
     return true;
   }
 
-  /** A peer has announced a cancellation; its own are numbered from 1. */
+  /** Records a cancellation announced by a peer. Each process numbers its announcements from 1. */
   recordFromPeer(
     process: PeerProcess,
     announcement: { jobId: string; cancellationNumber: number },
@@ -59,15 +72,16 @@
     const { cancellationNumber } = announcement;
     this.addJob(announcement.jobId);
     const peer = this.peers.get(process.nodeName);
-    // If one is missing, what it was stays unknown until shard owners have read of it.
+    // A missed announcement stays unknown here until the shard owner has read that cancellation from the
+    // store.
     if (peer?.instanceId === process.instanceId && cancellationNumber === peer.receivedCount + 1)
       peer.receivedCount = cancellationNumber;
     else this.resetPeer(process, cancellationNumber, now);
   }
 
   /**
-   * A peer's heartbeat: how many cancellations it has announced, and the newest timestamp of this process that it had by
-   * then (null: none).
+   * Applies a peer's heartbeat: how many cancellations the peer has announced, and the newest timestamp that
+   * it had received from this process by then (null if none).
    */
   recordHeartbeat(
     process: PeerProcess,
@@ -82,7 +96,11 @@
       peer.completeUntilMs = Math.max(peer.completeUntilMs, Math.min(latestTimestamp, now));
   }
 
-  /** All that anybody was told between `since` and `at` is known here. */
+  /**
+   * Returns an interval on this controller's clock: every cancellation that any controller confirmed to a
+   * user within it is known here. It is empty, with `until` before `since`, while completeness is not
+   * established.
+   */
   completeInterval(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
     let until = now;
@@ -95,7 +113,9 @@
     return { since, until };
   }
 
-  /** From now on nothing of this process is missing; what came before may be. */
+  /**
+   * Restarts the tracking of a peer: no announcement is missed from now on, but earlier ones may have been.
+   */
   private resetPeer({ nodeName, instanceId }: PeerProcess, receivedCount: number, now: number): void {
     this.peers.set(nodeName, {
       instanceId,
--- a/src/controller/controller-options.ts
+++ b/src/controller/controller-options.ts
@@ -1,4 +1,4 @@
-/** What a controller is told by the settings, and what it reaches the world by. */
+/** Settings and external interfaces of a controller. */
 
 import type { Clock } from '../model/clock.js';
 import type { CloudProvider } from '../model/cloud-provider.js';
@@ -10,22 +10,24 @@
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
 import type { WorkerTiming } from '../model/worker-timing.js';
 
-/** What a controller is made of and what it is told by the settings. */
+/** Settings of a controller, and the interfaces through which it uses other services. */
 export interface ControllerOptions {
-  /** Name of the host that the controller runs on; it stays the same when the process is started again. */
+  /** Name of the host that the controller runs on; unchanged by a restart of the process. */
   nodeName: string;
-  /** Name of this process, never used before. */
+  /** Unique name of this process; never reused. */
   instanceId: string;
   /** Node names of the other controllers. */
   peerNames: string[];
   teams: Team[];
   workerTiming: WorkerTiming;
   storeLimits: { maxValueKb: number; maxTransactionOperations: number; writesPerSecond: number };
-  /** So long the cloud's list of machines may lag behind what it has answered. */
+  /** Maximum lag of the cloud's machine list behind changes that the cloud has already confirmed. */
   machineListLagSeconds: number;
   cloudCallsPerSecond: number;
   objectives: ServiceLevelObjective[];
-  /** Time to live of the controller's lease, in ms: its absence goes unnoticed for so long. */
+  /**
+   * Time to live of the controller's lease, in ms. The controller's absence can go unnoticed for this long.
+   */
   leaseTtlMs: number;
   policy: PolicyFn;
   clock: Clock;
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a controller together: what each is given, and what they tell one another. */
+/** Creates the components of a controller and connects them to each other. */
 
 import { JobApi } from '../api/job-api.js';
 import { cancellationReadIntervalMs } from '../model/cancellation-coverage.js';
@@ -28,14 +28,16 @@
 import { SystemRecords } from './system-records.js';
 import { WorkerHeartbeats } from './worker-heartbeats.js';
 
-/** How long the store may hold a watch of the open jobs until something changes. */
+/** Maximum time that a watch of the open jobs waits for a change. */
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
-/** Least time between two watches of the open jobs, which change several times a second. */
+/** Minimum interval between watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
-/** What a task that is told of its end in advance is given to save its work. */
+/** Time that an evicted task gets to save its progress, in addition to its checkpoint save time. */
 const NOTICE_GRACE_SECONDS = 1;
 
-/** A cluster without load: the number of tasks asked for at a time does not depend on it. */
+/**
+ * Policy input of a cluster without load, used to read `maxTasksPerRequest`, which does not depend on load.
+ */
 const IDLE_CLUSTER: PolicyInput = {
   services: 0,
   serviceCpus: 0,
@@ -48,15 +50,16 @@
   bootSeconds: 30,
 };
 
-/** What the command queue calls. */
+/** Callbacks of the event queue. */
 type EventCallbacks = Pick<EventQueueOptions, 'handleEvent' | 'onBatchEnd'>;
 
 /**
- * The parts of one controller. Each mutable field belongs to one part, which alone changes it. They are created in an order
- * in which each finds those that it is given; what comes later, or may call back, is reached by a function.
+ * The components of one controller. Each mutable field belongs to one component, and only that component
+ * changes it. Components are created after those they depend on; a component that is created later, or that
+ * may call back, is passed as a function.
  */
 export class ControllerParts {
-  /** Users' requests. */
+  /** Serves users' requests. */
   readonly api: JobApi;
   readonly queue: EventQueue;
   readonly storeContact: StoreContact;
@@ -131,7 +134,10 @@
     });
   }
 
-  /** Followed while this controller owns a shard; the API alone catches up when it is asked. */
+  /**
+   * Creates the copy of the open jobs. It is watched while this controller owns a shard; otherwise the API
+   * refreshes it on request.
+   */
   private createOpenJobs(): WatchCache {
     return new WatchCache({
       prefix: OPEN_JOBS_PREFIX,
@@ -196,7 +202,8 @@
       send: (instanceId, message) => this.messenger.sendToShardOwner(instanceId, message),
       wake: () => this.queue.wake(),
       onHigherToken: (higherToken) => {
-        if (leadership.leadsUnder(fencingToken)) leadership.stepDown(`token ${higherToken} seen`);
+        if (leadership.leadsUnder(fencingToken))
+          leadership.stepDown(`higher fencing token ${higherToken} seen`);
       },
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller process: what it does at each command, each tick and each heartbeat of a worker. */
+/** A controller process: dispatches events, runs the periodic work and answers workers' heartbeats. */
 
 import type { JobApi } from '../api/job-api.js';
 import type { ControllerService } from '../model/controller-service.js';
@@ -9,7 +9,7 @@
 import { ControllerParts } from './controller-parts.js';
 import type { ControllerEvent } from './event-queue.js';
 
-/** What a controller is doing, for logs and tests. */
+/** Snapshot of a controller's state, for tests. */
 export interface ControllerStatus {
   leader: LeaderRecord;
   /** Null unless this controller leads. */
@@ -21,12 +21,21 @@
 }
 
 const TICK_INTERVAL_MS = 500;
-/** Lag behind a peer's contact with the store from which users that can't be served are sent on. */
+/**
+ * Lag behind a peer's last contact with the store above which users that cannot be served here are directed
+ * to another controller.
+ */
 const USER_REDIRECT_LAG_MS = 700;
-/** The same, as a share of the lease, from which this controller is not ready. */
+/**
+ * Lag behind a peer's last contact with the store above which this controller is not ready; share of the
+ * lease.
+ */
 const READINESS_LAG_SHARE = 0.6;
 
-/** Composed of parts, each with one job. All changes come through the command queue, but for heartbeats of workers, which are answered at once. */
+/**
+ * A controller, composed of components with one responsibility each. All state changes go through the event
+ * queue, except for workers' heartbeats, which are answered synchronously.
+ */
 export class Controller implements ControllerService {
   private readonly parts: ControllerParts;
 
@@ -37,12 +46,12 @@
     });
   }
 
-  /** Users' requests. */
+  /** Serves users' requests. */
   get api(): JobApi {
     return this.parts.api;
   }
 
-  /** Begins to read the store and to tick. */
+  /** Starts to read the store, and starts the periodic tick. */
   start(): void {
     this.parts.records.start();
     this.parts.openJobs.start();
@@ -53,29 +62,35 @@
     tick();
   }
 
-  /** Takes a command into the next batch. */
+  /** Queues an event for the next batch. */
   push(event: ControllerEvent): void {
     this.parts.queue.push(event);
   }
 
-  /** Answers a worker at once. */
+  /** Answers a worker's heartbeat synchronously. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
     return this.parts.workerHeartbeats.handle(heartbeat);
   }
 
-  /** Ready unless this controller alone is without the store. */
+  /**
+   * Returns whether the stored records have been read and this controller does not lag behind its peers in
+   * contact with the store.
+   */
   isReady(): boolean {
     if (!this.parts.records.isReady || !this.parts.openJobs.isReady) return false;
-    // In an outage for all nobody was answered much later than another: that must not take every controller out.
+    // In an outage that affects all controllers their last contacts differ little, so none becomes unready.
     return !this.lagsBehindPeers(this.options.leaseTtlMs * READINESS_LAG_SHARE);
   }
 
-  /** Whether a user who can't be served here had better ask another: sooner known than that this one is not ready. */
+  /**
+   * Returns whether users that cannot be served here should ask another controller. The lag that this takes
+   * is shorter than the one that makes this controller unready.
+   */
   shouldRedirectUsers(): boolean {
     return !this.isReady() || this.lagsBehindPeers(USER_REDIRECT_LAG_MS);
   }
 
-  /** For logs and tests. */
+  /** Returns a snapshot of the state, for tests. */
   status(): ControllerStatus {
     const { leadership, shardOwner, machineTypes } = this.parts;
     return {
@@ -124,7 +139,10 @@
     peerHeartbeats.send(now, coverage);
   }
 
-  /** A peer in touch was answered by the store, by so much later than this controller. */
+  /**
+   * Returns whether a recently heard peer had contact with the store over `lagMs` after this controller last
+   * had.
+   */
   private lagsBehindPeers(lagMs: number): boolean {
     const { peers, storeContact } = this.parts;
     return peers.hasPeerWithStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
--- a/src/controller/event-queue.ts
+++ b/src/controller/event-queue.ts
@@ -1,32 +1,34 @@
-/** The event loop of a controller: everything that happens to it becomes a command, and commands run in batches. */
+/** Event loop of a controller: every input becomes an event, and events are handled in batches. */
 
 import type { Clock } from '../model/clock.js';
 import type { PeerMessage } from '../model/peer-message.js';
 import type { ResultCallback } from '../model/result.js';
 
-/** What can happen to a controller. */
+/**
+ * An event handled by a controller; `callback` carries, for example, the result of a call to another service.
+ */
 export type ControllerEvent =
   | { type: 'peerMessage'; message: PeerMessage }
   | { type: 'peerConnection'; nodeName: string; isUp: boolean }
   | { type: 'callback'; run: () => void }
   | { type: 'tick' };
 
-/** What a command queue needs. */
+/** Clock and callbacks of an event queue. */
 export interface EventQueueOptions {
   clock: Clock;
   handleEvent(event: ControllerEvent): void;
-  /** Called after the commands of each batch: the time to send what follows from all of them. */
+  /** Called after the events of each batch have been handled, to send the resulting messages and writes. */
   onBatchEnd(): void;
 }
 
 /**
- * Runs commands one after another, in the order in which they came.
+ * Handles events one at a time, in order of arrival.
  *
- * Answers of the store, the cloud and the workers come through this queue as callbacks, and the code that decides keeps
- * callbacks instead of promises. A promise would run its continuation as a microtask: after the batch that it belongs to
- * has been flushed, and in an order that depends on how many `await`s lie in between. Here an answer takes its place
- * among the other commands, sees the state that all earlier ones have left, and what follows from it is flushed with
- * the same batch. That also makes simulated clusters reproducible.
+ * Results from the store, the cloud and the workers pass through this queue as callbacks, and the decision
+ * code uses callbacks instead of promises. A promise's continuation would run as a microtask: after the batch
+ * that it belongs to has been flushed, and in an order that depends on the number of intervening `await`s. In
+ * the queue a result is ordered among the other events and sees the state left by all earlier ones, and its
+ * effects are flushed with the same batch. This also makes simulated clusters reproducible.
  */
 export class EventQueue {
   private readonly events: ControllerEvent[] = [];
@@ -34,20 +36,20 @@
 
   constructor(private readonly options: EventQueueOptions) {}
 
-  /** Appends a command to the next batch. */
+  /** Appends an event to the next batch. */
   push(event: ControllerEvent): void {
     this.events.push(event);
     this.wake();
   }
 
-  /** Makes sure that a batch comes, also without a command: its end flushes what has gathered. */
+  /** Schedules a batch even if no event is queued, so that `onBatchEnd` flushes pending output. */
   wake(): void {
     if (this.batchScheduled) return;
     this.batchScheduled = true;
     this.options.clock.defer(() => this.runBatch());
   }
 
-  /** A callback that, when it is called, runs as a command of the next batch. */
+  /** Wraps a callback so that calling it queues an event, which runs the callback in the next batch. */
   asEvent<T>(callback: ResultCallback<T>): ResultCallback<T> {
     return (result) => this.push({ type: 'callback', run: () => callback(result) });
   }
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -1,16 +1,18 @@
-/** Copies of the leader's knowledge of images at its peers, for whoever leads next. */
+/** Replicates the leader's image locations to its peers, for use by the next leader. */
 
 import type { ImageLocation } from '../model/image-location.js';
 import { ImageLocations } from '../scheduler/image-locations.js';
 import type { Leadership } from './leadership.js';
 import type { PeerMessenger } from './peer-messenger.js';
 
-/** Most facts about images in one message. */
+/** Maximum number of image locations in one message. */
 const MAX_IMAGE_LOCATIONS_PER_MESSAGE = 2000;
 
-/** Sends what the leader learns of images to the peers, and takes it in where another controller leads. */
+/**
+ * Sends the image locations that the leader learns to its peers, and applies them on the other controllers.
+ */
 export class ImageReplication {
-  /** What is known here. */
+  /** The image locations known to this controller. */
   readonly locations = new ImageLocations();
 
   constructor(
@@ -18,15 +20,16 @@
     private readonly leadership: Leadership,
   ) {}
 
-  /** Sends what has changed since the last call. */
+  /** Sends the changes since the last call to all peers, if this controller leads. */
   sendChanges(): void {
-    // Taken in any case: what a controller learnt before it stepped down is not its to tell.
+    // Changes are taken even if they are not sent: those from before a step-down must not be sent in a later
+    // term.
     const changes = this.locations.takeChanges();
     if (this.leadership.scheduler && changes.added.length + changes.removedMachines.length > 0)
       this.messenger.broadcast({ type: 'images', ...changes });
   }
 
-  /** Sends all that is known to a peer, which may have missed any part of it. */
+  /** Sends all known image locations to a peer, which may have missed any of them. */
   sendAll(nodeName: string): void {
     const allLocations = this.locations.all();
     for (let start = 0; start < allLocations.length; start += MAX_IMAGE_LOCATIONS_PER_MESSAGE)
@@ -37,7 +40,7 @@
       });
   }
 
-  /** Takes in what a leader sent. */
+  /** Applies the changes sent by a leader; ignored while this controller leads. */
   apply(added: ImageLocation[], removedMachines: string[]): void {
     if (!this.leadership.scheduler) this.locations.apply(added, removedMachines);
   }
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -1,4 +1,4 @@
-/** The election of the leader: one compare-and-swap raises the fencing token and takes the leader record. */
+/** Leader election: one compare-and-swap raises the fencing token and claims the leader record. */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
@@ -10,19 +10,26 @@
 import type { NodeLease } from './node-lease.js';
 import type { SystemRecords } from './system-records.js';
 
-/** Least pause between two campaigns of one controller, and most of what is added to it at random. */
+/** Minimum interval between two campaigns of one controller, and the maximum random time added to it. */
 const MIN_CAMPAIGN_INTERVAL_MS = 300;
 const CAMPAIGN_JITTER_MS = 300;
-/** Once the leader is gone controllers campaign after a random part of the first, and not later than the second. */
+/**
+ * Once the leader record is gone, each controller may campaign after a random delay below the first value,
+ * and checks whether to campaign after the second at the latest.
+ */
 const FIRST_CAMPAIGN_JITTER_MS = 100;
 const FIRST_CAMPAIGN_DEADLINE_MS = 110;
-/** A controller that resigned leaves the election to the others for so long. */
+/** How long a controller that has resigned does not campaign, so that another one is elected. */
 const RESIGNATION_PAUSE_MS = 20000;
-/** Least time between two raises of the fencing token: each makes all owners tell the leader everything again. */
+/**
+ * Minimum interval between two raises of the fencing token: each makes all shard owners repeat their full
+ * sync.
+ */
 const MIN_TOKEN_RAISE_INTERVAL_MS = 15000;
+/** Minimum interval between two attempts to delete a stale leader record. */
 const STALE_RECORD_DELETION_INTERVAL_MS = 1000;
 
-/** What the election needs. */
+/** Settings and dependencies of the leader election. */
 export interface LeaderElectionOptions {
   instanceId: string;
   nodeName: string;
@@ -34,7 +41,7 @@
   leadership: Leadership;
 }
 
-/** Campaigns, resigns, and writes all that this controller writes of the leader record. */
+/** Campaigns and resigns; performs all writes of this controller to the leader record. */
 export class LeaderElection {
   private campaignInFlight = false;
   private resignedUntil = 0;
@@ -45,7 +52,7 @@
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
-  /** Campaigns if nobody leads and this controller may. */
+  /** Campaigns if there is no leader and this controller is eligible. */
   campaignIfVacant(now: number): void {
     const { lease, records } = this.options;
     if (
@@ -60,7 +67,7 @@
     this.campaign(0, 'no leader');
   }
 
-  /** Follows the leader record. */
+  /** Updates the leadership from the changed leader record. */
   onLeaderRecordChanged(): void {
     const { records, lease, leadership, instanceId } = this.options;
     const current = records.leader();
@@ -70,16 +77,19 @@
     }
     const { record, modRevision } = current;
     if (record.instanceId === instanceId) {
-      // An election whose answer was lost.
-      if (lease.isGranted) leadership.start(record, modRevision, 'found elected');
+      // This controller was elected, but the response to its campaign was lost.
+      if (lease.isGranted) leadership.start(record, modRevision, 'election confirmed by the leader record');
       return;
     }
     if (leadership.scheduler && record.fencingToken > leadership.scheduler.fencingToken)
-      leadership.stepDown('another leads');
+      leadership.stepDown('another controller leads');
     leadership.setLeader(record);
   }
 
-  /** Gives leadership up for the good of the cluster, and lets others be elected. */
+  /**
+   * Gives up leadership so that another controller is elected, for instance when this controller's own
+   * network seems to be at fault. Afterwards it does not campaign for a while.
+   */
   resign(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
     if (!leadership.leadsUnder(fencingToken)) return;
@@ -90,8 +100,9 @@
   }
 
   /**
-   * Deletes a leader record that still names this instance after it has resigned: the first deletion was lost. As long
-   * as the record stands nobody can be elected, and the lease it hangs on is kept.
+   * Deletes a leader record that still names this instance after it has resigned, because the first deletion
+   * was lost. While the record exists no leader can be elected, and it does not expire because this
+   * controller keeps renewing the lease that the record is attached to.
    */
   deleteStaleRecord(now: number): void {
     const { records, leadership, instanceId } = this.options;
@@ -113,7 +124,10 @@
     });
   }
 
-  /** The leader has itself elected again: a higher token ends all that workers may still do under the present one. */
+  /**
+   * Has the current leader elected again under a higher fencing token, so that workers drop any command that
+   * is still in transit under the current one.
+   */
   raiseFencingToken(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
     const now = clock.now();
@@ -125,7 +139,7 @@
   private onLeaderGone(): void {
     const { leadership, clock, queue } = this.options;
     leadership.stepDown('leader record gone');
-    // At random, so that controllers don't all campaign at once.
+    // Randomized so that the controllers do not all campaign at the same time.
     this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_JITTER_MS;
     clock.after(FIRST_CAMPAIGN_DEADLINE_MS, () =>
       queue.push({ type: 'callback', run: () => this.campaignIfVacant(clock.now()) }),
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,23 +1,23 @@
-/** Who leads as far as this controller knows, and the scheduler while that is itself. */
+/** The leader as known to this controller, and the scheduler while this controller leads. */
 
 import type { Clock } from '../model/clock.js';
 import type { Logger } from '../model/logger.js';
 import type { LeaderRecord } from '../model/records.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
 
-/** What leadership needs. */
+/** Settings, dependencies and callbacks of `Leadership`. */
 export interface LeadershipOptions {
   instanceId: string;
   clock: Clock;
   log: Logger;
   createScheduler(fencingToken: number): Scheduler;
-  /** A leader with a token not lower than any before is known. */
+  /** Called when a leader becomes known whose fencing token is at least as high as any known before. */
   onLeaderKnown(fencingToken: number): void;
-  /** This controller has begun to lead, and knows itself as the leader. */
+  /** Called when a term of this controller has started and it is recorded as the known leader. */
   onStarted(scheduler: Scheduler): void;
 }
 
-/** Begins and ends leading; the election decides when. */
+/** Starts and ends this controller's terms as leader; the election decides when. */
 export class Leadership {
   private currentScheduler: Scheduler | null = null;
   private knownLeader: LeaderRecord = { instanceId: '', nodeName: '', fencingToken: 0 };
@@ -27,37 +27,45 @@
 
   constructor(private readonly options: LeadershipOptions) {}
 
-  /** The scheduler; null unless this controller leads. */
+  /** The scheduler of the current term; null unless this controller leads. */
   get scheduler(): Scheduler | null {
     return this.currentScheduler;
   }
 
-  /** The latest leader known. Its node name is empty after this controller has stepped down, until another is known. */
+  /**
+   * The latest known leader. Once this controller steps down the node name is empty until the next is known.
+   */
   get leader(): LeaderRecord {
     return this.knownLeader;
   }
 
-  /** Fencing token of the last term of this process; 0 if it has never led. */
+  /** Fencing token of the latest term of this process; 0 if it has never led. */
   get leaderTerm(): number {
     return this.lastTerm;
   }
 
-  /** When the last term of this process began. */
+  /** Start time of the latest term of this process. */
   get leadingSince(): number {
     return this.startedAtMs;
   }
 
-  /** Revision of the leader record of that term: a write that names it fails once another controller leads. */
+  /**
+   * Revision of the leader record of the latest term of this process. A write with this revision as a
+   * precondition fails once another controller leads.
+   */
   get leaderRecordRevision(): number {
     return this.ownRecordRevision;
   }
 
-  /** Whether this controller leads under this token. */
+  /** Returns whether this controller currently leads under the given fencing token. */
   leadsUnder(fencingToken: number): boolean {
     return this.currentScheduler?.fencingToken === fencingToken;
   }
 
-  /** Begins a term that this controller was elected for. One that is not newer than what is known is passed over. */
+  /**
+   * Starts a term that this controller was elected for. Ignored if the term is not newer than the earlier
+   * ones of this process, or is older than that of the known leader.
+   */
   start(record: LeaderRecord, recordRevision: number, reason: string): void {
     const { fencingToken } = record;
     if (this.currentScheduler && this.currentScheduler.fencingToken >= fencingToken) return;
@@ -72,7 +80,7 @@
     this.options.onStarted(scheduler);
   }
 
-  /** Ends leading, if this controller leads. The leader record stays. */
+  /** Ends the current term, if this controller leads. The leader record is not deleted. */
   stepDown(reason: string): void {
     if (!this.currentScheduler) return;
     this.options.log.info({ fencingToken: this.currentScheduler.fencingToken, reason }, 'no longer leading');
@@ -81,7 +89,7 @@
       this.knownLeader = { ...this.knownLeader, nodeName: '' };
   }
 
-  /** Takes note of a leader, unless a later one is known. */
+  /** Records the leader, unless one with a higher fencing token is known. */
   setLeader(record: LeaderRecord): void {
     if (record.fencingToken < this.knownLeader.fencingToken) return;
     this.knownLeader = record;
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,4 +1,7 @@
-/** The machine types that the cloud offers: the leader asks the cloud and stores them, the others read the record. */
+/**
+ * Machine types offered by the cloud: the leader lists and stores them, the other controllers read the
+ * record.
+ */
 
 import type { Clock } from '../model/clock.js';
 import type { CloudProvider } from '../model/cloud-provider.js';
@@ -10,14 +13,14 @@
 import type { StoreContact } from './store-contact.js';
 import type { SystemRecords } from './system-records.js';
 
-/** Time between two questions to the cloud. */
+/** Interval between two requests for the cloud's machine types. */
 const REFRESH_INTERVAL_MS = 30000;
-/** The same while no types are known and nothing can be scheduled. */
+/** Interval between requests while no machine types are known, when nothing can be scheduled. */
 const FIRST_REFRESH_INTERVAL_MS = 1500;
-/** Without the store for so long, a controller that isn't the leader asks the cloud nothing. */
+/** A controller that does not lead stops asking the cloud after this long without contact with the store. */
 const MAX_STORE_SILENCE_MS = 1e5;
 
-/** What the catalog needs. */
+/** Dependencies of the machine type catalog. */
 export interface MachineTypeCatalogOptions {
   cloud: CloudProvider;
   store: KeyValueStore;
@@ -27,7 +30,7 @@
   storeContact: StoreContact;
 }
 
-/** Knows the machine types, and keeps them up to date. */
+/** Holds the known machine types and keeps them up to date. */
 export class MachineTypeCatalog {
   private currentTypes: MachineType[] = [];
   private requestedAt = Number.NEGATIVE_INFINITY;
@@ -35,16 +38,17 @@
 
   constructor(private readonly options: MachineTypeCatalogOptions) {}
 
-  /** The types last known; empty until the first answer. */
+  /** The latest known machine types; empty until some are received. */
   get machineTypes(): MachineType[] {
     return this.currentTypes;
   }
 
-  /** Asks the cloud, if that is due here. */
+  /** Requests the machine types from the cloud, if that is due on this controller. */
   refresh(now: number): void {
     const interval = this.currentTypes.length > 0 ? REFRESH_INTERVAL_MS : FIRST_REFRESH_INTERVAL_MS;
     if (this.requestInFlight || now - this.requestedAt < interval) return;
-    // Whoever doesn't lead reads the record, also while the cloud is down.
+    // A controller that does not lead uses the stored record, which is available even while the cloud is
+    // down. It asks the cloud only while it knows no machine types.
     if (!this.options.leadership.scheduler) {
       if (this.currentTypes.length > 0 || this.options.storeContact.ageMs(now) > MAX_STORE_SILENCE_MS) return;
     }
@@ -56,13 +60,13 @@
     });
   }
 
-  /** Asks the cloud also if it was asked a moment ago: a new leader has to store what it knows. */
+  /** Requests the machine types regardless of the interval, so that a new leader stores them. */
   refreshNow(): void {
     this.requestedAt = Number.NEGATIVE_INFINITY;
     this.refresh(this.options.clock.now());
   }
 
-  /** Takes the stored types, unless this controller leads and asks the cloud itself. */
+  /** Adopts the stored machine types, unless this controller leads and asks the cloud itself. */
   onRecordChanged(): void {
     if (this.options.leadership.scheduler) return;
     const stored = this.options.records.machineTypes();
@@ -89,7 +93,10 @@
   }
 }
 
-/** Prices change all the time and are not worth a write: those who read the record don't rent. */
+/**
+ * Serializes machine types without their prices, for comparison. Prices change all the time and are not worth
+ * a write, because the controllers that read the record do not rent machines.
+ */
 function comparisonKey(types: MachineType[]): string {
   return JSON.stringify(types.map((type) => ({ ...type, hourlyPrice: 0, hourlySpotPrice: 0 })));
 }
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -1,4 +1,4 @@
-/** A controller's membership: its node record, and the lease that it hangs on. */
+/** Cluster membership of a controller: its node record, and the lease that the record is attached to. */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
@@ -6,7 +6,7 @@
 import { nodeKey } from '../store/keyspace.js';
 import { nodeRecord } from '../store/record-codec.js';
 
-/** What a node lease needs. */
+/** Settings, dependencies and callbacks of a node lease. */
 export interface NodeLeaseOptions {
   nodeName: string;
   instanceId: string;
@@ -14,16 +14,16 @@
   store: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Whether the shared records have been read. */
+  /** Returns whether the shared records have been read. */
   isReady(): boolean;
   onJoined(): void;
-  /** The store no longer knows the lease; all that hung on it is gone. A new one is taken afterwards. */
+  /** Called when the store no longer knows the lease and has removed all records attached to it. */
   onLost(): void;
 }
 
-/** Takes the lease of this process, renews it, and takes another if it is lost. */
+/** Acquires this process's lease, renews it, and acquires a new one if it is lost. */
 export class NodeLease {
-  /** 0: none. */
+  /** 0 while there is no lease. */
   private leaseId = 0;
   private renewedAt = 0;
   private requestInFlight = false;
@@ -31,27 +31,29 @@
 
   constructor(private readonly options: NodeLeaseOptions) {}
 
-  /** Identifier that records are attached to the lease by; 0 while there is none. */
+  /** The store's id of the lease, used to attach records to it; 0 while there is no lease. */
   get id(): number {
     return this.leaseId;
   }
 
-  /** Whether a lease was granted and not found lost since. It may have expired unnoticed. */
+  /** Whether a lease was granted and has not been found lost since. It may have expired unnoticed. */
   get isGranted(): boolean {
     return this.leaseId !== 0;
   }
 
-  /** Whether the store keeps the lease in any case: counted from when its last renewal was sent. */
+  /** Returns whether the store certainly holds the lease, counted from when the last renewal was sent. */
   isCertainlyValid(now: number): boolean {
     return now - this.renewedAt < this.options.ttlMs;
   }
 
-  /** Whether the lease has run out unless a renewal without an answer has reached the store. */
+  /**
+   * Returns whether the lease has expired, unless a renewal whose response was lost has reached the store.
+   */
   hasExpired(now: number): boolean {
     return now - this.renewedAt > this.options.ttlMs;
   }
 
-  /** Joins, or renews the lease once a third of it has passed. */
+  /** Joins the cluster, or renews the lease once a third of its time to live has passed. */
   renew(now: number): void {
     if (this.requestInFlight || !this.options.isReady()) return;
     if (!this.isGranted) {
@@ -74,7 +76,9 @@
     this.join();
   }
 
-  /** A new instance revokes its predecessor's lease, and no other; then it takes one of its own. */
+  /**
+   * Revokes the lease of the previous instance on this node, once and no other, and acquires an own lease.
+   */
   private join(): void {
     const { nodeName, instanceId, store } = this.options;
     this.requestInFlight = true;
@@ -92,7 +96,10 @@
     });
   }
 
-  /** The write names the record that was read: carried out late it would bring back an older lease, and go with it. */
+  /**
+   * Acquires a lease and writes the node record, on condition that the record is unchanged since it was read.
+   * Otherwise a delayed write could restore an older lease's record, which would disappear with that lease.
+   */
   private acquireLease(nodeRecordRevision: number): void {
     const sentAt = this.options.clock.now();
     this.options.store.grantLease(this.options.ttlMs, (result) => {
@@ -116,7 +123,7 @@
         if (!result.ok) return;
         this.leaseId = leaseId;
         this.renewedAt = sentAt;
-        log.info({ instanceId }, 'joined');
+        log.info({ instanceId }, 'joined the cluster');
         onJoined();
       },
     );
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -1,4 +1,6 @@
-/** The regular message to each peer: that this controller is alive, whom it takes for the leader, what it knows. */
+/**
+ * Periodic heartbeats to the peers: that this controller is alive, its known leader and cancellation state.
+ */
 
 import {
   type CancellationCoordinator,
@@ -10,7 +12,7 @@
 import type { StoreContact } from './store-contact.js';
 import type { WorkerHeartbeats } from './worker-heartbeats.js';
 
-/** What the sender needs. */
+/** Settings and dependencies of the peer heartbeat sender. */
 export interface PeerHeartbeatSenderOptions {
   peerNames: readonly string[];
   leadership: Leadership;
@@ -20,11 +22,14 @@
   messenger: PeerMessenger;
 }
 
-/** Sends heartbeats to peers; it keeps nothing of its own. */
+/** Sends heartbeats to peers. Stateless. */
 export class PeerHeartbeatSender {
   constructor(private readonly options: PeerHeartbeatSenderOptions) {}
 
-  /** Sends one heartbeat to each peer; coverage is what this controller has as the leader. */
+  /**
+   * Sends one heartbeat to each peer. `coverage` is this controller's coverage as the leader; null if it has
+   * none.
+   */
   send(now: number, coverage: LeaderCoverage | null): void {
     const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this.options;
     const { leader } = leadership;
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -1,4 +1,4 @@
-/** Messages of peers, and connections to them. */
+/** Handling of messages from peers, and of new connections to them. */
 
 import type { Clock } from '../model/clock.js';
 import type { PeerHeartbeat, PeerMessage } from '../model/peer-message.js';
@@ -9,7 +9,7 @@
 import type { Peer, PeerRegistry } from './peer-registry.js';
 import type { SystemRecords } from './system-records.js';
 
-/** What the handling of peers' messages needs. */
+/** Settings and dependencies of the peer message handler. */
 export interface PeerMessageHandlerOptions {
   nodeName: string;
   instanceId: string;
@@ -22,11 +22,11 @@
   shardOwner: ShardOwner;
 }
 
-/** Hands each message to the part that it is for; it keeps nothing of its own. */
+/** Passes each message to the component that is responsible for it. Stateless. */
 export class PeerMessageHandler {
   constructor(private readonly options: PeerMessageHandlerOptions) {}
 
-  /** Handles a message, unless a later one of the same peer has been handled. */
+  /** Handles a message, unless a later one from the same peer has been handled before. */
   onMessage(message: PeerMessage): void {
     const { instanceId, leadership, coordinator, images, shardOwner } = this.options;
     const { body } = message;
@@ -52,7 +52,10 @@
     }
   }
 
-  /** The connection to a peer was made anew: what was under way may be lost, so everything is sent again. */
+  /**
+   * Handles a new connection to a peer. Messages in transit on an earlier connection may be lost, so the
+   * complete state is exchanged again.
+   */
   onConnected(nodeName: string): void {
     const { records, leadership, images, shardOwner } = this.options;
     if (leadership.leader.nodeName === nodeName) shardOwner.resync();
@@ -86,6 +89,6 @@
       heartbeat.fencingToken > leadership.leader.fencingToken &&
       heartbeat.fencingToken > leadership.scheduler.fencingToken
     )
-      leadership.stepDown('a peer knows a later leader');
+      leadership.stepDown('a peer reports a newer leader');
   }
 }
--- a/src/controller/peer-messenger.ts
+++ b/src/controller/peer-messenger.ts
@@ -1,4 +1,4 @@
-/** Sends messages to peers, and between the shard owner and the leader wherever these are. */
+/** Sends messages to peers, and between shard owners and the leader on any node. */
 
 import type { PeerMessageBody, PeerTransport } from '../model/peer-message.js';
 import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
@@ -6,7 +6,7 @@
 import type { Leadership } from './leadership.js';
 import type { SystemRecords } from './system-records.js';
 
-/** What the messenger needs. */
+/** Settings, dependencies and callbacks of the peer messenger. */
 export interface PeerMessengerOptions {
   nodeName: string;
   instanceId: string;
@@ -18,13 +18,13 @@
   deliverToShardOwner(message: LeaderMessage): void;
 }
 
-/** Numbers this controller's messages, so that peers can tell late and repeated ones. */
+/** Sends this controller's messages, numbered so that peers can detect late and repeated ones. */
 export class PeerMessenger {
   private lastSequence = 0;
 
   constructor(private readonly options: PeerMessengerOptions) {}
 
-  /** Sends one message. It may be lost or come late. */
+  /** Sends one message to a peer. It may be lost or delayed. */
   send(nodeName: string, body: PeerMessageBody): void {
     this.options.transport.send(nodeName, {
       nodeName: this.options.nodeName,
@@ -34,12 +34,12 @@
     });
   }
 
-  /** Sends a message to each peer, with a number of its own. */
+  /** Sends a message to each peer, each time with its own sequence number. */
   broadcast(body: PeerMessageBody): void {
     for (const nodeName of this.options.peerNames) this.send(nodeName, body);
   }
 
-  /** From this controller's shard owner to the leader; dropped if none is known. */
+  /** Sends a message from this controller's shard owner to the leader; dropped if no leader is known. */
   sendToLeader(message: ShardMessage): void {
     const { instanceId, queue, leadership } = this.options;
     const { leader } = leadership;
@@ -49,7 +49,9 @@
       this.send(leader.nodeName, { type: 'toLeader', recipient: leader.instanceId, message });
   }
 
-  /** From this controller as the leader to a shard owner; dropped if it has no node record. */
+  /**
+   * Sends a message from this controller as the leader to a shard owner; dropped if it has no node record.
+   */
   sendToShardOwner(instanceId: string, message: LeaderMessage): void {
     const { queue, records, deliverToShardOwner } = this.options;
     if (instanceId === this.options.instanceId) {
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -1,55 +1,64 @@
-/** The other controllers as far as they have been heard. */
+/** The other controllers, as known from their messages. */
 
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 import type { PeerMessage } from '../model/peer-message.js';
 
-/** A peer's process that was heard last under its node name. */
+/** The latest known process of a peer. */
 export interface Peer {
   readonly instanceId: string;
-  /** When its last message came, on this controller's clock. */
+  /** When its last message was received, on this controller's clock. */
   readonly lastHeardAt: number;
   readonly lastSequence: number;
-  /** When the store last answered it, on this controller's clock as far as the delay of its message allows. */
+  /**
+   * When the peer last had contact with the store, on this controller's clock. The estimate is too late by
+   * the delay of the peer's message.
+   */
   readonly lastStoreContactAt: number;
-  /** Its timestamps, by when they came. */
+  /** Timestamps issued by the process, with the times at which they were received. */
   readonly timestamps: PeerTimestamps;
 }
 
-/** A controller that a peer takes for the leader. */
+/** The leader according to a peer. */
 export interface LeaderHint {
   readonly nodeName: string;
   readonly fencingToken: number;
 }
 
-/** So long after its last message a peer counts as in touch. */
+/** A peer counts as recently heard for this long after its last message. */
 const RECENTLY_HEARD_MS = 3000;
 
-/** Keeps what each peer's last process told of itself, and passes over late and repeated messages. */
+/** Keeps the state reported by the latest process of each peer, and rejects late and repeated messages. */
 export class PeerRegistry {
   private readonly peers = new Map<string, Peer>();
   private readonly supersededInstances = new Set<string>();
   private latestHint: LeaderHint = { nodeName: '', fencingToken: 0 };
 
-  /** The process heard last under a node name. */
+  /** Returns the latest known process of the peer with this node name. */
   get(nodeName: string): Peer | undefined {
     return this.peers.get(nodeName);
   }
 
-  /** The leader with the highest token that a peer has named; it may not be known here from the store yet. */
+  /**
+   * The leader with the highest fencing token that any peer has reported. This controller may not have read
+   * its leader record from the store yet.
+   */
   get leaderHint(): LeaderHint {
     return this.latestHint;
   }
 
-  /** Takes note of a peer's leader. */
+  /** Records the leader reported by a peer, unless one with a token at least as high has been reported. */
   recordLeaderHint(hint: LeaderHint): void {
     if (hint.fencingToken > this.latestHint.fencingToken) this.latestHint = hint;
   }
 
-  /** Takes note of a message; null if it must not be handled: a later one, or a later process, was heard before. */
+  /**
+   * Records the receipt of a message. Returns null if the message must not be handled, because a later
+   * message or a later process of the peer has been heard before.
+   */
   record(message: PeerMessage, now: number): Peer | null {
     const known = this.peers.get(message.nodeName);
     const isSameProcess = known?.instanceId === message.instanceId;
-    // A message held back on an older connection must not undo a later one.
+    // A message delayed on an older connection must not override a later one.
     if (isSameProcess && message.sequence <= known.lastSequence) return null;
     if (this.supersededInstances.has(message.instanceId)) return null;
     if (known && !isSameProcess) this.supersededInstances.add(known.instanceId);
@@ -67,21 +76,21 @@
     return peer;
   }
 
-  /** How many peers are in touch. */
+  /** Returns the number of recently heard peers. */
   countRecentlyHeard(now: number): number {
     let count = 0;
     for (const peer of this.peers.values()) if (now - peer.lastHeardAt < RECENTLY_HEARD_MS) count++;
     return count;
   }
 
-  /** Whether a peer in touch was answered by the store after this time. */
+  /** Returns whether a recently heard peer had contact with the store after the given time. */
   hasPeerWithStoreContactAfter(time: number, now: number): boolean {
     for (const peer of this.peers.values())
       if (now - peer.lastHeardAt < RECENTLY_HEARD_MS && peer.lastStoreContactAt > time) return true;
     return false;
   }
 
-  /** Whether a peer was heard, and was answered by the store, within so many milliseconds. */
+  /** Returns whether a peer was heard and had contact with the store, both within the last `withinMs`. */
   hasPeerWithRecentStoreContact(withinMs: number, now: number): boolean {
     for (const peer of this.peers.values())
       if (now - peer.lastHeardAt < withinMs && now - peer.lastStoreContactAt < withinMs) return true;
--- a/src/controller/queued-ports.ts
+++ b/src/controller/queued-ports.ts
@@ -1,10 +1,10 @@
-/** Cloud and workers as the decision code sees them: their answers come through the command queue. */
+/** Wrappers of the cloud and worker interfaces that deliver results through the event queue. */
 
 import type { CloudProvider } from '../model/cloud-provider.js';
 import type { WorkerCommandPort } from '../model/worker-command-port.js';
 import type { EventQueue } from './event-queue.js';
 
-/** The cloud, with answers that run as commands. */
+/** Wraps a cloud provider so that its results are handled as events. */
 export function queuedCloud(cloud: CloudProvider, queue: EventQueue): CloudProvider {
   return {
     listMachineTypes: (callback) => cloud.listMachineTypes(queue.asEvent(callback)),
@@ -14,7 +14,7 @@
   };
 }
 
-/** Direct commands to workers, with answers that run as commands. */
+/** Wraps the sending of direct commands to workers so that the results are handled as events. */
 export function queuedWorkers(workers: WorkerCommandPort, queue: EventQueue): WorkerCommandPort {
   return {
     sendCommands: (address, batch, callback) => workers.sendCommands(address, batch, queue.asEvent(callback)),
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -1,4 +1,7 @@
-/** The leader's assignment of shards: the jobs of one team, owned by one controller. */
+/**
+ * Assignment of shards by the leader. A shard consists of the jobs of one team and is owned by one
+ * controller.
+ */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
@@ -13,18 +16,18 @@
 import type { StoreContact } from './store-contact.js';
 import type { ShardOwnership, SystemRecords } from './system-records.js';
 
-/** A controller not heard for so long gets no shards and loses those that it has. */
+/** A controller that has not been heard for this long gets no shards and loses those it owns. */
 const MAX_PEER_SILENCE_MS = 3500;
-/** A new leader moves no shard for the sake of balance so long. */
+/** Time from the start of a term to the next rebalancing. */
 const FIRST_REBALANCE_DELAY_MS = 5000;
-/** So long an owner may report no cancellation coverage while the store answers. */
+/** Maximum time that a shard owner may report no cancellation coverage while the store responds. */
 const MAX_COVERAGE_SILENCE_MS = 10000;
-/** So long an owner that was found unreachable gets no shard. */
+/** How long a shard owner that was found unreachable gets no shards. */
 const UNREACHABLE_EXCLUSION_MS = 60000;
-/** The store counts as answering for so long after its last answer. */
+/** Maximum age of the last contact with the store for the store to count as responding. */
 const MAX_STORE_CONTACT_AGE_MS = 1000;
 
-/** What the assignment needs. */
+/** Settings and dependencies of the shard assignment. */
 export interface ShardAssignmentOptions {
   instanceId: string;
   teams: ReadonlyMap<string, Team>;
@@ -39,7 +42,7 @@
   storeContact: StoreContact;
 }
 
-/** Number of shards by instance, for those that may own any. */
+/** Number of shards by instance, for the instances that are eligible as owners. */
 type ShardCounts = Map<string, number>;
 
 interface ShardCount {
@@ -47,7 +50,7 @@
   shards: number;
 }
 
-/** Assigns shards to the controllers that are alive and that the leader can reach, and levels their number. */
+/** Assigns shards to the live controllers that the leader can reach, and balances their number. */
 export class ShardAssignment {
   private writeInFlight = false;
   private nextRebalanceAt = 0;
@@ -55,7 +58,7 @@
 
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Moves what has to be moved, if this controller leads. */
+  /** Moves the shards that need another owner, if this controller leads. */
   assign(now: number): void {
     const { leadership, records, lease, instanceId } = this.options;
     const { scheduler } = leadership;
@@ -71,7 +74,7 @@
     if (moves.size > 0) this.writeOwners(scheduler, owners, moves);
   }
 
-  /** A term of this controller has begun: shards without a reachable owner are assigned at once, others later. */
+  /** Called when a term of this controller has started: assigns shards, then delays the next rebalancing. */
   onLeadingStarted(): void {
     this.assign(this.options.clock.now());
     this.nextRebalanceAt = this.options.leadership.leadingSince + FIRST_REBALANCE_DELAY_MS;
@@ -82,7 +85,8 @@
     const counts: ShardCounts = new Map();
     for (const [instanceId, nodeName] of records.liveInstances()) {
       const peer = peers.get(nodeName);
-      // A new leader has heard nobody yet, and a record names who was alive a moment ago.
+      // A new leader has not heard its peers yet, and a node record shows that its controller was alive
+      // recently.
       const isPresumedAlive = instanceId === self || now - leadership.leadingSince < MAX_PEER_SILENCE_MS;
       if (
         isPresumedAlive ||
@@ -96,8 +100,9 @@
   }
 
   /**
-   * An owner that is heard, but has reported no cancellation coverage for long although the store answers: what is sent
-   * to it may not arrive. Its teams can't start anything and lose their leases in time, so others get them.
+   * Returns whether a shard owner has reported no cancellation coverage for too long although the store
+   * responds. Such an owner may still be heard, but messages to it may not arrive. Its teams cannot start any
+   * task and eventually lose their workers' leases, so its shards are moved to other controllers.
    */
   private isUnreachable(scheduler: Scheduler, instanceId: string, now: number): boolean {
     const { records, leadership, storeContact, teams, log } = this.options;
@@ -117,7 +122,7 @@
     return false;
   }
 
-  /** Counts the shards that stay, and spreads the others. */
+  /** Counts the shards of eligible owners, and distributes the others. Returns the new owners by team. */
   private assignUnownedShards(owners: Map<string, ShardOwnership>, counts: ShardCounts): Map<string, string> {
     const unownedTeams: string[] = [];
     for (const team of [...this.options.teams.keys()].sort()) {
@@ -134,7 +139,10 @@
     return moves;
   }
 
-  /** One shard, if two controllers differ by two or more; else none. */
+  /**
+   * Moves one shard if the shard counts of two controllers differ by two or more. Returns the new owner by
+   * team.
+   */
   private rebalance(owners: Map<string, ShardOwnership>, counts: ShardCounts): Map<string, string> {
     const least = this.leastLoaded(counts);
     const most = mostLoaded(counts, least);
@@ -145,7 +153,10 @@
     return new Map();
   }
 
-  /** Of several with equally few shards the leader itself, else the first. It is always among them. */
+  /**
+   * Returns the controller with the fewest shards: on a tie the leader, or else the first one. The leader
+   * itself is always eligible.
+   */
   private leastLoaded(counts: ShardCounts): ShardCount {
     const self = this.options.instanceId;
     let least = { instanceId: self, shards: counts.get(self) ?? 0 };
@@ -191,7 +202,7 @@
   counts.set(instanceId, (counts.get(instanceId) ?? 0) + 1);
 }
 
-/** Of several with equally many shards the first. */
+/** Returns the controller with the most shards; on a tie the first one. */
 function mostLoaded(counts: ShardCounts, least: ShardCount): ShardCount {
   let most: ShardCount | null = null;
   for (const [instanceId, shards] of counts)
--- a/src/controller/store-contact.ts
+++ b/src/controller/store-contact.ts
@@ -1,14 +1,20 @@
-/** When the key-value store last answered this controller. */
+/** Tracks the last contact of this controller with the key-value store. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
 import type { ResultCallback } from '../model/result.js';
 import type { EventQueue } from './event-queue.js';
 
-/** Long before any time that counts: until the first answer the store counts as out of reach. */
+/**
+ * Initial age of the last contact, high enough for the store to count as unreachable until its first
+ * response.
+ */
 const INITIAL_CONTACT_AGE_MS = 1e6;
 
-/** Observes the answers of the store; each that proves it in reach counts from when its request was sent. */
+/**
+ * Observes the store's responses. A response that shows the store to be reachable counts from its sending
+ * time.
+ */
 export class StoreContact {
   private lastContactAtMs: number;
 
@@ -19,17 +25,20 @@
     this.lastContactAtMs = clock.now() - INITIAL_CONTACT_AGE_MS;
   }
 
-  /** Sending time, on this controller's clock, of the latest request that the store has answered. */
+  /**
+   * The last contact: when the latest request that the store has answered was sent, on this controller's
+   * clock.
+   */
   get lastContactAt(): number {
     return this.lastContactAtMs;
   }
 
-  /** Milliseconds since the latest request that the store has answered. */
+  /** Returns the age of the last contact, in ms. */
   ageMs(now: number): number {
     return now - this.lastContactAtMs;
   }
 
-  /** The store with answers that run as commands and are observed here. */
+  /** Wraps the store so that its responses are recorded here and handled as events. */
   observe(store: KeyValueStore): KeyValueStore {
     return {
       get: (key, urgency, callback) => store.get(key, urgency, this.recordingContact(callback)),
@@ -39,7 +48,7 @@
       grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.recordingContact(callback)),
       keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.recordingContact(callback)),
       revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.recordingContact(callback)),
-      // A watch that waits may be answered long after it was sent, and so proves nothing about now.
+      // A watch that waits may be answered long after it was sent, which does not prove recent contact.
       watch: (request, callback) =>
         store.watch(
           request,
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -1,4 +1,7 @@
-/** The records under `sys/` that all controllers share: leader, fencing token, live nodes, shard owners, machine types. */
+/**
+ * Records under `sys/`, shared by all controllers: leader, fencing token, live nodes, shard owners, machine
+ * types.
+ */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
@@ -21,16 +24,16 @@
 } from '../store/record-codec.js';
 import { WatchCache } from '../store/watch-cache.js';
 
-/** How long the store may hold a watch open until something changes. */
+/** Maximum time that a watch waits for a change. */
 const WATCH_WAIT_MS = 10000;
 
-/** The controller that owns a shard; the epoch is the revision of the record that says so. */
+/** The controller that owns a shard. `shardEpoch` is the revision of the team record that names it. */
 export interface ShardOwnership {
   instanceId: string;
   shardEpoch: number;
 }
 
-/** What is called after a record has changed. */
+/** Callbacks for changed records. */
 export interface SystemRecordEvents {
   onLeaderChanged(): void;
   onShardOwnersChanged(): void;
@@ -38,7 +41,10 @@
   onNodesChanged(): void;
 }
 
-/** A watched copy of the shared records. It may lag behind the store: every write that rests on it names revisions. */
+/**
+ * A watched copy of the shared records. It may lag behind the store, so every write that is based on it has
+ * revisions as preconditions.
+ */
 export class SystemRecords {
   private readonly cache: WatchCache;
 
@@ -58,28 +64,31 @@
     });
   }
 
-  /** Begins to read and to watch. */
+  /** Starts to read and to watch the records. */
   start(): void {
     this.cache.start();
   }
 
-  /** Whether all records have been read once. */
+  /** Whether all records have been read at least once. */
   get isReady(): boolean {
     return this.cache.isReady;
   }
 
-  /** Whether any controller is recorded as the leader. */
+  /** Whether a leader record exists. */
   get hasLeader(): boolean {
     return this.cache.items.has(LEADER_KEY);
   }
 
-  /** The recorded leader, and the revision of the record; null if there is none. */
+  /** Returns the leader record and its revision, or null if there is none. */
   leader(): { record: LeaderRecord; modRevision: number } | null {
     const item = this.cache.items.get(LEADER_KEY);
     return item ? { record: leaderRecord.decode(item.value), modRevision: item.modRevision } : null;
   }
 
-  /** The highest fencing token given, 0 before the first election, and the revision of its record. */
+  /**
+   * Returns the highest fencing token ever issued, 0 before the first election, and the revision of its
+   * record.
+   */
   fencingToken(): { fencingToken: number; modRevision: number } {
     const item = this.cache.items.get(FENCING_TOKEN_KEY);
     return item
@@ -92,13 +101,13 @@
     return this.cache.items.has(MACHINE_TYPES_KEY);
   }
 
-  /** The stored machine types; null if there are none. */
+  /** Returns the stored machine types, or null if there are none. */
   machineTypes(): MachineType[] | null {
     const value = this.cache.items.get(MACHINE_TYPES_KEY)?.value;
     return Array.isArray(value) ? machineTypesRecord.decode(value) : null;
   }
 
-  /** The owner of each shard, by team. */
+  /** Returns the owner of each shard, by team. */
   shardOwners(): Map<string, ShardOwnership> {
     const owners = new Map<string, ShardOwnership>();
     for (const [key, item] of this.cache.items) {
@@ -112,7 +121,7 @@
     return owners;
   }
 
-  /** Node names of the controllers that hold a lease, by instance. */
+  /** Returns the node names of the live controllers, by instance. */
   liveInstances(): Map<string, string> {
     const nodeNames = new Map<string, string>();
     for (const [key, item] of this.cache.items) {
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats of workers, by who leads: the scheduler handles them, or the worker is sent on to the leader. */
+/** Answers to workers' heartbeats: from the scheduler on the leader, a redirect to the leader elsewhere. */
 
 import { allowsLeaseRenewal, renewalWindowMs } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
@@ -10,10 +10,10 @@
 import type { PeerRegistry } from './peer-registry.js';
 import type { StoreContact } from './store-contact.js';
 
-/** So long without the store and any peer in touch with it, a controller counts as isolated. */
+/** A controller is isolated after this long without the store, the leader and any peer with store contact. */
 const ISOLATED_AFTER_MS = 2500;
 
-/** What the handling of heartbeats needs. */
+/** Settings and dependencies of the handling of workers' heartbeats. */
 export interface WorkerHeartbeatsOptions {
   nodeName: string;
   workerTiming: WorkerTiming;
@@ -24,24 +24,24 @@
   coordinator: CancellationCoordinator;
 }
 
-/** Answers workers, and remembers which of them turned here instead of to the leader. */
+/** Answers workers, and records which machines were redirected to the leader. */
 export class WorkerHeartbeats {
   private readonly redirectedMachines = new Set<string>();
 
   constructor(private readonly options: WorkerHeartbeatsOptions) {}
 
-  /** Handles a heartbeat at once: the answer carries the worker's commands. */
+  /** Handles a heartbeat synchronously, because the answer contains the worker's commands. */
   handle(heartbeat: Heartbeat): HeartbeatResult {
     const { scheduler } = this.options.leadership;
     if (!scheduler) return this.answerAsFollower(heartbeat);
     const commands = scheduler.handleHeartbeat(heartbeat);
-    // The heartbeat named a higher token, and this controller has stepped down.
+    // The heartbeat contained a higher fencing token, so this controller has stepped down.
     if (commands === null) return this.handle(heartbeat);
     if (commands === 'later') return { type: 'unavailable' };
     return { type: 'accepted', fencingToken: scheduler.fencingToken, commands };
   }
 
-  /** The machines that were sent on since the last call; no more than so many. */
+  /** Returns the machines redirected since the last call. Those beyond `limit` are dropped. */
   takeRedirectedMachines(limit: number): string[] {
     const machines = [...this.redirectedMachines].slice(0, limit);
     this.redirectedMachines.clear();
@@ -63,10 +63,11 @@
   }
 
   /**
-   * Alone with its workers, without the store and the leader, a controller keeps their leases for the last leader known,
-   * with its token and without commands, or a zone that is cut off would lose all it runs. Only by what that leader told
-   * of cancellations, and not where it still had something to stop: the worker may have been cut off from it, and not
-   * from here, long before the leader was.
+   * Returns whether this controller, isolated together with its workers, may renew a worker's lease on behalf
+   * of the last known leader, with that leader's fencing token and without commands. Otherwise a partitioned
+   * zone would lose all of its tasks. Renewal requires recent cancellation coverage from the leader, and is
+   * refused for machines on which the leader still had tasks to stop: such a worker may have lost the leader,
+   * but not this controller, long before this controller lost the leader.
    */
   private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, coordinator, workerTiming } = this.options;
@@ -78,7 +79,11 @@
     });
   }
 
-  /** Out of touch with the store, with a leader that was heard before, and with every peer that is in touch with the store. */
+  /**
+   * Returns whether this controller has no contact with the store, with the leader, from which it has heard
+   * before, or with any peer that has contact with the store. A peer's report of a newer leader rules
+   * isolation out.
+   */
   private isIsolated(now: number): boolean {
     const { leadership, peers, storeContact } = this.options;
     const { leader } = leadership;
