--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -48,10 +48,7 @@
 /** Maximum number of cached final records, and how many of the oldest are evicted when it is exceeded. */
 const MAX_CACHED_FINAL_RECORDS = 20000;
 const FINAL_RECORD_EVICTION_COUNT = 5000;
-/**
- * How often a submission is repeated after an indeterminate write; its preconditions let only one write
- * succeed.
- */
+/** How often a submission is repeated after an indeterminate write; at most one of the writes succeeds. */
 const SUBMIT_RETRIES = 1;
 /** How often a cancellation is repeated after a conflict with other writes or an indeterminate write. */
 const CANCEL_RETRIES = 6;
@@ -64,17 +61,14 @@
 
 /**
  * Answers users on any controller, from the store's contents at the time of the request. Only final records
- * are cached, because they never change. A request that cannot be answered reliably gets `unavailable`, not a
- * guess.
+ * are cached, because they never change. A request without a reliable answer gets `unavailable`, not a guess.
  */
 export class JobApi implements JobService {
   private readonly finalRecords = new Map<string, FinalRecord>();
 
   constructor(private readonly options: JobApiOptions) {}
 
-  /**
-   * Accepts a job once its record is stored. A repeated submission gets the state of the job accepted first.
-   */
+  /** Accepts a job once its record is stored. A repeated submission gets the state of the accepted job. */
   submitJob(spec: JobSpec, callback: AnswerCallback): void {
     const { teams, openJobs } = this.options;
     const areMachineTypesKnown = this.options.machineTypes().length > 0;
@@ -105,7 +99,7 @@
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
 
-  /** Returns why the job can never run, or null if it can. */
+  /** Returns why the job can never run; null if its team's quota and an allowed machine type suffice. */
   private rejectionReason(spec: JobSpec): string | null {
     const team = this.options.teams.get(spec.team);
     if (!team) return `unknown team ${spec.team}`;
@@ -213,10 +207,7 @@
     });
   }
 
-  /**
-   * Looks up a job in the copy of the open jobs, which has just been refreshed. Returns null if it is not
-   * there.
-   */
+  /** Looks up a job in the copy of the open jobs, just after a read; null if it is not there. */
   private lookUpOpenJob(jobId: string): JobLookup | null {
     // A cancellation may have been confirmed while the read was in progress, which made the job final.
     const final = this.finalRecords.get(jobId);
@@ -295,10 +286,7 @@
   );
 }
 
-/**
- * Returns whether all tasks are finished. The bitmap is decisive; checking the count first avoids decoding
- * it.
- */
+/** Returns whether all tasks are finished. The bitmap decides; the count only avoids needless decoding. */
 function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -111,9 +111,10 @@
   }
 
   /**
-   * On the leader, sends a timestamp to every shard owner, which later reports that the cancellations stored
-   * before it are covered, and retains the current coverage for use after a change of leader. Returns the
-   * coverage; null unless this controller leads and has coverage of every shard.
+   * On the leader, sends the current time to every shard owner, which answers with a `cancellationCoverage`
+   * message once all cancellations stored before that time have become stops. Also retains the current
+   * coverage for use after a change of leader, and returns it; null unless this controller leads and has a
+   * watermark for every team.
    */
   updateCoverage(now: number): LeaderCoverage | null {
     const { leadership, records, messenger } = this.options;
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -12,14 +12,12 @@
   instanceId: string;
 }
 
-/**
- * How far the announcements of a peer's current process are known here. Times are on this controller's clock.
- */
+/** How far a peer process's announcements are known here. Times are on this controller's clock. */
 interface PeerProgress {
   instanceId: string;
   /** Time since which no announcement of the process has been missed. */
   completeSinceMs: number;
-  /** Number of the process's announcements up to here, including those missed before `completeSinceMs`. */
+  /** Number of announcements accounted for: those received, and any made before `completeSinceMs`. */
   receivedCount: number;
   /** Every cancellation that the process confirmed from `completeSinceMs` until this time is known here. */
   completeUntilMs: number;
@@ -30,8 +28,7 @@
  * During a store outage no controller can confirm a cancellation that is not stored yet, so this log stays
  * complete while every peer is connected, and workers can keep their leases through an outage of any length.
  * Completeness is derived from the order of messages, not from comparing clocks: a peer's heartbeat contains
- * the newest timestamp that it had received from this controller, and how many cancellations it had announced
- * by then.
+ * the newest timestamp received from this controller, and the number of cancellations announced by then.
  */
 export class CancellationLog {
   private ownAnnouncements = 0;
@@ -40,9 +37,7 @@
 
   constructor(private readonly peerNames: readonly string[]) {}
 
-  /**
-   * Number of cancellations announced by this process, which is also the number of its latest announcement.
-   */
+  /** Number of cancellations announced by this process; also the number of the latest one. */
   get announcedCount(): number {
     return this.ownAnnouncements;
   }
@@ -72,8 +67,7 @@
     const { cancellationNumber } = announcement;
     this.addJob(announcement.jobId);
     const peer = this.peers.get(process.nodeName);
-    // A missed announcement stays unknown here until the shard owner has read that cancellation from the
-    // store.
+    // A missed cancellation stays unknown here until its shard owner has read it from the store.
     if (peer?.instanceId === process.instanceId && cancellationNumber === peer.receivedCount + 1)
       peer.receivedCount = cancellationNumber;
     else this.resetPeer(process, cancellationNumber, now);
@@ -98,8 +92,8 @@
 
   /**
    * Returns an interval on this controller's clock: every cancellation that any controller confirmed to a
-   * user within it is known here. It is empty, with `until` before `since`, while completeness is not
-   * established.
+   * user within it is known here. While completeness is not established it is empty: `until` lies before
+   * `since`.
    */
   completeInterval(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
@@ -113,9 +107,7 @@
     return { since, until };
   }
 
-  /**
-   * Restarts the tracking of a peer: no announcement is missed from now on, but earlier ones may have been.
-   */
+  /** Restarts the tracking of a peer, whose earlier announcements may have been missed. */
   private resetPeer({ nodeName, instanceId }: PeerProcess, receivedCount: number, now: number): void {
     this.peers.set(nodeName, {
       instanceId,
--- a/src/controller/controller-options.ts
+++ b/src/controller/controller-options.ts
@@ -25,9 +25,7 @@
   machineListLagSeconds: number;
   cloudCallsPerSecond: number;
   objectives: ServiceLevelObjective[];
-  /**
-   * Time to live of the controller's lease, in ms. The controller's absence can go unnoticed for this long.
-   */
+  /** Time to live of the controller's lease, in ms; its absence can go unnoticed for this long. */
   leaseTtlMs: number;
   policy: PolicyFn;
   clock: Clock;
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -35,9 +35,7 @@
 /** Time that an evicted task gets to save its progress, in addition to its checkpoint save time. */
 const NOTICE_GRACE_SECONDS = 1;
 
-/**
- * Policy input of a cluster without load, used to read `maxTasksPerRequest`, which does not depend on load.
- */
+/** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
 const IDLE_CLUSTER: PolicyInput = {
   services: 0,
   serviceCpus: 0,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -22,13 +22,13 @@
 
 const TICK_INTERVAL_MS = 500;
 /**
- * Lag behind a peer's last contact with the store above which users that cannot be served here are directed
- * to another controller.
+ * Users that cannot be served here are directed to another controller if this one's last store contact lags
+ * behind a peer's by more than this.
  */
 const USER_REDIRECT_LAG_MS = 700;
 /**
- * Lag behind a peer's last contact with the store above which this controller is not ready; share of the
- * lease.
+ * A controller is not ready if its last store contact lags behind a peer's by more than this share of its
+ * lease's time to live.
  */
 const READINESS_LAG_SHARE = 0.6;
 
@@ -140,8 +140,7 @@
   }
 
   /**
-   * Returns whether a recently heard peer had contact with the store over `lagMs` after this controller last
-   * had.
+   * Returns whether a recently heard peer's last store contact is over `lagMs` newer than this controller's.
    */
   private lagsBehindPeers(lagMs: number): boolean {
     const { peers, storeContact } = this.parts;
--- a/src/controller/event-queue.ts
+++ b/src/controller/event-queue.ts
@@ -4,9 +4,7 @@
 import type { PeerMessage } from '../model/peer-message.js';
 import type { ResultCallback } from '../model/result.js';
 
-/**
- * An event handled by a controller; `callback` carries, for example, the result of a call to another service.
- */
+/** An event handled by a controller. Results of calls to other services arrive as `callback`. */
 export type ControllerEvent =
   | { type: 'peerMessage'; message: PeerMessage }
   | { type: 'peerConnection'; nodeName: string; isUp: boolean }
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -8,9 +8,7 @@
 /** Maximum number of image locations in one message. */
 const MAX_IMAGE_LOCATIONS_PER_MESSAGE = 2000;
 
-/**
- * Sends the image locations that the leader learns to its peers, and applies them on the other controllers.
- */
+/** Sends the leader's new image locations to its peers, and applies them on the other controllers. */
 export class ImageReplication {
   /** The image locations known to this controller. */
   readonly locations = new ImageLocations();
@@ -22,8 +20,7 @@
 
   /** Sends the changes since the last call to all peers, if this controller leads. */
   sendChanges(): void {
-    // Changes are taken even if they are not sent: those from before a step-down must not be sent in a later
-    // term.
+    // Taken even if not sent: changes from before a step-down must not be sent in a later term.
     const changes = this.locations.takeChanges();
     if (this.leadership.scheduler && changes.added.length + changes.removedMachines.length > 0)
       this.messenger.broadcast({ type: 'images', ...changes });
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -14,17 +14,14 @@
 const MIN_CAMPAIGN_INTERVAL_MS = 300;
 const CAMPAIGN_JITTER_MS = 300;
 /**
- * Once the leader record is gone, each controller may campaign after a random delay below the first value,
- * and checks whether to campaign after the second at the latest.
+ * Once the leader record is gone, each controller waits for a random time below the first value before it
+ * campaigns, and checks after the second whether to campaign.
  */
 const FIRST_CAMPAIGN_JITTER_MS = 100;
 const FIRST_CAMPAIGN_DEADLINE_MS = 110;
 /** How long a controller that has resigned does not campaign, so that another one is elected. */
 const RESIGNATION_PAUSE_MS = 20000;
-/**
- * Minimum interval between two raises of the fencing token: each makes all shard owners repeat their full
- * sync.
- */
+/** Minimum interval between raises of the fencing token: each makes all shard owners resend a full sync. */
 const MIN_TOKEN_RAISE_INTERVAL_MS = 15000;
 /** Minimum interval between two attempts to delete a stale leader record. */
 const STALE_RECORD_DELETION_INTERVAL_MS = 1000;
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -33,7 +33,7 @@
   }
 
   /**
-   * The latest known leader. Once this controller steps down the node name is empty until the next is known.
+   * The latest known leader. Its node name is empty from this controller's step-down until the next is known.
    */
   get leader(): LeaderRecord {
     return this.knownLeader;
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,7 +1,4 @@
-/**
- * Machine types offered by the cloud: the leader lists and stores them, the other controllers read the
- * record.
- */
+/** Machine types of the cloud: the leader requests and stores them, the other controllers read the record. */
 
 import type { Clock } from '../model/clock.js';
 import type { CloudProvider } from '../model/cloud-provider.js';
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -17,7 +17,10 @@
   /** Returns whether the shared records have been read. */
   isReady(): boolean;
   onJoined(): void;
-  /** Called when the store no longer knows the lease and has removed all records attached to it. */
+  /**
+   * Called when the store no longer knows the lease and has removed all records attached to it. A new lease
+   * is acquired afterwards.
+   */
   onLost(): void;
 }
 
@@ -46,9 +49,7 @@
     return now - this.renewedAt < this.options.ttlMs;
   }
 
-  /**
-   * Returns whether the lease has expired, unless a renewal whose response was lost has reached the store.
-   */
+  /** Returns whether the lease has expired, unless a renewal without a response has reached the store. */
   hasExpired(now: number): boolean {
     return now - this.renewedAt > this.options.ttlMs;
   }
@@ -76,9 +77,7 @@
     this.join();
   }
 
-  /**
-   * Revokes the lease of the previous instance on this node, once and no other, and acquires an own lease.
-   */
+  /** Revokes the lease of this node's previous instance, once and no other lease, and acquires a new one. */
   private join(): void {
     const { nodeName, instanceId, store } = this.options;
     this.requestInFlight = true;
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -1,6 +1,4 @@
-/**
- * Periodic heartbeats to the peers: that this controller is alive, its known leader and cancellation state.
- */
+/** Periodic heartbeats to the peers, which report liveness, the known leader and the cancellation state. */
 
 import {
   type CancellationCoordinator,
@@ -27,8 +25,7 @@
   constructor(private readonly options: PeerHeartbeatSenderOptions) {}
 
   /**
-   * Sends one heartbeat to each peer. `coverage` is this controller's coverage as the leader; null if it has
-   * none.
+   * Sends a heartbeat to each peer. `coverage` is the leader's coverage; null if this controller has none.
    */
   send(now: number, coverage: LeaderCoverage | null): void {
     const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this.options;
--- a/src/controller/peer-messenger.ts
+++ b/src/controller/peer-messenger.ts
@@ -50,7 +50,8 @@
   }
 
   /**
-   * Sends a message from this controller as the leader to a shard owner; dropped if it has no node record.
+   * Sends a message from this controller as the leader to a shard owner; dropped if the owner has no node
+   * record.
    */
   sendToShardOwner(instanceId: string, message: LeaderMessage): void {
     const { queue, records, deliverToShardOwner } = this.options;
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -1,7 +1,4 @@
-/**
- * Assignment of shards by the leader. A shard consists of the jobs of one team and is owned by one
- * controller.
- */
+/** Assignment of shards by the leader. A shard is the jobs of one team, owned by one controller. */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
@@ -85,8 +82,7 @@
     const counts: ShardCounts = new Map();
     for (const [instanceId, nodeName] of records.liveInstances()) {
       const peer = peers.get(nodeName);
-      // A new leader has not heard its peers yet, and a node record shows that its controller was alive
-      // recently.
+      // A new leader has heard no peers yet; a node record shows that its controller was alive recently.
       const isPresumedAlive = instanceId === self || now - leadership.leadingSince < MAX_PEER_SILENCE_MS;
       if (
         isPresumedAlive ||
@@ -140,8 +136,7 @@
   }
 
   /**
-   * Moves one shard if the shard counts of two controllers differ by two or more. Returns the new owner by
-   * team.
+   * Moves one shard if the counts of two controllers differ by two or more. Returns its new owner by team.
    */
   private rebalance(owners: Map<string, ShardOwnership>, counts: ShardCounts): Map<string, string> {
     const least = this.leastLoaded(counts);
--- a/src/controller/store-contact.ts
+++ b/src/controller/store-contact.ts
@@ -1,19 +1,16 @@
-/** Tracks the last contact of this controller with the key-value store. */
+/** Tracks the last contact with the key-value store: when the latest request that it answered was sent. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
 import type { ResultCallback } from '../model/result.js';
 import type { EventQueue } from './event-queue.js';
 
-/**
- * Initial age of the last contact, high enough for the store to count as unreachable until its first
- * response.
- */
+/** Initial age of the last contact, so that the store counts as unreachable until its first response. */
 const INITIAL_CONTACT_AGE_MS = 1e6;
 
 /**
- * Observes the store's responses. A response that shows the store to be reachable counts from its sending
- * time.
+ * Observes the store's responses. A response that shows the store to be reachable counts from when its
+ * request was sent, not from its arrival.
  */
 export class StoreContact {
   private lastContactAtMs: number;
@@ -25,10 +22,7 @@
     this.lastContactAtMs = clock.now() - INITIAL_CONTACT_AGE_MS;
   }
 
-  /**
-   * The last contact: when the latest request that the store has answered was sent, on this controller's
-   * clock.
-   */
+  /** When the latest request that the store has answered was sent, on this controller's clock. */
   get lastContactAt(): number {
     return this.lastContactAtMs;
   }
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -1,6 +1,5 @@
 /**
- * Records under `sys/`, shared by all controllers: leader, fencing token, live nodes, shard owners, machine
- * types.
+ * Records under `sys/` shared by all controllers: leader, fencing token, nodes, shard owners, machine types.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -85,10 +84,7 @@
     return item ? { record: leaderRecord.decode(item.value), modRevision: item.modRevision } : null;
   }
 
-  /**
-   * Returns the highest fencing token ever issued, 0 before the first election, and the revision of its
-   * record.
-   */
+  /** Returns the highest fencing token issued, 0 before the first election, and its record's revision. */
   fencingToken(): { fencingToken: number; modRevision: number } {
     const item = this.cache.items.get(FENCING_TOKEN_KEY);
     return item
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Returns whether this controller has no contact with the store, with the leader, from which it has heard
-   * before, or with any peer that has contact with the store. A peer's report of a newer leader rules
-   * isolation out.
+   * Returns whether this controller has lost contact with the store, with the known leader, and with every
+   * peer that has contact with the store. It is not isolated if it has never heard the leader, or if a peer
+   * has reported a newer one.
    */
   private isIsolated(now: number): boolean {
     const { leadership, peers, storeContact } = this.options;
