--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -1,115 +1,127 @@
-/** The cancellations that users were told of. */
+/** Cancellations that were confirmed to users by any controller. */
 
-/** Jobs remembered as cancelled: shard owners read of them within moments unless there is an outage. */
-const MAX_JOBS = 5000;
+/**
+ * Maximum number of cancelled jobs kept. Older ones can be dropped because shard owners read a cancellation
+ * from the store within moments, except during a store outage.
+ */
+const MAX_CANCELLED_JOBS = 5000;
 
-/** One process of a peer. */
+/** Identifies one process of a peer. */
 export interface PeerProcess {
   nodeName: string;
   instanceId: string;
 }
 
-interface PeerLog {
+/** How far a peer process's announcements are known here. Times are on this controller's clock. */
+interface PeerProgress {
   instanceId: string;
-  /** Since when nothing that it announced is missing here. */
+  /** Time since which no announcement of the process has been missed. */
   completeSinceMs: number;
-  /** Cancellations of it that were taken in. */
-  received: number;
-  /** All that it told its users before this time on our clock is known here. */
+  /** Number of announcements accounted for: those received, and any made before `completeSinceMs`. */
+  receivedCount: number;
+  /** Every cancellation that the process confirmed from `completeSinceMs` until this time is known here. */
   completeUntilMs: number;
 }
 
 /**
- * Cancellations that users were told of, by this controller or by peers that announce them. While the store is out nobody
- * can learn of another one, so what this one knows is all there is as long as every peer is in touch: the workers keep
- * their leases through an outage of any length. It rests on order, not on clocks: a peer names the newest timestamp it had
- * from here, and how many cancellations it had announced by then.
+ * Records the cancellations confirmed to users by this controller and by the peers that announce theirs.
+ * During a store outage no controller can confirm a cancellation that is not stored yet, so this log stays
+ * complete while every peer is connected, and workers can keep their leases through an outage of any length.
+ * Completeness is derived from the order of messages, not from comparing clocks: a peer's heartbeat contains
+ * the newest timestamp received from this controller, and the number of cancellations announced by then.
  */
 export class CancellationLog {
-  private ownCount = 0;
-  private readonly jobs = new Set<string>();
-  private readonly peers = new Map<string, PeerLog>();
+  private ownAnnouncements = 0;
+  private readonly cancelledJobs = new Set<string>();
+  private readonly peers = new Map<string, PeerProgress>();
 
   constructor(private readonly peerNames: readonly string[]) {}
 
-  /** How many cancellations this process has announced: the number of the latest. */
-  get announcedHere(): number {
-    return this.ownCount;
+  /** Number of cancellations announced by this process; also the number of the latest one. */
+  get announcedCount(): number {
+    return this.ownAnnouncements;
   }
 
-  /** Whether a job is known to be cancelled. */
+  /** Returns whether a job is known to be cancelled. */
   has(jobId: string): boolean {
-    return this.jobs.has(jobId);
+    return this.cancelledJobs.has(jobId);
   }
 
-  /** A user is about to be told by this process. False: it was known, and is not announced again. */
+  /**
+   * Records a cancellation that this process is about to confirm to a user. Returns false if the cancellation
+   * was already known; it is then not announced again.
+   */
   recordOwn(jobId: string): boolean {
-    if (this.jobs.has(jobId)) return false;
-    this.ownCount++;
-    this.remember(jobId);
+    if (this.cancelledJobs.has(jobId)) return false;
+    this.ownAnnouncements++;
+    this.addJob(jobId);
     return true;
   }
 
-  /** A peer has announced a cancellation; its own are numbered from 1. */
+  /** Records a cancellation announced by a peer. Each process numbers its announcements from 1. */
   recordFromPeer(
     process: PeerProcess,
     announcement: { jobId: string; cancellationNumber: number },
     now: number,
   ): void {
     const { cancellationNumber } = announcement;
-    this.remember(announcement.jobId);
+    this.addJob(announcement.jobId);
     const peer = this.peers.get(process.nodeName);
-    // If one is missing, what it was stays unknown until shard owners have read of it.
-    if (peer?.instanceId === process.instanceId && cancellationNumber === peer.received + 1)
-      peer.received = cancellationNumber;
-    else this.startOver(process, cancellationNumber, now);
+    // A missed cancellation stays unknown here until its shard owner has read it from the store.
+    if (peer?.instanceId === process.instanceId && cancellationNumber === peer.receivedCount + 1)
+      peer.receivedCount = cancellationNumber;
+    else this.resetPeer(process, cancellationNumber, now);
   }
 
   /**
-   * A peer's heartbeat: how many cancellations it has announced, and the newest timestamp of this process that it had by
-   * then (null: none).
+   * Applies a peer's heartbeat: how many cancellations the peer has announced, and the newest timestamp that
+   * it had received from this process by then (null if none).
    */
-  acknowledge(
+  recordHeartbeat(
     process: PeerProcess,
     heartbeat: { announced: number; latestTimestamp: number | null },
     now: number,
   ): void {
     const { announced, latestTimestamp } = heartbeat;
     const peer = this.peers.get(process.nodeName);
-    if (peer?.instanceId !== process.instanceId || peer.received !== announced)
-      this.startOver(process, announced, now);
+    if (peer?.instanceId !== process.instanceId || peer.receivedCount !== announced)
+      this.resetPeer(process, announced, now);
     else if (latestTimestamp !== null)
       peer.completeUntilMs = Math.max(peer.completeUntilMs, Math.min(latestTimestamp, now));
   }
 
-  /** All that anybody was told between `since` and `at` is known here. */
-  completeSince(now: number): { since: number; at: number } {
+  /**
+   * Returns an interval on this controller's clock: every cancellation that any controller confirmed to a
+   * user within it is known here. While completeness is not established it is empty: `until` lies before
+   * `since`.
+   */
+  completeInterval(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
-    let at = now;
+    let until = now;
     for (const nodeName of this.peerNames) {
       const peer = this.peers.get(nodeName);
-      if (!peer) return { since: now, at: Number.NEGATIVE_INFINITY };
+      if (!peer) return { since: now, until: Number.NEGATIVE_INFINITY };
       since = Math.max(since, peer.completeSinceMs);
-      at = Math.min(at, peer.completeUntilMs);
+      until = Math.min(until, peer.completeUntilMs);
     }
-    return { since, at };
+    return { since, until };
   }
 
-  /** From now on nothing of this process is missing; what came before may be. */
-  private startOver({ nodeName, instanceId }: PeerProcess, received: number, now: number): void {
+  /** Restarts the tracking of a peer, whose earlier announcements may have been missed. */
+  private resetPeer({ nodeName, instanceId }: PeerProcess, receivedCount: number, now: number): void {
     this.peers.set(nodeName, {
       instanceId,
       completeSinceMs: now,
-      received,
+      receivedCount: receivedCount,
       completeUntilMs: Number.NEGATIVE_INFINITY,
     });
   }
 
-  private remember(jobId: string): void {
-    this.jobs.add(jobId);
-    for (const oldest of this.jobs) {
-      if (this.jobs.size <= MAX_JOBS) break;
-      this.jobs.delete(oldest);
+  private addJob(jobId: string): void {
+    this.cancelledJobs.add(jobId);
+    for (const oldest of this.cancelledJobs) {
+      if (this.cancelledJobs.size <= MAX_CANCELLED_JOBS) break;
+      this.cancelledJobs.delete(oldest);
     }
   }
 }
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a controller together: what each is given, and what they tell one another. */
+/** Creates the components of a controller and connects them to each other. */
 
 import { JobApi } from '../api/job-api.js';
 import { cancellationReadIntervalMs } from '../model/cancellation-coverage.js';
@@ -11,8 +11,8 @@
 import { OPEN_JOBS_PREFIX } from '../store/keyspace.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { CancellationCoordinator } from './cancellation-coordinator.js';
-import { CommandQueue, type CommandQueueOptions } from './command-queue.js';
 import type { ControllerOptions } from './controller-options.js';
+import { EventQueue, type EventQueueOptions } from './event-queue.js';
 import { ImageReplication } from './image-replication.js';
 import { LeaderElection } from './leader-election.js';
 import { Leadership } from './leadership.js';
@@ -28,14 +28,14 @@
 import { SystemRecords } from './system-records.js';
 import { WorkerHeartbeats } from './worker-heartbeats.js';
 
-/** How long the store may hold a watch of the open jobs until something changes. */
+/** Maximum time that a watch of the open jobs waits for a change. */
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
-/** Least time between two watches of the open jobs, which change several times a second. */
+/** Minimum interval between watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
-/** What a task that is told of its end in advance is given to save its work. */
+/** Time that an evicted task gets to save its progress, in addition to its checkpoint save time. */
 const NOTICE_GRACE_SECONDS = 1;
 
-/** A cluster without load: the number of tasks asked for at a time does not depend on it. */
+/** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
 const IDLE_CLUSTER: PolicyInput = {
   services: 0,
   serviceCpus: 0,
@@ -48,17 +48,18 @@
   bootSeconds: 30,
 };
 
-/** What the command queue calls. */
-type CommandLoop = Pick<CommandQueueOptions, 'execute' | 'onBatchEnd'>;
+/** Callbacks of the event queue. */
+type EventCallbacks = Pick<EventQueueOptions, 'handleEvent' | 'onBatchEnd'>;
 
 /**
- * The parts of one controller. Each mutable field belongs to one part, which alone changes it. They are created in an order
- * in which each finds those that it is given; what comes later, or may call back, is reached by a function.
+ * The components of one controller. Each mutable field belongs to one component, and only that component
+ * changes it. Components are created after those they depend on; a component that is created later, or that
+ * may call back, is passed as a function.
  */
 export class ControllerParts {
-  /** Users' requests. */
+  /** Serves users' requests. */
   readonly api: JobApi;
-  readonly queue: CommandQueue;
+  readonly queue: EventQueue;
   readonly storeContact: StoreContact;
   readonly records: SystemRecords;
   readonly openJobs: WatchCache;
@@ -71,7 +72,7 @@
   readonly images: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
-  readonly owner: ShardOwner;
+  readonly shardOwner: ShardOwner;
   readonly workerHeartbeats: WorkerHeartbeats;
   readonly peerHeartbeats: PeerHeartbeatSender;
   readonly peerMessages: PeerMessageHandler;
@@ -81,11 +82,11 @@
 
   constructor(
     private readonly options: ControllerOptions,
-    loop: CommandLoop,
+    callbacks: EventCallbacks,
   ) {
     const { clock } = options;
     this.teams = new Map(options.teams.map((team) => [team.name, team]));
-    this.queue = new CommandQueue({ clock, ...loop });
+    this.queue = new EventQueue({ clock, ...callbacks });
     this.storeContact = new StoreContact(clock, this.queue);
     this.store = this.storeContact.observe(options.store);
     this.cloud = queuedCloud(options.cloud, this.queue);
@@ -99,7 +100,7 @@
     this.images = new ImageReplication(this.messenger, this.leadership);
     this.assignment = this.createAssignment();
     this.machineTypes = this.createMachineTypes();
-    this.owner = this.createShardOwner();
+    this.shardOwner = this.createShardOwner();
     this.workerHeartbeats = this.createWorkerHeartbeats();
     this.peerHeartbeats = this.createPeerHeartbeats();
     this.peerMessages = this.createPeerMessages();
@@ -117,7 +118,7 @@
     const owned = new Map<string, number>();
     for (const [team, { instanceId, shardEpoch }] of owners)
       if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
-    this.owner.setShards(owned);
+    this.shardOwner.setShards(owned);
     this.openJobs.setFollowed(owned.size > 0);
     this.leadership.scheduler?.setOwners(owners);
   }
@@ -131,7 +132,10 @@
     });
   }
 
-  /** Followed while this controller owns a shard; the API alone catches up when it is asked. */
+  /**
+   * Creates the copy of the open jobs. It is watched while this controller owns a shard; otherwise the API
+   * refreshes it on request.
+   */
   private createOpenJobs(): WatchCache {
     return new WatchCache({
       prefix: OPEN_JOBS_PREFIX,
@@ -141,7 +145,7 @@
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
       isFollowed: false,
       onChange: (key, value, modRevision) => {
-        if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
+        if (value !== undefined) this.shardOwner.onOpenJobChanged({ key, value, modRevision });
       },
     });
   }
@@ -168,7 +172,7 @@
       clock,
       log,
       createScheduler: (fencingToken) => this.createScheduler(fencingToken),
-      onLeaderKnown: (fencingToken) => this.owner.setLeader(fencingToken),
+      onLeaderKnown: (fencingToken) => this.shardOwner.setLeader(fencingToken),
       onStarted: (scheduler) => this.onLeadingStarted(scheduler),
     });
   }
@@ -192,16 +196,17 @@
       workers: queuedWorkers(options.workers, this.queue),
       machineTypes: () => this.machineTypes.machineTypes,
       policy: options.policy,
-      holdsLeadership: () => leadership.leadsUnder(fencingToken) && this.lease.isSurelyValid(clock.now()),
+      holdsLeadership: () => leadership.leadsUnder(fencingToken) && this.lease.isCertainlyValid(clock.now()),
       send: (instanceId, message) => this.messenger.sendToShardOwner(instanceId, message),
       wake: () => this.queue.wake(),
       onHigherToken: (higherToken) => {
-        if (leadership.leadsUnder(fencingToken)) leadership.stepDown(`token ${higherToken} seen`);
+        if (leadership.leadsUnder(fencingToken))
+          leadership.stepDown(`higher fencing token ${higherToken} seen`);
       },
       inheritedCoverage: () => coordinator.inheritedCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      knownCancellationPeriod: (now) => coordinator.completeSince(now),
-      reachablePeers: () => this.peers.countInTouch(clock.now()),
+      knownCancellationPeriod: (now) => coordinator.completeInterval(now),
+      reachablePeers: () => this.peers.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
@@ -233,7 +238,7 @@
       queue,
       records,
       leadership,
-      deliverToShardOwner: (message) => this.owner.onLeaderMessage(message),
+      deliverToShardOwner: (message) => this.shardOwner.onLeaderMessage(message),
     });
   }
 
@@ -322,7 +327,7 @@
 
   private createPeerMessages(): PeerMessageHandler {
     const { nodeName, instanceId, clock } = this.options;
-    const { records, leadership, peers, coordinator, images, owner } = this;
+    const { records, leadership, peers, coordinator, images, shardOwner } = this;
     return new PeerMessageHandler({
       nodeName,
       instanceId,
@@ -332,7 +337,7 @@
       peers,
       coordinator,
       images,
-      owner,
+      shardOwner,
     });
   }
 
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -1,58 +1,62 @@
-/** The election of the leader: one compare-and-swap raises the fencing token and takes the leader record. */
+/** Leader election: one compare-and-swap raises the fencing token and claims the leader record. */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import type { LeaderRecord } from '../model/records.js';
 import { FENCING_TOKEN_KEY, LEADER_KEY } from '../store/keyspace.js';
 import { leaderRecord, tokenRecord } from '../store/record-codec.js';
-import type { CommandQueue } from './command-queue.js';
+import type { EventQueue } from './event-queue.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
 import type { SystemRecords } from './system-records.js';
 
-/** Least pause between two campaigns of one controller, and most of what is added to it at random. */
-const CAMPAIGN_PAUSE_MS = 300;
-const CAMPAIGN_SPREAD_MS = 300;
-/** Once the leader is gone controllers campaign after a random part of the first, and not later than the second. */
-const FIRST_CAMPAIGN_SPREAD_MS = 100;
-const FIRST_CAMPAIGN_AFTER_MS = 110;
-/** A controller that resigned leaves the election to the others for so long. */
+/** Minimum interval between two campaigns of one controller, and the maximum random time added to it. */
+const MIN_CAMPAIGN_INTERVAL_MS = 300;
+const CAMPAIGN_JITTER_MS = 300;
+/**
+ * Once the leader record is gone, each controller waits for a random time below the first value before it
+ * campaigns, and checks after the second whether to campaign.
+ */
+const FIRST_CAMPAIGN_JITTER_MS = 100;
+const FIRST_CAMPAIGN_DEADLINE_MS = 110;
+/** How long a controller that has resigned does not campaign, so that another one is elected. */
 const RESIGNATION_PAUSE_MS = 20000;
-/** Least time between two raises of the fencing token: each makes all owners tell the leader everything again. */
-const TOKEN_RAISE_INTERVAL_MS = 15000;
-const WITHDRAWAL_INTERVAL_MS = 1000;
+/** Minimum interval between raises of the fencing token: each makes all shard owners resend a full sync. */
+const MIN_TOKEN_RAISE_INTERVAL_MS = 15000;
+/** Minimum interval between two attempts to delete a stale leader record. */
+const STALE_RECORD_DELETION_INTERVAL_MS = 1000;
 
-/** What the election needs. */
+/** Settings and dependencies of the leader election. */
 export interface LeaderElectionOptions {
   instanceId: string;
   nodeName: string;
   store: KeyValueStore;
   clock: Clock;
-  queue: CommandQueue;
+  queue: EventQueue;
   records: SystemRecords;
   lease: NodeLease;
   leadership: Leadership;
 }
 
-/** Campaigns, resigns, and writes all that this controller writes of the leader record. */
+/** Campaigns and resigns; performs all writes of this controller to the leader record. */
 export class LeaderElection {
   private campaignInFlight = false;
-  private barredUntil = 0;
+  private resignedUntil = 0;
   private nextCampaignAt = 0;
   private nextTokenRaiseAt = 0;
-  private nextWithdrawalAt = 0;
-  private withdrawalInFlight = false;
+  private nextStaleRecordDeletionAt = 0;
+  private staleRecordDeletionInFlight = false;
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
-  /** Campaigns if nobody leads and this controller may. */
+  /** Campaigns if there is no leader and this controller is eligible. */
   campaignIfVacant(now: number): void {
     const { lease, records } = this.options;
     if (
       !lease.isGranted ||
       !records.isReady ||
       this.campaignInFlight ||
-      now < this.barredUntil ||
+      now < this.resignedUntil ||
       now < this.nextCampaignAt
     )
       return;
@@ -60,7 +64,7 @@
     this.campaign(0, 'no leader');
   }
 
-  /** Follows the leader record. */
+  /** Updates the leadership from the changed leader record. */
   onLeaderRecordChanged(): void {
     const { records, lease, leadership, instanceId } = this.options;
     const current = records.leader();
@@ -70,64 +74,71 @@
     }
     const { record, modRevision } = current;
     if (record.instanceId === instanceId) {
-      // An election whose answer was lost.
-      if (lease.isGranted) leadership.start(record, modRevision, 'found elected');
+      // This controller was elected, but the response to its campaign was lost.
+      if (lease.isGranted) leadership.start(record, modRevision, 'election confirmed by the leader record');
       return;
     }
     if (leadership.scheduler && record.fencingToken > leadership.scheduler.fencingToken)
-      leadership.stepDown('another leads');
+      leadership.stepDown('another controller leads');
     leadership.setLeader(record);
   }
 
-  /** Gives leadership up for the good of the cluster, and lets others be elected. */
+  /**
+   * Gives up leadership so that another controller is elected, for instance when this controller's own
+   * network seems to be at fault. Afterwards it does not campaign for a while.
+   */
   resign(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
     if (!leadership.leadsUnder(fencingToken)) return;
-    const { leaderRevision } = leadership;
-    this.barredUntil = clock.now() + RESIGNATION_PAUSE_MS;
+    const { leaderRecordRevision } = leadership;
+    this.resignedUntil = clock.now() + RESIGNATION_PAUSE_MS;
     leadership.stepDown(reason);
-    this.deleteLeaderRecord(leaderRevision, () => {});
+    this.deleteLeaderRecord(leaderRecordRevision, () => {});
   }
 
   /**
-   * Deletes a leader record that still names this instance after it has resigned: the first deletion was lost. As long
-   * as the record stands nobody can be elected, and the lease it hangs on is kept.
+   * Deletes a leader record that still names this instance after it has resigned, because the first deletion
+   * was lost. While the record exists no leader can be elected, and it does not expire because this
+   * controller keeps renewing the lease that the record is attached to.
    */
-  withdrawStaleRecord(now: number): void {
+  deleteStaleRecord(now: number): void {
     const { records, leadership, instanceId } = this.options;
     if (
       leadership.scheduler ||
       this.campaignInFlight ||
-      this.withdrawalInFlight ||
-      now < this.nextWithdrawalAt
+      this.staleRecordDeletionInFlight ||
+      now < this.nextStaleRecordDeletionAt
     )
       return;
     const current = records.leader();
     if (!current) return;
     const { record, modRevision } = current;
     if (record.instanceId !== instanceId || record.fencingToken > leadership.leaderTerm) return;
-    this.nextWithdrawalAt = now + WITHDRAWAL_INTERVAL_MS;
-    this.withdrawalInFlight = true;
+    this.nextStaleRecordDeletionAt = now + STALE_RECORD_DELETION_INTERVAL_MS;
+    this.staleRecordDeletionInFlight = true;
     this.deleteLeaderRecord(modRevision, () => {
-      this.withdrawalInFlight = false;
+      this.staleRecordDeletionInFlight = false;
     });
   }
 
-  /** The leader has itself elected again: a higher token ends all that workers may still do under the present one. */
+  /**
+   * Has the current leader elected again under a higher fencing token, so that workers drop any command that
+   * is still in transit under the current one.
+   */
   raiseFencingToken(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
     const now = clock.now();
     if (!leadership.leadsUnder(fencingToken) || this.campaignInFlight || now < this.nextTokenRaiseAt) return;
-    this.nextTokenRaiseAt = now + TOKEN_RAISE_INTERVAL_MS;
-    this.campaign(leadership.leaderRevision, reason);
+    this.nextTokenRaiseAt = now + MIN_TOKEN_RAISE_INTERVAL_MS;
+    this.campaign(leadership.leaderRecordRevision, reason);
   }
 
   private onLeaderGone(): void {
     const { leadership, clock, queue } = this.options;
     leadership.stepDown('leader record gone');
-    // At random, so that controllers don't all campaign at once.
-    this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_SPREAD_MS;
-    clock.after(FIRST_CAMPAIGN_AFTER_MS, () =>
+    // Randomized so that the controllers do not all campaign at the same time.
+    this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_JITTER_MS;
+    clock.after(FIRST_CAMPAIGN_DEADLINE_MS, () =>
       queue.push({ type: 'callback', run: () => this.campaignIfVacant(clock.now()) }),
     );
   }
@@ -137,7 +148,7 @@
     const highest = records.fencingToken();
     const fencingToken = highest.fencingToken + 1;
     this.campaignInFlight = true;
-    this.nextCampaignAt = clock.now() + CAMPAIGN_PAUSE_MS + clock.random() * CAMPAIGN_SPREAD_MS;
+    this.nextCampaignAt = clock.now() + MIN_CAMPAIGN_INTERVAL_MS + clock.random() * CAMPAIGN_JITTER_MS;
     const record: LeaderRecord = { instanceId, nodeName, fencingToken };
     store.compareAndSwap(
       {
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -1,4 +1,4 @@
-/** Messages of peers, and connections to them. */
+/** Handling of messages from peers, and of new connections to them. */
 
 import type { Clock } from '../model/clock.js';
 import type { PeerHeartbeat, PeerMessage } from '../model/peer-message.js';
@@ -9,7 +9,7 @@
 import type { Peer, PeerRegistry } from './peer-registry.js';
 import type { SystemRecords } from './system-records.js';
 
-/** What the handling of peers' messages needs. */
+/** Settings and dependencies of the peer message handler. */
 export interface PeerMessageHandlerOptions {
   nodeName: string;
   instanceId: string;
@@ -19,16 +19,16 @@
   peers: PeerRegistry;
   coordinator: CancellationCoordinator;
   images: ImageReplication;
-  owner: ShardOwner;
+  shardOwner: ShardOwner;
 }
 
-/** Hands each message to the part that it is for; it keeps nothing of its own. */
+/** Passes each message to the component that is responsible for it. Stateless. */
 export class PeerMessageHandler {
   constructor(private readonly options: PeerMessageHandlerOptions) {}
 
-  /** Handles a message, unless a later one of the same peer has been handled. */
+  /** Handles a message, unless a later one from the same peer has been handled before. */
   onMessage(message: PeerMessage): void {
-    const { instanceId, leadership, coordinator, images, owner } = this.options;
+    const { instanceId, leadership, coordinator, images, shardOwner } = this.options;
     const { body } = message;
     const now = this.options.clock.now();
     const peer = this.options.peers.record(message, now);
@@ -47,15 +47,18 @@
         if (body.recipient === instanceId) leadership.scheduler?.onShardMessage(body.message);
         break;
       case 'toShardOwner':
-        if (body.recipient === instanceId) owner.onLeaderMessage(body.message);
+        if (body.recipient === instanceId) shardOwner.onLeaderMessage(body.message);
         break;
     }
   }
 
-  /** The connection to a peer was made anew: what was under way may be lost, so everything is sent again. */
+  /**
+   * Handles a new connection to a peer. Messages in transit on an earlier connection may be lost, so the
+   * complete state is exchanged again.
+   */
   onConnected(nodeName: string): void {
-    const { records, leadership, images, owner } = this.options;
-    if (leadership.leader.nodeName === nodeName) owner.resync();
+    const { records, leadership, images, shardOwner } = this.options;
+    if (leadership.leader.nodeName === nodeName) shardOwner.resync();
     const { scheduler } = leadership;
     if (!scheduler) return;
     for (const [instanceId, liveNodeName] of records.liveInstances())
@@ -71,14 +74,14 @@
   }): void {
     const { message, heartbeat, peer, now } = received;
     const { leadership, peers, coordinator } = this.options;
-    this.stepDownForLaterLeader(heartbeat);
+    this.stepDownForNewerLeader(heartbeat);
     peer.timestamps.add(heartbeat.timestamp, now);
     coordinator.onPeerHeartbeat(message, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
-    peers.addLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
+    peers.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
-  private stepDownForLaterLeader(heartbeat: PeerHeartbeat): void {
+  private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
     if (
       leadership.scheduler &&
@@ -86,6 +89,6 @@
       heartbeat.fencingToken > leadership.leader.fencingToken &&
       heartbeat.fencingToken > leadership.scheduler.fencingToken
     )
-      leadership.stepDown('a peer knows a later leader');
+      leadership.stepDown('a peer reports a newer leader');
   }
 }
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -1,90 +1,99 @@
-/** The other controllers as far as they have been heard. */
+/** The other controllers, as known from their messages. */
 
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 import type { PeerMessage } from '../model/peer-message.js';
 
-/** A peer's process that was heard last under its node name. */
+/** The latest known process of a peer. */
 export interface Peer {
   readonly instanceId: string;
-  /** When its last message came, on this controller's clock. */
-  readonly heardAt: number;
+  /** When its last message was received, on this controller's clock. */
+  readonly lastHeardAt: number;
   readonly lastSequence: number;
-  /** When the store last answered it, on this controller's clock as far as the delay of its message allows. */
-  readonly storeContactAt: number;
-  /** Its timestamps, by when they came. */
+  /**
+   * When the peer last had contact with the store, on this controller's clock. The estimate is too late by
+   * the delay of the peer's message.
+   */
+  readonly lastStoreContactAt: number;
+  /** Timestamps issued by the process, with the times at which they were received. */
   readonly timestamps: PeerTimestamps;
 }
 
-/** A controller that a peer takes for the leader. */
+/** The leader according to a peer. */
 export interface LeaderHint {
   readonly nodeName: string;
   readonly fencingToken: number;
 }
 
-/** So long after its last message a peer counts as in touch. */
-const IN_TOUCH_MS = 3000;
+/** A peer counts as recently heard for this long after its last message. */
+const RECENTLY_HEARD_MS = 3000;
 
-/** Keeps what each peer's last process told of itself, and passes over late and repeated messages. */
+/** Keeps the state reported by the latest process of each peer, and rejects late and repeated messages. */
 export class PeerRegistry {
   private readonly peers = new Map<string, Peer>();
   private readonly supersededInstances = new Set<string>();
   private latestHint: LeaderHint = { nodeName: '', fencingToken: 0 };
 
-  /** The process heard last under a node name. */
+  /** Returns the latest known process of the peer with this node name. */
   get(nodeName: string): Peer | undefined {
     return this.peers.get(nodeName);
   }
 
-  /** The leader with the highest token that a peer has named; it may not be known here from the store yet. */
+  /**
+   * The leader with the highest fencing token that any peer has reported. This controller may not have read
+   * its leader record from the store yet.
+   */
   get leaderHint(): LeaderHint {
     return this.latestHint;
   }
 
-  /** Takes note of a peer's leader. */
-  addLeaderHint(hint: LeaderHint): void {
+  /** Records the leader reported by a peer, unless one with a token at least as high has been reported. */
+  recordLeaderHint(hint: LeaderHint): void {
     if (hint.fencingToken > this.latestHint.fencingToken) this.latestHint = hint;
   }
 
-  /** Takes note of a message; null if it must not be handled: a later one, or a later process, was heard before. */
+  /**
+   * Records the receipt of a message. Returns null if the message must not be handled, because a later
+   * message or a later process of the peer has been heard before.
+   */
   record(message: PeerMessage, now: number): Peer | null {
     const known = this.peers.get(message.nodeName);
     const isSameProcess = known?.instanceId === message.instanceId;
-    // A message held back on an older connection must not undo a later one.
+    // A message delayed on an older connection must not override a later one.
     if (isSameProcess && message.sequence <= known.lastSequence) return null;
     if (this.supersededInstances.has(message.instanceId)) return null;
     if (known && !isSameProcess) this.supersededInstances.add(known.instanceId);
     const peer: Peer = {
       instanceId: message.instanceId,
-      heardAt: now,
+      lastHeardAt: now,
       lastSequence: message.sequence,
-      storeContactAt:
+      lastStoreContactAt:
         message.body.type === 'heartbeat'
           ? now - message.body.storeContactAgeMs
-          : (known?.storeContactAt ?? Number.NEGATIVE_INFINITY),
+          : (known?.lastStoreContactAt ?? Number.NEGATIVE_INFINITY),
       timestamps: isSameProcess ? known.timestamps : new PeerTimestamps(),
     };
     this.peers.set(message.nodeName, peer);
     return peer;
   }
 
-  /** How many peers are in touch. */
-  countInTouch(now: number): number {
+  /** Returns the number of recently heard peers. */
+  countRecentlyHeard(now: number): number {
     let count = 0;
-    for (const peer of this.peers.values()) if (now - peer.heardAt < IN_TOUCH_MS) count++;
+    for (const peer of this.peers.values()) if (now - peer.lastHeardAt < RECENTLY_HEARD_MS) count++;
     return count;
   }
 
-  /** Whether a peer in touch was answered by the store after this time. */
-  hasStoreContactAfter(time: number, now: number): boolean {
+  /** Returns whether a recently heard peer had contact with the store after the given time. */
+  hasPeerWithStoreContactAfter(time: number, now: number): boolean {
     for (const peer of this.peers.values())
-      if (now - peer.heardAt < IN_TOUCH_MS && peer.storeContactAt > time) return true;
+      if (now - peer.lastHeardAt < RECENTLY_HEARD_MS && peer.lastStoreContactAt > time) return true;
     return false;
   }
 
-  /** Whether a peer was heard, and was answered by the store, within so many milliseconds. */
-  hasConnectedPeer(withinMs: number, now: number): boolean {
+  /** Returns whether a peer was heard and had contact with the store, both within the last `withinMs`. */
+  hasPeerWithRecentStoreContact(withinMs: number, now: number): boolean {
     for (const peer of this.peers.values())
-      if (now - peer.heardAt < withinMs && now - peer.storeContactAt < withinMs) return true;
+      if (now - peer.lastHeardAt < withinMs && now - peer.lastStoreContactAt < withinMs) return true;
     return false;
   }
 }
--- a/src/controller/store-contact.ts
+++ b/src/controller/store-contact.ts
@@ -1,53 +1,59 @@
-/** When the key-value store last answered this controller. */
+/** Tracks the last contact with the key-value store: when the latest request that it answered was sent. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
 import type { ResultCallback } from '../model/result.js';
-import type { CommandQueue } from './command-queue.js';
+import type { EventQueue } from './event-queue.js';
 
-/** Long before any time that counts: until the first answer the store counts as out of reach. */
-const BEFORE_START_MS = 1e6;
+/** Initial age of the last contact, so that the store counts as unreachable until its first response. */
+const INITIAL_CONTACT_AGE_MS = 1e6;
 
-/** Observes the answers of the store; each that proves it in reach counts from when its request was sent. */
+/**
+ * Observes the store's responses. A response that shows the store to be reachable counts from when its
+ * request was sent, not from its arrival.
+ */
 export class StoreContact {
   private lastContactAtMs: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly queue: CommandQueue,
+    private readonly queue: EventQueue,
   ) {
-    this.lastContactAtMs = clock.now() - BEFORE_START_MS;
+    this.lastContactAtMs = clock.now() - INITIAL_CONTACT_AGE_MS;
   }
 
-  /** Sending time, on this controller's clock, of the latest request that the store has answered. */
+  /** When the latest request that the store has answered was sent, on this controller's clock. */
   get lastContactAt(): number {
     return this.lastContactAtMs;
   }
 
-  /** Milliseconds since the latest request that the store has answered. */
+  /** Returns the age of the last contact, in ms. */
   ageMs(now: number): number {
     return now - this.lastContactAtMs;
   }
 
-  /** The store with answers that run as commands and are observed here. */
+  /** Wraps the store so that its responses are recorded here and handled as events. */
   observe(store: KeyValueStore): KeyValueStore {
     return {
-      get: (key, urgency, callback) => store.get(key, urgency, this.observed(callback)),
-      list: (request, callback) => store.list(request, this.observed(callback)),
+      get: (key, urgency, callback) => store.get(key, urgency, this.recordingContact(callback)),
+      list: (request, callback) => store.list(request, this.recordingContact(callback)),
       compareAndSwap: (transaction, urgency, callback) =>
-        store.compareAndSwap(transaction, urgency, this.observed(callback)),
-      grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.observed(callback)),
-      keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.observed(callback)),
-      revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.observed(callback)),
-      // A watch that waits may be answered long after it was sent, and so proves nothing about now.
+        store.compareAndSwap(transaction, urgency, this.recordingContact(callback)),
+      grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.recordingContact(callback)),
+      keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.recordingContact(callback)),
+      revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.recordingContact(callback)),
+      // A watch that waits may be answered long after it was sent, which does not prove recent contact.
       watch: (request, callback) =>
-        store.watch(request, request.waitMs === 0 ? this.observed(callback) : this.queue.enqueued(callback)),
+        store.watch(
+          request,
+          request.waitMs === 0 ? this.recordingContact(callback) : this.queue.asEvent(callback),
+        ),
     };
   }
 
-  private observed<T>(callback: ResultCallback<T>): ResultCallback<T> {
+  private recordingContact<T>(callback: ResultCallback<T>): ResultCallback<T> {
     const sentAt = this.clock.now();
-    return this.queue.enqueued((result) => {
+    return this.queue.asEvent((result) => {
       if (result.ok || result.kind === 'conflict' || result.kind === 'notFound')
         this.lastContactAtMs = Math.max(this.lastContactAtMs, sentAt);
       callback(result);
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -82,7 +82,7 @@
     // lists them.
     const completeUntil =
       coverage && coverage.completeUntil >= knownPeriod.since
-        ? Math.max(coverage.completeUntil, knownPeriod.at)
+        ? Math.max(coverage.completeUntil, knownPeriod.until)
         : (coverage?.completeUntil ?? 0);
     return allowsLeaseRenewal(coverage && { ...coverage, completeUntil }, {
       machine: machine.name,
@@ -99,7 +99,7 @@
   private effectiveWatermark(team: string, now: number): number {
     const ownerWatermark = this.watermarks.watermarkOf(team);
     const knownPeriod = this.options.knownCancellationPeriod(now);
-    return ownerWatermark >= knownPeriod.since ? Math.max(ownerWatermark, knownPeriod.at) : ownerWatermark;
+    return ownerWatermark >= knownPeriod.since ? Math.max(ownerWatermark, knownPeriod.until) : ownerWatermark;
   }
 
   private lowestEffectiveWatermark(now: number): number {
