--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -1,9 +1,9 @@
 /** Users' requests about their jobs: submission, question, cancellation. */
 
-import type { AnswerCallback, JobService } from '../model/controller-service.js';
+import type { ApiResponse, JobState } from '../model/api-response.js';
+import type { ApiResponseCallback, JobService } from '../model/controller-service.js';
 import { DependencyCounter } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
-import type { ApiAnswer, JobState } from '../model/job-answer.js';
 import { type KeyValueStore, URGENCY, type Urgency } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { MachineType } from '../model/machine-type.js';
@@ -55,9 +55,9 @@
 /** Sums of resources may be off by rounding. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-const STORE_UNREACHABLE: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
-const TYPES_UNKNOWN: ApiAnswer = { type: 'unavailable', reason: 'machine types not known yet' };
-const STATE_CHANGED: ApiAnswer = { type: 'unavailable', reason: 'state changed meanwhile' };
+const STORE_UNREACHABLE: ApiResponse = { type: 'unavailable', reason: 'state service not reached' };
+const TYPES_UNKNOWN: ApiResponse = { type: 'unavailable', reason: 'machine types not known yet' };
+const STATE_CHANGED: ApiResponse = { type: 'unavailable', reason: 'state changed meanwhile' };
 
 /**
  * Answers users from what the store holds when they ask, on any controller. Only final answers are kept here: they never
@@ -69,7 +69,7 @@
   constructor(private readonly options: JobApiOptions) {}
 
   /** Accepts a job once its record is stored; a repeat gets the present state of the job accepted first. */
-  submitJob(spec: JobSpec, callback: AnswerCallback): void {
+  submitJob(spec: JobSpec, callback: ApiResponseCallback): void {
     const { teams, openJobs } = this.options;
     const areTypesKnown = this.options.machineTypes().length > 0;
     const rejection = areTypesKnown || !teams.has(spec.team) ? this.rejectionReason(spec) : null;
@@ -90,12 +90,12 @@
   }
 
   /** The present state of a job, also for a submission that is malformed but names one. */
-  getJob(jobId: string, callback: AnswerCallback): void {
+  getJob(jobId: string, callback: ApiResponseCallback): void {
     this.lookUp(jobId, URGENCY.read, (lookup) => callback(this.answerFor(jobId, lookup)));
   }
 
   /** Cancels a job, unless it is final; the answer tells what it is then. */
-  cancelJob(jobId: string, callback: AnswerCallback): void {
+  cancelJob(jobId: string, callback: ApiResponseCallback): void {
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
 
@@ -112,7 +112,7 @@
     return fits ? null : 'no allowed machine type has room for a task';
   }
 
-  private storeJob(spec: JobSpec, retriesLeft: number, callback: AnswerCallback): void {
+  private storeJob(spec: JobSpec, retriesLeft: number, callback: ApiResponseCallback): void {
     const { store, log } = this.options;
     store.compareAndSwap(
       {
@@ -137,13 +137,13 @@
   }
 
   /** The state of a job once accepted, whatever its repeat holds; for a job that was never accepted the given answer. */
-  private answerUnlessMissing(jobId: string, otherwise: ApiAnswer, callback: AnswerCallback): void {
+  private answerUnlessMissing(jobId: string, otherwise: ApiResponse, callback: ApiResponseCallback): void {
     this.lookUp(jobId, URGENCY.read, (lookup) =>
       callback(lookup.type === 'missing' ? otherwise : this.answerFor(jobId, lookup)),
     );
   }
 
-  private tryCancel(jobId: string, retriesLeft: number, callback: AnswerCallback): void {
+  private tryCancel(jobId: string, retriesLeft: number, callback: ApiResponseCallback): void {
     this.lookUp(jobId, URGENCY.user, (lookup) => {
       const answer = this.answerFor(jobId, lookup);
       if (lookup.type !== 'open' || answer.type !== 'job' || isFinal(answer.state)) {
@@ -230,7 +230,7 @@
     });
   }
 
-  private answerFor(jobId: string, lookup: JobLookup): ApiAnswer {
+  private answerFor(jobId: string, lookup: JobLookup): ApiResponse {
     switch (lookup.type) {
       case 'storeUnreachable':
         return STORE_UNREACHABLE;
@@ -243,7 +243,7 @@
     }
   }
 
-  private answerForOpenJob(jobId: string, { job, counter }: OpenJob): ApiAnswer {
+  private answerForOpenJob(jobId: string, { job, counter }: OpenJob): ApiResponse {
     const finishedTasks = counter?.finishedTasks ?? 0;
     if (job.cancelled === true) return this.rememberFinal(jobId, { isDone: false, finishedTasks });
     if (counter && isComplete(job.spec, counter))
@@ -253,7 +253,7 @@
     return { type: 'job', created: false, state, finishedTasks, runningTasks: running };
   }
 
-  private rememberFinal(jobId: string, final: FinalRecord): ApiAnswer {
+  private rememberFinal(jobId: string, final: FinalRecord): ApiResponse {
     this.finalRecords.set(jobId, final);
     if (!final.isDone) this.options.onCancelled(jobId);
     if (this.finalRecords.size > MAX_FINAL_RECORDS)
@@ -287,7 +287,7 @@
   return state === 'done' || state === 'cancelled';
 }
 
-function finalAnswer({ isDone, finishedTasks }: FinalRecord): ApiAnswer {
+function finalAnswer({ isDone, finishedTasks }: FinalRecord): ApiResponse {
   const state = isDone ? 'done' : 'cancelled';
   return { type: 'job', created: false, state, finishedTasks, runningTasks: 0 };
 }
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -118,7 +118,7 @@
     for (const [team, { instanceId, shardEpoch }] of owners)
       if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
     this.owner.setShards(owned);
-    this.openJobs.setFollowed(owned.size > 0);
+    this.openJobs.setWatchEnabled(owned.size > 0);
     this.leadership.scheduler?.setOwners(owners);
   }
 
@@ -139,7 +139,7 @@
       clock: this.options.clock,
       watchWaitMs: OPEN_JOBS_WATCH_WAIT_MS,
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
-      isFollowed: false,
+      isWatchEnabled: false,
       onChange: (key, value, modRevision) => {
         if (value !== undefined) this.owner.onOpenJobChanged({ key, value, modRevision });
       },
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -6,7 +6,7 @@
 import type { Team } from '../model/team.js';
 import type { Scheduler } from '../scheduler/scheduler.js';
 import { LEADER_KEY, teamKey } from '../store/keyspace.js';
-import { teamRecord } from '../store/record-codec.js';
+import { ownerRecord } from '../store/record-codec.js';
 import type { Leadership } from './leadership.js';
 import type { NodeLease } from './node-lease.js';
 import type { PeerRegistry } from './peer-registry.js';
@@ -170,7 +170,7 @@
         operations: batch.map(([team, instanceId]) => ({
           type: 'put',
           key: teamKey(team),
-          value: teamRecord.encode({ instanceId }),
+          value: ownerRecord.encode({ instanceId }),
         })),
       },
       URGENCY.lease,
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -16,7 +16,7 @@
   leaderRecord,
   machineTypesRecord,
   nodeRecord,
-  teamRecord,
+  ownerRecord,
   tokenRecord,
 } from '../store/record-codec.js';
 import { WatchCache } from '../store/watch-cache.js';
@@ -53,7 +53,7 @@
       clock,
       watchWaitMs: WATCH_WAIT_MS,
       minWatchIntervalMs: 0,
-      isFollowed: true,
+      isWatchEnabled: true,
       onChange: (key) => this.onChanged(key),
     });
   }
@@ -105,7 +105,7 @@
       const team = teamOfKey(key);
       if (team === null) continue;
       owners.set(team, {
-        instanceId: teamRecord.decode(item.value).instanceId,
+        instanceId: ownerRecord.decode(item.value).instanceId,
         shardEpoch: item.modRevision,
       });
     }
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -1,46 +1,57 @@
-/** Up to when cancellations are known to have become stops: by that workers' leases are renewed. See docs/design.md. */
+/**
+ * Tracks up to which time all stored cancellations have been turned into stop commands. Workers' leases are
+ * renewed only up to that time. See docs/design.md.
+ */
 
 import type { WorkerTiming } from './worker-timing.js';
 
-/** Part of `cancellationSeconds - leaseSeconds` for which leases are renewed by a coverage; the rest covers drift of clocks. */
+/**
+ * Share of `cancellationSeconds - leaseSeconds` for which a coverage allows lease renewals; the rest allows
+ * for clock drift.
+ */
 const RENEWAL_WINDOW_SHARE = 0.9;
-/** Timestamps remembered: what is covered lags by a few seconds at most, or else nothing is renewed. */
+/**
+ * Number of timestamps kept. The coverage normally lags by a few seconds at most; if it lags further, no
+ * lease is renewed.
+ */
 const MAX_TIMESTAMPS = 32;
 
 type LeaseTiming = Pick<WorkerTiming, 'leaseSeconds' | 'cancellationSeconds'>;
 
 /**
- * How old a coverage may be, in ms, when a lease is renewed by it: what was cancelled since then has its last renewal less
- * than `cancellationSeconds - leaseSeconds` after the cancellation was stored, and so ends within `cancellationSeconds`.
+ * The maximum age of a coverage that allows a lease renewal, in ms. If a job is cancelled after the time that
+ * the coverage reaches, the last renewal for its tasks comes less than `cancellationSeconds - leaseSeconds`
+ * after the cancellation was stored, so the tasks end within `cancellationSeconds`.
  */
 export function renewalWindowMs(timing: LeaseTiming): number {
   return (timing.cancellationSeconds - timing.leaseSeconds) * 1000 * RENEWAL_WINDOW_SHARE;
 }
 
-/** Most time between two reads of the open jobs for the sake of coverage, in ms. */
+/** Maximum time between two reads of the open jobs that keep the coverage up to date, in ms. */
 export function cancellationReadIntervalMs(timing: LeaseTiming): number {
   return Math.max(100, Math.min(2000, renewalWindowMs(timing) / 10));
 }
 
 /**
- * Timestamps of another process, on its own clock. One that arrived before a moment here was made before that moment: so
- * times of two processes are put in order without comparing their clocks, however late a message comes.
+ * Timestamps received from another process, on that process's clock. A timestamp that was received before
+ * some local time was taken before that time. This orders times of two processes without comparing their
+ * clocks, however late a message arrives.
  */
 export class PeerTimestamps {
   private entries: { timestamp: number; receivedAt: number }[] = [];
 
-  /** Takes note of a timestamp (on the other process's clock) that came just now (on this one's). */
+  /** Records a timestamp (on the other process's clock) and its time of receipt (on this process's clock). */
   add(timestamp: number, receivedAt: number): void {
     this.entries.push({ timestamp, receivedAt });
     if (this.entries.length > MAX_TIMESTAMPS) this.entries.shift();
   }
 
-  /** Forgets all: the timestamps to come are another process's. */
+  /** Discards all timestamps; call it when the following ones come from a different process. */
   clear(): void {
     this.entries = [];
   }
 
-  /** The newest timestamp that had arrived by a time on this process's clock; null: none. */
+  /** Returns the newest timestamp received by `time` (on this process's clock), or null if there is none. */
   latestReceivedBy(time: number): number | null {
     let latest: number | null = null;
     for (const entry of this.entries) if (entry.receivedAt <= time) latest = entry.timestamp;
@@ -49,22 +60,24 @@
 }
 
 /**
- * What a leader has told, or knows itself: whatever was stored as cancelled before `completeUntil` (on the clock of who
- * holds this) has ended, or is being stopped on one of the `pendingMachines` (null: on any). It stays true whoever leads.
+ * States that for every cancellation stored before `completeUntil` (on the clock of the process that holds
+ * this object), the job's tasks have ended or are being stopped on one of `pendingMachines` (null: on any
+ * machine). The leader computes it and sends it to the other controllers. It remains true after a change of
+ * leader.
  */
 export interface CancellationCoverage {
   completeUntil: number;
   pendingMachines: ReadonlySet<string> | null;
 }
 
-/** A machine whose lease is to be renewed, now and by a coverage that may be as old as the window; times in ms. */
+/** A lease renewal to be checked. `windowMs` is the maximum age of the coverage. */
 export interface LeaseRenewal {
   machine: string;
   now: number;
   windowMs: number;
 }
 
-/** Whether a machine's lease may be renewed by this coverage, without any stop. */
+/** Returns whether the coverage allows renewing the machine's lease without sending it any stop command. */
 export function allowsLeaseRenewal(
   coverage: CancellationCoverage | null,
   { machine, now, windowMs }: LeaseRenewal,
@@ -78,44 +91,51 @@
 }
 
 /**
- * The leader's watermarks by team, on its own clock: all that was stored as cancelled before a team's watermark has been
- * sent by its shard owner and become stops here. They only move on: what has become a stop is never taken back.
+ * The leader's cancellation watermark of each team, on the leader's clock. The shard owner has sent every
+ * cancellation of the team stored before the watermark, and the leader has turned it into stop commands.
+ * Watermarks never move back, because a stop is never revoked.
  */
 export class CancellationWatermarks {
   private readonly byTeam = new Map<string, number>();
-  /** By owner: its last full sync, and how many messages with placements came since. */
+  /**
+   * By instance id of the shard owner: its last full sync and the number of `placements` messages received
+   * since.
+   */
   private readonly syncs = new Map<string, { syncNumber: number; placementMessages: number }>();
 
   constructor(private readonly teams: readonly string[]) {}
 
-  /** A full sync of an owner has been applied. */
+  /** Records that a full sync of a shard owner has been applied. */
   onFullSyncApplied(instanceId: string, syncNumber: number): void {
     this.syncs.set(instanceId, { syncNumber, placementMessages: 0 });
   }
 
-  /** A message with placements of an owner has come. */
+  /** Records that a `placements` message of a shard owner has been received. */
   onPlacementMessage(instanceId: string): void {
     const sync = this.syncs.get(instanceId);
     if (sync) sync.placementMessages++;
   }
 
-  /** Whether nothing that the owner has sent since its last full sync was lost on the way. */
+  /**
+   * Returns whether every `placements` message that the shard owner has sent since its last full sync was
+   * received.
+   */
   isComplete(instanceId: string, syncNumber: number, placementMessages: number): boolean {
     const sync = this.syncs.get(instanceId);
     return sync?.syncNumber === syncNumber && sync.placementMessages === placementMessages;
   }
 
-  /** Moves a team's watermark on, never back. */
-  advance(team: string, at: number): void {
-    this.byTeam.set(team, Math.max(at, this.watermarkOf(team)));
+  /** Advances a team's watermark; an earlier time has no effect. */
+  advance(team: string, watermark: number): void {
+    this.byTeam.set(team, Math.max(watermark, this.watermarkOf(team)));
   }
 
-  /** A team's watermark; negative infinity while it has none. */
+  /** Returns a team's watermark, or negative infinity if it has none yet. */
   watermarkOf(team: string): number {
     return this.byTeam.get(team) ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Whether each team has a watermark: then every placement that is stored is known here. */
+  /** Whether every team has a watermark, which means that the leader knows every stored placement. */
   get hasAllTeams(): boolean {
     return this.byTeam.size >= this.teams.length;
   }
--- a/src/model/clock.ts
+++ b/src/model/clock.ts
@@ -1,15 +1,15 @@
-/** Time, timers and chance, replaced in simulations. */
+/** Time, timers and random numbers, which simulations replace. */
 
 /** Source of time and random numbers. */
 export interface Clock {
-  /** Steady time in ms, since some moment in the past. */
+  /** Monotonic time in ms since an arbitrary point in the past. */
   now(): number;
-  /** Time of day in ms since 1970, within the bound of the settings. */
+  /** Wall-clock time in ms since 1970, accurate to within the clock skew in the settings. */
   wallTime(): number;
-  /** Calls `run` once after so many ms; the function returned prevents that. */
+  /** Calls `run` once after `ms` milliseconds; the returned function cancels the call. */
   after(ms: number, run: () => void): () => void;
-  /** Calls `run` after what is already waiting to be handled. */
+  /** Calls `run` after the events that are already queued. */
   defer(run: () => void): void;
-  /** A random number from 0 (included) to 1 (excluded). */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   random(): number;
 }
--- a/src/model/cloud-provider.ts
+++ b/src/model/cloud-provider.ts
@@ -1,11 +1,14 @@
-/** The cloud that rents machines, as the scheduler uses it. */
+/** The interface to the cloud that machines are rented from. */
 
 import type { ListedMachine, MachineType } from './machine-type.js';
 import type { ResultCallback } from './result.js';
 
-/** Up to `count` machines of one type in one zone. */
+/** A request for up to `count` machines of one type in one zone. */
 export interface RentalRequest {
-  /** Made up by the caller: a repeat under the same claim gets the same answer, and rents nothing more. */
+  /**
+   * Idempotency key chosen by the caller: a repeated request with the same claim gets the same result and
+   * rents no further machines.
+   */
   claim: string;
   machineType: string;
   zone: string;
@@ -13,12 +16,21 @@
   count: number;
 }
 
-/** Calls answer once, by their callback; a call without an answer (`unknown`) may have been carried out all the same. */
+/**
+ * Operations of the cloud. Each calls back exactly once; a call that fails as `indeterminate` may still have
+ * been executed.
+ */
 export interface CloudProvider {
   listMachineTypes(callback: ResultCallback<MachineType[]>): void;
-  /** Answers the names of the machines rented, which may be fewer than asked for; `gone`: there are none now. */
+  /**
+   * Rents machines. The result names them; there may be fewer than requested. Fails as `notFound` if none are
+   * available.
+   */
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void;
   deleteMachines(names: string[], callback: ResultCallback<null>): void;
-  /** One page of the list: the machines whose names come after `since`. */
-  listMachines(since: string, callback: ResultCallback<{ machines: ListedMachine[]; more: boolean }>): void;
+  /** Reads one page of the list: the machines whose names sort after `afterName`. */
+  listMachines(
+    afterName: string,
+    callback: ResultCallback<{ machines: ListedMachine[]; hasMore: boolean }>,
+  ): void;
 }
--- a/src/model/controller-service.ts
+++ b/src/model/controller-service.ts
@@ -1,30 +1,32 @@
-/** What a controller does for those who ask it over the network. */
+/** The services that a controller offers over the network. */
 
+import type { ApiResponse } from './api-response.js';
 import type { HeartbeatResult } from './heartbeat-result.js';
 import type { JobSpec } from './job.js';
-import type { ApiAnswer } from './job-answer.js';
 import type { Heartbeat } from './worker-messages.js';
 
-/** Told the answer to a user's request, exactly once. */
-export type AnswerCallback = (answer: ApiAnswer) => void;
+/** Receives the response to a user's request; called exactly once. */
+export type ApiResponseCallback = (response: ApiResponse) => void;
 
-/** Users' requests on jobs. Failures are answers too: `unavailable` asks the user to come back. */
+/**
+ * Handles users' requests about jobs. Failures are responses as well: `unavailable` asks the user to retry.
+ */
 export interface JobService {
-  /** Accepts a job, or refuses it; the repeat of a job that is known gets that job's state. */
-  submitJob(spec: JobSpec, callback: AnswerCallback): void;
-  /** The state of a job. */
-  getJob(id: string, callback: AnswerCallback): void;
+  /** Accepts or rejects a job. If the job is already known, the response has its state. */
+  submitJob(spec: JobSpec, callback: ApiResponseCallback): void;
+  /** Gets the state of a job. */
+  getJob(id: string, callback: ApiResponseCallback): void;
   /** Cancels a job unless it is done. */
-  cancelJob(id: string, callback: AnswerCallback): void;
+  cancelJob(id: string, callback: ApiResponseCallback): void;
 }
 
-/** A controller as the HTTP server sees it. */
+/** A controller as seen by the HTTP server. */
 export interface ControllerService {
   readonly api: JobService;
-  /** Takes a worker's heartbeat, or says where it belongs. */
+  /** Processes a worker's heartbeat or redirects the worker. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult;
-  /** Whether it can take users' requests, as health checks ask. */
+  /** Returns whether this controller can serve users' requests, for health checks. */
   isReady(): boolean;
-  /** Whether users that can't be served here would be served by another controller. */
+  /** Returns whether another controller can serve the users that this one can't serve. */
   shouldRedirectUsers(): boolean;
 }
--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -1,13 +1,14 @@
-/** What is left of a job: which of its tasks are finished, and which may be released next. */
+/** Tracks which tasks of a job are finished and which may be released next. */
 
 /**
- * Counts the inputs of a node of the release graph. A node is released when all of its inputs are counted: a job is a fan-out
- * from its release (a leaf, without inputs) to its tasks, and a fan-in from them to its completion.
+ * Counts the completed inputs of a node in a job's release graph. A node is released when all its inputs are
+ * counted. A job is a fan-out from its release (a leaf without inputs) to its tasks and a fan-in from the
+ * tasks to its completion.
  */
 export class DependencyCounter {
-  /** One bit an input, from the lowest bit of the first byte on. */
+  /** One bit per input, starting with the lowest bit of the first byte. */
   readonly bits: Uint8Array;
-  /** Inputs counted. */
+  /** Number of inputs counted. */
   count = 0;
 
   constructor(readonly inputCount: number) {
@@ -18,7 +19,7 @@
     return ((this.bits[input >> 3] ?? 0) & (1 << (input & 7))) !== 0;
   }
 
-  /** Counts an input once; false: it was counted before, or there is no such input. */
+  /** Counts an input. Returns false if it was counted before or does not exist. */
   add(input: number): boolean {
     if (input < 0 || input >= this.inputCount || this.has(input)) return false;
     this.bits[input >> 3] = (this.bits[input >> 3] ?? 0) | (1 << (input & 7));
@@ -30,12 +31,12 @@
     return this.count >= this.inputCount;
   }
 
-  /** Bytes [from, to) of the bits in base 64. */
+  /** Returns bytes [from, to) of the bits in base64. */
   encodeBits(from: number, to: number): string {
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  /** Counts the inputs of encoded bytes, of which the first is byte `from`. */
+  /** Counts the inputs whose bits are set in base64-encoded bytes, the first of which is byte `from`. */
   mergeBits(from: number, encoded: string): void {
     for (const [index, byte] of Buffer.from(encoded, 'base64').entries())
       for (let bit = 0; bit < 8; bit++) if (byte & (1 << bit)) this.add((from + index) * 8 + bit);
@@ -43,8 +44,8 @@
 }
 
 /**
- * Inputs not yet begun, in the order of release: untouched ones by a cursor, returned ones ahead of them. Release never runs
- * further than `window` ahead of the first input not yet counted.
+ * The inputs that have not been started, in release order: returned inputs first, then the ones after a
+ * cursor. The cursor never runs further than `window` ahead of the first input that is not counted.
  */
 export class FanOut {
   private next = 0;
@@ -57,12 +58,12 @@
     readonly window: number,
   ) {}
 
-  /** Begins behind the inputs that were counted before. */
+  /** Moves the cursor past the leading inputs that are already counted. */
   skipCounted(isCounted: (input: number) => boolean): void {
     while (this.next < this.size && isCounted(this.next)) this.next++;
   }
 
-  /** Takes the next input that `isTaken` does not exclude, or -1. */
+  /** Takes the next input that `isTaken` does not exclude. Returns -1 if none is available. */
   takeNext(isTaken: (input: number) => boolean, isCounted: (input: number) => boolean): number {
     for (
       let input = this.returnedInOrder.shift();
@@ -80,15 +81,15 @@
     return -1;
   }
 
-  /** Inputs that may be taken now, in the order in which they would be. */
+  /** Returns the inputs that may be taken now, in the order in which `takeNext` would return them. */
   listAvailable(isTaken: (input: number) => boolean): number[] {
-    const waiting = this.returnedInOrder.filter((input) => !isTaken(input));
+    const available = this.returnedInOrder.filter((input) => !isTaken(input));
     for (let input = this.next; input < this.size && input - this.firstUncounted < this.window; input++)
-      if (!isTaken(input)) waiting.push(input);
-    return waiting;
+      if (!isTaken(input)) available.push(input);
+    return available;
   }
 
-  /** An input that lost its place goes to the front. */
+  /** Returns an input that lost its slot, so that it is taken before the inputs after the cursor. */
   putBack(input: number): void {
     if (input >= this.next || this.returned.has(input)) return;
     this.returned.add(input);
--- a/src/model/heartbeat-result.ts
+++ b/src/model/heartbeat-result.ts
@@ -1,10 +1,11 @@
-/** What a controller does with a worker's heartbeat. */
+/** The outcome of a worker's heartbeat at a controller. */
 
 import type { WorkerCommand } from './worker-messages.js';
 
 /**
- * `accepted`: the worker's lease is renewed, and it carries the commands out. `redirected`: the worker turns to the leader, or,
- * if it is null, to some other controller. `unavailable`: no answer that would renew its lease may be given now.
+ * `accepted`: the worker's lease is renewed and the worker executes the commands. `redirected`: the worker
+ * sends its heartbeats to the leader or, if `leaderName` is null, to another controller. `unavailable`: the
+ * controller can't renew the lease at this time.
  */
 export type HeartbeatResult =
   | { type: 'accepted'; fencingToken: number; commands: WorkerCommand[] }
--- a/src/model/image-location.ts
+++ b/src/model/image-location.ts
@@ -1,6 +1,6 @@
-/** What controllers tell one another of the images that machines hold. */
+/** The locations of container images, which controllers exchange. */
 
-/** A machine holds an image of this size. */
+/** An image in a machine's cache, with its size. */
 export interface ImageLocation {
   machine: string;
   image: string;
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,15 +1,18 @@
-/** Jobs and their tasks, as users submit them and the cluster knows them. */
+/** Jobs and their tasks, as users submit them and as the cluster tracks them. */
 
-/** `array`: tasks on their own. `gang`: tasks that run all at once or not at all. `service`: runs until it is cancelled. */
+/**
+ * `array`: independent tasks. `gang`: tasks that run all at once or not at all. `service`: runs until it is
+ * cancelled.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** 0 is the highest: prod, urgent, standard, low. */
+/** Job priority; 0 is the highest. The levels are prod, urgent, standard and low. */
 export type Priority = 0 | 1 | 2 | 3;
 
-/** A job as submitted. CPUs, GPUs and memory are those of one task. */
+/** A job as submitted. `cpus`, `gpus` and `memoryGb` are the demand of one task. */
 export interface JobSpec {
   id: string;
-  /** The user's word for jobs of this sort, which objectives go by. */
+  /** User-defined class of the job; objectives apply to classes. */
   jobClass: string;
   team: string;
   kind: JobKind;
@@ -20,34 +23,37 @@
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Null: any type will do. */
+  /** Allowed machine types; null: any type. */
   machineTypes: string[] | null;
-  /** Null: any zone will do. */
+  /** Required zone; null: any zone. */
   zone: string | null;
-  /** All its tasks must be in one zone at a time. */
+  /** Whether all running tasks of the job must be in one zone. */
   zoneAffinity: boolean;
-  /** At most half its tasks may be in one zone at a time. */
+  /** Whether at most half of the job's tasks may be in any one zone at a time. */
   zoneAntiAffinity: boolean;
   spotAllowed: boolean;
-  /** Of one task, by its user's guess. */
+  /** Run time of one task as estimated by the user. */
   estimatedRunSeconds: number;
-  /** 0: its tasks save no progress. */
+  /** Time between two checkpoints of a task; 0: tasks save no progress. */
   checkpointIntervalSeconds: number;
-  /** What a task needs to save when it is stopped. */
+  /** Time that a task takes to save a checkpoint when it is stopped. */
   checkpointSaveSeconds: number;
-  /** From acceptance until it should be done; null: no deadline. */
+  /** Time from acceptance by which the job should be done; null: no deadline. */
   deadlineSeconds: number | null;
-  /** Time of day of acceptance in ms, used for deadlines only. */
+  /** Wall-clock time of acceptance in ms. Deadlines, objectives and waiting times are measured from it. */
   acceptedAtMs: number;
 }
 
-/** Where a task is, as its worker lists it. `waiting`: for the other tasks of its gang. */
+/**
+ * The phase of an attempt as listed by its worker. `waiting`: the attempt waits for the other tasks of its
+ * gang.
+ */
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why an attempt has ended. `gangMemberLost`: another task of its gang is gone. `gangIncomplete`: its gang was not complete in
- * time. `noCapacity`, `attemptListed`, `unknown`: the machine refused it, for want of free resources, because it lists another
- * attempt of the task, or because it knows no such job.
+ * Why an attempt ended. `gangMemberLost`: another task of its gang is gone. `gangIncomplete`: its gang was
+ * not complete in time. The machine refused the attempt in these cases: `noCapacity`, its free resources
+ * don't suffice; `attemptListed`, it lists another attempt of the task; `unknown`, it does not know the job.
  */
 export type ExitReason =
   | 'done'
@@ -59,14 +65,14 @@
   | 'attemptListed'
   | 'unknown';
 
-/** One attempt of a task. */
+/** One attempt to run a task. */
 export interface TaskAttempt {
   jobId: string;
   taskIndex: number;
   attempt: number;
 }
 
-/** Identifies one attempt of a task in maps and messages. */
-export function taskKey(jobId: string, taskIndex: number, attempt: number): string {
+/** Returns the key that identifies an attempt in maps and messages. */
+export function attemptKey(jobId: string, taskIndex: number, attempt: number): string {
   return `${jobId}/${taskIndex}#${attempt}`;
 }
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -1,90 +1,99 @@
-/** The consensus-backed key-value store, the only place where controllers keep state. */
+/** The consensus-backed key-value store, which holds all persistent state of the controllers. */
 
 import type { ResultCallback } from './result.js';
 
-/** A change of one key, part of a transaction. */
+/** A write to one key within a transaction. */
 export type StoreOperation =
-  /** Stores the value. With a lease the key is removed when that lease ends; without one it is detached from any lease. */
+  /**
+   * Stores the value. With `leaseId`, the key is deleted when that lease ends; without it, the key is
+   * detached from any lease.
+   */
   { type: 'put'; key: string; value: unknown; leaseId?: number } | { type: 'delete'; key: string };
 
-/** A key must have this revision, or not exist (0), for a transaction to be executed. */
+/** Requires a key to have this revision, or not to exist if it is 0, for a transaction to be executed. */
 export interface Precondition {
   key: string;
   modRevision: number;
 }
 
-/** Changes that are executed together if all preconditions hold, and not at all if one does not. */
+/** Operations that are executed atomically if all preconditions hold, and not at all otherwise. */
 export interface Transaction {
   preconditions: Precondition[];
   operations: StoreOperation[];
 }
 
-/** A key with its value. */
+/** A key with its value and revision. */
 export interface StoredItem {
   key: string;
   value: unknown;
-  /** Store revision of the latest change of this key. */
+  /** Store revision of the latest change to this key. */
   modRevision: number;
-  /** Absent: the key belongs to no lease, or the store has not said. */
+  /** The lease that the key is attached to; absent: there is none, or the store did not report it. */
   leaseId?: number;
 }
 
-/** One change of a key, as a watch reports it. */
+/** One change to a key, as reported by a watch. */
 export type WatchEvent =
   | { type: 'put'; key: string; modRevision: number; value: unknown }
   | { type: 'delete'; key: string; modRevision: number };
 
-/** Which part of the keys is listed: those with the prefix that follow `startAfter` in their order. */
+/** The keys to list: those with the prefix that sort after `startAfter`. */
 export interface ListRequest {
   prefix: string;
   startAfter: string;
   urgency: Urgency;
 }
 
-/** One page of a list, in the order of the keys. */
+/** One page of a list of keys, in key order. */
 export interface ListPage {
   items: StoredItem[];
-  /** Whether keys follow after the last one here. */
+  /** Whether more keys follow the last one on this page. */
   hasMore: boolean;
   storeRevision: number;
 }
 
-/** Which changes are watched for: those of keys with the prefix, after a revision of the store. */
+/** The changes to watch for: those to keys with the prefix, made after a store revision. */
 export interface WatchRequest {
   prefix: string;
   sinceRevision: number;
-  /** Longest time until the answer if nothing changes; 0: what has changed until now is answered at once. */
+  /** Maximum time to wait for a change; 0: return the changes made so far at once. */
   waitMs: number;
 }
 
-/** All changes up to a revision of the store. */
+/** All matching changes up to a store revision. */
 export interface WatchReply {
   storeRevision: number;
   events: WatchEvent[];
 }
 
 /**
- * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that answer users cost one put
- * or none each, so they go before the placements, whose transactions use up the budget of writes.
+ * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that serve users
+ * cost at most one write each, so they precede placements, whose transactions use up the write budget.
  */
 export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, cleanup: 4 } as const;
 
-/** One of `URGENCY`. */
+/** One of the values of `URGENCY`. */
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
 
-/** Calls of the key-value store. Each calls back exactly once. */
+/** Operations of the key-value store. Each calls back exactly once. */
 export interface KeyValueStore {
-  /** Null: there is no such key. */
+  /** Reads a key; the result is null if the key does not exist. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void;
   list(request: ListRequest, callback: ResultCallback<ListPage>): void;
-  /** The revision of the changes; `conflict` with the keys whose preconditions failed. */
+  /**
+   * Executes a transaction; the result is its store revision. Fails as `conflict` with the keys whose
+   * preconditions did not hold.
+   */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void;
-  /** The id of a new lease. */
+  /** Grants a lease; the result is its id. */
   grantLease(ttlMs: number, callback: ResultCallback<number>): void;
-  /** `notFound`: the lease has ended. */
+  /** Renews a lease. Fails as `notFound` if it has ended. */
   keepLeaseAlive(leaseId: number, callback: ResultCallback<null>): void;
-  /** Ends a lease and removes its keys; `notFound`: it had ended. */
+  /** Ends a lease and deletes its keys. Fails as `notFound` if it had already ended. */
   revokeLease(leaseId: number, callback: ResultCallback<null>): void;
-  /** `notFound`: the store no longer knows all changes since then; the keys must be listed again. */
+  /**
+   * Waits for changes. Fails as `notFound` if the store no longer keeps all changes since that revision; the
+   * keys must then be listed again.
+   */
   watch(request: WatchRequest, callback: ResultCallback<WatchReply>): void;
 }
--- a/src/model/logger.ts
+++ b/src/model/logger.ts
@@ -1,9 +1,9 @@
 /** Structured logging. */
 
-/** Values that go with a message, by name. */
+/** Values logged with a message, by field name. */
 export type LogFields = Record<string, unknown>;
 
-/** Takes log lines by level. Messages are constant texts; whatever varies is a field. */
+/** Writes log lines by level. Messages are constant texts; everything variable is a field. */
 export interface Logger {
   debug(fields: LogFields, message: string): void;
   info(fields: LogFields, message: string): void;
--- a/src/model/machine-type.ts
+++ b/src/model/machine-type.ts
@@ -1,9 +1,12 @@
-/** Machine types that the cloud offers, and machines as it lists them. */
+/** Machine types offered by the cloud, and rented machines as the cloud lists them. */
 
-/** A type listed with a rate of 0 counts as very slow, and not as infinitely slow. */
+/**
+ * Lower bound of the fetch rate: a type listed with a rate of 0 counts as very slow instead of infinitely
+ * slow.
+ */
 const MIN_IMAGE_FETCH_GB_PER_SECOND = 0.01;
 
-/** A kind of machine that can be rented; `zones` are those that offer it. */
+/** A type of machine that can be rented; `zones` are the zones that offer it. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -13,12 +16,12 @@
   imageFetchGbPerSecond: number;
   hourlyPrice: number;
   hourlySpotPrice: number;
-  /** From the rental until its worker can be heard. */
+  /** Time from the rental to the first heartbeat of the machine's worker. */
   bootSeconds: number;
   zones: string[];
 }
 
-/** Seconds that a machine of this type takes to fetch an image, by its nominal rate. */
+/** Returns the seconds that a machine of this type takes to fetch an image at its nominal rate. */
 export function imageFetchSecondsOn(
   machineType: Pick<MachineType, 'imageFetchGbPerSecond'>,
   imageGb: number,
@@ -26,7 +29,7 @@
   return imageGb / Math.max(MIN_IMAGE_FETCH_GB_PER_SECOND, machineType.imageFetchGbPerSecond);
 }
 
-/** A rented machine in the cloud's list; `ageSeconds` counts from its rental. */
+/** A rented machine as listed by the cloud; `ageSeconds` counts from its rental. */
 export interface ListedMachine {
   name: string;
   address: string;
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -3,50 +3,58 @@
 import type { ImageLocation } from './image-location.js';
 import type { LeaderMessage, ShardMessage } from './shard-messages.js';
 
-/** The regular message of a controller to each of its peers. */
+/** The message that a controller sends to each peer at regular intervals. */
 export interface PeerHeartbeat {
   type: 'heartbeat';
-  /** Node name of the controller that the sender takes for the leader; empty if it knows none. */
+  /** Node name of the leader as known to the sender; empty if it knows none. */
   leaderName: string;
   fencingToken: number;
-  /** Milliseconds since the latest request of the sender that the store has answered. */
+  /** Milliseconds since the sender made the latest of its requests to which the store has responded. */
   storeContactAgeMs: number;
-  /** To the leader: machines that turned to the sender since its last heartbeat. */
+  /** To the leader: machines whose heartbeats the sender has redirected since its last peer heartbeat. */
   redirectedMachines: string[];
-  /** A time on the sender's clock. */
+  /** The time of sending on the sender's clock. */
   timestamp: number;
-  /** The newest timestamp that the sender had from an instance of the recipient. */
+  /** The newest timestamp that the sender has received from the recipient, and the instance that sent it. */
   latestTimestamp: { instanceId: string; timestamp: number } | null;
-  /** How many cancellations the sender has announced so far. */
+  /** Number of cancellations that the sender has announced. */
   cancellationsAnnounced: number;
-  /** From the leader: its coverage, as of the newest timestamp of that instance that lies within it. */
+  /**
+   * From the leader: its cancellation coverage. It is expressed as the newest timestamp of the recipient's
+   * instance within it; see `CancellationCoverage` in cancellation-coverage.ts.
+   */
   coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
 }
 
-/** What controllers tell one another. */
+/** The bodies of messages between controllers. */
 export type PeerMessageBody =
   | PeerHeartbeat
-  /** The n-th cancellation that the sender announces: a user is being told of it. */
+  /**
+   * A cancellation that is being confirmed to a user; `cancellationNumber` counts the sender's announcements.
+   */
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
-  /** From the leader: what it has learnt of images, and the machines that are gone with theirs. */
+  /** From the leader: newly learned image locations, and machines that were removed with their images. */
   | { type: 'images'; added: ImageLocation[]; removedMachines: string[] }
-  /** From a shard owner to the leader, if the recipient's instance still leads. */
+  /** From a shard owner to the leader; ignored unless the recipient's instance still leads. */
   | { type: 'toLeader'; recipient: string; message: ShardMessage }
-  /** From the leader to a shard owner's instance. */
+  /** From the leader to the instance of a shard owner. */
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
-/** A message and its sender: one process, which numbers its messages to all peers together. */
+/**
+ * A message with its sender. The sender is one process, which numbers its messages to all peers in one
+ * sequence.
+ */
 export interface PeerMessage {
   nodeName: string;
-  /** Names the sender's process: another one after each start. */
+  /** Identifies the sender's process; it changes with every restart. */
   instanceId: string;
-  /** Increases with each message of an instance; one that comes after a later one is dropped. */
+  /** Increases with each message of an instance; a message that arrives after a later one is dropped. */
   sequence: number;
   body: PeerMessageBody;
 }
 
-/** Sends messages to other controllers: each may be lost, those that arrive keep their order. */
+/** Sends messages to other controllers. Messages may be lost, but those that arrive stay in order. */
 export interface PeerTransport {
-  /** Sends a message to the controller of that node name, if it can be reached now. */
+  /** Sends a message to the controller with that node name if it is reachable now. */
   send(nodeName: string, message: PeerMessage): void;
 }
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -1,19 +1,25 @@
-/** Resource requests, grants and placements, as shard owners and the leader exchange them. */
+/** Resource requests, grants and placements, which shard owners and the leader exchange. */
 
 import type { ExitReason, Priority, TaskPhase } from './job.js';
 
-/** Tasks of one job that its owner would start now if it had places for them. */
+/** A request for capacity for tasks of one job that its shard owner would start now. */
 export interface ResourceRequest {
   jobId: string;
   team: string;
   jobClass: string;
   priority: Priority;
-  /** Place in the queue within priority, guaranteed share and missed objectives: lower goes first. */
+  /**
+   * Queue position among requests of the same priority, guaranteed share and missed objectives; the lowest
+   * goes first.
+   */
   queuePosition: number;
-  /** 0 while the job can still meet its first objective or deadline, more for each one missed. */
+  /**
+   * Number of objectives that the job can no longer meet; 0 while it can still meet its first objective or
+   * its deadline. A job that has waited very long, or whose objectives have been given up, counts as 0 again.
+   */
   missedObjectives: number;
   taskCount: number;
-  /** All its tasks are to be placed at once: a gang. */
+  /** Whether the job is a gang, whose tasks must all be placed at once. */
   isGang: boolean;
   isService: boolean;
   cpus: number;
@@ -24,50 +30,63 @@
   estimatedRunSeconds: number;
   machineTypes: string[] | null;
   spotAllowed: boolean;
-  /** Nothing of it has found a place for long: capacity kept for others is open to it. */
+  /**
+   * Whether no task of the request has been placed for a long time; it may then use capacity kept for others.
+   */
   isStarved?: boolean;
-  /** Only spot instances are worth renting for it. */
+  /** Whether only spot machines are worth renting for the request. */
   spotOnly?: boolean;
   zone: string | null;
   zoneAffinity: boolean;
-  /** Tasks that may still go to each zone where some are, for jobs that must be spread; null: the job need not be. */
+  /**
+   * For jobs that must be spread: the number of further tasks allowed in each zone that already has some;
+   * null: the job need not be spread.
+   */
   zoneAllowance: Record<string, number> | null;
-  /** Tasks that may go to a zone that `zoneAllowance` does not name. */
+  /** Number of tasks allowed in a zone that is not in `zoneAllowance`. */
   defaultZoneAllowance: number;
-  /** Machines on which this job failed lately. */
+  /** Machines on which this job failed recently or that refused one of its tasks. */
   avoidedMachines: string[];
   /**
-   * The tasks still to be placed, where they are few and one of them has had an attempt: a machine that lists ended
-   * attempts of all of them is of no use. Null: many, or none that any machine could list; a gang places all its tasks.
+   * The tasks still to be placed, if they are few and at least one of them has had an attempt: a machine that
+   * lists ended attempts of all of them is of no use. Null or absent: there are many, none has had an
+   * attempt, or the job is a gang, which places all its tasks.
    */
   remainingTasks?: number[] | null;
-  /** Machines that would refuse each task still to be placed; the leader fills it in. */
+  /** Machines that would refuse every task still to be placed; set by the leader. */
   refusingMachines?: ReadonlySet<string>;
-  /** Where a task of it has finished last; empty: nowhere yet. */
+  /** The machine on which a task of the job last finished; empty: none yet. */
   preferredMachine: string;
-  /** So long it may still wait for places without putting its objective at risk; null: it has none. The leader fills it in. */
+  /**
+   * Seconds that the request may wait for slots without putting its objective at risk; null: it has no
+   * objective. Set by the leader.
+   */
   maxWaitSeconds: number | null;
-  /** Its objective or deadline on being done, and what is left until then; null: none, or past it. */
+  /**
+   * The job's deadline or its objective on finishing, and the seconds left until then; null: there is none,
+   * or it has passed.
+   */
   objectiveSeconds: number | null;
   slackSeconds: number | null;
-  /** The newest grant that its owner had taken in: the request no longer asks for what was granted up to it. */
+  /** The newest grant that the shard owner has processed; the request excludes tasks granted up to it. */
   lastProcessedGrantId: number;
 }
 
-/** A placement that is not finalized, as its owner sends it to the leader. */
+/** A placement that is not finalized, as sent by its shard owner to the leader. */
 export interface PlacementSpec {
   jobId: string;
   taskIndex: number;
   attempt: number;
   machine: string;
-  agentEpoch: number;
+  workerEpoch: number;
   /**
-   * `run` and `stop`: what its worker is to do. `keep`: it has exited, and its outcome is being stored. `forget`: its outcome is
-   * stored, and its worker may remove it. `pending`: its write is in flight or indeterminate; it keeps its place, and nothing is
-   * started for it.
+   * The state that the shard owner wants the attempt to be in. `run`: to be run by its worker. `stop`: to be
+   * stopped by its worker. `keep`: the attempt has exited and its outcome is being stored. `forget`: its
+   * outcome is stored and its worker may remove it. `pending`: the write of the placement is in flight or
+   * indeterminate; the placement keeps its slot, but no task is started for it.
    */
   desiredState: 'run' | 'stop' | 'keep' | 'forget' | 'pending';
-  /** With `stop`: time to save its progress. */
+  /** With `stop`: seconds that the task gets to save its progress. */
   gracePeriodSeconds: number;
   team: string;
   priority: Priority;
@@ -80,28 +99,31 @@
   imageGb: number;
   estimatedRunSeconds: number;
   machineTypes: string[] | null;
-  /** Its job must be spread over zones. */
+  /** Whether the job must be spread over zones. */
   spreadOverZones: boolean;
-  /** The grant it was placed by; 0: none of this leader's, or it does not matter. */
+  /** The grant that the placement used; 0: no grant of this leader, or not relevant. */
   grantId: number;
 }
 
-/** A place for one task of a job. */
+/** A slot for one task of a job, granted by the leader. */
 export interface Grant {
-  /** Rises with each grant of a leader. */
+  /** Increases with each grant of a leader. */
   id: number;
   jobId: string;
   team: string;
   machine: string;
   zone: string;
-  agentEpoch: number;
-  /** Tasks of the job of which the machine lists an attempt that has exited: it would refuse another one. Absent: none. */
+  workerEpoch: number;
+  /**
+   * Tasks of the job of which the machine lists an attempt that has exited; it would refuse another attempt.
+   * Absent: none.
+   */
   endedTasks?: number[];
 }
 
-/** What became of a placement, as the leader saw it. */
+/** A change to a placement that the leader has observed. */
 export type AllocationEvent =
-  /** Its worker lists it in this phase. */
+  /** The attempt's worker lists it in this phase. */
   | {
       type: 'phase';
       jobId: string;
@@ -112,5 +134,5 @@
       exitReason: ExitReason | null;
       checkpointSaved: boolean;
     }
-  /** It has ended without being listed so: its worker no longer has it, and never will. */
+  /** The attempt has ended without being listed as exited: its worker does not have it and never will. */
   | { type: 'finalized'; jobId: string; taskIndex: number; attempt: number; machine: string };
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -1,6 +1,8 @@
-/** What operators may set by expressions; `src/config/policy.ts` reads them and knows the operators' names. */
+/**
+ * The operators' policy, set by expressions. `src/config/policy.ts` reads them and maps the operators' names.
+ */
 
-/** The names that expressions may use, with the cluster's present values. */
+/** The cluster values that policy expressions can refer to. */
 export interface PolicyInput {
   services: number;
   serviceCpus: number;
@@ -13,31 +15,34 @@
   bootSeconds: number;
 }
 
-/** The results of the expressions. */
+/** The results of the policy expressions. */
 export interface Policy {
-  /** Service replicas that find capacity at once, beyond those running. */
+  /** Number of service replicas, beyond the running ones, for which free capacity is kept. */
   reserveReplicas: number;
-  /** Free capacity kept for classes with an objective on waiting, as a multiple of their mean job. */
+  /** Free capacity kept for job classes with an objective on waiting time, in multiples of their mean job. */
   reserveBatchJobs: number;
-  /** Seconds a machine may stand empty before it is returned. */
+  /** Seconds that a machine may be idle before it is returned. */
   maxIdleSeconds: number;
-  /** Seconds over which boot and image fetch of a rented machine are paid off. */
+  /** Seconds over which the boot and image fetch times of a rented machine are amortized. */
   amortizationSeconds: number;
-  /** The same for machines rented for services, which stay longer. */
+  /** The same for machines rented for services, whose replicas stay longer. */
   serviceAmortizationSeconds: number;
-  /** Multiple of the type's boot time after which a machine that is not up is given up. */
+  /** Multiple of the machine type's boot time after which a machine that is still not up is given up. */
   maxBootTimeFactor: number;
-  /** Seconds of silence after which a machine is deleted to settle its tasks. */
+  /** Seconds without a heartbeat after which a machine is deleted to finalize its tasks. */
   unresponsiveSeconds: number;
-  /** Share of the machines that may fall silent at once before the controller suspects itself. */
+  /**
+   * Share of the machines that may become unresponsive at once before the controller suspects a fault of its
+   * own.
+   */
   maxUnresponsiveShare: number;
-  /** Tasks of one job asked for at a time. */
+  /** Maximum number of tasks of one job per resource request. */
   maxTasksPerRequest: number;
-  /** Seconds between moves of teams among controllers. */
+  /** Seconds between two rebalances of the teams' shards among the controllers. */
   rebalanceIntervalSeconds: number;
-  /** Seconds that work which waits behind running tasks is left waiting before machines are rented for it. */
+  /** Seconds that work may wait for capacity held by running tasks before machines are rented for it. */
   minRentalWaitSeconds: number;
 }
 
-/** Evaluates all expressions. */
+/** Evaluates all policy expressions. */
 export type PolicyFn = (input: PolicyInput) => Policy;
--- a/src/model/rate-limited-log.ts
+++ b/src/model/rate-limited-log.ts
@@ -1,9 +1,9 @@
-/** Logging at a limited rate. */
+/** Rate-limited logging. */
 
 import type { Clock } from './clock.js';
 import type { LogFields, Logger } from './logger.js';
 
-/** Lines of one message that are let through in a window. */
+/** Maximum number of lines of one message per window. */
 const LINES_PER_WINDOW = 20;
 const WINDOW_MS = 10_000;
 
@@ -14,8 +14,8 @@
 }
 
 /**
- * Keeps lines that a fault repeats from drowning the others: of each message at most 20 lines in 10 s. The first line of the next
- * window says in `suppressed` how many were left out.
+ * Keeps the repeated lines of one fault from flooding the log: each message is logged at most 20 times in 10
+ * s. The first line of the next window reports the number of dropped lines in `suppressed`.
  */
 export class RateLimitedLog {
   private readonly windows = new Map<string, Window>();
@@ -25,13 +25,13 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Logs a line unless its message has used up its window. */
+  /** Logs a line unless its message has used up its limit in this window. */
   info(fields: LogFields, message: string): void {
     const extra = this.admit(message);
     if (extra) this.log.info({ ...fields, ...extra }, message);
   }
 
-  /** Fields to add; null: the line is left out. */
+  /** Returns the fields to add to the line, or null if the line is dropped. */
   private admit(message: string): LogFields | null {
     const now = this.clock.now();
     let window = this.windows.get(message);
--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -1,27 +1,33 @@
-/** Records in the key-value store, the only place where controllers keep state; their keys are in src/store/keyspace.ts. */
+/**
+ * The records that controllers keep in the key-value store, which holds all their persistent state. The keys
+ * are defined in src/store/keyspace.ts.
+ */
 
 import type { JobSpec } from './job.js';
 
-/** `sys/node/<host>`: a controller that is alive; the record hangs on the lease that it names. */
+/** `sys/node/<node>`: a live controller. The record is attached to the lease that it names. */
 export interface NodeRecord {
   instanceId: string;
-  /** The lease that this record belongs to. */
+  /** The lease that this record is attached to. */
   leaseId: number;
 }
 
-/** `sys/leader`: the elected leader, as long as its lease lives. */
+/** `sys/leader`: the elected leader; the record is attached to the leader's lease. */
 export interface LeaderRecord {
   instanceId: string;
   nodeName: string;
   fencingToken: number;
 }
 
-/** `sys/token`: the highest fencing token ever given. */
+/** `sys/token`: the highest fencing token issued. */
 export interface TokenRecord {
   fencingToken: number;
 }
 
-/** `sys/team/<name>`: the owner of a team's shard. `fence/<host>`: the instance that last moved the fence. */
+/**
+ * `sys/team/<team>`: the owner of a team's shard. `fence/<node>`: the instance that last moved the write
+ * fence.
+ */
 export interface OwnerRecord {
   instanceId: string;
 }
@@ -29,35 +35,40 @@
 /** `open/<id>/a`: a job as accepted. */
 export interface JobRecord {
   spec: JobSpec;
-  /** Revision of acceptance, known only after it; kept when the record is written again. */
+  /**
+   * Store revision at which the job was accepted. It is known only after the first write; later writes of the
+   * record keep it.
+   */
   acceptedRevision?: number;
   cancelled?: true;
 }
 
-/** `open/<id>/n`: how many of a job's tasks are done and running, and which are done. */
+/** `open/<id>/n`: the numbers of a job's finished and running tasks, and which tasks are finished. */
 export interface CounterRecord {
   finishedTasks: number;
-  /** When it was last written: it is not written for each task that starts. */
+  /**
+   * Number of running tasks at the last write of the record, which is not written for every task that starts.
+   */
   runningTasks: number;
-  /** Which tasks are finished; see `store/completion-bitmap.ts`. */
+  /** The finished tasks, encoded as described in `store/completion-bitmap.ts`. */
   finishedBitmap: string;
 }
 
-/** `end/<id>`: the final answer about a job, done or else cancelled. It replaces all other records of the job. */
+/** `end/<id>`: the final state of a job, done or cancelled. It replaces all other records of the job. */
 export interface FinalRecord {
-  /** Else it was cancelled. */
+  /** Whether the job is done; otherwise it was cancelled. */
   isDone: boolean;
   finishedTasks: number;
 }
 
-/** The last attempt of a task, and where it is; null once it is finalized. */
+/** The last attempt of a task and its location, which is null once the attempt is finalized. */
 export interface PlacementEntry {
   attempt: number;
-  location: { machine: string; agentEpoch: number; zone: string } | null;
+  location: { machine: string; workerEpoch: number; zone: string } | null;
 }
 
-/** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks, by task index. */
+/** `place/<id>/<chunk>`: the last placements of one chunk of a job's tasks. */
 export interface PlacementRecord {
-  /** By task index. */
+  /** The placements, by task index. */
   tasks: Map<number, PlacementEntry>;
 }
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,16 +1,19 @@
-/** Amounts of machine resources, and how many tasks fit into them. */
+/** Amounts of machine resources, and the number of tasks that fit into them. */
 
-/** Tolerance of comparisons: amounts are sums and differences of fractions of CPUs and gigabytes. */
+/** Tolerance for comparisons: amounts are sums and differences of fractional CPUs and gigabytes. */
 export const EPSILON = 1e-9;
 
-/** An amount of each resource, of a machine or of a task. */
+/** An amount of each resource, provided by a machine or required by a task. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Tasks with this demand that fit into what is available; 1 for a task that demands nothing. */
+/**
+ * Returns the number of tasks with this demand that fit into the available resources; 1 for a task without
+ * any demand.
+ */
 export function slotsIn(available: Resources, demand: Resources): number {
   let slots = Number.POSITIVE_INFINITY;
   if (demand.cpus > 0) slots = Math.min(slots, Math.floor(available.cpus / demand.cpus + EPSILON));
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -3,24 +3,27 @@
 import type { TaskAttempt } from './job.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from './placement.js';
 
-/** A placement that its owner has done with. */
+/** An attempt whose placement its shard owner no longer needs. */
 export interface ReleasedTask {
   machine: string;
-  /** See `taskKey`. */
-  taskKey: string;
+  /** The attempt's key; see `attemptKey` in job.ts. */
+  attemptKey: string;
 }
 
 /**
- * From a shard owner to the leader. Each names the leader it is meant for by `fencingToken`; `shardEpochs` has the revision of
- * each team's record that the sender acts under.
+ * Messages from a shard owner to the leader. `fencingToken` identifies the leader that a message is meant
+ * for; `shardEpochs` has, for each team, the revision of the owner record that the sender acts under.
  */
 export type ShardMessage =
-  /** All that the sender holds. The leader takes the chunks of a sync as one when it has them all. */
+  /**
+   * All placements and requests of the sender, in chunks. The leader applies a sync when it has received all
+   * its chunks.
+   */
   | {
       type: 'fullSync';
       fencingToken: number;
       instanceId: string;
-      /** Number of this sync, and which of its chunks this is. */
+      /** Number of this sync, the number of its chunks and the index of this chunk. */
       syncNumber: number;
       chunkCount: number;
       chunkIndex: number;
@@ -28,11 +31,11 @@
       placements: PlacementSpec[];
       requests: ResourceRequest[];
     }
-  /** Replaces the sender's earlier requests. */
+  /** Replaces the sender's earlier resource requests. */
   | { type: 'resourceRequests'; fencingToken: number; instanceId: string; requests: ResourceRequest[] }
   /** Placements that are new or whose desired state has changed. */
   | { type: 'placements'; fencingToken: number; instanceId: string; placements: PlacementSpec[] }
-  /** Placements that need nothing more, and grants that were not used. */
+  /** Placements that need no further action, and grants that were not used. */
   | {
       type: 'release';
       fencingToken: number;
@@ -41,8 +44,8 @@
       grants: number[];
     }
   /**
-   * Whatever was stored as cancelled before the leader's timestamp has become stops, in that sync and the `placementMessages`
-   * messages of type `placements` since.
+   * All cancellations stored before the leader's timestamp have been turned into stops, which the leader gets
+   * with that full sync and the `placementMessages` messages of type `placements` sent since.
    */
   | {
       type: 'cancellationCoverage';
@@ -54,16 +57,19 @@
       leaderTimestamp: number;
     };
 
-/** From the leader to a shard owner. */
+/** Messages from the leader to a shard owner. */
 export type LeaderMessage =
-  /** The full sync of this number has been taken in. Without a number (a leader of an earlier version): the latest one. */
+  /**
+   * The full sync with this number has been applied; without a number (from a leader of an earlier version),
+   * the latest one.
+   */
   | { type: 'syncAccepted'; fencingToken: number; syncNumber?: number }
-  /** The leader may have missed something, and asks for a full sync. */
+  /** Asks for a full sync, because the leader may have missed a message. */
   | { type: 'syncRequested'; fencingToken: number }
-  /** Places for tasks. */
+  /** Grants of slots for tasks. */
   | { type: 'grants'; fencingToken: number; grants: Grant[] }
-  /** A time on the leader's clock, to be named in a `cancellationCoverage`. */
+  /** A time on the leader's clock, which the shard owner returns in a `cancellationCoverage`. */
   | { type: 'timestamp'; fencingToken: number; leaderTimestamp: number }
   | { type: 'allocationEvents'; fencingToken: number; events: AllocationEvent[] }
-  /** Tasks whose room the leader needs. */
+  /** Tasks to stop, because the leader needs their resources or drains their machine. */
   | { type: 'evict'; fencingToken: number; tasks: TaskAttempt[]; reason: string };
--- a/src/model/task-assignment.ts
+++ b/src/model/task-assignment.ts
@@ -1,99 +1,110 @@
-/** Which task of a gang goes to which place, where machines refuse some of them. */
+/** Assigns the tasks of a gang to slots on machines that may refuse some of the tasks. */
 
 /**
- * Assigns tasks to places so that no place gets a task that it refuses: a maximum bipartite matching by augmenting paths.
- * `refused` has the tasks that each place refuses. Places with the most refusals choose first, so paths are rarely longer
- * than one step.
+ * Assigns tasks to slots so that no slot gets a task that it refuses: a maximum bipartite matching by
+ * augmenting paths. `refusedTasks` lists the tasks that each slot refuses. Slots with the most refusals are
+ * assigned first, so augmenting paths are rarely longer than one step.
  */
 export function assignTasks(
   tasks: readonly number[],
-  refused: readonly (ReadonlySet<number> | undefined)[],
+  refusedTasks: readonly (ReadonlySet<number> | undefined)[],
 ): TaskAssignment {
-  const matching = new Matching(tasks, refused);
-  const places = refused.map((_, place) => place);
-  places.sort((a, b) => (refused[b]?.size ?? 0) - (refused[a]?.size ?? 0));
-  const without = places.filter((place) => !matching.assign(place));
-  return { tasks: matching.taskOf, without };
+  const matching = new Matching(tasks, refusedTasks);
+  const slots = refusedTasks.map((_, slot) => slot);
+  slots.sort((a, b) => (refusedTasks[b]?.size ?? 0) - (refusedTasks[a]?.size ?? 0));
+  const unassignedSlots = slots.filter((slot) => !matching.assign(slot));
+  return { tasks: matching.taskOf, unassignedSlots };
 }
 
-/** What `assignTasks` found. */
+/** The result of `assignTasks`. */
 export interface TaskAssignment {
-  /** The task of each place; undefined: none was left that it takes. */
+  /** The task of each slot; undefined: no acceptable task was left. */
   tasks: readonly (number | undefined)[];
-  /** Places that got none. */
-  without: readonly number[];
+  /** Indices of the slots without a task. */
+  unassignedSlots: readonly number[];
 }
 
 class Matching {
   readonly taskOf: (number | undefined)[];
-  private readonly placeOf = new Map<number, number>();
-  /** Before it all tasks have been taken at least once: a task once taken stays taken. */
-  private firstFree = 0;
+  private readonly slotOf = new Map<number, number>();
+  /** All tasks before this index are matched. A matched task may move to another slot but stays matched. */
+  private firstUnmatched = 0;
 
   constructor(
     private readonly tasks: readonly number[],
-    private readonly refused: readonly (ReadonlySet<number> | undefined)[],
+    private readonly refusedTasks: readonly (ReadonlySet<number> | undefined)[],
   ) {
-    this.taskOf = refused.map(() => undefined);
+    this.taskOf = refusedTasks.map(() => undefined);
   }
 
-  assign(place: number): boolean {
-    const free = this.freeTask(place);
-    if (free === undefined) return this.augment(place);
-    this.match(place, free);
+  assign(slot: number): boolean {
+    const freeTask = this.findFreeTask(slot);
+    if (freeTask === undefined) return this.augment(slot);
+    this.match(slot, freeTask);
     return true;
   }
 
-  private freeTask(place: number): number | undefined {
-    for (let index = this.firstFree; index < this.tasks.length; index++) {
+  private findFreeTask(slot: number): number | undefined {
+    for (let index = this.firstUnmatched; index < this.tasks.length; index++) {
       const task = this.tasks[index];
       if (task === undefined) break;
-      if (this.placeOf.has(task)) {
-        if (index === this.firstFree) this.firstFree++;
-      } else if (this.takes(place, task)) return task;
+      if (this.slotOf.has(task)) {
+        if (index === this.firstUnmatched) this.firstUnmatched++;
+      } else if (this.accepts(slot, task)) return task;
     }
     return undefined;
   }
 
-  /** Breadth first: a place that holds a task gives it up where it can take one that nobody holds. */
-  private augment(start: number): boolean {
+  /**
+   * Searches breadth-first for an augmenting path: a slot gives up its task if it can take an unmatched one
+   * instead.
+   */
+  private augment(startSlot: number): boolean {
     const reachedFrom = new Map<number, number>();
-    const queue = [start];
-    for (const place of queue) {
-      const free = this.freeTask(place);
-      if (free !== undefined) {
-        this.shift(place, free, reachedFrom);
+    const queue = [startSlot];
+    for (const slot of queue) {
+      const freeTask = this.findFreeTask(slot);
+      if (freeTask !== undefined) {
+        this.applyPath(slot, freeTask, reachedFrom);
         return true;
       }
       for (const task of this.tasks) {
-        const holder = this.placeOf.get(task);
-        if (holder === undefined || holder === start || reachedFrom.has(holder) || !this.takes(place, task))
+        const holderSlot = this.slotOf.get(task);
+        if (
+          holderSlot === undefined ||
+          holderSlot === startSlot ||
+          reachedFrom.has(holderSlot) ||
+          !this.accepts(slot, task)
+        )
           continue;
-        reachedFrom.set(holder, place);
-        queue.push(holder);
+        reachedFrom.set(holderSlot, slot);
+        queue.push(holderSlot);
       }
     }
     return false;
   }
 
-  /** Along the path each place takes the task of the one after it, the last one a free task. */
-  private shift(last: number, free: number, reachedFrom: ReadonlyMap<number, number>): void {
-    let place: number | undefined = last;
-    let task: number | undefined = free;
-    while (place !== undefined && task !== undefined) {
-      const given = this.taskOf[place];
-      this.match(place, task);
-      task = given;
-      place = reachedFrom.get(place);
+  /**
+   * Applies an augmenting path backwards from its last slot: that slot takes the unmatched task, and each
+   * slot before it takes the task that the next slot gives up.
+   */
+  private applyPath(lastSlot: number, freeTask: number, reachedFrom: ReadonlyMap<number, number>): void {
+    let slot: number | undefined = lastSlot;
+    let task: number | undefined = freeTask;
+    while (slot !== undefined && task !== undefined) {
+      const previousTask = this.taskOf[slot];
+      this.match(slot, task);
+      task = previousTask;
+      slot = reachedFrom.get(slot);
     }
   }
 
-  private match(place: number, task: number): void {
-    this.taskOf[place] = task;
-    this.placeOf.set(task, place);
+  private match(slot: number, task: number): void {
+    this.taskOf[slot] = task;
+    this.slotOf.set(task, slot);
   }
 
-  private takes(place: number, task: number): boolean {
-    return !this.refused[place]?.has(task);
+  private accepts(slot: number, task: number): boolean {
+    return !this.refusedTasks[slot]?.has(task);
   }
 }
--- a/src/model/team.ts
+++ b/src/model/team.ts
@@ -1,18 +1,18 @@
-/** Teams with their quotas, and the operators' service-level objectives. */
+/** Teams with their quotas, and service-level objectives. */
 
-/** A team with its guaranteed share and its quota, both for all its tasks at a time. */
+/** A team with its guaranteed share and its quota, both for the sum over all its running tasks. */
 export interface Team {
   name: string;
   guaranteedCpus: number;
-  /** 0: no quota on CPUs; the same of `maxGpus`. */
+  /** Quota of CPUs; 0: unlimited. The same applies to `maxGpus`. */
   maxCpus: number;
   guaranteedGpus: number;
   maxGpus: number;
 }
 
-/** A service-level objective of the operators. */
+/** A service-level objective set by the operators. */
 export interface ServiceLevelObjective {
-  /** What is to have happened in time: `finished`, or another word that the settings have. */
+  /** The event that the objective is on: `finished`, or another name used in the settings. */
   kind: string;
   jobClass: string;
   withinSeconds: number;
--- a/src/model/worker-command-port.ts
+++ b/src/model/worker-command-port.ts
@@ -1,26 +1,27 @@
-/** Direct commands to workers. */
+/** Commands sent directly to workers. */
 
 import type { ResultCallback } from './result.js';
 import type { Heartbeat, WorkerCommand } from './worker-messages.js';
 
-/** Commands in one message, which the worker carries out in order. */
+/** The commands of one message, which the worker executes in order. */
 export interface CommandBatch {
-  /** The worker carries nothing out if it has seen a higher one. */
+  /** The worker executes nothing if it has seen a higher token. */
   fencingToken: number;
-  /** The worker carries nothing out in another epoch. */
-  agentEpoch: number;
-  /** None: the worker is only asked for its heartbeat. */
+  /** The worker executes nothing if it is in a different epoch. */
+  workerEpoch: number;
+  /** The commands; if empty, the worker is only asked for its heartbeat. */
   commands: WorkerCommand[];
 }
 
-/** Sends commands to workers without waiting for their heartbeats. */
+/** Sends commands to workers without waiting for their next heartbeat. */
 export interface WorkerCommandPort {
   /**
-   * Sends commands to the worker at `address` (`HOST:PORT`); the result is its heartbeat after them. Fails as
-   * - `refused` if nothing was carried out;
-   * - `conflict`, with the worker's heartbeat, if it did not accept the token or the epoch;
+   * Sends commands to the worker at `address` (`HOST:PORT`); the result is its heartbeat after executing
+   * them. Fails as
+   * - `refused` if nothing was executed;
+   * - `conflict`, with the worker's heartbeat, if the worker did not accept the token or the epoch;
    * - `invalid` if the worker could not read the message;
-   * - `indeterminate` if the commands may have been carried out, or may yet be.
+   * - `indeterminate` if the commands may have been executed, or may still be.
    */
   sendCommands(address: string, batch: CommandBatch, callback: ResultCallback<Heartbeat>): void;
 }
--- a/src/model/worker-messages.ts
+++ b/src/model/worker-messages.ts
@@ -1,39 +1,48 @@
-/** What workers and the leader tell one another. */
+/** Messages between workers and the leader. */
 
 import type { ExitReason, TaskAttempt, TaskPhase } from './job.js';
 
-/** An attempt as its worker lists it. */
+/** The status of an attempt as listed by its worker. */
 export interface TaskStatus extends TaskAttempt {
   phase: TaskPhase;
-  /** Null until it has exited. */
+  /** Null until the attempt has exited. */
   exitReason: ExitReason | null;
-  /** Its progress was saved when it was stopped. */
+  /** Whether the task saved its progress when it was stopped. */
   checkpointSaved: boolean;
 }
 
-/** A worker's regular message: its machine, and all tasks there, exited ones included until they are forgotten. */
+/**
+ * The message that a worker sends at regular intervals. It describes the machine and lists all attempts on
+ * it; exited ones stay listed until they are forgotten.
+ */
 export interface Heartbeat {
   machine: string;
-  /** `HOST:PORT` to which commands may be sent. */
+  /** Address (`HOST:PORT`) at which the worker accepts commands. */
   address: string;
   machineType: string;
   zone: string;
   isSpot: boolean;
-  /** Starts at 1 and increases each time the worker's lease expires; all its tasks are gone then. */
-  agentEpoch: number;
-  /** Increases with each message of the worker: of two of the same epoch the one with the larger number is the newer. */
+  /** Starts at 1 and increases each time the worker's lease expires, which ends all its tasks. */
+  workerEpoch: number;
+  /**
+   * Increases with each message of the worker; of two messages of the same epoch, the one with the higher
+   * number is newer.
+   */
   sequence: number;
-  /** The highest token the worker has seen; 0: none. It drops commands with a lower one. */
+  /**
+   * The highest fencing token that the worker has seen; 0: none. The worker drops commands with a lower
+   * token.
+   */
   fencingToken: number;
-  /** Seconds until the cloud takes the machine away; null: no such notice. */
+  /** Seconds until the cloud reclaims the machine; null: no eviction notice. */
   evictionNoticeSeconds: number | null;
   tasks: TaskStatus[];
 }
 
 /**
- * What a worker is told to do. `start` has no effect while the worker lists the attempt, exited or not. `stop` lets a task
- * save if the grace period suffices; 0 ends it at once. `forget` removes an exited attempt from its lists: a repeated `start`
- * would run it again.
+ * A command to a worker. `start` has no effect while the worker lists the attempt, even as exited. `stop`
+ * lets a task save its progress if the grace period suffices; a grace period of 0 ends the task at once.
+ * `forget` removes an exited attempt from the worker's list; a repeated `start` would then run it again.
  */
 export type WorkerCommand =
   | { type: 'start'; jobId: string; taskIndex: number; attempt: number }
--- a/src/model/worker-timing.ts
+++ b/src/model/worker-timing.ts
@@ -1,10 +1,10 @@
-/** The times that workers and controllers agree on. */
+/** Time limits that workers and controllers share. */
 
-/** Times of workers that every controller keeps to. */
+/** Time limits of workers that every controller uses. */
 export interface WorkerTiming {
   heartbeatIntervalSeconds: number;
-  /** A worker without an answer for so long has ended its tasks. */
+  /** A worker that gets no response for this long has ended its tasks. */
   leaseSeconds: number;
-  /** Most time from the confirmation of a cancellation to the end of the job's last task. */
+  /** Maximum time from the confirmation of a job's cancellation to the end of its last task. */
   cancellationSeconds: number;
 }
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -1,6 +1,6 @@
 /** Capacity taken on a machine: placements as the leader tracks them, and grants that are not yet stored as placements. */
 
-import { taskKey } from '../model/job.js';
+import { attemptKey } from '../model/job.js';
 import type { PlacementSpec } from '../model/placement.js';
 import type { TaskStatus } from '../model/worker-messages.js';
 
@@ -34,7 +34,7 @@
 export function createAllocation(placement: PlacementSpec, now: number): Allocation {
   return {
     ...placement,
-    key: taskKey(placement.jobId, placement.taskIndex, placement.attempt),
+    key: attemptKey(placement.jobId, placement.taskIndex, placement.attempt),
     startHeartbeatSequence: -1,
     isDirectStartInFlight: false,
     reportedStatus: null,
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -38,7 +38,7 @@
   machineType: string;
   zone: string;
   isSpot: boolean;
-  agentEpoch: number;
+  workerEpoch: number;
   sequence: number;
   /** Sequence of the newest heartbeat that came as one, and not as the answer to a direct command. */
   heartbeatSequence: number;
@@ -92,7 +92,7 @@
     machineType: '',
     zone: '',
     isSpot: false,
-    agentEpoch: 0,
+    workerEpoch: 0,
     sequence: -1,
     heartbeatSequence: -1,
     fencingToken: 0,
@@ -139,8 +139,8 @@
 /** Newer than all that was heard of this machine? */
 export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
-    heartbeat.agentEpoch > machine.agentEpoch ||
-    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence)
+    heartbeat.workerEpoch > machine.workerEpoch ||
+    (heartbeat.workerEpoch === machine.workerEpoch && heartbeat.sequence > machine.sequence)
   );
 }
 
--- a/src/scheduler/machines/machine-list.ts
+++ b/src/scheduler/machines/machine-list.ts
@@ -49,7 +49,7 @@
       }
       machines.push(...result.value.machines);
       const last = result.value.machines.at(-1);
-      if (result.value.more && last) {
+      if (result.value.hasMore && last) {
         this.readPage(last.name, machines);
         return;
       }
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-intake.ts
@@ -1,6 +1,6 @@
 /** Takes in single placements as their owners tell them. */
 
-import { taskKey } from '../../model/job.js';
+import { attemptKey } from '../../model/job.js';
 import type { PlacementSpec } from '../../model/placement.js';
 import { type Allocation, createAllocation, grantKey } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -41,7 +41,7 @@
       this.state.removeAllocation(machine, allocation);
       return null;
     }
-    if (machine.isUp && machine.agentEpoch > allocation.agentEpoch && allocation.desiredState !== 'forget')
+    if (machine.isUp && machine.workerEpoch > allocation.workerEpoch && allocation.desiredState !== 'forget')
       allocation.isFinalized = true;
     finalizeIfMissing(this.state, machine, allocation);
     this.events.emitStatus(machine, allocation);
@@ -57,7 +57,7 @@
   }
 
   private takeOver(placement: PlacementSpec, machine: Machine): Allocation {
-    const key = taskKey(placement.jobId, placement.taskIndex, placement.attempt);
+    const key = attemptKey(placement.jobId, placement.taskIndex, placement.attempt);
     const known = machine.allocations.get(key);
     if (known) {
       this.update(known, placement);
@@ -78,7 +78,7 @@
     if (!(allocation.desiredState === 'stop' && placement.desiredState === 'run'))
       allocation.desiredState = placement.desiredState;
     allocation.gracePeriodSeconds = placement.gracePeriodSeconds;
-    if (placement.agentEpoch > 0) allocation.agentEpoch = placement.agentEpoch;
+    if (placement.workerEpoch > 0) allocation.workerEpoch = placement.workerEpoch;
   }
 }
 
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-intake.ts
@@ -1,6 +1,6 @@
 /** What shard owners tell the leader: full syncs, placements, requests, releases, and how far cancellations are covered. */
 
-import { taskKey } from '../../model/job.js';
+import { attemptKey } from '../../model/job.js';
 import type { PlacementSpec } from '../../model/placement.js';
 import type { ShardMessage } from '../../model/shard-messages.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -166,7 +166,7 @@
     const listed = new Set<string>();
     for (const placement of placements)
       if (teams.has(placement.team))
-        listed.add(taskKey(placement.jobId, placement.taskIndex, placement.attempt));
+        listed.add(attemptKey(placement.jobId, placement.taskIndex, placement.attempt));
     for (const machine of this.state.machines.values())
       for (const allocation of machine.allocations.values())
         if (teams.has(allocation.team) && (allocation.desiredState === 'hold' || !listed.has(allocation.key)))
@@ -190,7 +190,7 @@
   }
 
   private release({ instanceId, tasks, grants }: ReleaseMessage): void {
-    for (const { machine: name, taskKey: key } of tasks) {
+    for (const { machine: name, attemptKey: key } of tasks) {
       const machine = this.state.machines.get(name);
       const allocation = machine?.allocations.get(key);
       if (
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -59,7 +59,10 @@
     for (let choices = 0; choices < MAX_CHOICES; choices++) {
       const chosen = choose();
       if (!chosen) return null;
-      const { without } = assignTasks(indices(count), this.refusedTasks(chosen, request.jobId));
+      const { unassignedSlots: without } = assignTasks(
+        indices(count),
+        this.refusedTasks(chosen, request.jobId),
+      );
       if (without.length === 0) return chosen;
       const unusable = new Set(without);
       chosen.forEach(({ machineName }, place) => {
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grants.ts
@@ -30,7 +30,7 @@
       team: request.team,
       machine: machine.name,
       zone: machine.zone,
-      agentEpoch: machine.agentEpoch,
+      workerEpoch: machine.workerEpoch,
       ...(endedTasks && { endedTasks: [...endedTasks] }),
     };
     const grants = this.unsent.get(instanceId);
@@ -64,7 +64,7 @@
     taskIndex: NO_TASK_INDEX,
     attempt: 0,
     machine: machine.name,
-    agentEpoch: machine.agentEpoch,
+    workerEpoch: machine.workerEpoch,
     desiredState: 'run',
     gracePeriodSeconds: 0,
     team: request.team,
--- a/src/scheduler/workers/answer-loss-detector.ts
+++ b/src/scheduler/workers/answer-loss-detector.ts
@@ -48,7 +48,7 @@
     heartbeat: Heartbeat,
     now: number,
   ): 'missed' | 'arrived' | 'none' {
-    if (heartbeat.agentEpoch > machine.agentEpoch) {
+    if (heartbeat.workerEpoch > machine.workerEpoch) {
       const leaseMs = this.options.workerTiming.leaseSeconds * 1000;
       return now - machine.lastHeartbeatAt < leaseMs * EARLY_RESTART_LEASE_SHARE ? 'missed' : 'none';
     }
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -1,6 +1,6 @@
 /** Sends commands to workers directly, between their heartbeats. */
 
-import { taskKey } from '../../model/job.js';
+import { attemptKey } from '../../model/job.js';
 import type { Result } from '../../model/result.js';
 import type { Heartbeat, WorkerCommand } from '../../model/worker-messages.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -19,7 +19,7 @@
 /** One call to a worker, with the worker's epoch and sequence as known when the call was made. */
 interface DirectCall {
   readonly machine: Machine;
-  readonly agentEpoch: number;
+  readonly workerEpoch: number;
   readonly sequence: number;
   readonly startKeys: readonly string[];
 }
@@ -63,16 +63,16 @@
   }
 
   private call(machine: Machine, commands: WorkerCommand[]): void {
-    const { agentEpoch, sequence } = machine;
+    const { workerEpoch, sequence } = machine;
     machine.directCommands.inFlight = true;
     machine.directCommands.lastSentAt = this.options.clock.now();
     const startKeys = commands
       .filter((command) => command.type === 'start')
-      .map((start) => taskKey(start.jobId, start.taskIndex, start.attempt));
-    const call: DirectCall = { machine, agentEpoch, sequence, startKeys };
+      .map((start) => attemptKey(start.jobId, start.taskIndex, start.attempt));
+    const call: DirectCall = { machine, workerEpoch, sequence, startKeys };
     this.options.workers.sendCommands(
       machine.address,
-      { fencingToken: this.state.fencingToken, agentEpoch, commands },
+      { fencingToken: this.state.fencingToken, workerEpoch, commands },
       (result) => this.onResult(call, result),
     );
   }
@@ -106,21 +106,21 @@
    * starts may have been executed or may still arrive, and are recorded as indeterminate.
    */
   private recordStartOutcomes(
-    { machine, agentEpoch, startKeys }: DirectCall,
+    { machine, workerEpoch, startKeys }: DirectCall,
     isIndeterminate: boolean,
   ): void {
     const { directCommands } = machine;
     for (const key of startKeys) {
       const allocation = machine.allocations.get(key);
       if (allocation) allocation.isDirectStartInFlight = false;
-      if (!isIndeterminate || machine.agentEpoch !== agentEpoch) continue;
+      if (!isIndeterminate || machine.workerEpoch !== workerEpoch) continue;
       if (directCommands.indeterminateStarts.size === 0)
         directCommands.indeterminateSince = this.options.clock.now();
       directCommands.indeterminateStarts.set(key, this.state.fencingToken);
     }
   }
 
-  private onAnswer({ machine, agentEpoch, sequence }: DirectCall, heartbeat: Heartbeat): void {
+  private onAnswer({ machine, workerEpoch, sequence }: DirectCall, heartbeat: Heartbeat): void {
     machine.directCommands.failures = 0;
     machine.missedAnswers.count = 0;
     machine.lastHeardAt = this.options.clock.now();
@@ -129,8 +129,8 @@
     // its state. Such a worker knows nothing of the tasks placed on it, and its heartbeats would be dropped
     // as stale until its sequence has caught up.
     if (
-      heartbeat.agentEpoch < agentEpoch ||
-      (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence <= sequence)
+      heartbeat.workerEpoch < workerEpoch ||
+      (heartbeat.workerEpoch === workerEpoch && heartbeat.sequence <= sequence)
     )
       this.parts.deletion.delete(machine, 'worker lost its state');
     else if (isNewer(machine, heartbeat)) this.parts.reconciler.reconcileDirectAnswer(machine, heartbeat);
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -15,7 +15,7 @@
     allocation.isFinalized ||
     allocation.reportedStatus ||
     !machine.isUp ||
-    allocation.agentEpoch !== machine.agentEpoch
+    allocation.workerEpoch !== machine.workerEpoch
   )
     return;
   if (machine.fencingToken !== state.fencingToken || machine.tasks.has(allocation.key)) return;
--- a/src/scheduler/workers/heartbeat-intake.ts
+++ b/src/scheduler/workers/heartbeat-intake.ts
@@ -59,7 +59,7 @@
     const isFirstHeartbeat = machine.heartbeatSequence < 0;
     machine.heartbeatSequence = heartbeat.sequence;
     if (isNewer(machine, heartbeat)) this.parts.reconciler.reconcileHeartbeat(machine, heartbeat);
-    else if (isFirstHeartbeat || heartbeat.agentEpoch === machine.agentEpoch) {
+    else if (isFirstHeartbeat || heartbeat.workerEpoch === machine.workerEpoch) {
       // The answer to a direct command overtook this heartbeat. Its task list is outdated, but the worker now
       // waits for the answer to this heartbeat: answers to earlier ones were handled or dropped.
       for (const allocation of machine.allocations.values())
@@ -71,7 +71,7 @@
 
 function isStale(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
-    heartbeat.agentEpoch < machine.agentEpoch ||
-    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.heartbeatSequence)
+    heartbeat.workerEpoch < machine.workerEpoch ||
+    (heartbeat.workerEpoch === machine.workerEpoch && heartbeat.sequence <= machine.heartbeatSequence)
   );
 }
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -1,6 +1,6 @@
 /** Reconciles the allocations on a machine with the tasks that its worker lists. */
 
-import { taskKey } from '../../model/job.js';
+import { attemptKey } from '../../model/job.js';
 import type { Heartbeat, TaskStatus } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
@@ -44,7 +44,7 @@
     machine.tasks.clear();
     this.state.endedAttempts.update(machine, heartbeat.tasks);
     for (const status of heartbeat.tasks)
-      machine.tasks.set(taskKey(status.jobId, status.taskIndex, status.attempt), status);
+      machine.tasks.set(attemptKey(status.jobId, status.taskIndex, status.attempt), status);
     for (const allocation of [...machine.allocations.values()])
       this.reconcileAllocation(machine, allocation, heartbeatSequence);
     this.updateUnknownTasks(machine);
@@ -53,7 +53,7 @@
   private updateMachine(machine: Machine, heartbeat: Heartbeat): void {
     const now = this.options.clock.now();
     const { indeterminateStarts } = machine.directCommands;
-    if (heartbeat.agentEpoch > machine.agentEpoch) {
+    if (heartbeat.workerEpoch > machine.workerEpoch) {
       indeterminateStarts.clear();
       for (const allocation of machine.allocations.values()) allocation.startHeartbeatSequence = -1;
     }
@@ -61,7 +61,7 @@
     machine.machineType = heartbeat.machineType;
     machine.zone = heartbeat.zone;
     machine.isSpot = heartbeat.isSpot;
-    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.workerEpoch = heartbeat.workerEpoch;
     machine.sequence = heartbeat.sequence;
     machine.fencingToken = Math.max(machine.fencingToken, heartbeat.fencingToken);
     if (heartbeat.fencingToken === this.state.fencingToken) machine.hasCurrentToken = true;
@@ -90,7 +90,7 @@
 
   private reconcileAllocation(machine: Machine, allocation: Allocation, heartbeatSequence: number): void {
     if (allocation.desiredState === 'hold') {
-      if (allocation.agentEpoch !== machine.agentEpoch) this.state.removeAllocation(machine, allocation);
+      if (allocation.workerEpoch !== machine.workerEpoch) this.state.removeAllocation(machine, allocation);
       return;
     }
     const status = machine.tasks.get(allocation.key);
@@ -117,7 +117,7 @@
     allocation: Allocation,
     heartbeatSequence: number,
   ): boolean {
-    const isFromEarlierEpoch = machine.agentEpoch > allocation.agentEpoch;
+    const isFromEarlierEpoch = machine.workerEpoch > allocation.workerEpoch;
     if (!isFromEarlierEpoch) clearAnsweredStart(allocation, heartbeatSequence);
     const isStartInFlight = allocation.isDirectStartInFlight || allocation.startHeartbeatSequence >= 0;
     if (allocation.desiredState === 'forget' && (isFromEarlierEpoch || !isStartInFlight)) {
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -103,7 +103,7 @@
       !machine.isUp ||
       machine.isBeingDeleted ||
       allocation.hasExited ||
-      allocation.agentEpoch !== machine.agentEpoch ||
+      allocation.workerEpoch !== machine.workerEpoch ||
       !this.options.holdsLeadership()
     )
       return false;
--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-events.ts
@@ -144,7 +144,7 @@
   private onRepeatedEvent(job: OwnedJob, event: PhaseEvent): void {
     if (event.phase !== 'exited' || job.isReloading || !this.isOutcomeStored(job, event)) return;
     this.options.updates.placementChanged(
-      placementSpecOf(job, { ...event, agentEpoch: 0 }, { desiredState: 'forget' }),
+      placementSpecOf(job, { ...event, workerEpoch: 0 }, { desiredState: 'forget' }),
     );
   }
 
--- a/src/shard/grant-intake.ts
+++ b/src/shard/grant-intake.ts
@@ -72,7 +72,7 @@
       taskIndex,
       attempt,
       machine: grant.machine,
-      agentEpoch: grant.agentEpoch,
+      workerEpoch: grant.workerEpoch,
       zone: grant.zone,
       grantId: grant.id,
       isStored: false,
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -1,6 +1,6 @@
 /** Stops tasks: those of cancelled jobs, those that the leader evicts, and gangs that can't go on. */
 
-import { type TaskAttempt, taskKey } from '../model/job.js';
+import { attemptKey, type TaskAttempt } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
@@ -33,9 +33,9 @@
         this.stop(job, placement, 0);
         continue;
       }
-      const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
+      const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
       updates.releaseGrant(placement.grantId);
-      updates.releaseTask({ machine: placement.machine, taskKey: key });
+      updates.releaseTask({ machine: placement.machine, attemptKey: key });
       jobs.removePlacement(job, placement, 'returned');
     }
     transactions.scheduleWrite(job, 0);
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -138,8 +138,8 @@
     const placement = job.placements.get(taskIndex);
     const attempt = job.attempts.get(taskIndex);
     if (placement) {
-      const { machine, agentEpoch, zone } = placement;
-      tasks.set(taskIndex, { attempt: placement.attempt, location: { machine, agentEpoch, zone } });
+      const { machine, workerEpoch, zone } = placement;
+      tasks.set(taskIndex, { attempt: placement.attempt, location: { machine, workerEpoch, zone } });
       if (!placement.isStored) added.push(placement);
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -10,7 +10,7 @@
   taskIndex: number;
   attempt: number;
   machine: string;
-  agentEpoch: number;
+  workerEpoch: number;
   zone: string;
   /** The grant it was placed by; 0: one of an earlier leader. */
   grantId: number;
@@ -177,7 +177,7 @@
   taskIndex: number;
   attempt: number;
   machine: string;
-  agentEpoch: number;
+  workerEpoch: number;
 }
 
 /** What the leader is to do about a placement. */
@@ -196,7 +196,7 @@
     taskIndex: placement.taskIndex,
     attempt: placement.attempt,
     machine: placement.machine,
-    agentEpoch: placement.agentEpoch,
+    workerEpoch: placement.workerEpoch,
     desiredState,
     gracePeriodSeconds,
     team: spec.team,
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -9,7 +9,7 @@
 } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { Result } from '../model/result.js';
-import { teamRecord } from '../store/record-codec.js';
+import { ownerRecord } from '../store/record-codec.js';
 
 /** Pause before a request that failed is sent again. */
 const RETRY_MS = 300;
@@ -98,7 +98,7 @@
     const { key, instanceId, store } = this.options;
     const transaction: Transaction = {
       preconditions: [{ key, modRevision }],
-      operations: [{ type: 'put', key, value: teamRecord.encode({ instanceId }) }],
+      operations: [{ type: 'put', key, value: ownerRecord.encode({ instanceId }) }],
     };
     store.compareAndSwap(transaction, URGENCY.placement, (result) => {
       if (result.ok) {
--- a/src/shard/write-outcomes.ts
+++ b/src/shard/write-outcomes.ts
@@ -1,6 +1,6 @@
 /** What follows once a write of a job is stored: the leader learns of it, or the job is archived. */
 
-import { taskKey } from '../model/job.js';
+import { attemptKey } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
 import type { WriteEvents } from './job-writes.js';
 import type { LeaderUpdates } from './leader-updates.js';
@@ -36,8 +36,8 @@
       updates.placementChanged(placementSpecOf(job, placement, { desiredState: 'forget' }));
       return;
     }
-    const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
-    updates.releaseTask({ machine: placement.machine, taskKey: key });
+    const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
+    updates.releaseTask({ machine: placement.machine, attemptKey: key });
   }
 
   onCounterFull(job: OwnedJob): void {
--- a/src/store/completion-bitmap.ts
+++ b/src/store/completion-bitmap.ts
@@ -1,19 +1,20 @@
 /**
- * The finished tasks of a job as the text in its counter record.
+ * Encodes the finished tasks of a job as text for its counter record.
  *
- * Runs `<unfinished>.<finished>` in base 36, joined by commas: tasks end roughly in the order of their release, so a record
- * of 100,000 tasks stays small. Where runs would be longer than the plain bits, those are kept: `=` and their base 64.
+ * The text consists of runs `<unfinished>.<finished>` in base 36, separated by commas. Tasks finish roughly
+ * in release order, so the record of a job with 100,000 tasks stays small. If the runs would be longer than
+ * the plain bitmap, the text is `=` followed by the bitmap in base64.
  */
 
 import type { DependencyCounter } from '../model/dependency-counter.js';
 
 const RADIX = 36;
 const PLAIN_MARKER = '=';
-/** Base 64 has six bits to a character, and a few characters around them. */
+/** Base64 encodes six bits per character; the overhead allows for padding and the marker. */
 const BITS_PER_CHARACTER = 6;
 const PLAIN_OVERHEAD = 4;
 
-/** The text that `decodeCompletionBitmap` takes. */
+/** Encodes the counted tasks as text; the inverse of `decodeCompletionBitmap`. */
 export function encodeCompletionBitmap(counter: DependencyCounter): string {
   const { inputCount } = counter;
   const plainLength = Math.ceil(inputCount / BITS_PER_CHARACTER) + PLAIN_OVERHEAD;
@@ -35,7 +36,7 @@
   return runs.join(',');
 }
 
-/** Counts the tasks that a stored text has as finished. */
+/** Counts the tasks that the stored text lists as finished. */
 export function decodeCompletionBitmap(counter: DependencyCounter, text: string): void {
   if (text.startsWith(PLAIN_MARKER)) {
     counter.mergeBits(0, text.slice(PLAIN_MARKER.length));
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -1,10 +1,10 @@
 /**
- * The keys of all records in the key-value store, built and parsed here alone.
+ * The keys of all records in the key-value store. No other module builds or parses keys.
  *
  *   open/<job>/a           a job as accepted, with its cancellation
- *   open/<job>/n           its counter of finished tasks
- *   place/<job>/<chunk>    the last placements of a chunk of its tasks
- *   end/<job>              its final answer, written when the records above are deleted
+ *   open/<job>/n           the job's counter of finished tasks
+ *   place/<job>/<chunk>    the last placements of a chunk of the job's tasks
+ *   end/<job>              the job's final state, written when the records above are deleted
  *   fence/<node>           the write fence of a controller
  *   sys/leader, sys/token  the leader, and the highest fencing token
  *   sys/node/<node>        a live controller
@@ -12,18 +12,18 @@
  *   sys/types              the machine types
  */
 
-/** Prefix of the records of jobs that are not over. */
+/** Prefix of the records of open jobs, which are neither done nor fully cancelled. */
 export const OPEN_JOBS_PREFIX = 'open/';
-/** Prefix of the placements of jobs that are not over. */
+/** Prefix of the placement records of open jobs. */
 export const PLACEMENTS_PREFIX = 'place/';
-/** Prefix of the records that controllers keep about themselves. */
+/** Prefix of the records that controllers keep about the cluster. */
 export const SYSTEM_PREFIX = 'sys/';
 
-/** The leader; bound to its lease. */
+/** Key of the leader record, which is attached to the leader's lease. */
 export const LEADER_KEY = 'sys/leader';
-/** The highest fencing token. */
+/** Key of the highest fencing token. */
 export const FENCING_TOKEN_KEY = 'sys/token';
-/** The machine types, as the leader last read them. */
+/** Key of the machine types as last read by the leader. */
 export const MACHINE_TYPES_KEY = 'sys/types';
 
 const JOB_PART = 'a';
@@ -31,48 +31,48 @@
 const NODE_PREFIX = 'sys/node/';
 const TEAM_PREFIX = 'sys/team/';
 
-/** Which record of an unfinished job a key names. */
+/** The record of an open job that a key refers to. */
 export type JobRecordKey =
   | { type: 'job'; jobId: string }
   | { type: 'counter'; jobId: string }
   | { type: 'placements'; jobId: string; chunk: number };
 
-/** A job as accepted. */
+/** Returns the key of a job as accepted. */
 export function jobKey(jobId: string): string {
   return `${OPEN_JOBS_PREFIX}${jobId}/${JOB_PART}`;
 }
 
-/** A job's counter of finished tasks. */
+/** Returns the key of a job's counter of finished tasks. */
 export function counterKey(jobId: string): string {
   return `${OPEN_JOBS_PREFIX}${jobId}/${COUNTER_PART}`;
 }
 
-/** The last placements of one chunk of a job's tasks. */
+/** Returns the key of the last placements of one chunk of a job's tasks. */
 export function placementChunkKey(jobId: string, chunk: number): string {
   return `${PLACEMENTS_PREFIX}${jobId}/${chunk}`;
 }
 
-/** The final answer about a job. */
+/** Returns the key of a job's final state. */
 export function finalKey(jobId: string): string {
   return `end/${jobId}`;
 }
 
-/** The write fence of a controller; it outlives the process. */
+/** Returns the key of a controller's write fence. The record outlives the process. */
 export function fenceKey(nodeName: string): string {
   return `fence/${nodeName}`;
 }
 
-/** A live controller; bound to its lease. */
+/** Returns the key of a live controller's record, which is attached to the controller's lease. */
 export function nodeKey(nodeName: string): string {
   return `${NODE_PREFIX}${nodeName}`;
 }
 
-/** The shard owner of a team. */
+/** Returns the key of a team's shard owner. */
 export function teamKey(team: string): string {
   return `${TEAM_PREFIX}${team}`;
 }
 
-/** The record that a key under `open/` or `place/` names; null: none of them. */
+/** Returns the record that a key under `open/` or `place/` refers to, or null for any other key. */
 export function parseJobRecordKey(key: string): JobRecordKey | null {
   const [kind, jobId, part] = key.split('/');
   if (!jobId || !part) return null;
@@ -82,12 +82,12 @@
   return part === COUNTER_PART ? { type: 'counter', jobId } : null;
 }
 
-/** The team whose shard owner a key names; null: it names none. */
+/** Returns the team whose shard owner the key holds, or null for any other key. */
 export function teamOfKey(key: string): string | null {
   return key.startsWith(TEAM_PREFIX) ? key.slice(TEAM_PREFIX.length) : null;
 }
 
-/** The controller that a key names as live; null: it names none. */
+/** Returns the node name of the live controller that the key refers to, or null for any other key. */
 export function nodeOfKey(key: string): string | null {
   return key.startsWith(NODE_PREFIX) ? key.slice(NODE_PREFIX.length) : null;
 }
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,14 +1,14 @@
-/** Brings a copy of a prefix up to date on demand, one read for all who wait for it. */
+/** Brings the local copy of a prefix up to date on demand, with one read for all waiting callers. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
 import type { PrefixCopy } from './prefix-copy.js';
 import type { PrefixListing } from './prefix-listing.js';
 
-/** Least time between two reads on behalf of callers: all that come meanwhile share the next one. */
+/** Minimum time between two reads for callers; all calls made in between share the next read. */
 const MIN_READ_INTERVAL_MS = 150;
 
-/** What reads need of their cache. */
+/** Dependencies of the reads, shared with their cache. */
 export interface LinearizableReadsOptions {
   prefix: string;
   store: KeyValueStore;
@@ -17,12 +17,15 @@
   listing: PrefixListing;
 }
 
-/** Takes whether the copy holds everything stored before the call. */
+/** Receives whether the copy holds everything that was stored before the call. */
 export type ReadCallback = (isFresh: boolean) => void;
 
-/** Reads by a watch that does not wait, which is always sent after the calls that it answers. */
+/**
+ * Makes linearizable reads by watches that return at once. A watch is always sent after the calls that it
+ * serves.
+ */
 export class LinearizableReads {
-  /** When the last read that was answered had been sent: all that was stored by then is in the copy. */
+  /** When the last successful read was sent; the copy holds everything stored by then. */
   freshAsOf = Number.NEGATIVE_INFINITY;
   /** When the last read was sent. */
   lastReadAt = Number.NEGATIVE_INFINITY;
@@ -34,10 +37,13 @@
 
   constructor(private readonly options: LinearizableReadsOptions) {}
 
-  /** Calls back once the copy holds everything stored before this call, or with false if that can't be had now. */
+  /**
+   * Calls back once the copy holds everything stored before this call, or with false if that is not possible
+   * now.
+   */
   read(callback: ReadCallback): void {
-    // After a read has failed or hung nobody is kept waiting for the next: it probes, and those that come meanwhile
-    // are answered at once.
+    // After a read has failed or timed out, no caller waits for the next one: the next read only probes the
+    // store, and calls made in the meantime fail at once.
     if (this.isFailing) {
       this.request();
       callback(false);
@@ -47,7 +53,7 @@
     this.readWhenDue();
   }
 
-  /** Reads soon although nobody waits for it, unless a read is under way or waited for. */
+  /** Schedules a read without a caller, unless a read is in flight or scheduled. */
   request(): void {
     if (this.waiting.length > 0 || this.isReading) return;
     this.waiting.push(() => {});
--- a/src/store/prefix-copy.ts
+++ b/src/store/prefix-copy.ts
@@ -1,29 +1,29 @@
-/** A local copy of all keys under one prefix, and what has been learned into it so far. */
+/** A local copy of all keys under one prefix, built from listings and watches. */
 
 import type { StoredItem, WatchEvent, WatchReply } from '../model/key-value-store.js';
 
-/** A key's value as last learned. */
+/** A key's latest known value. */
 export interface CachedItem {
   value: unknown;
   modRevision: number;
-  /** Known from listings only: watches don't say it. */
+  /** The lease that the key is attached to; known only from listings, since watches don't report it. */
   leaseId: number | undefined;
 }
 
-/** A key has changed; a value of undefined: it was deleted. */
-export type OnItemChanged = (key: string, value: unknown, modRevision: number) => void;
+/** Called when a key has changed; a value of undefined means that the key was deleted. */
+export type ItemChangeCallback = (key: string, value: unknown, modRevision: number) => void;
 
-/** The copy itself: it takes what lists and watches bring, in any order, and never goes back. */
+/** The copy. It applies listings and watches in any order and never reverts a key to an older revision. */
 export class PrefixCopy {
   readonly items = new Map<string, CachedItem>();
-  /** All changes up to this revision of the store are in the copy. */
+  /** The copy holds all changes up to this store revision. */
   storeRevision = 0;
-  /** Listed once. */
+  /** Whether a listing has been completed. */
   isReady = false;
 
-  constructor(private readonly onChange: OnItemChanged) {}
+  constructor(private readonly onChange: ItemChangeCallback) {}
 
-  /** Takes one key unless it is known as new or newer. */
+  /** Stores a key unless the copy has the same or a newer revision. */
   put({ key, value, modRevision, leaseId }: StoredItem): void {
     const known = this.items.get(key);
     if (known && known.modRevision >= modRevision) return;
@@ -32,8 +32,9 @@
   }
 
   /**
-   * Takes the changes of a watch. Two may be under way at once: what an earlier answer already brought is passed over, or a
-   * key deleted since would come back; of several changes of a key only the last counts.
+   * Applies the changes of a watch. Two watches may be in flight at once: changes that an earlier reply
+   * already brought are skipped, because otherwise a key deleted since would reappear. Of several changes to
+   * one key, only the last is applied.
    */
   apply({ storeRevision, events }: WatchReply): void {
     if (storeRevision <= this.storeRevision) return;
@@ -46,7 +47,10 @@
     }
   }
 
-  /** All pages of a list have been put; keys that were not in them are gone as of the first page's revision. */
+  /**
+   * Completes a listing after all its pages have been stored: keys that were not listed are deleted as of the
+   * first page's revision.
+   */
   finishListing(listedKeys: ReadonlySet<string>, storeRevision: number): void {
     for (const key of [...this.items.keys()]) if (!listedKeys.has(key)) this.delete(key, storeRevision);
     this.storeRevision = storeRevision;
--- a/src/store/prefix-listing.ts
+++ b/src/store/prefix-listing.ts
@@ -1,31 +1,31 @@
-/** Fills a copy of a prefix by listing all its keys, again from the start after each failure. */
+/** Fills the local copy of a prefix by listing all its keys, starting over after each failure. */
 
 import type { Clock } from '../model/clock.js';
 import { type KeyValueStore, URGENCY } from '../model/key-value-store.js';
 import type { PrefixCopy } from './prefix-copy.js';
 
-/** Pause before a list that failed is begun anew. */
+/** Pause before a failed listing is restarted. */
 const RETRY_MS = 300;
 
-/** What listing needs of its cache. */
+/** Dependencies of a listing, shared with its cache. */
 export interface PrefixListingOptions {
   prefix: string;
   store: KeyValueStore;
   clock: Clock;
   copy: PrefixCopy;
-  /** The copy holds all that was listed. */
+  /** Called when the copy holds all listed keys. */
   onListed(): void;
 }
 
-/** Lists the keys, at most once at a time. */
+/** Lists the keys; at most one listing runs at a time. */
 export class PrefixListing {
   isRunning = false;
-  /** Counts listings: an answer asked for before one is not applied after it. */
+  /** Number of listings started. A reply to a watch sent before a listing is not applied after it. */
   epoch = 0;
 
   constructor(private readonly options: PrefixListingOptions) {}
 
-  /** Begins to list, unless that is under way. */
+  /** Starts a listing unless one is running. */
   start(): void {
     if (this.isRunning) return;
     this.isRunning = true;
--- a/src/store/record-codec.ts
+++ b/src/store/record-codec.ts
@@ -1,4 +1,7 @@
-/** The encoded form of records in the key-value store. Encoded names are those that every earlier version has written. */
+/**
+ * Codecs for the records in the key-value store. The encoded names are those that all earlier versions have
+ * written.
+ */
 
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine-type.js';
@@ -15,10 +18,10 @@
 } from '../model/records.js';
 import { type Codec, field, list, object } from '../wire/field-codec.js';
 
-/** A flag that is stored as 1, and left out where it is not set. */
+/** A flag that is stored as 1 and omitted if it is not set. */
 const flag: Codec<true> = { encode: () => 1, decode: () => true };
 
-/** 1 or 0. */
+/** A boolean stored as 1 or 0. */
 const bit: Codec<boolean> = { encode: (value) => (value ? 1 : 0), decode: (encoded) => encoded === 1 };
 
 const jobSpec = object<JobSpec>({
@@ -45,13 +48,13 @@
   acceptedAtMs: 'at',
 });
 
-/** `[attempt]` once it is finalized, else `[attempt, machine, agent epoch, zone]`. */
+/** Encoded as `[attempt]` once finalized, otherwise as `[attempt, machine, worker epoch, zone]`. */
 const placementEntry: Codec<PlacementEntry> = {
   encode: ({ attempt, location }) =>
-    location ? [attempt, location.machine, location.agentEpoch, location.zone] : [attempt],
+    location ? [attempt, location.machine, location.workerEpoch, location.zone] : [attempt],
   decode: (encoded) => {
-    const [attempt, machine, agentEpoch, zone] = encoded as [number, string, number, string];
-    return { attempt, location: zone === undefined ? null : { machine, agentEpoch, zone } };
+    const [attempt, machine, workerEpoch, zone] = encoded as [number, string, number, string];
+    return { attempt, location: zone === undefined ? null : { machine, workerEpoch, zone } };
   },
 };
 
@@ -74,25 +77,25 @@
   cancelled: field('x', flag),
 });
 
-/** `open/<id>/n`: a job's counter. */
+/** `open/<id>/n`: a job's counter of finished tasks. */
 export const counterRecord: Codec<CounterRecord> = object<CounterRecord>({
   finishedTasks: 'n',
   runningTasks: 'r',
   finishedBitmap: 'b',
 });
 
-/** `place/<id>/<chunk>`: the last placements of a chunk of its tasks. */
+/** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks. */
 export const placementRecord: Codec<PlacementRecord> = object<PlacementRecord>({
   tasks: field('t', placementsByTask),
 });
 
-/** `end/<id>`: the final answer about a job. */
+/** `end/<id>`: the final state of a job. */
 export const finalRecord: Codec<FinalRecord> = object<FinalRecord>({
   isDone: field('d', bit),
   finishedTasks: 'n',
 });
 
-/** `sys/leader`. */
+/** `sys/leader`: the elected leader. */
 export const leaderRecord: Codec<LeaderRecord> = object<LeaderRecord>({
   instanceId: 'inst',
   nodeName: 'host',
@@ -105,10 +108,12 @@
 /** `sys/node/<node>`: a live controller. */
 export const nodeRecord: Codec<NodeRecord> = object<NodeRecord>({ instanceId: 'inst', leaseId: 'lease' });
 
-/** `sys/team/<team>`, and `fence/<node>`: the instance that the record belongs to. */
-export const teamRecord: Codec<OwnerRecord> = object<OwnerRecord>({ instanceId: 'inst' });
+/**
+ * `sys/team/<team>` and `fence/<node>`: the instance that owns the shard, or that last moved the write fence.
+ */
+export const ownerRecord: Codec<OwnerRecord> = object<OwnerRecord>({ instanceId: 'inst' });
 
-/** `sys/types`: the machine types, as the leader last read them. */
+/** `sys/types`: the machine types as last read by the leader. */
 export const machineTypesRecord: Codec<MachineType[]> = list(
   object<MachineType>({
     name: 'name',
--- a/src/store/record-sizes.ts
+++ b/src/store/record-sizes.ts
@@ -1,21 +1,27 @@
-/** How much of a job fits into one record, by the largest value that the key-value store takes. */
+/** Limits on the size of records, derived from the largest value that the key-value store accepts. */
 
-/** Tasks to a placement record at most, whatever the size of a value: each change of one writes them all. */
+/**
+ * Maximum number of tasks per placement record, whatever the maximum value size: each change to one placement
+ * rewrites the whole record.
+ */
 const MAX_TASKS_PER_CHUNK = 128;
-const PLACEMENT_BYTES = 64;
-/** A run of the completion bitmap takes four bytes or so and holds at least two tasks. */
-const RELEASE_WINDOW_BYTES = 4;
+const BYTES_PER_PLACEMENT = 64;
+/**
+ * Bytes of a counter record planned per task of the release window. A run of the completion bitmap takes
+ * about four bytes and covers at least two tasks.
+ */
+const BYTES_PER_WINDOW_TASK = 4;
 const MIN_RELEASE_WINDOW = 64;
 
-/** Tasks to a placement record: all of them must fit in a value. */
+/** Returns the number of tasks per placement record, so that all their placements fit into a value. */
 export function tasksPerChunk(maxValueKb: number): number {
-  return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, Math.floor((maxValueKb * 1024) / PLACEMENT_BYTES)));
+  return Math.max(1, Math.min(MAX_TASKS_PER_CHUNK, Math.floor((maxValueKb * 1024) / BYTES_PER_PLACEMENT)));
 }
 
 /**
- * How far release may run ahead of the first task not yet counted. It bounds the runs of a counter record, whatever the
- * order in which tasks end.
+ * Returns how far the release may run ahead of the first unfinished task. This bounds the number of runs in a
+ * counter record, whatever the order in which tasks finish.
  */
 export function releaseWindow(maxValueKb: number): number {
-  return Math.max(MIN_RELEASE_WINDOW, Math.floor((maxValueKb * 1024) / RELEASE_WINDOW_BYTES));
+  return Math.max(MIN_RELEASE_WINDOW, Math.floor((maxValueKb * 1024) / BYTES_PER_WINDOW_TASK));
 }
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -1,4 +1,4 @@
-/** A job as its stored records have it, put together from them in any order. */
+/** Assembles a job from its stored records, in any order. */
 
 import { DependencyCounter } from '../model/dependency-counter.js';
 import type { JobSpec } from '../model/job.js';
@@ -8,18 +8,18 @@
 import { parseJobRecordKey } from './keyspace.js';
 import { counterRecord, jobRecord, placementRecord } from './record-codec.js';
 
-/** What has been read of a job; a record that was not found leaves its defaults. */
+/** The data read from a job's records. A record that was not found leaves default values. */
 export interface StoredJob {
-  /** Null: the job's own record was not found. */
+  /** Null: the job record was not found. */
   spec: JobSpec | null;
-  /** Revision at which it was accepted; 0: not known. */
+  /** Store revision at which the job was accepted; 0: not known. */
   acceptedRevision: number;
-  /** Revisions of the job's own record and of its counter; 0: there is none. */
+  /** Revisions of the job record and of the counter record; 0: the record was not found. */
   jobRevision: number;
   counterRevision: number;
   cancelled: boolean;
   runningTasks: number;
-  /** Null: there is no counter record, or its job has not been read. */
+  /** The counted tasks; null until both the job record and the counter record have been read. */
   counter: DependencyCounter | null;
   counterRecord: CounterRecord | null;
   placementChunks: Map<number, StoredChunk>;
@@ -31,12 +31,14 @@
   tasks: Map<number, PlacementEntry>;
 }
 
-/** The counter record of a job. */
+/** Creates the counter record of a job. */
 export function makeCounterRecord(counter: DependencyCounter, runningTasks: number): CounterRecord {
   return { finishedTasks: counter.count, runningTasks, finishedBitmap: encodeCompletionBitmap(counter) };
 }
 
-/** Adds one stored item to what is known of its job, in `into` by job id. Items of other kinds are passed over. */
+/**
+ * Merges a stored item into its job in `into`, which is keyed by job id. Items of other kinds are ignored.
+ */
 export function mergeStoredItem(into: Map<string, StoredJob>, item: StoredItem): void {
   const key = parseJobRecordKey(item.key);
   if (!key) return;
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,88 +1,100 @@
-/** A local copy of the keys under a prefix, kept by watching and brought up to date on demand. */
+/** A local copy of the keys under a prefix, kept current by watches and refreshed on demand. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
 import { LinearizableReads, type ReadCallback } from './linearizable-reads.js';
-import { type CachedItem, type OnItemChanged, PrefixCopy } from './prefix-copy.js';
+import { type CachedItem, type ItemChangeCallback, PrefixCopy } from './prefix-copy.js';
 import { PrefixListing } from './prefix-listing.js';
 
-/** A copy nobody asks about is caught up now and then, or the service would forget the changes it lacks. */
+/**
+ * Interval of reads while watching is disabled and no caller reads: otherwise the store might discard changes
+ * that the copy still lacks.
+ */
 const IDLE_READ_INTERVAL_MS = 20000;
-/** Pause before a watch that failed is repeated, or the keys are listed anew. */
+/** Pause before a failed watch is repeated or the keys are listed again. */
 const WATCH_RETRY_MS = 250;
 
-/** Settings of a cache, and what it works with. */
+/** The settings and dependencies of a cache. */
 export interface WatchCacheOptions {
   prefix: string;
   store: KeyValueStore;
   clock: Clock;
-  /** Longest time that a watch waits for a change. */
+  /** Maximum time that a watch waits for a change. */
   watchWaitMs: number;
-  /** Least time between two watches: each change of a busy prefix must not cost a request of its own. */
+  /**
+   * Minimum time between two watches, so that not every change under a busy prefix costs a request of its
+   * own.
+   */
   minWatchIntervalMs: number;
-  /** Whether it watches from the start; else only reads bring it up to date, until `setFollowed`. */
-  isFollowed: boolean;
-  onChange: OnItemChanged;
+  /**
+   * Whether the cache watches for changes from the start; otherwise only reads refresh it until
+   * `setWatchEnabled`.
+   */
+  isWatchEnabled: boolean;
+  onChange: ItemChangeCallback;
 }
 
-/** While followed the copy may lag by a watch; `linearizableRead` brings it up to what was stored when it was called. */
+/**
+ * A cache of all keys under a prefix. While watching is enabled, the copy may lag by the duration of one
+ * watch; `linearizableRead` brings it up to the state at the time of the call.
+ */
 export class WatchCache {
   private readonly copy: PrefixCopy;
   private readonly listing: PrefixListing;
   private readonly reads: LinearizableReads;
-  private isFollowed: boolean;
+  private isWatchEnabled: boolean;
   private isWatching = false;
 
   constructor(private readonly options: WatchCacheOptions) {
     const { prefix, store, clock, onChange } = options;
-    this.isFollowed = options.isFollowed;
+    this.isWatchEnabled = options.isWatchEnabled;
     this.copy = new PrefixCopy(onChange);
     const shared = { prefix, store, clock, copy: this.copy };
     this.listing = new PrefixListing({ ...shared, onListed: () => this.watch() });
     this.reads = new LinearizableReads({ ...shared, listing: this.listing });
   }
 
-  /** The copy by key. */
+  /** The cached items by key. */
   get items(): ReadonlyMap<string, CachedItem> {
     return this.copy.items;
   }
 
-  /** Whether the copy has been filled once. */
+  /** Whether the copy has been filled by a complete listing. */
   get isReady(): boolean {
     return this.copy.isReady;
   }
 
-  /** When the last read that was answered had been sent: all that was stored by then is in the copy. */
+  /** When the last successful read was sent; the copy holds everything stored by then. */
   get freshAsOf(): number {
     return this.reads.freshAsOf;
   }
 
-  /** Whether the last read failed: the next ones are answered with false at once, until a probe succeeds. */
+  /** Whether the last read failed. Further reads then return false at once until a probe succeeds. */
   get isFailing(): boolean {
     return this.reads.isFailing;
   }
 
-  /** Fills the copy, and keeps it from then on. */
+  /** Fills the copy and keeps it up to date from then on. */
   start(): void {
     this.listing.start();
     this.readWhileIdle();
   }
 
-  /** Whether the copy is kept by watching from now on. */
-  setFollowed(isFollowed: boolean): void {
-    this.isFollowed = isFollowed;
+  /** Enables or disables watching for changes. */
+  setWatchEnabled(isWatchEnabled: boolean): void {
+    this.isWatchEnabled = isWatchEnabled;
     this.watch();
   }
 
   /**
-   * Calls back once the copy holds everything stored before this call, or with false if that can't be had now. The read that
-   * serves a call is always sent after it came: no answer is older than its question.
+   * Calls back once the copy holds everything stored before this call, or with false if that is not possible
+   * now. The read that serves a call is always sent after the call, so no result is older than its call.
    */
   linearizableRead(callback: ReadCallback): void {
     this.reads.read(callback);
   }
 
-  /** Brings the copy up to date soon, for nobody in particular. */
+  /** Schedules a read of the latest changes without waiting for it. */
   requestRead(): void {
     this.reads.request();
   }
@@ -90,12 +102,12 @@
   private readWhileIdle(): void {
     const { clock } = this.options;
     const isIdle = clock.now() - this.reads.lastReadAt > IDLE_READ_INTERVAL_MS;
-    if (!this.isFollowed && this.isReady && isIdle) this.linearizableRead(() => {});
+    if (!this.isWatchEnabled && this.isReady && isIdle) this.linearizableRead(() => {});
     clock.after(IDLE_READ_INTERVAL_MS / 4, () => this.readWhileIdle());
   }
 
   private watch(): void {
-    if (!this.isFollowed || this.isWatching || this.listing.isRunning || !this.isReady) return;
+    if (!this.isWatchEnabled || this.isWatching || this.listing.isRunning || !this.isReady) return;
     this.isWatching = true;
     const { prefix, store, clock, watchWaitMs, minWatchIntervalMs } = this.options;
     const sentAt = clock.now();
@@ -106,7 +118,7 @@
         this.watchAgainAfter(Math.max(0, sentAt + minWatchIntervalMs - clock.now()));
       } else if (result.kind === 'refused') this.watchAgainAfter(WATCH_RETRY_MS);
       else {
-        // The history of changes is lost, or the answer is: the keys are listed again.
+        // The store no longer has the changes, or the outcome is unknown: the keys are listed again.
         this.isWatching = false;
         if (result.kind === 'notFound') this.listing.start();
         else clock.after(WATCH_RETRY_MS, () => this.listing.start());
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -7,8 +7,8 @@
   decodeMachinePage,
   decodeMachineTypes,
   decodeRentedMachines,
-  encodeDeletion,
-  encodeRental,
+  encodeDeletionRequest,
+  encodeRentalRequest,
   type MachinePage,
 } from '../wire/cloud-messages.js';
 import { parseJson } from '../wire/json.js';
@@ -76,7 +76,7 @@
       priority: PRIORITY.rental,
       method: 'POST',
       path: '/machines',
-      body: encodeRental(request),
+      body: encodeRentalRequest(request),
       onReply: (reply) => callback(rentalResultOf(reply)),
     });
   }
@@ -87,7 +87,7 @@
       priority: PRIORITY.deletion,
       method: 'POST',
       path: '/machines/delete',
-      body: encodeDeletion(machineNames),
+      body: encodeDeletionRequest(machineNames),
       onReply: (reply) =>
         callback(reply.status === 200 ? { ok: true, value: null } : { ok: false, kind: 'indeterminate' }),
     });
--- a/src/transport/http-api.ts
+++ b/src/transport/http-api.ts
@@ -4,7 +4,7 @@
 import type { ControllerService } from '../model/controller-service.js';
 import type { Logger } from '../model/logger.js';
 import { asNonEmptyString, isJsonObject, parseJson } from '../wire/json.js';
-import { decodeHeartbeat, encodeHeartbeatAnswer, encodeRedirect } from '../wire/worker-messages.js';
+import { decodeHeartbeat, encodeHeartbeatResponse, encodeRedirect } from '../wire/worker-messages.js';
 import type { HttpMessage } from './http-parser.js';
 import { HEARTBEAT_PATH } from './http-paths.js';
 import type { HttpResponse, RequestHandler } from './http-server.js';
@@ -61,7 +61,7 @@
     case 'accepted':
       return {
         status: 200,
-        body: JSON.stringify(encodeHeartbeatAnswer(answer.fencingToken, answer.commands)),
+        body: JSON.stringify(encodeHeartbeatResponse(answer.fencingToken, answer.commands)),
       };
     case 'redirected':
       return { status: 421, body: JSON.stringify(encodeRedirect(answer.leaderName)) };
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -15,11 +15,11 @@
 import { parseJson } from '../wire/json.js';
 import {
   decodeFailedKeys,
-  decodeItem,
-  decodeItemPage,
   decodeLeaseId,
+  decodeListPage,
+  decodeStoredItem,
   decodeStoreRevision,
-  decodeWatchBatch,
+  decodeWatchReply,
   encodeTransaction,
 } from '../wire/store-messages.js';
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
@@ -76,7 +76,7 @@
         urgency,
         writes: 0,
         call: { method: 'GET', path: `/store/${encodeURI(key)}` },
-        decode: decodeItem,
+        decode: decodeStoredItem,
         ifMissing: null,
       },
       callback,
@@ -87,7 +87,7 @@
   list({ prefix, startAfter, urgency }: ListRequest, callback: ResultCallback<ListPage>): void {
     const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=${PAGE_ITEMS}`;
     this.run(
-      { urgency, writes: 0, call: { method: 'GET', path: `/store?${query}` }, decode: decodeItemPage },
+      { urgency, writes: 0, call: { method: 'GET', path: `/store?${query}` }, decode: decodeListPage },
       callback,
     );
   }
@@ -132,7 +132,7 @@
       }
       this.watches.call({ method: 'GET', path, deadlineMs }, (reply) => {
         if (reply.status === 429) this.limiter.onThrottled();
-        callback(resultOf(reply, decodeWatchBatch));
+        callback(resultOf(reply, decodeWatchReply));
       });
     });
   }
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -1,9 +1,9 @@
 /** The HTTP API of users and health checks. */
 
 import { type Context, Hono } from 'hono';
+import type { ApiResponse } from '../model/api-response.js';
 import type { Clock } from '../model/clock.js';
 import type { ControllerService } from '../model/controller-service.js';
-import type { ApiAnswer } from '../model/job-answer.js';
 import type { Logger } from '../model/logger.js';
 import { parseJson } from '../wire/json.js';
 import { decodeSubmission, encodeJobStatus, isJobId } from '../wire/user-messages.js';
@@ -108,7 +108,7 @@
     );
   }
 
-  private respond(context: Context, id: string, answer: ApiAnswer): Response {
+  private respond(context: Context, id: string, answer: ApiResponse): Response {
     switch (answer.type) {
       case 'job':
         return context.json(encodeJobStatus(id, answer), answer.created ? 201 : 200);
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -1,15 +1,15 @@
-/** The cloud's protocol: machine types, rentals, deletions and the list of machines. */
+/** The cloud's protocol: machine types, rentals, deletions and machine lists. */
 
 import type { RentalRequest } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import { asFiniteNumber, asNonEmptyString, isJsonObject } from './json.js';
 
-/** Assumed of a machine type where the cloud does not say. */
+/** Defaults for properties of a machine type that the cloud does not specify. */
 const DEFAULT_IMAGE_FETCH_GB_PER_SECOND = 0.1;
 const DEFAULT_HOURLY_PRICE = 1;
 const DEFAULT_BOOT_SECONDS = 30;
 
-/** The machine types in a response; those without a name, CPUs or memory are passed over. */
+/** Decodes the machine types in a response; types without a name, CPUs or memory are skipped. */
 export function decodeMachineTypes(encoded: unknown): MachineType[] {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.barks)) return [];
   return encoded.barks.map(decodeMachineType).filter((machineType) => machineType !== null);
@@ -36,17 +36,20 @@
   };
 }
 
-/** One page of the list of machines, in the order of their names; `more`: further pages follow. */
+/** One page of the list of machines, in name order. `hasMore` is true if further pages follow. */
 export interface MachinePage {
   machines: ListedMachine[];
-  more: boolean;
+  hasMore: boolean;
 }
 
-/** A page in a response, or null if it is malformed; machines without a name or a known phase are passed over. */
+/**
+ * Decodes a page in a response, or returns null if it is malformed. Machines without a name or a known phase
+ * are skipped.
+ */
 export function decodeMachinePage(encoded: unknown): MachinePage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.trunks)) return null;
   const machines = encoded.trunks.map(decodeListedMachine).filter((machine) => machine !== null);
-  return { machines, more: encoded.has_next === true };
+  return { machines, hasMore: encoded.has_next === true };
 }
 
 function decodeListedMachine(encoded: unknown): ListedMachine | null {
@@ -65,13 +68,13 @@
   };
 }
 
-/** The names of the machines that a rental got, or null if the response is malformed. */
+/** Decodes the names of the rented machines, or returns null if the response is malformed. */
 export function decodeRentedMachines(encoded: unknown): string[] | null {
   return isJsonObject(encoded) && Array.isArray(encoded.trunks) ? stringsIn(encoded.trunks) : null;
 }
 
-/** The body of a rental request. */
-export function encodeRental({
+/** Encodes the body of a rental request. */
+export function encodeRentalRequest({
   claim,
   machineType,
   zone,
@@ -81,8 +84,8 @@
   return { claim, bark: machineType, slope: zone, windfall: isSpot, number: count };
 }
 
-/** The body of a request to delete machines. */
-export function encodeDeletion(machineNames: string[]): Record<string, unknown> {
+/** Encodes the body of a request to delete machines. */
+export function encodeDeletionRequest(machineNames: string[]): Record<string, unknown> {
   return { trunks: machineNames };
 }
 
--- a/src/wire/field-codec.ts
+++ b/src/wire/field-codec.ts
@@ -1,18 +1,19 @@
 /**
- * Declarative mapping between typed values and their encoded forms. Messages between controllers and stored records keep
- * the short names that earlier versions write and read, whatever a field is called in the program.
+ * Declarative mapping between typed values and their encoded forms. Messages between controllers and stored
+ * records keep the short names that earlier versions read and write, independently of the field names in the
+ * code.
  */
 
 import { isJsonObject } from './json.js';
 
-/** Translates a value to its encoded form and back. */
+/** Converts a value to its encoded form and back. */
 export interface Codec<T> {
   encode(value: T): unknown;
-  /** Throws a `DecodeError` where the encoded value is not of the expected form. */
+  /** Throws a {@link DecodeError} if the encoded value does not have the expected form. */
   decode(encoded: unknown): T;
 }
 
-/** An encoded value is not of the form that controllers write. */
+/** Thrown when an encoded value does not have the form that controllers write. */
 export class DecodeError extends Error {
   constructor(expected: string, encoded: unknown) {
     super(`expected ${expected}, got ${encoded === null ? 'null' : typeof encoded}`);
@@ -20,30 +21,33 @@
   }
 }
 
-/** A field's encoded name, with a codec where its value is not written as it is, or must be there to be read. */
+/** A field's encoded name, with a codec if its value is converted or the field is required. */
 export type FieldMapping<T> = string | CodedField<T>;
 
 interface CodedField<T> {
   readonly name: string;
   readonly codec: Codec<T>;
-  /** What lacks the field, or has null for it, can't be decoded. */
+  /** Whether decoding fails if the field is missing or null. */
   readonly isRequired: boolean;
 }
 
-/** The encoded name of each field of `T`. */
+/** The mapping of each field of `T`. */
 export type FieldMappings<T> = { readonly [Key in keyof T]-?: FieldMapping<NonNullable<T[Key]>> };
 
-/** A field whose value has a codec of its own; null and undefined are written as they are. */
+/** Maps a field whose value has its own codec; null and undefined are not converted. */
 export function field<T>(name: string, codec: Codec<T>): FieldMapping<T> {
   return { name, codec, isRequired: false };
 }
 
-/** A field without which an object can't be decoded. */
+/** Maps a field that must be present and not null for the object to be decoded. */
 export function requiredField<T>(name: string, codec: Codec<T>): FieldMapping<T> {
   return { name, codec, isRequired: true };
 }
 
-/** An object with named fields, written in the order of the mappings. Absent fields stay absent, unknown ones are ignored. */
+/**
+ * Creates a codec for an object. Fields are written in the order of the mappings; absent fields stay absent
+ * and unknown fields are ignored.
+ */
 export function object<T extends object>(mappings: FieldMappings<T>): Codec<T> {
   const fields = (Object.entries(mappings) as [string, FieldMapping<unknown>][]).map(([key, mapping]) =>
     typeof mapping === 'string'
@@ -85,9 +89,10 @@
 type Translation = (source: Readonly<Record<string, unknown>>) => Record<string, unknown>;
 
 /**
- * A function that copies fields under their other names. Controllers translate lists of hundreds of objects several times a
- * second, and a loop over the names, which the engine can't optimize for one kind of object, takes several times as long as
- * this generated code. Only the names of the tables become part of the code, never a value.
+ * Creates a function that copies fields under their other names. Controllers translate lists of hundreds of
+ * objects several times per second. A loop over the names, which the engine can't optimize for one object
+ * shape, takes several times as long as this generated code. Only names from the mapping tables become part
+ * of the generated code, never a value.
  */
 function compileTranslation(fields: readonly FieldTranslation[]): Translation {
   const statements = fields.map(({ from, to, convert }, index) => {
@@ -107,7 +112,10 @@
   return createTranslation(fields.map(({ convert }) => convert));
 }
 
-/** Words of which some are written differently; others, unknown ones included, are written and read as they are. */
+/**
+ * Creates a codec for string values, some of which are encoded under another name. All others, including
+ * unknown ones, are kept as they are.
+ */
 export function renamedValues<T extends string>(encodedNames: { readonly [Value in T]?: string }): Codec<T> {
   const encoded = new Map<unknown, unknown>(Object.entries(encodedNames));
   const decoded = new Map<unknown, unknown>(
@@ -119,7 +127,7 @@
   };
 }
 
-/** Values that are written as they are, and read if they pass a check. */
+/** Creates a codec for values that are not converted but must pass a check to be decoded. */
 export function checked<T>(expected: string, isValid: (encoded: unknown) => boolean): Codec<T> {
   return {
     encode: (value) => value,
@@ -130,7 +138,7 @@
   };
 }
 
-/** A list of values of one kind. */
+/** Creates a codec for a list of values of one type. */
 export function list<T>(codec: Codec<T>): Codec<T[]> {
   return {
     encode: (values) => values.map((value) => codec.encode(value)),
@@ -141,13 +149,19 @@
   };
 }
 
-/** One kind of a tagged union: the value of its tag, as encoded, and the mappings of its fields, the tag among them. */
+/**
+ * One variant of a tagged union: the encoded value of its tag, and the mappings of its fields including the
+ * tag.
+ */
 export interface Variant<T extends object> {
   readonly tagValue: string;
   readonly fields: FieldMappings<T>;
 }
 
-/** A union told apart by the tag `type`, whose encoded name and values are given with the variants. */
+/**
+ * Creates a codec for a union discriminated by the field `type`. `encodedTag` is the encoded name of that
+ * field; each variant has the encoded value.
+ */
 export function taggedUnion<T extends { type: string }>(
   encodedTag: string,
   variants: { readonly [Tag in T['type']]: Variant<Extract<T, { type: Tag }>> },
--- a/src/wire/json.ts
+++ b/src/wire/json.ts
@@ -1,14 +1,17 @@
-/** Reading JSON that comes from outside: each reader gives null, or undefined, for what is not of the expected form. */
+/**
+ * Reads JSON from external sources. Each reader returns null or undefined if the value does not have the
+ * expected form.
+ */
 
-/** An object of which nothing is known but that it is one. */
+/** A JSON object whose fields have not been checked. */
 export type JsonObject = Record<string, unknown>;
 
-/** Whether a value is an object; lists and null are none. */
+/** Returns whether a value is an object; arrays and null are not. */
 export function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** The value of a JSON text; undefined if it is malformed. */
+/** Parses a JSON text; returns undefined if it is malformed. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -17,22 +20,22 @@
   }
 }
 
-/** A string of at least one character, or null. */
+/** Returns the value if it is a non-empty string, otherwise null. */
 export function asNonEmptyString(value: unknown): string | null {
   return typeof value === 'string' && value.length > 0 ? value : null;
 }
 
-/** A number, or null. */
+/** Returns the value if it is a finite number, otherwise null. */
 export function asFiniteNumber(value: unknown): number | null {
   return typeof value === 'number' && Number.isFinite(value) ? value : null;
 }
 
-/** An integer of at least 0, or null. */
+/** Returns the value if it is a non-negative integer, otherwise null. */
 export function asCount(value: unknown): number | null {
   return typeof value === 'number' && Number.isInteger(value) && value >= 0 ? value : null;
 }
 
-/** What a word of the protocol stands for; undefined if the table does not list it. */
-export function lookUp<T>(meanings: Readonly<Record<string, T>>, word: unknown): T | undefined {
-  return typeof word === 'string' && Object.hasOwn(meanings, word) ? meanings[word] : undefined;
+/** Looks up a protocol name in a table; returns undefined if the table does not contain it. */
+export function lookUp<T>(table: Readonly<Record<string, T>>, key: unknown): T | undefined {
+  return typeof key === 'string' && Object.hasOwn(table, key) ? table[key] : undefined;
 }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between controllers. The encoded names are those of every version that may serve at the same time; the order of a
- * table's fields is that of the encoded bytes.
+ * Codec for messages between controllers. The encoded names are shared by all versions that may run at the
+ * same time. The order of the fields in a table is their order in the encoded bytes.
  */
 
 import type { ImageLocation } from '../model/image-location.js';
@@ -69,7 +69,7 @@
   taskIndex: 'idx',
   attempt: 'attempt',
   machine: 'machine',
-  agentEpoch: 'season',
+  workerEpoch: 'season',
   desiredState: field('want', desiredState),
   gracePeriodSeconds: 'graceS',
   team: 'team',
@@ -93,7 +93,7 @@
   team: 'team',
   machine: 'machine',
   zone: 'zone',
-  agentEpoch: 'season',
+  workerEpoch: 'season',
   endedTasks: 'endedTasks',
 });
 
@@ -162,7 +162,7 @@
       instanceId: 'inst',
       tasks: requiredField(
         'tasks',
-        list(object<{ machine: string; taskKey: string }>({ machine: 'machine', taskKey: 'key' })),
+        list(object<{ machine: string; attemptKey: string }>({ machine: 'machine', attemptKey: 'key' })),
       ),
       grants: requiredField('grants', grantIds),
     },
@@ -221,11 +221,11 @@
   pendingMachines: 'pending',
 });
 
-/** Encoded as three values in this order. */
-const imageFact: Codec<ImageLocation> = {
+/** Encoded as an array of machine, image and size in GB. */
+const imageLocation: Codec<ImageLocation> = {
   encode: ({ machine, image, sizeGb }) => [machine, image, sizeGb],
   decode: (encoded) => {
-    if (!isImageFact(encoded)) throw new DecodeError('machine, image and size in GB', encoded);
+    if (!isImageLocation(encoded)) throw new DecodeError('machine, image and size in GB', encoded);
     const [machine, image, sizeGb] = encoded;
     return { machine, image, sizeGb };
   },
@@ -249,7 +249,7 @@
   cancelled: { tagValue: 'cancelled', fields: { type: 'k', jobId: 'job', cancellationNumber: 'n' } },
   images: {
     tagValue: 'images',
-    fields: { type: 'k', added: field('add', list(imageFact)), removedMachines: 'gone' },
+    fields: { type: 'k', added: field('add', list(imageLocation)), removedMachines: 'gone' },
   },
   toLeader: {
     tagValue: 'owner',
@@ -268,12 +268,14 @@
   body: field('body', messageBody),
 });
 
-/** The encoded form of a message, to be packed for the connection. */
+/** Encodes a message into the value that is serialized for the connection. */
 export function encodePeerMessage(message: PeerMessage): unknown {
   return peerMessage.encode(message);
 }
 
-/** The message that another controller sent; null if it is not of a form that controllers send. */
+/**
+ * Decodes a message from another controller; returns null if it does not have the form that controllers send.
+ */
 export function decodePeerMessage(encoded: unknown): PeerMessage | null {
   if (!isPeerMessage(encoded)) return null;
   try {
@@ -284,7 +286,7 @@
   }
 }
 
-// What a controller relies on in the encoded form.
+// Checks of the encoded fields that controllers rely on.
 
 function isPeerMessage(encoded: unknown): boolean {
   if (!isJsonObject(encoded)) return false;
@@ -301,7 +303,7 @@
     case 'cancelled':
       return typeof body.job === 'string' && typeof body.n === 'number';
     case 'images':
-      return isImageFacts(body.add) && isNames(body.gone);
+      return isImageLocationList(body.add) && isNameList(body.gone);
     case 'owner':
     case 'scheduler':
       return typeof body.to === 'string' && isJsonObject(body.m);
@@ -315,7 +317,7 @@
     typeof body.token === 'number' &&
     typeof body.leader === 'string' &&
     typeof body.okAgeMs === 'number' &&
-    isNames(body.strays) &&
+    isNameList(body.strays) &&
     typeof body.mark === 'number' &&
     typeof body.told === 'number' &&
     isTimestamp(body.had) &&
@@ -323,11 +325,11 @@
   );
 }
 
-function isImageFacts(value: unknown): boolean {
-  return Array.isArray(value) && value.every(isImageFact);
+function isImageLocationList(value: unknown): boolean {
+  return Array.isArray(value) && value.every(isImageLocation);
 }
 
-function isImageFact(value: unknown): value is [string, string, number] {
+function isImageLocation(value: unknown): value is [string, string, number] {
   return (
     Array.isArray(value) &&
     typeof value[0] === 'string' &&
@@ -336,7 +338,7 @@
   );
 }
 
-function isNames(value: unknown): boolean {
+function isNameList(value: unknown): boolean {
   return Array.isArray(value) && value.every((name) => typeof name === 'string');
 }
 
@@ -349,5 +351,5 @@
 
 function isCoverage(value: unknown): boolean {
   if (value === null) return true;
-  return isTimestamp(value) && isJsonObject(value) && (value.pending === null || isNames(value.pending));
+  return isTimestamp(value) && isJsonObject(value) && (value.pending === null || isNameList(value.pending));
 }
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,4 +1,7 @@
-/** The state service's protocol: keys, pages, transactions, leases and watches. */
+/**
+ * The protocol of the state service, which provides the key-value store: items, pages, transactions, leases
+ * and watches.
+ */
 
 import type {
   ListPage,
@@ -10,8 +13,8 @@
 } from '../model/key-value-store.js';
 import { asCount, asNonEmptyString, isJsonObject } from './json.js';
 
-/** A key with its value and revision, or null if it is malformed. */
-export function decodeItem(encoded: unknown): StoredItem | null {
+/** Decodes a key with its value and revision, or returns null if it is malformed. */
+export function decodeStoredItem(encoded: unknown): StoredItem | null {
   if (!isJsonObject(encoded)) return null;
   const key = asNonEmptyString(encoded.key);
   const modRevision = asCount(encoded.mark);
@@ -20,34 +23,37 @@
   return { key, value: encoded.value, modRevision, ...(leaseId === null ? {} : { leaseId }) };
 }
 
-/** A page in a response, or null if it can't be read whole: a missing item would be taken for a deleted one. */
-export function decodeItemPage(encoded: unknown): ListPage | null {
+/**
+ * Decodes a page in a response. Returns null if any item is malformed, because a missing item would be taken
+ * for a deleted one.
+ */
+export function decodeListPage(encoded: unknown): ListPage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.items)) return null;
   const storeRevision = asCount(encoded.ring);
   if (storeRevision === null) return null;
-  const items = decodeAll(encoded.items, decodeItem);
+  const items = decodeAll(encoded.items, decodeStoredItem);
   return items && { items, hasMore: encoded.has_next === true, storeRevision };
 }
 
-/** The store's revision after a transaction, or null if the response is malformed. */
+/** Decodes the store revision after a transaction, or returns null if the response is malformed. */
 export function decodeStoreRevision(encoded: unknown): number | null {
   return isJsonObject(encoded) ? asCount(encoded.ring) : null;
 }
 
-/** The keys whose conditions a transaction failed on, as far as the response names them. */
+/** Decodes the keys whose preconditions did not hold, as far as the response names them. */
 export function decodeFailedKeys(encoded: unknown): string[] {
   return isJsonObject(encoded) && Array.isArray(encoded.failed)
     ? encoded.failed.filter((key): key is string => typeof key === 'string')
     : [];
 }
 
-/** The id of a lease that was granted, or null if the response is malformed. */
+/** Decodes the id of a granted lease, or returns null if the response is malformed. */
 export function decodeLeaseId(encoded: unknown): number | null {
   return isJsonObject(encoded) ? asCount(encoded.tenure) : null;
 }
 
-/** The changes in a response, or null if they can't be read whole: none may be missed. */
-export function decodeWatchBatch(encoded: unknown): WatchReply | null {
+/** Decodes the changes in a response. Returns null if any change is malformed, because none may be missed. */
+export function decodeWatchReply(encoded: unknown): WatchReply | null {
   if (!isJsonObject(encoded)) return null;
   const storeRevision = asCount(encoded.ring);
   if (storeRevision === null || !Array.isArray(encoded.log)) return null;
@@ -65,7 +71,7 @@
   return deleted === null ? null : { type: 'delete', key: deleted, modRevision };
 }
 
-/** The body of a transaction. */
+/** Encodes the body of a transaction. */
 export function encodeTransaction(transaction: Transaction): Record<string, unknown> {
   return {
     when: transaction.preconditions.map(({ key, modRevision }) => ({ key, mark: modRevision })),
@@ -79,13 +85,13 @@
   return leaseId === undefined ? { write: key, value } : { write: key, value, tenure: leaseId };
 }
 
-/** All values decoded, or null if one can't be. */
+/** Decodes all values, or returns null if any of them is malformed. */
 function decodeAll<T>(encoded: readonly unknown[], decode: (value: unknown) => T | null): T[] | null {
   const decoded: T[] = [];
   for (const value of encoded) {
-    const one = decode(value);
-    if (one === null) return null;
-    decoded.push(one);
+    const item = decode(value);
+    if (item === null) return null;
+    decoded.push(item);
   }
   return decoded;
 }
--- a/src/wire/user-messages.ts
+++ b/src/wire/user-messages.ts
@@ -1,7 +1,7 @@
-/** The users' protocol: submissions, and the state of jobs. */
+/** The protocol for users: job submissions and job states. */
 
+import type { ApiResponse, JobState } from '../model/api-response.js';
 import type { JobKind, JobSpec, Priority } from '../model/job.js';
-import type { ApiAnswer, JobState } from '../model/job-answer.js';
 import { asCount, asFiniteNumber, asNonEmptyString, isJsonObject, lookUp } from './json.js';
 
 const JOB_ID = /^wk-[0-9A-Za-z]{1,32}$/;
@@ -22,14 +22,14 @@
 const MAX_IMAGE_NAME_LENGTH = 256;
 const MAX_MACHINE_TYPES = 64;
 
-/** Reads the value of a field; undefined: it is missing or invalid. */
+/** Decodes the value of a field; returns undefined if it is missing or invalid. */
 type FieldReader<T> = (encoded: unknown) => T | undefined;
 
 function flag(encoded: unknown): boolean | undefined {
   return typeof encoded === 'boolean' ? encoded : undefined;
 }
 
-function amount(encoded: unknown): number | undefined {
+function nonNegativeNumber(encoded: unknown): number | undefined {
   const value = asFiniteNumber(encoded);
   return value !== null && value >= 0 ? value : undefined;
 }
@@ -39,15 +39,15 @@
   return value !== null && value >= 1 && value <= MAX_TASKS ? value : undefined;
 }
 
-function text(maxLength: number): FieldReader<string> {
+function boundedString(maxLength: number): FieldReader<string> {
   return (encoded) => {
     const value = asNonEmptyString(encoded);
     return value !== null && value.length <= maxLength ? value : undefined;
   };
 }
 
-function oneOf<T>(meanings: Readonly<Record<string, T>>): FieldReader<T> {
-  return (encoded) => lookUp(meanings, encoded);
+function oneOf<T>(table: Readonly<Record<string, T>>): FieldReader<T> {
+  return (encoded) => lookUp(table, encoded);
 }
 
 function machineTypes(encoded: unknown): string[] | undefined {
@@ -62,7 +62,7 @@
 
 type SubmittedFields = Omit<JobSpec, 'id' | 'acceptedAtMs'>;
 
-/** By field, its name in the protocol and what reads it. */
+/** For each submitted field, its name in the protocol and its reader. */
 type SubmissionTable = {
   readonly [Field in keyof SubmittedFields]: {
     readonly name: string;
@@ -70,67 +70,70 @@
   };
 };
 
-/** The fields of a submission besides its id, in the order in which they are checked: the first fault is the one reported. */
+/**
+ * The fields of a submission except its id, in the order in which they are checked; only the first invalid
+ * field is reported.
+ */
 const SUBMITTED_FIELDS: SubmissionTable = {
-  jobClass: { name: 'grove', read: text(MAX_NAME_LENGTH) },
-  team: { name: 'crew', read: text(MAX_NAME_LENGTH) },
+  jobClass: { name: 'grove', read: boundedString(MAX_NAME_LENGTH) },
+  team: { name: 'crew', read: boundedString(MAX_NAME_LENGTH) },
   kind: { name: 'shape', read: oneOf(JOB_KINDS) },
   priority: { name: 'rank', read: oneOf(PRIORITIES) },
   taskCount: { name: 'saplings', read: taskCount },
-  cpus: { name: 'vcpus', read: amount },
-  gpus: { name: 'cards', read: amount },
-  memoryGb: { name: 'ram_gb', read: amount },
-  image: { name: 'seed', read: text(MAX_IMAGE_NAME_LENGTH) },
-  imageGb: { name: 'pull_gb', read: amount },
+  cpus: { name: 'vcpus', read: nonNegativeNumber },
+  gpus: { name: 'cards', read: nonNegativeNumber },
+  memoryGb: { name: 'ram_gb', read: nonNegativeNumber },
+  image: { name: 'seed', read: boundedString(MAX_IMAGE_NAME_LENGTH) },
+  imageGb: { name: 'pull_gb', read: nonNegativeNumber },
   machineTypes: { name: 'barks', read: optional(machineTypes) },
-  zone: { name: 'slope', read: optional(text(MAX_NAME_LENGTH)) },
+  zone: { name: 'slope', read: optional(boundedString(MAX_NAME_LENGTH)) },
   zoneAffinity: { name: 'together', read: flag },
   zoneAntiAffinity: { name: 'apart', read: flag },
   spotAllowed: { name: 'windfall', read: flag },
-  estimatedRunSeconds: { name: 'growth_s', read: amount },
-  checkpointIntervalSeconds: { name: 'ring_s', read: amount },
-  checkpointSaveSeconds: { name: 'resin_s', read: amount },
-  deadlineSeconds: { name: 'frost_s', read: optional(amount) },
+  estimatedRunSeconds: { name: 'growth_s', read: nonNegativeNumber },
+  checkpointIntervalSeconds: { name: 'ring_s', read: nonNegativeNumber },
+  checkpointSaveSeconds: { name: 'resin_s', read: nonNegativeNumber },
+  deadlineSeconds: { name: 'frost_s', read: optional(nonNegativeNumber) },
 };
 
-/** A submission that was read, or what is wrong with it, and its job's id if that can be read. */
+/** A decoded submission, or the reason why it is invalid with the job's id if that is valid. */
 export type DecodedSubmission =
   | { ok: true; spec: JobSpec }
   | { ok: false; id: string | null; reason: string };
 
-/** Whether a string has the form of job ids. */
+/** Returns whether a string has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
 
-/** Reads a submission that is accepted at `acceptedAtMs` (time of day), field by field. */
+/** Decodes a submission that is accepted at `acceptedAtMs` (wall-clock time), field by field. */
 export function decodeSubmission(encoded: unknown, acceptedAtMs: number): DecodedSubmission {
   if (!isJsonObject(encoded)) return { ok: false, id: null, reason: 'not a JSON object' };
   const id = asNonEmptyString(encoded.name_id);
-  if (id === null || !isJobId(id)) return { ok: false, id: null, reason: invalid('name_id') };
+  if (id === null || !isJobId(id)) return { ok: false, id: null, reason: invalidFieldReason('name_id') };
   const fields: Record<string, unknown> = {};
   for (const [field, { name, read }] of Object.entries(SUBMITTED_FIELDS)) {
     const value = read(encoded[name]);
-    if (value === undefined) return { ok: false, id, reason: invalid(name) };
+    if (value === undefined) return { ok: false, id, reason: invalidFieldReason(name) };
     fields[field] = value;
   }
-  // Every field of the table has been read.
+  // Every field of `SUBMITTED_FIELDS` has been set.
   return { ok: true, spec: { id, ...(fields as unknown as SubmittedFields), acceptedAtMs } };
 }
 
-function invalid(field: string): string {
+function invalidFieldReason(field: string): string {
   return `${field} is missing or invalid`;
 }
 
-/** A job's state as users are told. */
+/** Encodes a job's state for its user. */
 export function encodeJobStatus(
   id: string,
-  answer: Extract<ApiAnswer, { type: 'job' }>,
+  response: Extract<ApiResponse, { type: 'job' }>,
 ): Record<string, unknown> {
   return {
     name_id: id,
-    phase: JOB_PHASES[answer.state],
-    done: answer.finishedTasks,
-    running: answer.runningTasks,
+    phase: JOB_PHASES[response.state],
+    done: response.finishedTasks,
+    running: response.runningTasks,
   };
 }
--- a/src/wire/worker-messages.ts
+++ b/src/wire/worker-messages.ts
@@ -1,4 +1,4 @@
-/** The workers' protocol: heartbeats, their answers and direct commands. */
+/** The protocol for workers: heartbeats, responses to them and direct commands. */
 
 import type { ExitReason, TaskPhase } from '../model/job.js';
 import type { CommandBatch } from '../model/worker-command-port.js';
@@ -31,8 +31,8 @@
 };
 
 /**
- * A worker's heartbeat, or null if it is malformed. A list of tasks that can't be read whole proves nothing: a task that is
- * missing from it would be taken for gone.
+ * Decodes a worker's heartbeat, or returns null if it is malformed. A task list with a malformed entry
+ * invalidates the whole heartbeat, because a task missing from the list would be taken for gone.
  */
 export function decodeHeartbeat(encoded: unknown): Heartbeat | null {
   if (!isJsonObject(encoded)) return null;
@@ -41,10 +41,10 @@
   const machineType = asNonEmptyString(encoded.bark);
   const zone = asNonEmptyString(encoded.slope);
   if (machine === null || address === null || machineType === null || zone === null) return null;
-  const agentEpoch = asCount(encoded.season);
+  const workerEpoch = asCount(encoded.season);
   const sequence = asCount(encoded.tally);
   const fencingToken = asCount(encoded.crook ?? 0);
-  if (agentEpoch === null || sequence === null || fencingToken === null) return null;
+  if (workerEpoch === null || sequence === null || fencingToken === null) return null;
   const tasks = decodeTasks(encoded.saplings);
   if (tasks === null) return null;
   return {
@@ -53,7 +53,7 @@
     machineType,
     zone,
     isSpot: encoded.windfall === true,
-    agentEpoch,
+    workerEpoch,
     sequence,
     fencingToken,
     evictionNoticeSeconds: asFiniteNumber(encoded.felling_s),
@@ -91,24 +91,27 @@
   };
 }
 
-/** The answer to a heartbeat: commands, which the worker executes in order if the token is no lower than any it has seen. */
-export function encodeHeartbeatAnswer(
+/**
+ * Encodes the response to a heartbeat: commands, which the worker executes in order unless it has seen a
+ * higher fencing token.
+ */
+export function encodeHeartbeatResponse(
   fencingToken: number,
   commands: WorkerCommand[],
 ): Record<string, unknown> {
   return { crook: fencingToken, calls: commands.map(encodeCommand) };
 }
 
-/** The body of commands sent to a worker's address. */
+/** Encodes the body of commands sent directly to a worker. */
 export function encodeDirectCommands({
   fencingToken,
-  agentEpoch,
+  workerEpoch,
   commands,
 }: CommandBatch): Record<string, unknown> {
-  return { crook: fencingToken, season: agentEpoch, calls: commands.map(encodeCommand) };
+  return { crook: fencingToken, season: workerEpoch, calls: commands.map(encodeCommand) };
 }
 
-/** The answer to a worker that must turn to the leader; null: it isn't known here who leads. */
+/** Encodes the response that redirects a worker to the leader; null: the leader is not known here. */
 export function encodeRedirect(leaderName: string | null): Record<string, string> {
   return leaderName === null ? {} : { keeper: leaderName };
 }
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -83,7 +83,7 @@
     const { simulation, ids } = startRunningJobs(seed);
     const before = ids
       .slice(1)
-      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`));
     const leader = leaderOf(simulation);
     cancelAt(simulation, simulation.nodeNames.find((nodeName) => nodeName !== leader)!, ids[0]!);
     runFor(simulation, 12);
@@ -94,7 +94,7 @@
     expect(
       ids
         .slice(1)
-        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`)),
     ).toEqual(before);
     // A controller that ends may have confirmed a cancellation to a user last of all, and to nobody else.
     simulation.controllers.crash(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
@@ -112,7 +112,7 @@
     const { simulation, ids } = startRunningJobs(seed);
     const before = ids
       .slice(1)
-      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`));
     const old = leaderOf(simulation);
     simulation.store.refusedNodes.add(old);
     const next = () =>
@@ -131,7 +131,7 @@
     expect(
       ids
         .slice(1)
-        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`)),
     ).toEqual(before);
     simulation.store.readmit(old);
     simulation.store.setDown(false);
@@ -208,7 +208,7 @@
   runFor(simulation, 1000);
   cancelAt(simulation, leader, ids[0]!);
   runFor(simulation, 9000);
-  expect([worker.isAlive, worker.agentEpoch]).toEqual([true, 1]);
+  expect([worker.isAlive, worker.workerEpoch]).toEqual([true, 1]);
   for (const node of [
     ...simulation.nodeNames.filter((nodeName) => nodeName !== inside),
     'state',
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -50,11 +50,11 @@
   // With the current token, from before the start: it does not list the task, which runs.
   expect(harness.heartbeat([], 5, { sequence: 9 })).toEqual([]);
   expect(harness.hasFinalized()).toBe(false);
-  harness.heartbeat([], 5, { agentEpoch: 2, sequence: 12 });
-  expect(harness.heartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
+  harness.heartbeat([], 5, { workerEpoch: 2, sequence: 12 });
+  expect(harness.heartbeat([taskStatus('running')], 5, { workerEpoch: 1, sequence: 20 })).toEqual([]);
   // Nothing but copies is heard from here on.
   for (let i = 0; i < 80; i++) {
-    harness.heartbeat([], 5, { agentEpoch: 1, sequence: 9 });
+    harness.heartbeat([], 5, { workerEpoch: 1, sequence: 9 });
     harness.advance(1000);
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
@@ -96,7 +96,7 @@
     clock: clock as unknown as Clock,
     watchWaitMs: 10000,
     minWatchIntervalMs: 0,
-    isFollowed: true,
+    isWatchEnabled: true,
     onChange: (key, value) => value === undefined && gone.push(key),
   });
   cache.start();
--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -105,7 +105,7 @@
   if (otherWorker) simulation.network.unreachableInbound.delete(otherWorker.name);
   runFor(simulation, 20000);
   // Their leases had not run out: what they run was left to them.
-  expect([worker.agentEpoch, simulation.taskStarts]).toEqual([1, before]);
+  expect([worker.workerEpoch, simulation.taskStarts]).toEqual([1, before]);
   finish(simulation);
 });
 
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -101,7 +101,7 @@
           machineType: 'small',
           zone: 'a',
           isSpot: false,
-          agentEpoch: 1,
+          workerEpoch: 1,
           sequence: ++count,
           fencingToken: 5,
           evictionNoticeSeconds: null,
@@ -173,10 +173,10 @@
   const cut = simulation.simulator.now;
   simulation.simulator.run(cut + 28000);
   // Its lease (20 s) is over by now but for the controller inside.
-  expect([worker.isAlive, worker.agentEpoch]).toEqual([true, 1]);
+  expect([worker.isAlive, worker.workerEpoch]).toEqual([true, 1]);
   // `cancel_s` (40 s) after the cut nothing may run any more that was cancelled outside meanwhile.
   simulation.simulator.run(cut + 39900);
-  expect(worker.agentEpoch).toBeGreaterThan(1);
+  expect(worker.workerEpoch).toBeGreaterThan(1);
 });
 
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
@@ -235,7 +235,7 @@
       machineType: 'small',
       zone: 'a',
       isSpot: false,
-      agentEpoch: 1,
+      workerEpoch: 1,
       fencingToken: 5,
       evictionNoticeSeconds: null,
       tasks: [],
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -26,7 +26,9 @@
 const remove = (status: number) =>
   call<null>(status, '{}', (then) => cloud.deleteMachines(['vm-000231', 'vm-000232'], then));
 const list = (status: number, text: string, since = 'vm-000230') =>
-  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (then) => cloud.listMachines(since, then));
+  call<{ machines: ListedMachine[]; hasMore: boolean }>(status, text, (then) =>
+    cloud.listMachines(since, then),
+  );
 
 const G8: MachineType = {
   name: 'g8',
@@ -124,11 +126,11 @@
   test('is asked for in pages and read', async () => {
     expect(await list(200, text)).toStrictEqual({
       request: 'GET /machines?since=vm-000230&page=500',
-      result: { ok: true, value: { machines, more: true } },
+      result: { ok: true, value: { machines, hasMore: true } },
     });
     expect(await list(200, '{"trunks":[]}', '')).toStrictEqual({
       request: 'GET /machines?page=500',
-      result: { ok: true, value: { machines: [], more: false } },
+      result: { ok: true, value: { machines: [], hasMore: false } },
     });
     expect((await list(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
   });
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from 'vitest';
 import { compilePolicy } from '../../src/config/policy.js';
 import { Controller } from '../../src/controller/controller.js';
+import type { ApiResponse } from '../../src/model/api-response.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { ApiAnswer } from '../../src/model/job-answer.js';
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { Heartbeat } from '../../src/model/worker-messages.js';
@@ -45,7 +45,7 @@
   machineType: 'g8',
   zone: 'a',
   isSpot: false,
-  agentEpoch: 1,
+  workerEpoch: 1,
   sequence: 1,
   fencingToken: 0,
   evictionNoticeSeconds: null,
@@ -109,7 +109,7 @@
         then(cloudTypes.length > 0 ? { ok: true, value: cloudTypes } : { ok: false, kind: 'refused' }),
       rentMachines: (_request, then) => then({ ok: false, kind: 'refused' }),
       deleteMachines: (_names, then) => then({ ok: true, value: null }),
-      listMachines: (_since, then) => then({ ok: true, value: { machines: [], more: false } }),
+      listMachines: (_since, then) => then({ ok: true, value: { machines: [], hasMore: false } }),
     },
     workers: { sendCommands: () => {} },
     peers: { send: (_host, message) => sent.push(message) },
@@ -117,7 +117,7 @@
   controller.start();
   sim.run(ms);
   const submit = () => {
-    let answer: ApiAnswer | undefined;
+    let answer: ApiResponse | undefined;
     controller.api.submitJob(SPEC, (given) => {
       answer = given;
     });
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -73,7 +73,7 @@
   taskIndex: 3,
   attempt: 2,
   machine: 'vm-000231',
-  agentEpoch: 4,
+  workerEpoch: 4,
   desiredState: 'run',
   gracePeriodSeconds: 0,
   team: 'vision',
@@ -104,7 +104,7 @@
   team: 'vision',
   machine: 'vm-000231',
   zone: 'a',
-  agentEpoch: 4,
+  workerEpoch: 4,
 };
 const inPhase = (phase: TaskPhase): AllocationEvent => ({
   type: 'phase',
@@ -208,7 +208,7 @@
     type: 'release',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
-    tasks: [{ machine: 'vm-000231', taskKey: 'wk-000412/3#2' }],
+    tasks: [{ machine: 'vm-000231', attemptKey: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
   covered: {
--- a/test/forms/recorded-state.ts
+++ b/test/forms/recorded-state.ts
@@ -1,5 +1,5 @@
 import type { KeyValueStore } from '../../src/model/key-value-store.js';
-import { decodeItem, decodeItemPage, encodeTransaction } from '../../src/wire/store-messages.js';
+import { decodeListPage, decodeStoredItem, encodeTransaction } from '../../src/wire/store-messages.js';
 
 /** A state service that holds texts of records by key, and keeps the text of every transaction it is sent. */
 export class RecordedState {
@@ -11,12 +11,15 @@
   readonly port: KeyValueStore = {
     get: (key, _urgency, then) => {
       const text = this.records.get(key);
-      then({ ok: true, value: text === undefined ? null : decodeItem(JSON.parse(this.itemText(key, text))) });
+      then({
+        ok: true,
+        value: text === undefined ? null : decodeStoredItem(JSON.parse(this.itemText(key, text))),
+      });
     },
     list: ({ prefix }, then) => {
       const items = [...this.records].filter(([key]) => key.startsWith(prefix)).sort();
       const text = `{"items":[${items.map(([key, value]) => this.itemText(key, value)).join()}],"has_next":false,"ring":50}`;
-      then({ ok: true, value: decodeItemPage(JSON.parse(text))! });
+      then({ ok: true, value: decodeListPage(JSON.parse(text))! });
     },
     compareAndSwap: (transaction, _urgency, then) => {
       this.transactions.push(JSON.stringify(encodeTransaction(transaction)));
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from 'vitest';
 import { JobApi } from '../../src/api/job-api.js';
+import type { ApiResponse } from '../../src/model/api-response.js';
 import type { Clock } from '../../src/model/clock.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { ApiAnswer } from '../../src/model/job-answer.js';
 import type { StoreOperation } from '../../src/model/key-value-store.js';
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ShardMessage } from '../../src/model/shard-messages.js';
@@ -13,7 +13,7 @@
 import { WriteFence } from '../../src/shard/write-fence.js';
 import { mergeStoredItem, type StoredJob } from '../../src/store/stored-job.js';
 import { WatchCache } from '../../src/store/watch-cache.js';
-import { decodeItem, encodeTransaction } from '../../src/wire/store-messages.js';
+import { decodeStoredItem, encodeTransaction } from '../../src/wire/store-messages.js';
 import { shardOwnerOptions } from '../simulation/shard-owner-harness.js';
 import { RecordedState } from './recorded-state.js';
 
@@ -102,7 +102,7 @@
 /** The API over stored texts, and its answer to one request. */
 function ask(
   records: Record<string, string>,
-  request: (api: JobApi, then: (answer: ApiAnswer) => void) => void,
+  request: (api: JobApi, then: (answer: ApiResponse) => void) => void,
 ) {
   const state = new RecordedState(new Map(Object.entries(records)));
   const clock = steppingClock();
@@ -112,7 +112,7 @@
     clock,
     watchWaitMs: 10000,
     minWatchIntervalMs: 100,
-    isFollowed: false,
+    isWatchEnabled: false,
     onChange: () => {},
   });
   open.start();
@@ -124,7 +124,7 @@
     log,
     onCancelled: () => {},
   });
-  let answer: ApiAnswer | undefined;
+  let answer: ApiResponse | undefined;
   request(api, (given) => {
     answer = given;
   });
@@ -134,7 +134,7 @@
 function storedJob(records: Record<string, string>): StoredJob | undefined {
   const found = new Map<string, StoredJob>();
   for (const [key, text] of Object.entries(records))
-    mergeStoredItem(found, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+    mergeStoredItem(found, decodeStoredItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
   return [...found.values()][0];
 }
 
@@ -153,7 +153,7 @@
     taskIndex: taskIndex,
     attempt: 2,
     machine,
-    agentEpoch: 4,
+    workerEpoch: 4,
     zone: 'a',
     grantId: 9,
     isStored: false,
@@ -290,16 +290,16 @@
     owner.flush();
     const placements = said.flatMap((message) => (message.type === 'fullSync' ? message.placements : []));
     expect(
-      placements.map(({ jobId: job, taskIndex, attempt, machine, agentEpoch }) => [
+      placements.map(({ jobId: job, taskIndex, attempt, machine, workerEpoch }) => [
         job,
         taskIndex,
         attempt,
         machine,
-        agentEpoch,
+        workerEpoch,
       ]),
     ).toEqual([['wk-000412', 0, 2, 'vm-000231', 4]]);
     owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 3 });
-    const place = { jobId: 'wk-000412', team: TEAM.name, zone: 'a', agentEpoch: 1 };
+    const place = { jobId: 'wk-000412', team: TEAM.name, zone: 'a', workerEpoch: 1 };
     owner.onLeaderMessage({
       type: 'grants',
       fencingToken: 3,
@@ -340,7 +340,7 @@
 describe('answers to users from stored records', () => {
   const open = { 'open/wk-7/a': `{"j":${ARRAY_TEXT}}` };
 
-  test.each<[string, Record<string, string>, ApiAnswer]>([
+  test.each<[string, Record<string, string>, ApiResponse]>([
     ['no record', {}, { type: 'notFound' }],
     ['accepted', open, { type: 'job', created: false, state: 'queued', finishedTasks: 0, runningTasks: 0 }],
     [
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from 'vitest';
 import type { Controller } from '../../src/controller/controller.js';
+import type { ApiResponse } from '../../src/model/api-response.js';
 import type { Clock } from '../../src/model/clock.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { ApiAnswer } from '../../src/model/job-answer.js';
 import { createRequestHandler } from '../../src/transport/http-api.js';
 import type { HttpResponse } from '../../src/transport/http-server.js';
 import { createUserApi } from '../../src/transport/user-api.js';
@@ -41,21 +41,21 @@
   method: string,
   path: string,
   body: string,
-  given: ApiAnswer,
+  given: ApiResponse,
   of: { ready?: boolean; elsewhere?: boolean } = {},
 ): Promise<{ reply: string; retry: boolean; asked: unknown[] }> {
   const asked: unknown[] = [];
   const controller = {
     api: {
-      submitJob: (spec: JobSpec, then: (answer: ApiAnswer) => void) => {
+      submitJob: (spec: JobSpec, then: (answer: ApiResponse) => void) => {
         asked.push('submit', spec);
         then(given);
       },
-      getJob: (id: string, then: (answer: ApiAnswer) => void) => {
+      getJob: (id: string, then: (answer: ApiResponse) => void) => {
         asked.push('poll', id);
         then(given);
       },
-      cancelJob: (id: string, then: (answer: ApiAnswer) => void) => {
+      cancelJob: (id: string, then: (answer: ApiResponse) => void) => {
         asked.push('abort', id);
         then(given);
       },
@@ -77,7 +77,13 @@
   };
 }
 
-const QUEUED: ApiAnswer = { type: 'job', created: false, state: 'queued', finishedTasks: 0, runningTasks: 0 };
+const QUEUED: ApiResponse = {
+  type: 'job',
+  created: false,
+  state: 'queued',
+  finishedTasks: 0,
+  runningTasks: 0,
+};
 const PENDING_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
 
 describe('a submission', () => {
@@ -179,10 +185,10 @@
 });
 
 describe('answers to users', () => {
-  const never: ApiAnswer = { type: 'rejected', reason: 'unknown team x' };
-  const later: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
+  const never: ApiResponse = { type: 'rejected', reason: 'unknown team x' };
+  const later: ApiResponse = { type: 'unavailable', reason: 'state service not reached' };
 
-  test.each<[string, string, string, ApiAnswer, string, unknown[]]>([
+  test.each<[string, string, string, ApiResponse, string, unknown[]]>([
     [
       'accepted',
       'POST',
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -17,7 +17,7 @@
   machineType: 'g8',
   zone: 'a',
   isSpot: true,
-  agentEpoch: 1,
+  workerEpoch: 1,
   sequence: 88,
   fencingToken: 41,
   evictionNoticeSeconds: null,
@@ -174,7 +174,7 @@
   const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
     server.reply = { status, text };
     return new Promise<Result<Heartbeat>>((done) =>
-      new WorkerClient(1).sendCommands(address, { fencingToken: 41, agentEpoch: 3, commands }, done),
+      new WorkerClient(1).sendCommands(address, { fencingToken: 41, workerEpoch: 3, commands }, done),
     );
   };
 
--- a/test/gang-quotas.test.ts
+++ b/test/gang-quotas.test.ts
@@ -106,7 +106,7 @@
       team: 'red',
       machine: `m${firstId + index}`,
       zone: zoneOf(index),
-      agentEpoch: 1,
+      workerEpoch: 1,
     }));
   const cases: { name: string; taken: Grant[]; gang: Grant[]; placed: number }[] = [
     { name: 'room', taken: [], gang: grants('wk-gang', 4), placed: 4 },
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -6,10 +6,10 @@
 import { decodePeerMessage } from '../src/wire/peer-codec.js';
 import {
   decodeFailedKeys,
-  decodeItem,
-  decodeItemPage,
   decodeLeaseId,
-  decodeWatchBatch,
+  decodeListPage,
+  decodeStoredItem,
+  decodeWatchReply,
 } from '../src/wire/store-messages.js';
 import { decodeSubmission } from '../src/wire/user-messages.js';
 import { decodeHeartbeat } from '../src/wire/worker-messages.js';
@@ -33,9 +33,9 @@
     decodeMachineTypes,
     decodeMachinePage,
     decodeRentedMachines,
-    decodeItem,
-    decodeItemPage,
-    decodeWatchBatch,
+    decodeStoredItem,
+    decodeListPage,
+    decodeWatchReply,
     decodeFailedKeys,
     decodeLeaseId,
     decodePeerMessage,
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -29,7 +29,7 @@
     worker.handleCommands(
       {
         fencingToken: 99,
-        agentEpoch: 1,
+        workerEpoch: 1,
         commands: [{ type: 'start', jobId: id, taskIndex, attempt: taskIndex + 1 }],
       },
       () => {},
@@ -164,7 +164,7 @@
     machineType: 'small',
     zone: 'b',
     isSpot: false,
-    agentEpoch: 1,
+    workerEpoch: 1,
     sequence: 1,
     fencingToken: 5,
     evictionNoticeSeconds: null,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -246,7 +246,7 @@
       machineType: 'small',
       zone: 'a',
       isSpot: false,
-      agentEpoch: 1,
+      workerEpoch: 1,
       sequence: 1,
       fencingToken: 1,
       evictionNoticeSeconds: null,
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -57,7 +57,7 @@
     fc.property(cases, (lists) => {
       const refused = lists.map((list) => new Set(list));
       const tasks = lists.map((_, task) => task);
-      const { tasks: given, without } = assignTasks(tasks, refused);
+      const { tasks: given, unassignedSlots: without } = assignTasks(tasks, refused);
       const taken = given.filter((task) => task !== undefined);
       expect(new Set(taken).size).toBe(taken.length);
       for (const [place, task] of given.entries())
@@ -235,7 +235,7 @@
   team: 'red',
   machine: `m${id}`,
   zone: 'a',
-  agentEpoch: 1,
+  workerEpoch: 1,
   ...(endedTasks && { endedTasks }),
 });
 
@@ -300,7 +300,7 @@
         machineType: worker.machineType,
         zone: worker.zone,
         isSpot: worker.isSpot,
-        agentEpoch: 1,
+        workerEpoch: 1,
         fencingToken: worker.fencingToken,
       };
       const controller = simulation.controllers.get(
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -124,11 +124,11 @@
     return name;
   }
 
-  private list(since: string): { machines: ListedMachine[]; more: boolean } {
+  private list(since: string): { machines: ListedMachine[]; hasMore: boolean } {
     const shown = this.snapshots
       .filter(({ at }) => at <= this.environment.simulator.now - LIST_LAG_MS)
       .at(-1);
-    return { machines: (shown?.machines ?? []).filter(({ name }) => name > since), more: false };
+    return { machines: (shown?.machines ?? []).filter(({ name }) => name > since), hasMore: false };
   }
 
   /** Takes the first of the snapshots that the list shows late. */
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -40,7 +40,7 @@
   readonly isSpot: boolean;
   readonly size: MachineSize;
   tasks: FakeTask[] = [];
-  agentEpoch = 1;
+  workerEpoch = 1;
   heartbeatSequence = 0;
   fencingToken = 0;
   isAlive = true;
@@ -87,7 +87,7 @@
       machineType: this.machineType,
       zone: this.zone,
       isSpot: this.isSpot,
-      agentEpoch: this.agentEpoch,
+      workerEpoch: this.workerEpoch,
       sequence: ++this.heartbeatSequence,
       fencingToken: this.fencingToken,
       evictionNoticeSeconds:
@@ -115,7 +115,7 @@
   /** Its lease has run out: it ends all tasks and begins anew. */
   private restart(): void {
     this.tasks = [];
-    this.agentEpoch++;
+    this.workerEpoch++;
     this.incarnation++;
     this.lastAnsweredAt = this.simulator.now;
     this.hasChanged = true;
@@ -131,7 +131,7 @@
   private sendHeartbeat(): void {
     const { simulator } = this;
     const sentAt = simulator.now;
-    const { agentEpoch, targetNode } = this;
+    const { workerEpoch, targetNode } = this;
     const heartbeat = this.makeHeartbeat();
     this.environment.duplicateHeartbeat(heartbeat);
     this.heartbeatInFlight = true;
@@ -150,7 +150,7 @@
           // Answers are dropped after their deadline, also by a machine that hung meanwhile.
           const isLate = simulator.now - sentAt > HEARTBEAT_DEADLINE_MS;
           if (!result.got || result.value.type === 'unavailable' || isLate) this.tryNextController();
-          else this.onAnswer(result.value, { sentAt, agentEpoch, targetNode });
+          else this.onAnswer(result.value, { sentAt, workerEpoch, targetNode });
         };
         handle();
       },
@@ -159,7 +159,7 @@
 
   private onAnswer(
     answer: Exclude<HeartbeatResult, { type: 'unavailable' }>,
-    sent: { sentAt: number; agentEpoch: number; targetNode: string },
+    sent: { sentAt: number; workerEpoch: number; targetNode: string },
   ): void {
     if (answer.type === 'redirected') {
       const { leaderName } = answer;
@@ -169,7 +169,7 @@
       } else this.tryNextController();
       return;
     }
-    if (sent.agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
+    if (sent.workerEpoch !== this.workerEpoch || answer.fencingToken < this.fencingToken) return;
     this.noteFencingToken(answer.fencingToken);
     this.lastAnsweredAt = sent.sentAt;
     this.execute(answer.commands);
@@ -193,7 +193,7 @@
       this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, reply));
       return;
     }
-    if (request.fencingToken < this.fencingToken || request.agentEpoch !== this.agentEpoch) {
+    if (request.fencingToken < this.fencingToken || request.workerEpoch !== this.workerEpoch) {
       reply({ ok: false, heartbeat: this.makeHeartbeat() });
       return;
     }
--- a/test/simulation/output-digest.ts
+++ b/test/simulation/output-digest.ts
@@ -3,19 +3,19 @@
  * that changes no behaviour leaves every digest as it was; see CONTRIBUTING.md.
  */
 import { createHash } from 'node:crypto';
+import type { ApiResponse } from '../../src/model/api-response.js';
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { HeartbeatResult } from '../../src/model/heartbeat-result.js';
-import type { ApiAnswer } from '../../src/model/job-answer.js';
 import type { KeyValueStore } from '../../src/model/key-value-store.js';
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { WorkerCommandPort } from '../../src/model/worker-command-port.js';
-import { encodeDeletion, encodeRental } from '../../src/wire/cloud-messages.js';
+import { encodeDeletionRequest, encodeRentalRequest } from '../../src/wire/cloud-messages.js';
 import { encodePeerMessage } from '../../src/wire/peer-codec.js';
 import { encodeTransaction } from '../../src/wire/store-messages.js';
 import { encodeJobStatus } from '../../src/wire/user-messages.js';
 import {
   encodeDirectCommands,
-  encodeHeartbeatAnswer,
+  encodeHeartbeatResponse,
   encodeRedirect,
 } from '../../src/wire/worker-messages.js';
 
@@ -57,7 +57,7 @@
     this.add(nodeName, 'heartbeat answer', () => {
       switch (answer.type) {
         case 'accepted':
-          return [200, encodeHeartbeatAnswer(answer.fencingToken, answer.commands)];
+          return [200, encodeHeartbeatResponse(answer.fencingToken, answer.commands)];
         case 'redirected':
           return [421, encodeRedirect(answer.leaderName)];
         case 'unavailable':
@@ -66,7 +66,7 @@
     });
   }
 
-  userAnswer(nodeName: string, answer: ApiAnswer): void {
+  userAnswer(nodeName: string, answer: ApiResponse): void {
     this.add(nodeName, 'user answer', () => {
       switch (answer.type) {
         case 'job':
@@ -123,11 +123,11 @@
         port.listMachineTypes(then);
       },
       rentMachines: (request, then) => {
-        add('rent', encodeRental(request));
+        add('rent', encodeRentalRequest(request));
         port.rentMachines(request, then);
       },
       deleteMachines: (names, then) => {
-        add('remove', encodeDeletion(names));
+        add('remove', encodeDeletionRequest(names));
         port.deleteMachines(names, then);
       },
       listMachines: (since, then) => {
--- a/test/simulation/quota-checker.ts
+++ b/test/simulation/quota-checker.ts
@@ -6,7 +6,7 @@
 /** `place/<id>/<chunk>` as stored: an attempt of a task by its index, with its machine, epoch and zone until it is settled. */
 type StoredPlacement =
   | [attempt: number]
-  | [attempt: number, machine: string, agentEpoch: number, zone: string];
+  | [attempt: number, machine: string, workerEpoch: number, zone: string];
 interface StoredPlacements {
   t: Record<string, StoredPlacement>;
 }
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -122,7 +122,7 @@
         if (this.rentals.isAnswered) callback({ ok: true, value: null });
       },
       listMachines: (_since, callback) =>
-        callback({ ok: true, value: { machines: this.listedMachines, more: false } }),
+        callback({ ok: true, value: { machines: this.listedMachines, hasMore: false } }),
     };
   }
 
@@ -148,7 +148,7 @@
       machineType: 'small',
       zone: 'a',
       isSpot: false,
-      agentEpoch: 1,
+      workerEpoch: 1,
       sequence: ++this.sequence,
       fencingToken,
       evictionNoticeSeconds: null,
@@ -165,7 +165,7 @@
       taskIndex: 0,
       attempt: 1,
       machine: 'm',
-      agentEpoch: 1,
+      workerEpoch: 1,
       desiredState,
       gracePeriodSeconds: 0,
       team: 'red',
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -102,7 +102,7 @@
   grant(job: string, tasks: number, zone = 'a'): void {
     const grants: Grant[] = Array.from({ length: tasks }, () => {
       const id = this.nextGrant++;
-      return { id, jobId: job, team: this.team.name, machine: `m${id}`, zone, agentEpoch: 1 };
+      return { id, jobId: job, team: this.team.name, machine: `m${id}`, zone, workerEpoch: 1 };
     });
     this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
     this.owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants });
--- a/test/simulation/simulated-cluster.ts
+++ b/test/simulation/simulated-cluster.ts
@@ -1,7 +1,7 @@
 /** The state that all parts of a simulated cluster share: time, network, store, machines, jobs, and the faults in force. */
 
+import type { JobState } from '../../src/model/api-response.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { JobState } from '../../src/model/job-answer.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
 import { FakeStore } from './fake-store.js';
 import type { FakeWorker } from './fake-worker.js';
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -1,7 +1,7 @@
 /** The machines of a simulated cluster with their workers, and what the workers see of everything else. */
 
 import type { HeartbeatResult } from '../../src/model/heartbeat-result.js';
-import { taskKey } from '../../src/model/job.js';
+import { attemptKey } from '../../src/model/job.js';
 import type { Heartbeat } from '../../src/model/worker-messages.js';
 import type { FakeCloud, MachineDescription } from './fake-cloud.js';
 import { FakeWorker } from './fake-worker.js';
@@ -126,7 +126,7 @@
 
   private onStart(jobId: string, taskIndex: number, attempt: number): void {
     const { completedTasks, simulator } = this.cluster;
-    const key = taskKey(jobId, taskIndex, attempt);
+    const key = attemptKey(jobId, taskIndex, attempt);
     // What is done may be removed before a late repeat of its start comes: it then ends at once, which is allowed.
     if (this.startedAttempts.has(key) && !completedTasks.has(`${jobId}/${taskIndex}`))
       this.restartedAttempts.push(`${(simulator.now / 1000).toFixed(3)} ${key}`);
--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -1,8 +1,8 @@
 /** The users of a simulated cluster: they submit, question and cancel jobs, and judge whether the answers agree. */
 
 import type { Controller } from '../../src/controller/controller.js';
+import type { ApiResponse, JobState } from '../../src/model/api-response.js';
 import type { JobSpec } from '../../src/model/job.js';
-import type { ApiAnswer, JobState } from '../../src/model/job-answer.js';
 import type { FakeWorker } from './fake-worker.js';
 import { DEFAULT_JOB_SPEC } from './job-spec.js';
 import type { SimulatedCluster, UserJob } from './simulated-cluster.js';
@@ -17,10 +17,10 @@
 /** More CPUs than any machine has. */
 const TOO_MANY_CPUS = 1e6;
 
-type Request = (controller: Controller, reply: (answer: ApiAnswer) => void) => void;
+type Request = (controller: Controller, reply: (answer: ApiResponse) => void) => void;
 
 /** An answer about a job. */
-type JobAnswer = Extract<ApiAnswer, { type: 'job' }>;
+type JobAnswer = Extract<ApiResponse, { type: 'job' }>;
 
 const isFinal = (state: JobState | null) => state === 'done' || state === 'cancelled';
 
@@ -109,7 +109,7 @@
     else this.resubmit(job, { ...job.spec, cpus: TOO_MANY_CPUS, team: 'nobody' });
   }
 
-  private sendRequest(request: Request, onAnswer: (answer: ApiAnswer | null) => void): void {
+  private sendRequest(request: Request, onAnswer: (answer: ApiResponse | null) => void): void {
     const { simulator, network, digest } = this.cluster;
     const nodeName = this.cluster.pickNode();
     const process = this.controllers.get(nodeName);
@@ -117,7 +117,7 @@
       simulator.scheduleAfter(CONNECTION_REFUSED_MS, () => onAnswer(null));
       return;
     }
-    network.call<ApiAnswer>({
+    network.call<ApiResponse>({
       from: 'users',
       to: nodeName,
       deadlineMs: REQUEST_DEADLINE_MS,
--- a/test/simulation/worker-environment.ts
+++ b/test/simulation/worker-environment.ts
@@ -68,7 +68,7 @@
 /** Commands sent to a worker directly. */
 export interface CommandRequest {
   fencingToken: number;
-  agentEpoch: number;
+  workerEpoch: number;
   commands: WorkerCommand[];
 }
 
--- a/test/worker-client.test.ts
+++ b/test/worker-client.test.ts
@@ -53,7 +53,7 @@
       (address, index) =>
         new Promise<boolean>((resolve) => {
           const commands = index < 8 ? [] : [{ ...START, taskIndex: index }];
-          client.sendCommands(address, { fencingToken: 1, agentEpoch: 1, commands }, (result) =>
+          client.sendCommands(address, { fencingToken: 1, workerEpoch: 1, commands }, (result) =>
             resolve(result.ok),
           );
         }),
@@ -76,7 +76,7 @@
   const client = new WorkerClient(1);
   const call = (address: string) =>
     new Promise((resolve) =>
-      client.sendCommands(address, { fencingToken: 1, agentEpoch: 1, commands: [] }, (result) =>
+      client.sendCommands(address, { fencingToken: 1, workerEpoch: 1, commands: [] }, (result) =>
         resolve(result.ok ? 'ok' : result.kind),
       ),
     );
