--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -32,7 +32,7 @@
   instanceId: string;
 }
 
-/** `open/<id>/a`: a job as accepted. */
+/** `open/<job>/a`: a job as accepted. */
 export interface JobRecord {
   spec: JobSpec;
   /**
@@ -43,7 +43,7 @@
   cancelled?: true;
 }
 
-/** `open/<id>/n`: the numbers of a job's finished and running tasks, and which tasks are finished. */
+/** `open/<job>/n`: the numbers of a job's finished and running tasks, and which tasks are finished. */
 export interface CounterRecord {
   finishedTasks: number;
   /**
@@ -54,7 +54,7 @@
   finishedBitmap: string;
 }
 
-/** `end/<id>`: the final state of a job, done or cancelled. It replaces all other records of the job. */
+/** `end/<job>`: the final state of a job, done or cancelled. It replaces all other records of the job. */
 export interface FinalRecord {
   /** Whether the job is done; otherwise it was cancelled. */
   isDone: boolean;
@@ -67,7 +67,7 @@
   location: { machine: string; workerEpoch: number; zone: string } | null;
 }
 
-/** `place/<id>/<chunk>`: the last placements of one chunk of a job's tasks. */
+/** `place/<job>/<chunk>`: the last placements of one chunk of a job's tasks. */
 export interface PlacementRecord {
   /** The placements, by task index. */
   tasks: Map<number, PlacementEntry>;
--- a/src/store/record-codec.ts
+++ b/src/store/record-codec.ts
@@ -70,26 +70,26 @@
     ),
 };
 
-/** `open/<id>/a`: a job as accepted. */
+/** `open/<job>/a`: a job as accepted. */
 export const jobRecord: Codec<JobRecord> = object<JobRecord>({
   spec: field('j', jobSpec),
   acceptedRevision: 'o',
   cancelled: field('x', flag),
 });
 
-/** `open/<id>/n`: a job's counter of finished tasks. */
+/** `open/<job>/n`: a job's counter of finished tasks. */
 export const counterRecord: Codec<CounterRecord> = object<CounterRecord>({
   finishedTasks: 'n',
   runningTasks: 'r',
   finishedBitmap: 'b',
 });
 
-/** `place/<id>/<chunk>`: the last placements of a chunk of a job's tasks. */
+/** `place/<job>/<chunk>`: the last placements of a chunk of a job's tasks. */
 export const placementRecord: Codec<PlacementRecord> = object<PlacementRecord>({
   tasks: field('t', placementsByTask),
 });
 
-/** `end/<id>`: the final state of a job. */
+/** `end/<job>`: the final state of a job. */
 export const finalRecord: Codec<FinalRecord> = object<FinalRecord>({
   isDone: field('d', bit),
   finishedTasks: 'n',
