--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-parts.ts
@@ -119,7 +119,7 @@
     for (const [team, { instanceId, shardEpoch }] of owners)
       if (instanceId === this.options.instanceId && this.teams.has(team)) owned.set(team, shardEpoch);
     this.shardOwner.setShards(owned);
-    this.openJobs.setFollowed(owned.size > 0);
+    this.openJobs.setWatchEnabled(owned.size > 0);
     this.leadership.scheduler?.setOwners(owners);
   }
 
@@ -143,7 +143,7 @@
       clock: this.options.clock,
       watchWaitMs: OPEN_JOBS_WATCH_WAIT_MS,
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
-      isFollowed: false,
+      isWatchEnabled: false,
       onChange: (key, value, modRevision) => {
         if (value !== undefined) this.shardOwner.onOpenJobChanged({ key, value, modRevision });
       },
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -1,6 +1,6 @@
 /** Allocations: the capacity that placements and grants take on a machine. */
 
-import { taskKey } from '../model/job.js';
+import { attemptKey } from '../model/job.js';
 import type { PlacementSpec } from '../model/placement.js';
 import type { TaskStatus } from '../model/worker-messages.js';
 
@@ -39,7 +39,7 @@
 export function createAllocation(placement: PlacementSpec, now: number): Allocation {
   return {
     ...placement,
-    key: taskKey(placement.jobId, placement.taskIndex, placement.attempt),
+    key: attemptKey(placement.jobId, placement.taskIndex, placement.attempt),
     startHeartbeatSequence: -1,
     isDirectStartInFlight: false,
     reportedStatus: null,
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -39,7 +39,7 @@
   machineType: string;
   zone: string;
   isSpot: boolean;
-  agentEpoch: number;
+  workerEpoch: number;
   /** Sequence of the newest message: a heartbeat, or the answer to a direct command. */
   sequence: number;
   /** Sequence of the newest heartbeat, without answers to direct commands. */
@@ -99,7 +99,7 @@
     machineType: '',
     zone: '',
     isSpot: false,
-    agentEpoch: 0,
+    workerEpoch: 0,
     sequence: -1,
     heartbeatSequence: -1,
     fencingToken: 0,
@@ -149,8 +149,8 @@
 /** Whether a heartbeat is newer than every earlier message of this machine. */
 export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
-    heartbeat.agentEpoch > machine.agentEpoch ||
-    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence)
+    heartbeat.workerEpoch > machine.workerEpoch ||
+    (heartbeat.workerEpoch === machine.workerEpoch && heartbeat.sequence > machine.sequence)
   );
 }
 
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -63,7 +63,10 @@
     for (let round = 0; round < MAX_MATCHING_ROUNDS; round++) {
       const chosen = choose();
       if (!chosen) return null;
-      const { without } = assignTasks(taskIndices(count), this.refusedTasks(chosen, request.jobId));
+      const { unassignedSlots: without } = assignTasks(
+        taskIndices(count),
+        this.refusedTasks(chosen, request.jobId),
+      );
       if (without.length === 0) return chosen;
       const unassignedSlots = new Set(without);
       chosen.forEach(({ machineName }, slot) => {
--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-events.ts
@@ -157,7 +157,7 @@
   private onUnmatchedEvent(job: OwnedJob, event: PhaseEvent): void {
     if (event.phase !== 'exited' || job.isReloading || !this.isOutcomeStored(job, event)) return;
     this.options.updates.queuePlacement(
-      toPlacementSpec(job, { ...event, agentEpoch: 0 }, { desiredState: 'forget' }),
+      toPlacementSpec(job, { ...event, workerEpoch: 0 }, { desiredState: 'forget' }),
     );
   }
 
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -1,6 +1,6 @@
 /** Stops tasks of cancelled jobs, tasks that the leader evicts, and gangs that cannot continue. */
 
-import { type TaskAttempt, taskKey } from '../model/job.js';
+import { attemptKey, type TaskAttempt } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
@@ -37,9 +37,9 @@
         this.stop(job, placement, 0);
         continue;
       }
-      const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
+      const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
       updates.releaseGrant(placement.grantId);
-      updates.releaseTask({ machine: placement.machine, taskKey: key });
+      updates.releaseTask({ machine: placement.machine, attemptKey: key });
       jobs.removePlacement(job, placement, 'returned');
     }
     transactions.scheduleWrite(job, 0);
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -148,8 +148,11 @@
     const placement = job.placements.get(taskIndex);
     const attempt = job.latestAttempts.get(taskIndex);
     if (placement) {
-      const { machine, agentEpoch, zone } = placement;
-      tasks.set(taskIndex, { attempt: placement.attempt, location: { machine, agentEpoch, zone } });
+      const { machine, workerEpoch: agentEpoch, zone } = placement;
+      tasks.set(taskIndex, {
+        attempt: placement.attempt,
+        location: { machine, workerEpoch: agentEpoch, zone },
+      });
       if (!placement.isStored) newPlacements.push(placement);
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
   }
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -10,7 +10,7 @@
   taskIndex: number;
   attempt: number;
   machine: string;
-  agentEpoch: number;
+  workerEpoch: number;
   zone: string;
   /** Id of the grant that it was made from; 0 after a change of leader or a read from the store. */
   grantId: number;
@@ -187,7 +187,7 @@
   taskIndex: number;
   attempt: number;
   machine: string;
-  agentEpoch: number;
+  workerEpoch: number;
 }
 
 /** The desired state of a placement that is sent to the leader, and its optional parameters. */
@@ -206,7 +206,7 @@
     taskIndex: placement.taskIndex,
     attempt: placement.attempt,
     machine: placement.machine,
-    agentEpoch: placement.agentEpoch,
+    workerEpoch: placement.workerEpoch,
     desiredState,
     gracePeriodSeconds,
     team: spec.team,
--- a/src/shard/write-event-handler.ts
+++ b/src/shard/write-event-handler.ts
@@ -1,6 +1,6 @@
 /** Handles stored writes of jobs: informs the leader of placements and removes archived jobs. */
 
-import { taskKey } from '../model/job.js';
+import { attemptKey } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
 import type { WriteEvents } from './job-writes.js';
 import type { LeaderUpdates } from './leader-updates.js';
@@ -36,8 +36,8 @@
       updates.queuePlacement(toPlacementSpec(job, placement, { desiredState: 'forget' }));
       return;
     }
-    const key = taskKey(job.spec.id, placement.taskIndex, placement.attempt);
-    updates.releaseTask({ machine: placement.machine, taskKey: key });
+    const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
+    updates.releaseTask({ machine: placement.machine, attemptKey: key });
   }
 
   onCounterComplete(job: OwnedJob): void {
