--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -21,14 +21,14 @@
 }
 
 /** What the commands do. They throw {@link SettingsError} if settings or policy can't be used. */
-export interface Commands {
+export interface CommandHandlers {
   /** Runs a controller; this is also done without a command. */
   serve: (options: CommandOptions) => void;
   /** Checks settings and policy. */
   check: (options: CommandOptions) => void;
 }
 
-function createProgram(commands: Commands): Command {
+function createProgram(handlers: CommandHandlers): Command {
   const program = new Command('juniperstand')
     .description('Cluster scheduler: takes jobs, rents machines, runs tasks.')
     .exitOverride()
@@ -39,11 +39,11 @@
       .option('--policy <file>', "operators' policy (TOML of expressions)")
       .allowExcessArguments(false);
   withOptions(program.command('serve', { isDefault: true }).description('run a controller')).action(
-    commands.serve,
+    handlers.serve,
   );
   withOptions(program.command('check').description('check settings and policy, and stop')).action(
     (options: CommandOptions) => {
-      commands.check(options);
+      handlers.check(options);
       process.stdout.write('ok\n');
     },
   );
@@ -54,12 +54,12 @@
  * Runs the command of the process's arguments. Faults of settings and policy go to standard error, one a line, and end
  * the process, as does a wrong command line; other errors are thrown.
  */
-export function runCommandLine(commands: Commands): void {
+export function runCommandLine(handlers: CommandHandlers): void {
   try {
-    createProgram(commands).parse();
+    createProgram(handlers).parse();
   } catch (error) {
     if (error instanceof SettingsError) {
-      for (const fault of error.faults) process.stderr.write(`${fault}\n`);
+      for (const issue of error.issues) process.stderr.write(`${issue}\n`);
       process.exit(EXIT_CODE.usage);
     }
     // Thrown after the help or the complaint has been written.
--- a/src/cli/process-log.ts
+++ b/src/cli/process-log.ts
@@ -4,24 +4,24 @@
 import type { Logger } from '../model/logger.js';
 import { EXIT_CODE } from './command-line.js';
 
-const LEVELS = ['error', 'info', 'debug'];
-const DEFAULT_LEVEL = 'info';
-const STANDARD_ERROR = 2;
+const LOG_LEVELS = ['error', 'info', 'debug'];
+const DEFAULT_LOG_LEVEL = 'info';
+const STDERR_FD = 2;
 
 /**
  * A log of JSON lines on standard error, of the level that `LOG_LEVEL` names. It is written synchronously, so that the
  * last lines before an exit are not lost.
  */
-export function createLog(nodeName: string): Logger {
-  const level = process.env.LOG_LEVEL ?? DEFAULT_LEVEL;
+export function createLogger(nodeName: string): Logger {
+  const level = process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL;
   return pino(
-    { level: LEVELS.includes(level) ? level : DEFAULT_LEVEL, base: { nodeName } },
-    pino.destination({ dest: STANDARD_ERROR, sync: true }),
+    { level: LOG_LEVELS.includes(level) ? level : DEFAULT_LOG_LEVEL, base: { nodeName } },
+    pino.destination({ dest: STDERR_FD, sync: true }),
   );
 }
 
 /** Logs uncaught exceptions, which end the process, and promise rejections that nobody handles, which don't. */
-export function logDefects(log: Logger): void {
+export function logUnhandledErrors(log: Logger): void {
   process.on('uncaughtException', (error) => {
     log.error({ err: error.stack ?? String(error) }, 'uncaught exception');
     process.exit(EXIT_CODE.failure);
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -2,7 +2,7 @@
 
 import { Environment } from '@marcbachmann/cel-js';
 import type { Policy, PolicyFn, PolicyInput } from '../model/policy.js';
-import { errorMessage, parseTable, readText, SettingsError } from './settings-error.js';
+import { errorMessage, parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
 
 interface Range {
   min: number;
@@ -10,14 +10,14 @@
 }
 
 /** A key of the policy table. */
-interface KeyDefinition {
+interface PolicyKey {
   field: keyof Policy;
   /** The value is clamped to it. */
   range: Range;
 }
 
 /** The operators' keys, and what they set. */
-const KEYS: Readonly<Record<string, KeyDefinition>> = {
+const POLICY_KEYS: Readonly<Record<string, PolicyKey>> = {
   reserve_replicas: { field: 'reserveReplicas', range: { min: 0, max: 1000 } },
   reserve_batch: { field: 'reserveBatchJobs', range: { min: 0, max: 100 } },
   idle_s: { field: 'maxIdleSeconds', range: { min: 0, max: 86400 } },
@@ -45,10 +45,10 @@
 };
 
 /** Evaluates one value of the policy. */
-type Evaluate = (variables: Record<string, unknown>) => unknown;
+type EvaluateFn = (variables: Record<string, unknown>) => unknown;
 
 /** A value made ready to be evaluated, or what is wrong with it. */
-type CompiledValue = { ok: true; evaluate: Evaluate } | { ok: false; fault: string };
+type CompiledValue = { ok: true; evaluate: EvaluateFn } | { ok: false; issue: string };
 
 function createEnvironment(): Environment {
   const environment = new Environment();
@@ -67,28 +67,28 @@
   try {
     const evaluate = environment.parse(expression);
     const check = evaluate.check();
-    if (!check.valid) return { ok: false, fault: joinLines(String(check.error?.message ?? 'type error')) };
+    if (!check.valid) return { ok: false, issue: joinLines(String(check.error?.message ?? 'type error')) };
     if (check.type !== 'double' && check.type !== 'int')
-      return { ok: false, fault: `must be a number, is ${check.type}` };
+      return { ok: false, issue: `must be a number, is ${check.type}` };
     return { ok: true, evaluate: (variables) => evaluate(variables) };
   } catch (error) {
-    return { ok: false, fault: joinLines(errorMessage(error)) };
+    return { ok: false, issue: joinLines(errorMessage(error)) };
   }
 }
 
 function compileValue(environment: Environment, value: unknown): CompiledValue {
   if (typeof value === 'number') return { ok: true, evaluate: () => value };
   if (typeof value === 'string') return compileExpression(environment, value);
-  return { ok: false, fault: value === undefined ? 'missing' : 'must be a number or an expression' };
+  return { ok: false, issue: value === undefined ? 'missing' : 'must be a number or an expression' };
 }
 
 /** The key with its line in the text, if it is found there. */
 function describeKey(text: string, key: string): string {
-  const line = text.split('\n').findIndex((content) => content.trimStart().startsWith(key));
+  const line = text.split('\n').findIndex((lineText) => lineText.trimStart().startsWith(key));
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
 }
 
-function variablesFrom(input: PolicyInput): Record<string, number> {
+function toVariables(input: PolicyInput): Record<string, number> {
   const variables: Record<string, number> = {};
   for (const [name, field] of Object.entries(VARIABLES)) variables[name] = input[field];
   return variables;
@@ -104,20 +104,20 @@
  * with its key and line.
  */
 export function compilePolicy(text: string): PolicyFn {
-  const table = parseTable(text, 'policy is not TOML');
+  const table = parseTomlTable(text, 'policy is not TOML');
   const environment = createEnvironment();
-  const faults: string[] = [];
+  const issues: string[] = [];
   for (const key of Object.keys(table))
-    if (!Object.hasOwn(KEYS, key)) faults.push(`${describeKey(text, key)}: unknown key`);
-  const evaluators: (KeyDefinition & { evaluate: Evaluate })[] = [];
-  for (const [key, definition] of Object.entries(KEYS)) {
+    if (!Object.hasOwn(POLICY_KEYS, key)) issues.push(`${describeKey(text, key)}: unknown key`);
+  const evaluators: (PolicyKey & { evaluate: EvaluateFn })[] = [];
+  for (const [key, definition] of Object.entries(POLICY_KEYS)) {
     const compiled = compileValue(environment, table[key]);
     if (compiled.ok) evaluators.push({ ...definition, evaluate: compiled.evaluate });
-    else faults.push(`${describeKey(text, key)}: ${compiled.fault}`);
+    else issues.push(`${describeKey(text, key)}: ${compiled.issue}`);
   }
-  if (faults.length > 0) throw new SettingsError(faults);
+  if (issues.length > 0) throw new SettingsError(issues);
   return (input) => {
-    const variables = variablesFrom(input);
+    const variables = toVariables(input);
     const policy: Partial<Policy> = {};
     for (const { field, range, evaluate } of evaluators)
       policy[field] = clamp(Number(evaluate(variables)), range);
@@ -127,5 +127,5 @@
 
 /** A policy from a file. Throws {@link SettingsError} if it can't be read or has faults. */
 export function loadPolicy(file: string | URL): PolicyFn {
-  return compilePolicy(readText(file));
+  return compilePolicy(readTextFile(file));
 }
--- a/src/config/settings-error.ts
+++ b/src/config/settings-error.ts
@@ -8,14 +8,14 @@
   override readonly name = 'SettingsError';
 
   /**
-   * @param faults what is wrong, one line each, named with its field where it has one; at least one
+   * @param issues what is wrong, one line each, named with its field where it has one; at least one
    * @param options `cause`: the error that was wrapped, if any
    */
   constructor(
-    readonly faults: string[],
+    readonly issues: string[],
     options?: ErrorOptions,
   ) {
-    super(faults.join('\n'), options);
+    super(issues.join('\n'), options);
   }
 }
 
@@ -25,7 +25,7 @@
 }
 
 /** Reads a text file. Throws {@link SettingsError} if it can't be read. */
-export function readText(file: string | URL): string {
+export function readTextFile(file: string | URL): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
@@ -34,12 +34,12 @@
 }
 
 /** Parses TOML. Throws {@link SettingsError} whose fault begins with `complaint` if the text is none. */
-export function parseTable(text: string, complaint: string): Record<string, unknown> {
+export function parseTomlTable(text: string, errorPrefix: string): Record<string, unknown> {
   try {
     return parseToml(text);
   } catch (error) {
     // The lines after the first show the place in the text.
     const [firstLine] = errorMessage(error).split('\n');
-    throw new SettingsError([`${complaint}: ${firstLine}`], { cause: error });
+    throw new SettingsError([`${errorPrefix}: ${firstLine}`], { cause: error });
   }
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,41 +1,41 @@
 /** The platform's settings: a TOML file, checked field by field. The suffix of a field is its unit. */
 
 import * as v from 'valibot';
-import { parseTable, readText, SettingsError } from './settings-error.js';
+import { parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
 
 const NonEmptyString = v.pipe(v.string(), v.minLength(1));
 const Address = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, 'must be ADDRESS:PORT'));
 const PositiveNumber = v.pipe(v.number(), v.gtValue(0));
-const Amount = v.pipe(v.number(), v.minValue(0));
+const NonNegativeNumber = v.pipe(v.number(), v.minValue(0));
 const PositiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 
 /** Least time between the end of a lease and the bound on cancellations: some reads of cancellations fit into it. */
 const MIN_CANCELLATION_WINDOW_S = 2;
 
-const Peer = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
+const PeerSchema = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
 
 /** Guarantee and limit of a team in CPUs and GPUs; 0: none. */
-const Team = v.object({
+const TeamSchema = v.object({
   name: NonEmptyString,
-  cpus: Amount,
-  cpus_max: Amount,
-  gpus: Amount,
-  gpus_max: Amount,
+  cpus: NonNegativeNumber,
+  cpus_max: NonNegativeNumber,
+  gpus: NonNegativeNumber,
+  gpus_max: NonNegativeNumber,
 });
 
-const Objective = v.object({
+const ObjectiveSchema = v.object({
   kind: NonEmptyString,
   class: v.optional(v.string()),
   within_s: v.optional(v.number()),
   share: v.optional(v.number()),
 });
 
-const Workers = v.pipe(
+const WorkersSchema = v.pipe(
   v.object({
     report_s: PositiveNumber,
     lease_s: PositiveNumber,
-    gang_wait_s: Amount,
-    gang_peer_s: Amount,
+    gang_wait_s: NonNegativeNumber,
+    gang_peer_s: NonNegativeNumber,
     cancel_s: PositiveNumber,
   }),
   // A lease may be renewed after a cancellation that has not become known yet: without time for it none could be renewed.
@@ -50,22 +50,22 @@
   area: NonEmptyString,
   bind: Address,
   mesh_addr: Address,
-  siblings: v.optional(v.array(Peer), []),
+  siblings: v.optional(v.array(PeerSchema), []),
   services: v.object({ cloud: Address, state: Address }),
   params: v.object({
     size: PositiveInteger,
     zones: v.array(NonEmptyString),
-    skew_ms: Amount,
-    teams: v.pipe(v.array(Team), v.minLength(1)),
-    objectives: v.optional(v.array(Objective), []),
-    workers: Workers,
+    skew_ms: NonNegativeNumber,
+    teams: v.pipe(v.array(TeamSchema), v.minLength(1)),
+    objectives: v.optional(v.array(ObjectiveSchema), []),
+    workers: WorkersSchema,
     state: v.object({
       rps: PositiveNumber,
       write_rps: PositiveNumber,
       value_kb: PositiveNumber,
       txn_ops: PositiveInteger,
     }),
-    cloud: v.object({ rps: PositiveNumber, list_lag_s: Amount }),
+    cloud: v.object({ rps: PositiveNumber, list_lag_s: NonNegativeNumber }),
     limits: v.object({ core_share: PositiveNumber, mem_mb: PositiveNumber, fd_limit: PositiveInteger }),
   }),
 });
@@ -78,7 +78,7 @@
  * field.
  */
 export function parseSettings(text: string): Settings {
-  const checked = v.safeParse(SettingsSchema, parseTable(text, 'settings are not TOML'));
+  const checked = v.safeParse(SettingsSchema, parseTomlTable(text, 'settings are not TOML'));
   if (checked.success) return checked.output;
   throw new SettingsError(
     checked.issues.map((issue) => `${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`),
@@ -87,5 +87,5 @@
 
 /** Settings from a file. Throws {@link SettingsError} if it can't be read or has faults. */
 export function loadSettings(file: string): Settings {
-  return parseSettings(readText(file));
+  return parseSettings(readTextFile(file));
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 
 import { randomBytes } from 'node:crypto';
 import { type CommandOptions, EXIT_CODE, runCommandLine } from './cli/command-line.js';
-import { createLog, logDefects } from './cli/process-log.js';
+import { createLogger, logUnhandledErrors } from './cli/process-log.js';
 import { loadPolicy } from './config/policy.js';
 import { loadSettings, type Settings } from './config/settings.js';
 import { Controller } from './controller/controller.js';
@@ -15,16 +15,16 @@
 import { HttpServer } from './transport/http-server.js';
 import { InboundConnections } from './transport/inbound-connections.js';
 import { PeerConnections } from './transport/peer-connections.js';
-import { socketBudget } from './transport/socket-budget.js';
+import { computeSocketBudget } from './transport/socket-budget.js';
 import { StoreClient } from './transport/store-client.js';
 import { systemClock } from './transport/system-clock.js';
 import { createUserApi } from './transport/user-api.js';
 import { WorkerClient } from './transport/worker-client.js';
 
 /** Relative to the bundle: it lies in a directory beside `deploy/`, as this file does. */
-const DEFAULT_POLICY = new URL('../deploy/policy.toml', import.meta.url);
+const DEFAULT_POLICY_FILE = new URL('../deploy/policy.toml', import.meta.url);
 /** Lease of a controller: its absence goes unnoticed for so long. */
-const CONTROLLER_LEASE_MS = 3500;
+const CONTROLLER_LEASE_TTL_MS = 3500;
 
 interface Configuration {
   settings: Settings;
@@ -32,7 +32,10 @@
 }
 
 function loadConfiguration(options: CommandOptions): Configuration {
-  return { settings: loadSettings(options.config), policy: loadPolicy(options.policy ?? DEFAULT_POLICY) };
+  return {
+    settings: loadSettings(options.config),
+    policy: loadPolicy(options.policy ?? DEFAULT_POLICY_FILE),
+  };
 }
 
 /** What a controller takes from the settings. */
@@ -48,7 +51,7 @@
   | 'objectives'
 >;
 
-function controllerParameters(settings: Settings): ControllerParameters {
+function toControllerParameters(settings: Settings): ControllerParameters {
   const { teams, workers, state, cloud, objectives } = settings.params;
   return {
     nodeName: settings.host_name,
@@ -80,31 +83,36 @@
   };
 }
 
-interface ControllerParts extends Configuration {
+interface ControllerDependencies extends Configuration {
   maxWorkerConnections: number;
   log: Logger;
 }
 
-function createController({ settings, policy, maxWorkerConnections, log }: ControllerParts): Controller {
+function createController({
+  settings,
+  policy,
+  maxWorkerConnections,
+  log,
+}: ControllerDependencies): Controller {
   const { services, params } = settings;
   const peers = new PeerConnections({
     bind: settings.mesh_addr,
     peers: settings.siblings.map((peer) => ({ nodeName: peer.host_name, address: peer.peer_addr })),
     log,
     onMessage: (message) => controller.push({ type: 'peerMessage', message }),
-    onConnection: (nodeName, isUp) => controller.push({ type: 'peerConnection', nodeName, isUp }),
+    onConnectionChange: (nodeName, isUp) => controller.push({ type: 'peerConnection', nodeName, isUp }),
   });
   const controller: Controller = new Controller({
-    ...controllerParameters(settings),
+    ...toControllerParameters(settings),
     instanceId: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
-    leaseTtlMs: CONTROLLER_LEASE_MS,
+    leaseTtlMs: CONTROLLER_LEASE_TTL_MS,
     policy,
     clock: systemClock,
     log,
     store: new StoreClient(services.state, {
       requestsPerSecond: params.state.rps,
       writesPerSecond: params.state.write_rps,
-      controllers: params.size,
+      controllerCount: params.size,
     }),
     cloud: new CloudClient(services.cloud, params.cloud.rps),
     workers: new WorkerClient(maxWorkerConnections),
@@ -113,7 +121,7 @@
   return controller;
 }
 
-interface HttpParts {
+interface HttpServerDependencies {
   controller: Controller;
   /** `HOST:PORT`. */
   bind: string;
@@ -121,11 +129,11 @@
   log: Logger;
 }
 
-function startHttpServer({ controller, bind, maxConnections, log }: HttpParts): void {
+function startHttpServer({ controller, bind, maxConnections, log }: HttpServerDependencies): void {
   const userApi = createUserApi({ controller, clock: systemClock, log });
   const server = new HttpServer({
-    handle: createRequestHandler({ userApi, controller, log }),
-    connections: new InboundConnections(maxConnections, systemClock.now),
+    handleRequest: createRequestHandler({ userApi, controller, log }),
+    inboundConnections: new InboundConnections(maxConnections, systemClock.now),
     now: systemClock.now,
   });
   server.listen(bind, (error) => {
@@ -136,9 +144,9 @@
 
 function serve(options: CommandOptions): void {
   const { settings, policy } = loadConfiguration(options);
-  const log = createLog(settings.host_name);
-  logDefects(log);
-  const budget = socketBudget(settings.params.limits.fd_limit, settings.siblings.length);
+  const log = createLogger(settings.host_name);
+  logUnhandledErrors(log);
+  const budget = computeSocketBudget(settings.params.limits.fd_limit, settings.siblings.length);
   const controller = createController({ settings, policy, maxWorkerConnections: budget.workers, log });
   controller.start();
   startHttpServer({ controller, bind: settings.bind, maxConnections: budget.inbound, log });
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -15,22 +15,22 @@
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
 
 const MAX_SOCKETS = 6;
-const DEADLINE_MS = 5000;
-const PAGE_MACHINES = 500;
+const CALL_TIMEOUT_MS = 5000;
+const PAGE_SIZE = 500;
 /** Part of the cloud's limit that is used: another controller may have led a moment ago. */
-const RATE_SHARE = 0.85;
+const RATE_LIMIT_SHARE = 0.85;
 /** Calls saved up, in seconds' worth of the limit; the cloud allows twice as many. */
 const BURST_SECONDS = 1;
 /** Time between two looks at the queue while calls wait. */
-const QUEUE_INTERVAL_MS = 50;
+const QUEUE_POLL_INTERVAL_MS = 50;
 
 /** Order in which waiting calls are sent, least first: each second of a machine no longer needed is charged. */
-const PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
+const CALL_PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
 
-type Priority = (typeof PRIORITY)[keyof typeof PRIORITY];
+type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
 
-interface QueuedCall extends Omit<HttpCall, 'deadlineMs'> {
-  priority: Priority;
+interface QueuedCall extends Omit<HttpCall, 'timeoutMs'> {
+  priority: CallPriority;
   onReply: (reply: HttpReply) => void;
 }
 
@@ -42,7 +42,7 @@
   private tokens: number;
   /** When tokens were last added; wall-clock ms. */
   private refilledAt = Date.now();
-  private timer: NodeJS.Timeout | null = null;
+  private drainTimer: NodeJS.Timeout | null = null;
 
   /**
    * @param address `HOST:PORT` of the cloud
@@ -61,10 +61,10 @@
     const onReply = (reply: HttpReply) =>
       callback(
         reply.status === 200
-          ? { ok: true, value: decodeMachineTypes(parseJson(reply.text)) }
+          ? { ok: true, value: decodeMachineTypes(parseJson(reply.body)) }
           : { ok: false, kind: 'refused' },
       );
-    this.send({ priority: PRIORITY.machineTypes, method: 'GET', path: '/machine_types', onReply });
+    this.enqueue({ priority: CALL_PRIORITY.machineTypes, method: 'GET', path: '/machine_types', onReply });
   }
 
   /**
@@ -72,19 +72,19 @@
    * the cloud rejects the request, as `indeterminate` if no response comes and as `refused` otherwise.
    */
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void {
-    this.send({
-      priority: PRIORITY.rental,
+    this.enqueue({
+      priority: CALL_PRIORITY.rental,
       method: 'POST',
       path: '/machines',
       body: encodeRental(request),
-      onReply: (reply) => callback(rentalResultOf(reply)),
+      onReply: (reply) => callback(toRentalResult(reply)),
     });
   }
 
   /** Deletes machines, known or not. Fails as `indeterminate`. */
   deleteMachines(machineNames: string[], callback: ResultCallback<null>): void {
-    this.send({
-      priority: PRIORITY.deletion,
+    this.enqueue({
+      priority: CALL_PRIORITY.deletion,
       method: 'POST',
       path: '/machines/delete',
       body: encodeDeletion(machineNames),
@@ -96,58 +96,58 @@
   /** One page of the machines, in the order of their names, starting after `since`. Fails as `refused`. */
   listMachines(since: string, callback: ResultCallback<MachinePage>): void {
     const start = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
-    this.send({
-      priority: PRIORITY.machineList,
+    this.enqueue({
+      priority: CALL_PRIORITY.machineList,
       method: 'GET',
-      path: `/machines?${start}page=${PAGE_MACHINES}`,
+      path: `/machines?${start}page=${PAGE_SIZE}`,
       onReply: (reply) => {
-        const page = reply.status === 200 ? decodeMachinePage(parseJson(reply.text)) : null;
+        const page = reply.status === 200 ? decodeMachinePage(parseJson(reply.body)) : null;
         callback(page ? { ok: true, value: page } : { ok: false, kind: 'refused' });
       },
     });
   }
 
-  private send(call: QueuedCall): void {
+  private enqueue(call: QueuedCall): void {
     this.queue.push(call);
     this.queue.sort((a, b) => a.priority - b.priority);
     this.drainQueue();
   }
 
   private drainQueue(): void {
-    this.refill();
+    this.refillTokens();
     while (this.queue.length > 0 && this.tokens >= 1) {
       const { method, path, body, onReply } = this.queue.shift() as QueuedCall;
       this.tokens -= 1;
-      this.client.call({ method, path, body, deadlineMs: DEADLINE_MS }, (reply) => {
+      this.client.call({ method, path, body, timeoutMs: CALL_TIMEOUT_MS }, (reply) => {
         if (reply.status === 429) this.tokens = Math.min(this.tokens, 0);
         onReply(reply);
       });
     }
-    if (this.queue.length > 0) this.schedule();
+    if (this.queue.length > 0) this.scheduleDrain();
   }
 
-  private refill(): void {
+  private refillTokens(): void {
     const now = Date.now();
     const seconds = Math.max(0, now - this.refilledAt) / 1000;
     this.refilledAt = now;
     this.tokens = Math.min(
       this.callsPerSecond * BURST_SECONDS,
-      this.tokens + seconds * this.callsPerSecond * RATE_SHARE,
+      this.tokens + seconds * this.callsPerSecond * RATE_LIMIT_SHARE,
     );
   }
 
-  private schedule(): void {
-    this.timer ??= setTimeout(() => {
-      this.timer = null;
+  private scheduleDrain(): void {
+    this.drainTimer ??= setTimeout(() => {
+      this.drainTimer = null;
       this.drainQueue();
-    }, QUEUE_INTERVAL_MS);
+    }, QUEUE_POLL_INTERVAL_MS);
   }
 }
 
-function rentalResultOf(reply: HttpReply): Result<string[]> {
+function toRentalResult(reply: HttpReply): Result<string[]> {
   if (reply.status === 0) return { ok: false, kind: 'indeterminate' };
   if (reply.status === 400) return { ok: false, kind: 'invalid' };
-  if (reply.status === 503 && reply.text.includes('no capacity')) return { ok: false, kind: 'notFound' };
-  const names = reply.status === 200 ? decodeRentedMachines(parseJson(reply.text)) : null;
+  if (reply.status === 503 && reply.body.includes('no capacity')) return { ok: false, kind: 'notFound' };
+  const names = reply.status === 200 ? decodeRentedMachines(parseJson(reply.body)) : null;
   return names ? { ok: true, value: names } : { ok: false, kind: 'refused' };
 }
--- a/src/transport/http-api.ts
+++ b/src/transport/http-api.ts
@@ -27,26 +27,26 @@
   const { userApi, controller, log } = options;
   return (message, respond) => {
     if (message.method === 'POST' && message.path === HEARTBEAT_PATH)
-      return respond(answerHeartbeat(controller, log, message.body ?? ''));
-    const drop = (error: unknown) => {
+      return respond(respondToHeartbeat(controller, log, message.body ?? ''));
+    const rejectMalformed = (error: unknown) => {
       log.info({ err: String(error), method: message.method }, 'request dropped');
       respond({ status: 400, body: '{"error":"malformed request"}' });
     };
-    const headers = forwardedHeaders(message.rawHeaders);
+    const headers = selectForwardedHeaders(message.rawHeaders);
     let request: Request;
     try {
       request = toWebRequest(message, headers);
     } catch (error) {
-      return drop(error);
+      return rejectMalformed(error);
     }
     Promise.resolve(userApi.fetch(request))
       .then(async (response) => respond(await fromWebResponse(message.method, response)))
-      .catch(drop);
+      .catch(rejectMalformed);
   };
 }
 
 /** The response to the heartbeat in a request's body: the commands for its worker, or where the leader is. */
-export function answerHeartbeat(controller: ControllerService, log: Logger, text: string): HttpResponse {
+export function respondToHeartbeat(controller: ControllerService, log: Logger, text: string): HttpResponse {
   const body = parseJson(text);
   const heartbeat = decodeHeartbeat(body);
   if (!heartbeat) {
@@ -56,15 +56,15 @@
     );
     return { status: 400, body: '{"error":"malformed report"}' };
   }
-  const answer = controller.handleHeartbeat(heartbeat);
-  switch (answer.type) {
+  const result = controller.handleHeartbeat(heartbeat);
+  switch (result.type) {
     case 'accepted':
       return {
         status: 200,
-        body: JSON.stringify(encodeHeartbeatAnswer(answer.fencingToken, answer.commands)),
+        body: JSON.stringify(encodeHeartbeatAnswer(result.fencingToken, result.commands)),
       };
     case 'redirected':
-      return { status: 421, body: JSON.stringify(encodeRedirect(answer.leaderName)) };
+      return { status: 421, body: JSON.stringify(encodeRedirect(result.leaderName)) };
     case 'unavailable':
       return {
         status: 503,
@@ -74,7 +74,7 @@
   }
 }
 
-function forwardedHeaders(rawHeaders: string[]): Headers {
+function selectForwardedHeaders(rawHeaders: string[]): Headers {
   const headers = new Headers();
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     const name = (rawHeaders[i] as string).toLowerCase();
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -5,7 +5,7 @@
 import { HttpMessageReader } from './http-parser.js';
 
 /** Largest response body that is taken, in bytes. */
-const MAX_BODY_BYTES = 64 << 20;
+const MAX_RESPONSE_BODY_BYTES = 64 << 20;
 
 /** A request to send. */
 export interface HttpCall {
@@ -15,7 +15,7 @@
   /** Sent as JSON; undefined: no body. */
   body?: unknown;
   /** Time for the whole call, in ms, the wait for a connection included. */
-  deadlineMs: number;
+  timeoutMs: number;
 }
 
 /** What became of a call. */
@@ -23,20 +23,20 @@
   /** 0: no response came. */
   status: number;
   /** Body of the response; empty without one. */
-  text: string;
+  body: string;
   /** Whether the request may have been executed, or may yet be. */
   sent: boolean;
 }
 
 interface PendingCall {
   /** The request as it goes onto the connection. */
-  data: string;
+  serializedRequest: string;
   onReply: (reply: HttpReply) => void;
-  deadlineTimer: NodeJS.Timeout;
-  finished: boolean;
+  timeoutTimer: NodeJS.Timeout;
+  completed: boolean;
 }
 
-interface Connection {
+interface ClientConnection {
   socket: net.Socket;
   reader: HttpMessageReader;
   /** The call this connection carries; null: it is idle. */
@@ -50,10 +50,10 @@
  */
 export class HttpClient {
   private readonly server: HostAndPort;
-  private readonly connections = new Set<Connection>();
-  private readonly idle: Connection[] = [];
+  private readonly connections = new Set<ClientConnection>();
+  private readonly idleConnections: ClientConnection[] = [];
   /** Calls that wait for a connection, first come first served. */
-  private readonly waiting: PendingCall[] = [];
+  private readonly queue: PendingCall[] = [];
 
   /** @param address `HOST:PORT` of the server */
   constructor(
@@ -66,18 +66,18 @@
   /** Sends a request, at once or as soon as a connection is free. */
   call(request: HttpCall, onReply: (reply: HttpReply) => void): void {
     const call: PendingCall = {
-      data: this.serialize(request),
+      serializedRequest: this.serialize(request),
       onReply,
-      finished: false,
-      deadlineTimer: setTimeout(() => this.expire(call), request.deadlineMs),
+      completed: false,
+      timeoutTimer: setTimeout(() => this.handleTimeout(call), request.timeoutMs),
     };
-    this.waiting.push(call);
-    this.dispatch();
+    this.queue.push(call);
+    this.sendQueued();
   }
 
   /** Closes the connections that carry no call. */
-  closeIdle(): void {
-    for (const connection of [...this.connections]) if (!connection.call) this.discard(connection);
+  closeIdleConnections(): void {
+    for (const connection of [...this.connections]) if (!connection.call) this.removeConnection(connection);
   }
 
   private serialize({ method, path, body }: HttpCall): string {
@@ -88,87 +88,89 @@
     return `${head}Content-Type: application/json\r\nContent-Length: ${length}\r\n\r\n${text}`;
   }
 
-  private finish(call: PendingCall, reply: HttpReply): void {
-    if (call.finished) return;
-    call.finished = true;
-    clearTimeout(call.deadlineTimer);
+  private complete(call: PendingCall, reply: HttpReply): void {
+    if (call.completed) return;
+    call.completed = true;
+    clearTimeout(call.timeoutTimer);
     call.onReply(reply);
   }
 
   /** A request already on its connection may yet be executed; the connection is of no more use. */
-  private expire(call: PendingCall): void {
+  private handleTimeout(call: PendingCall): void {
     for (const connection of this.connections)
       if (connection.call === call) {
         const sent = connection.connected;
         connection.call = null;
-        this.discard(connection);
-        this.finish(call, { status: 0, text: '', sent });
-        this.dispatch();
+        this.removeConnection(connection);
+        this.complete(call, { status: 0, body: '', sent });
+        this.sendQueued();
         return;
       }
-    const index = this.waiting.indexOf(call);
-    if (index >= 0) this.waiting.splice(index, 1);
-    this.finish(call, { status: 0, text: '', sent: false });
+    const index = this.queue.indexOf(call);
+    if (index >= 0) this.queue.splice(index, 1);
+    this.complete(call, { status: 0, body: '', sent: false });
   }
 
-  private dispatch(): void {
-    while (this.waiting.length > 0) {
+  private sendQueued(): void {
+    while (this.queue.length > 0) {
       // The connection used last goes first, so that those not needed stay idle and the server may close them.
-      const connection = this.idle.pop() ?? (this.connections.size < this.maxSockets ? this.connect() : null);
+      const connection =
+        this.idleConnections.pop() ??
+        (this.connections.size < this.maxSockets ? this.openConnection() : null);
       if (!connection) return;
-      const call = this.waiting.shift() as PendingCall;
+      const call = this.queue.shift() as PendingCall;
       connection.call = call;
-      if (connection.connected) connection.socket.write(call.data);
+      if (connection.connected) connection.socket.write(call.serializedRequest);
     }
   }
 
-  private connect(): Connection {
+  private openConnection(): ClientConnection {
     const socket = net.connect({ ...this.server, noDelay: true });
-    const connection: Connection = {
+    const connection: ClientConnection = {
       socket,
       call: null,
       connected: false,
       reader: new HttpMessageReader({
-        kind: 'RESPONSE',
-        maxBodyBytes: MAX_BODY_BYTES,
+        messageType: 'RESPONSE',
+        maxBodyBytes: MAX_RESPONSE_BODY_BYTES,
         onMessage: ({ status, body, keepAlive }) => {
           const call = connection.call;
           // A status under 200 is provisional: the response is still to come.
           if (status < 200 || !call) return;
           connection.call = null;
-          if (keepAlive && !socket.destroyed) this.idle.push(connection);
-          else this.discard(connection);
-          this.finish(call, { status, text: body ?? '', sent: true });
-          this.dispatch();
+          if (keepAlive && !socket.destroyed) this.idleConnections.push(connection);
+          else this.removeConnection(connection);
+          this.complete(call, { status, body: body ?? '', sent: true });
+          this.sendQueued();
         },
       }),
     };
     this.connections.add(connection);
     socket.on('connect', () => {
       connection.connected = true;
-      if (connection.call) socket.write(connection.call.data);
+      if (connection.call) socket.write(connection.call.serializedRequest);
     });
     socket.on('data', (data: Buffer) => {
       if (!connection.reader.push(data)) socket.destroy();
     });
     socket.on('end', () => connection.reader.end());
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.onClose(connection));
+    socket.on('close', () => this.handleClose(connection));
     return connection;
   }
 
-  private onClose(connection: Connection): void {
+  private handleClose(connection: ClientConnection): void {
     const call = connection.call;
     connection.call = null;
-    this.discard(connection);
-    if (call) this.finish(call, { status: 0, text: '', sent: connection.connected });
-    this.dispatch();
+    this.removeConnection(connection);
+    if (call) this.complete(call, { status: 0, body: '', sent: connection.connected });
+    this.sendQueued();
   }
 
-  private discard(connection: Connection): void {
+  private removeConnection(connection: ClientConnection): void {
     this.connections.delete(connection);
-    const index = this.idle.indexOf(connection);
-    if (index >= 0) this.idle.splice(index, 1);
+    const index = this.idleConnections.indexOf(connection);
+    if (index >= 0) this.idleConnections.splice(index, 1);
     if (!connection.socket.destroyed) connection.socket.destroy();
   }
 }
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -23,7 +23,7 @@
 
 /** What an {@link HttpMessageReader} reads, and whom it tells. */
 export interface HttpMessageReaderOptions {
-  kind: 'REQUEST' | 'RESPONSE';
+  messageType: 'REQUEST' | 'RESPONSE';
   /** Bodies over this many bytes are skipped, and their messages have a null body. */
   maxBodyBytes: number;
   /** Called within {@link HttpMessageReader.push} or {@link HttpMessageReader.end} for each complete message, in order. */
@@ -41,7 +41,7 @@
   private bodyBytes = 0;
 
   constructor(private readonly options: HttpMessageReaderOptions) {
-    this.parser = new HTTPParser(HTTPParser[options.kind]);
+    this.parser = new HTTPParser(HTTPParser[options.messageType]);
     this.parser.maxHeaderSize = MAX_HEADER_BYTES;
     this.parser[HTTPParser.kOnHeadersComplete] = (info) => {
       this.message = {
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -22,8 +22,8 @@
 
 /** Parts of an {@link HttpServer}. */
 export interface HttpServerOptions {
-  handle: RequestHandler;
-  connections: InboundConnections;
+  handleRequest: RequestHandler;
+  inboundConnections: InboundConnections;
   /** Monotonic time in ms. */
   now: () => number;
 }
@@ -31,7 +31,7 @@
 /** Connections that may wait to be accepted: the workers of a whole fleet come at once when a scheduler is new. */
 const LISTEN_BACKLOG = 8192;
 /** Largest request body that is taken, in bytes. */
-const MAX_BODY_BYTES = 64 * 1024;
+const MAX_REQUEST_BODY_BYTES = 64 * 1024;
 /** Requests a connection may send ahead of their responses. */
 const MAX_PIPELINED_REQUESTS = 16;
 /** Time for a request to arrive completely. */
@@ -39,7 +39,7 @@
 /** Time an idle connection is kept. */
 const IDLE_TIMEOUT_MS = 120_000;
 /** Time between two checks of the timeouts. */
-const SWEEP_INTERVAL_MS = 5000;
+const TIMEOUT_CHECK_INTERVAL_MS = 5000;
 
 const REASON_PHRASES: Record<number, string> = {
   200: 'OK',
@@ -52,36 +52,36 @@
   503: 'Service Unavailable',
 };
 
-interface Connection {
+interface ServerConnection {
   socket: net.Socket;
   reader: HttpMessageReader;
   /** Requests received and not served yet; one is served at a time. */
-  pipelined: HttpMessage[];
+  pendingRequests: HttpMessage[];
   /** Whether a request is being served. */
-  busy: boolean;
+  isServing: boolean;
   /** Whether a part of a request has arrived. */
-  receiving: boolean;
+  isReceiving: boolean;
   /** When the present request began to arrive, or the connection became idle; monotonic ms. */
-  activeAt: number;
+  timeoutStartedAt: number;
 }
 
 /** Reads requests, serves those of a connection one after the other, and closes connections that have timed out. */
 export class HttpServer {
   /** The listening socket. */
   readonly server: net.Server;
-  private readonly open = new Set<Connection>();
-  private readonly handle: RequestHandler;
-  private readonly connections: InboundConnections;
+  private readonly openConnections = new Set<ServerConnection>();
+  private readonly handleRequest: RequestHandler;
+  private readonly inboundConnections: InboundConnections;
   private readonly now: () => number;
 
   constructor(options: HttpServerOptions) {
-    this.handle = options.handle;
-    this.connections = options.connections;
+    this.handleRequest = options.handleRequest;
+    this.inboundConnections = options.inboundConnections;
     this.now = options.now;
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
-    this.connections.attach(this.server);
-    const sweepTimer = setInterval(() => this.closeTimedOut(), SWEEP_INTERVAL_MS).unref();
-    this.server.on('close', () => clearInterval(sweepTimer));
+    this.inboundConnections.attach(this.server);
+    const timeoutCheckTimer = setInterval(() => this.closeTimedOut(), TIMEOUT_CHECK_INTERVAL_MS).unref();
+    this.server.on('close', () => clearInterval(timeoutCheckTimer));
   }
 
   /** Accepts connections at `HOST:PORT`. `onError` is told if that fails, now or later. */
@@ -91,59 +91,59 @@
   }
 
   private accept(socket: net.Socket): void {
-    const connection: Connection = {
+    const connection: ServerConnection = {
       socket,
       reader: new HttpMessageReader({
-        kind: 'REQUEST',
-        maxBodyBytes: MAX_BODY_BYTES,
+        messageType: 'REQUEST',
+        maxBodyBytes: MAX_REQUEST_BODY_BYTES,
         onMessage: (request) => this.enqueue(connection, request),
         onHeaders: (rawHeaders) => {
           if (findHeader(rawHeaders, 'expect')?.toLowerCase() === '100-continue')
             socket.write('HTTP/1.1 100 Continue\r\n\r\n');
         },
       }),
-      pipelined: [],
-      busy: false,
-      receiving: false,
-      activeAt: this.now(),
+      pendingRequests: [],
+      isServing: false,
+      isReceiving: false,
+      timeoutStartedAt: this.now(),
     };
-    this.open.add(connection);
+    this.openConnections.add(connection);
     socket.on('data', (data: Buffer) => {
-      if (!connection.receiving) connection.activeAt = this.now();
-      connection.receiving = true;
+      if (!connection.isReceiving) connection.timeoutStartedAt = this.now();
+      connection.isReceiving = true;
       if (!connection.reader.push(data))
         writeResponse(socket, { status: 400, body: '{"error":"not HTTP"}' }, false);
     });
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.open.delete(connection));
+    socket.on('close', () => this.openConnections.delete(connection));
   }
 
-  private enqueue(connection: Connection, request: HttpMessage): void {
-    connection.receiving = false;
-    connection.activeAt = this.now();
-    connection.pipelined.push(request);
-    if (connection.pipelined.length > MAX_PIPELINED_REQUESTS) connection.socket.destroy();
+  private enqueue(connection: ServerConnection, request: HttpMessage): void {
+    connection.isReceiving = false;
+    connection.timeoutStartedAt = this.now();
+    connection.pendingRequests.push(request);
+    if (connection.pendingRequests.length > MAX_PIPELINED_REQUESTS) connection.socket.destroy();
     else this.serveNext(connection);
   }
 
-  private serveNext(connection: Connection): void {
+  private serveNext(connection: ServerConnection): void {
     const { socket } = connection;
-    const request = connection.busy ? undefined : connection.pipelined.shift();
+    const request = connection.isServing ? undefined : connection.pendingRequests.shift();
     if (!request || socket.destroyed) return;
-    connection.busy = true;
-    this.connections.requestStarted(socket, request.path);
+    connection.isServing = true;
+    this.inboundConnections.requestStarted(socket, request.path);
     let responded = false;
     const respond = (response: HttpResponse) => {
       if (responded) return;
       responded = true;
-      connection.busy = false;
-      connection.activeAt = this.now();
-      this.connections.requestFinished(socket);
+      connection.isServing = false;
+      connection.timeoutStartedAt = this.now();
+      this.inboundConnections.requestFinished(socket);
       if (socket.destroyed) return;
       const keepAlive =
         request.keepAlive &&
         response.headers?.Connection !== 'close' &&
-        !this.connections.mustClose(request.path);
+        !this.inboundConnections.shouldClose(request.path);
       writeResponse(socket, response, keepAlive);
       this.serveNext(connection);
     };
@@ -152,7 +152,7 @@
       return;
     }
     try {
-      this.handle(request, respond);
+      this.handleRequest(request, respond);
     } catch {
       respond({ status: 500, body: '{"error":"internal error"}' });
     }
@@ -160,10 +160,10 @@
 
   private closeTimedOut(): void {
     const now = this.now();
-    for (const connection of this.open) {
-      if (connection.busy) continue;
-      const timeoutMs = connection.receiving ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS;
-      if (now - connection.activeAt > timeoutMs) connection.socket.destroy();
+    for (const connection of this.openConnections) {
+      if (connection.isServing) continue;
+      const timeoutMs = connection.isReceiving ? REQUEST_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+      if (now - connection.timeoutStartedAt > timeoutMs) connection.socket.destroy();
     }
   }
 }
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -5,13 +5,13 @@
 
 type ClientKind = 'worker' | 'user' | 'probe';
 
-interface Connection {
+interface InboundConnection {
   /** By its last request; null: it has sent none yet. */
   kind: ClientKind | null;
   /** Whether a request is being served on it. */
-  busy: boolean;
+  isServing: boolean;
   /** When it was opened or last answered on; monotonic ms. */
-  usedAt: number;
+  lastUsedAt: number;
 }
 
 /** Part of the connections that users may take while others need them. */
@@ -21,7 +21,7 @@
 /** An idle connection may be closed by us only when unused for this long: its next request may be on its way. */
 const MIN_IDLE_MS = 1000;
 
-function clientKind(path: string): ClientKind {
+function classifyClient(path: string): ClientKind {
   if (path.startsWith(HEARTBEAT_PATH)) return 'worker';
   return path.startsWith(READINESS_PATH) ? 'probe' : 'user';
 }
@@ -33,7 +33,7 @@
  */
 export class InboundConnections {
   /** In order of last use, the longest unused first. */
-  private readonly open = new Map<Socket, Connection>();
+  private readonly openConnections = new Map<Socket, InboundConnection>();
   private readonly countByKind: Record<ClientKind, number> = { worker: 0, user: 0, probe: 0 };
 
   /**
@@ -47,68 +47,68 @@
 
   /** Connections open now. */
   get size(): number {
-    return this.open.size;
+    return this.openConnections.size;
   }
 
   /** Bounds and follows the connections of a server. */
   attach(server: Server): void {
     server.maxConnections = this.maxConnections;
     server.on('connection', (socket: Socket) => {
-      this.open.set(socket, { kind: null, busy: false, usedAt: this.now() });
-      socket.once('close', () => this.forget(socket));
-      if (this.isNearlyFull()) this.closeLongestUnused();
+      this.openConnections.set(socket, { kind: null, isServing: false, lastUsedAt: this.now() });
+      socket.once('close', () => this.remove(socket));
+      if (this.isNearlyFull()) this.closeLeastRecentlyUsed();
     });
   }
 
   /** A request for this path is about to be served. */
   requestStarted(socket: Socket, path: string): void {
-    const connection = this.open.get(socket);
+    const connection = this.openConnections.get(socket);
     if (!connection) return;
-    const kind = clientKind(path);
+    const kind = classifyClient(path);
     if (connection.kind !== kind) {
       if (connection.kind) this.countByKind[connection.kind]--;
       this.countByKind[kind]++;
       connection.kind = kind;
     }
-    connection.busy = true;
+    connection.isServing = true;
   }
 
   /** The request of this connection has its response. */
   requestFinished(socket: Socket): void {
-    const connection = this.open.get(socket);
+    const connection = this.openConnections.get(socket);
     if (!connection) return;
-    connection.busy = false;
-    connection.usedAt = this.now();
+    connection.isServing = false;
+    connection.lastUsedAt = this.now();
     // To the end of the order of last use.
-    this.open.delete(socket);
-    this.open.set(socket, connection);
+    this.openConnections.delete(socket);
+    this.openConnections.set(socket, connection);
   }
 
   /** Whether a client that asked for this path is to be disconnected after its response. */
-  mustClose(path: string): boolean {
-    return this.isNearlyFull() && clientKind(path) === this.kindOverShare();
+  shouldClose(path: string): boolean {
+    return this.isNearlyFull() && classifyClient(path) === this.kindOverShare();
   }
 
-  private forget(socket: Socket): void {
-    const connection = this.open.get(socket);
+  private remove(socket: Socket): void {
+    const connection = this.openConnections.get(socket);
     if (connection?.kind) this.countByKind[connection.kind]--;
-    this.open.delete(socket);
+    this.openConnections.delete(socket);
   }
 
   private isNearlyFull(): boolean {
-    return this.open.size >= this.maxConnections * (1 - FREE_SHARE);
+    return this.openConnections.size >= this.maxConnections * (1 - FREE_SHARE);
   }
 
   private kindOverShare(): 'worker' | 'user' {
     return this.countByKind.user > this.maxConnections * USER_SHARE ? 'user' : 'worker';
   }
 
-  private closeLongestUnused(): void {
+  private closeLeastRecentlyUsed(): void {
     const now = this.now();
     const kindOverShare = this.kindOverShare();
-    for (const [socket, { kind, busy, usedAt }] of this.open) {
-      if (now - usedAt < MIN_IDLE_MS) return;
-      if (busy || (kind !== null && kind !== kindOverShare)) continue;
+    for (const [socket, { kind, isServing, lastUsedAt }] of this.openConnections) {
+      if (now - lastUsedAt < MIN_IDLE_MS) return;
+      if (isServing || (kind !== null && kind !== kindOverShare)) continue;
       socket.destroy();
       return;
     }
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -11,7 +11,7 @@
 const MAX_UNSENT_BYTES = 4 << 20;
 const CONNECT_TIMEOUT_MS = 2000;
 /** Pause before a connection is made again. It grows with each failure and starts over once a connection is made. */
-const FIRST_RECONNECT_DELAY_MS = 200;
+const INITIAL_RECONNECT_DELAY_MS = 200;
 const MAX_RECONNECT_DELAY_MS = 1000;
 const RECONNECT_DELAY_FACTOR = 1.5;
 /** Heartbeats come far more often: a connection without any message for so long is dead. */
@@ -33,7 +33,7 @@
   /** A message has come, from whichever peer. */
   onMessage: (message: PeerMessage) => void;
   /** The connection to a peer has been made or lost; a message sent before may be lost. */
-  onConnection: (nodeName: string, isUp: boolean) => void;
+  onConnectionChange: (nodeName: string, isUp: boolean) => void;
 }
 
 /**
@@ -47,21 +47,24 @@
   private readonly packr = new Packr();
 
   constructor(private readonly options: PeerConnectionsOptions) {
-    const { bind, peers, log, onConnection } = options;
-    const server = net.createServer((socket) => this.receive(socket));
+    const { bind, peers, log, onConnectionChange } = options;
+    const server = net.createServer((socket) => this.acceptConnection(socket));
     server.on('error', (error) => log.error({ err: String(error) }, 'peer server failed'));
     server.listen(parseAddress(bind));
     for (const { nodeName, address } of peers)
-      this.outbound.set(nodeName, new OutboundConnection(address, (isUp) => onConnection(nodeName, isUp)));
+      this.outbound.set(
+        nodeName,
+        new OutboundConnection(address, (isUp) => onConnectionChange(nodeName, isUp)),
+      );
   }
 
   /** Sends a message to a peer if there is a connection to it. */
   send(nodeName: string, message: PeerMessage): void {
     const connection = this.outbound.get(nodeName);
-    if (connection?.isReady()) connection.write(this.packr.pack(encodePeerMessage(message)));
+    if (connection?.isWritable()) connection.write(this.packr.pack(encodePeerMessage(message)));
   }
 
-  private receive(socket: net.Socket): void {
+  private acceptConnection(socket: net.Socket): void {
     socket.setNoDelay(true);
     socket.setTimeout(RECEIVE_TIMEOUT_MS, () => socket.destroy());
     const messages = new UnpackrStream();
@@ -80,17 +83,17 @@
 class OutboundConnection {
   private socket: net.Socket;
   private isUp = false;
-  private reconnectDelayMs = FIRST_RECONNECT_DELAY_MS;
+  private reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
 
   constructor(
     private readonly address: string,
-    private readonly onChange: (isUp: boolean) => void,
+    private readonly onConnectionChange: (isUp: boolean) => void,
   ) {
     this.socket = this.connect();
   }
 
   /** Whether there is a connection that takes more; one that is cut off is closed. */
-  isReady(): boolean {
+  isWritable(): boolean {
     if (!this.isUp) return false;
     if (this.socket.writableLength <= MAX_UNSENT_BYTES) return true;
     this.socket.destroy();
@@ -108,21 +111,21 @@
     socket.on('connect', () => {
       clearTimeout(connectTimer);
       this.isUp = true;
-      this.reconnectDelayMs = FIRST_RECONNECT_DELAY_MS;
-      this.onChange(true);
+      this.reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
+      this.onConnectionChange(true);
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
       clearTimeout(connectTimer);
-      this.onClose();
+      this.handleClose();
     });
     return socket;
   }
 
-  private onClose(): void {
+  private handleClose(): void {
     const wasUp = this.isUp;
     this.isUp = false;
-    if (wasUp) this.onChange(false);
+    if (wasUp) this.onConnectionChange(false);
     setTimeout(() => {
       this.socket = this.connect();
     }, this.reconnectDelayMs);
--- a/src/transport/socket-budget.ts
+++ b/src/transport/socket-budget.ts
@@ -11,7 +11,7 @@
 /** Standard streams, timers and listening sockets of the process, and connections being opened or closed. */
 const RESERVED_DESCRIPTORS = 40;
 /** Connections to the state service and to the cloud. */
-const SERVICE_CONNECTIONS = 30;
+const STORE_AND_CLOUD_CONNECTIONS = 30;
 /** Connections with one other controller: one dialled, one accepted, and one spare while either is replaced. */
 const CONNECTIONS_PER_PEER = 3;
 /** Part of all descriptors that connections to workers may take. */
@@ -20,8 +20,9 @@
 const MIN_INBOUND_CONNECTIONS = 16;
 
 /** The budget that follows from the limit of file descriptors (`limits.fd_limit`) and the number of other controllers. */
-export function socketBudget(fdLimit: number, peerCount: number): SocketBudget {
-  const available = fdLimit - RESERVED_DESCRIPTORS - SERVICE_CONNECTIONS - CONNECTIONS_PER_PEER * peerCount;
+export function computeSocketBudget(fdLimit: number, peerCount: number): SocketBudget {
+  const available =
+    fdLimit - RESERVED_DESCRIPTORS - STORE_AND_CLOUD_CONNECTIONS - CONNECTIONS_PER_PEER * peerCount;
   const workers = Math.max(MIN_WORKER_CONNECTIONS, Math.floor(fdLimit * WORKER_SHARE));
   return { inbound: Math.max(MIN_INBOUND_CONNECTIONS, available - workers), workers };
 }
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -11,11 +11,11 @@
 import { JOBS_PATH, READINESS_PATH } from './http-paths.js';
 
 /** Limit of users' requests in progress: it starts here and follows the time that answers take. */
-const INITIAL_REQUESTS_IN_PROGRESS = 64;
-const MIN_REQUESTS_IN_PROGRESS = 8;
-const MAX_REQUESTS_IN_PROGRESS = 400;
+const INITIAL_CONCURRENT_REQUESTS = 64;
+const MIN_CONCURRENT_REQUESTS = 8;
+const MAX_CONCURRENT_REQUESTS = 400;
 /** An answer within this time is never taken for slow. */
-const FAST_ANSWER_MS = 400;
+const FAST_RESPONSE_MS = 400;
 
 /** Users are told to come back after a random whole number of seconds from 1 to this. */
 const MAX_RETRY_AFTER_S = 3;
@@ -28,18 +28,18 @@
 }
 
 /** Serves a request, or refuses it if too many are in progress. */
-type LimitProgress = (context: Context, work: () => Promise<Response>) => Promise<Response>;
+type LimitConcurrency = (context: Context, work: () => Promise<Response>) => Promise<Response>;
 
 /** Users' requests alone are limited: they never hold up heartbeats and health checks. */
-function createProgressLimit(clock: Clock): LimitProgress {
+function createConcurrencyLimiter(clock: Clock): LimitConcurrency {
   const limit = new ConcurrencyLimit({
-    initialLimit: INITIAL_REQUESTS_IN_PROGRESS,
-    minLimit: MIN_REQUESTS_IN_PROGRESS,
-    maxLimit: MAX_REQUESTS_IN_PROGRESS,
-    fastMs: FAST_ANSWER_MS,
+    initialLimit: INITIAL_CONCURRENT_REQUESTS,
+    minLimit: MIN_CONCURRENT_REQUESTS,
+    maxLimit: MAX_CONCURRENT_REQUESTS,
+    fastThresholdMs: FAST_RESPONSE_MS,
   });
   return async (context, work) => {
-    if (!limit.tryAcquire()) return respondLater(context, 'too many requests in progress');
+    if (!limit.tryAcquire()) return respondUnavailable(context, 'too many requests in progress');
     const startedAt = clock.now();
     try {
       return await work();
@@ -51,16 +51,16 @@
 }
 
 /** Spread over some seconds, or all that were refused together would come back together. */
-function retryAfterSeconds(): string {
+function randomRetryAfterSeconds(): string {
   return String(1 + Math.floor(Math.random() * MAX_RETRY_AFTER_S));
 }
 
-function respondLater(context: Context, reason: string): Response {
-  context.header('Retry-After', retryAfterSeconds());
+function respondUnavailable(context: Context, reason: string): Response {
+  context.header('Retry-After', randomRetryAfterSeconds());
   return context.json({ error: reason }, 503);
 }
 
-function respondNoSuchJob(context: Context): Response {
+function respondNotFound(context: Context): Response {
   return context.json({ error: 'no such job' }, 404);
 }
 
@@ -94,15 +94,15 @@
     );
   }
 
-  async poll(context: Context, id: string): Promise<Response> {
-    if (!isJobId(id)) return respondNoSuchJob(context);
+  async getStatus(context: Context, id: string): Promise<Response> {
+    if (!isJobId(id)) return respondNotFound(context);
     return new Promise((resolve) =>
       this.controller.api.getJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
   }
 
   async cancel(context: Context, id: string): Promise<Response> {
-    if (!isJobId(id)) return respondNoSuchJob(context);
+    if (!isJobId(id)) return respondNotFound(context);
     return new Promise((resolve) =>
       this.controller.api.cancelJob(id, (answer) => resolve(this.respond(context, id, answer))),
     );
@@ -113,13 +113,13 @@
       case 'job':
         return context.json(encodeJobStatus(id, answer), answer.created ? 201 : 200);
       case 'notFound':
-        return respondNoSuchJob(context);
+        return respondNotFound(context);
       case 'rejected':
         return context.json({ error: answer.reason }, 422);
       case 'unavailable':
         // The user's next connection is led to a controller that can serve it.
         if (this.controller.shouldRedirectUsers()) context.header('Connection', 'close');
-        return respondLater(context, answer.reason);
+        return respondUnavailable(context, answer.reason);
     }
   }
 }
@@ -128,23 +128,23 @@
 export function createUserApi(options: UserApiOptions): Hono {
   const { controller, clock, log } = options;
   const app = new Hono();
-  const limitProgress = createProgressLimit(clock);
-  const jobs = new JobHandlers(controller, clock);
+  const limitConcurrency = createConcurrencyLimiter(clock);
+  const jobHandlers = new JobHandlers(controller, clock);
 
-  app.post(JOBS_PATH, (context) => limitProgress(context, () => jobs.submit(context)));
+  app.post(JOBS_PATH, (context) => limitConcurrency(context, () => jobHandlers.submit(context)));
   app.get(`${JOBS_PATH}/:id`, (context) =>
-    limitProgress(context, () => jobs.poll(context, context.req.param('id'))),
+    limitConcurrency(context, () => jobHandlers.getStatus(context, context.req.param('id'))),
   );
   app.post(`${JOBS_PATH}/:id/abort`, (context) =>
-    limitProgress(context, () => jobs.cancel(context, context.req.param('id'))),
+    limitConcurrency(context, () => jobHandlers.cancel(context, context.req.param('id'))),
   );
   app.get(READINESS_PATH, (context) =>
-    controller.isReady() ? context.json({ ready: true }) : respondLater(context, 'not ready'),
+    controller.isReady() ? context.json({ ready: true }) : respondUnavailable(context, 'not ready'),
   );
   app.notFound((context) => context.json({ error: 'no such path' }, 404));
   app.onError((error, context) => {
     log.error({ err: error.stack ?? String(error) }, 'request failed');
-    return respondLater(context, 'internal error');
+    return respondUnavailable(context, 'internal error');
   });
   return app;
 }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -8,20 +8,20 @@
 import { HttpClient, type HttpReply } from './http-client.js';
 
 /** Time for a call, the wait for a connection included. */
-const CALL_DEADLINE_MS = 2000;
+const CALL_TIMEOUT_MS = 2000;
 /** A connection unused for so long is closed: sockets are needed for heartbeats and users. */
 const IDLE_TIMEOUT_MS = 30_000;
 /** Time between two looks at waiting calls and idle connections. */
-const CHECK_INTERVAL_MS = 500;
+const MAINTENANCE_INTERVAL_MS = 500;
 
 const COMMANDS_PATH = '/commands';
 
-interface Connection {
+interface WorkerConnection {
   /** Of one socket. */
   client: HttpClient;
   callsInProgress: number;
   /** When it was last used; wall-clock ms. */
-  usedAt: number;
+  lastUsedAt: number;
 }
 
 interface WaitingCall {
@@ -29,7 +29,7 @@
   /** Wall-clock ms. */
   expiresAt: number;
   /** Sends the call on the connection it has been given. */
-  send: (connection: Connection) => void;
+  send: (connection: WorkerConnection) => void;
   onExpired: () => void;
 }
 
@@ -40,10 +40,10 @@
  */
 export class WorkerClient implements WorkerCommandPort {
   /** By the worker's address, in order of last use. */
-  private readonly connections = new Map<string, Connection>();
+  private readonly connections = new Map<string, WorkerConnection>();
   private readonly waitingCommands: WaitingCall[] = [];
   private readonly waitingQueries: WaitingCall[] = [];
-  private timer: NodeJS.Timeout | null = null;
+  private maintenanceTimer: NodeJS.Timeout | null = null;
 
   constructor(private readonly maxConnections: number) {}
 
@@ -60,53 +60,53 @@
    * - `indeterminate` if the commands may have been executed, or may yet be.
    */
   sendCommands(address: string, batch: CommandBatch, onResult: ResultCallback<Heartbeat>): void {
-    const expiresAt = Date.now() + CALL_DEADLINE_MS;
-    const send = (connection: Connection) => {
+    const expiresAt = Date.now() + CALL_TIMEOUT_MS;
+    const send = (connection: WorkerConnection) => {
       const call = {
         method: 'POST',
         path: COMMANDS_PATH,
         body: encodeDirectCommands(batch),
-        deadlineMs: Math.max(1, expiresAt - Date.now()),
+        timeoutMs: Math.max(1, expiresAt - Date.now()),
       };
       connection.callsInProgress++;
       connection.client.call(call, (reply) => {
         connection.callsInProgress--;
         this.sendWaiting();
-        onResult(resultOf(reply));
+        onResult(toResult(reply));
       });
     };
-    const connection = this.connectionTo(address);
+    const connection = this.acquireConnection(address);
     if (connection) {
       send(connection);
       return;
     }
     const queue = batch.commands.length > 0 ? this.waitingCommands : this.waitingQueries;
     queue.push({ address, expiresAt, send, onExpired: () => onResult({ ok: false, kind: 'refused' }) });
-    this.scheduleCheck();
+    this.scheduleMaintenance();
   }
 
   /** The connection to a worker, or null if there is none and no room for one more. */
-  private connectionTo(address: string): Connection | null {
+  private acquireConnection(address: string): WorkerConnection | null {
     const now = Date.now();
     let connection = this.connections.get(address);
     if (!connection) {
-      if (this.connections.size >= this.maxConnections && !this.closeLongestUnused(now, 0)) return null;
-      connection = { client: new HttpClient(address, 1), callsInProgress: 0, usedAt: now };
+      if (this.connections.size >= this.maxConnections && !this.closeLeastRecentlyUsed(now, 0)) return null;
+      connection = { client: new HttpClient(address, 1), callsInProgress: 0, lastUsedAt: now };
     }
-    connection.usedAt = now;
+    connection.lastUsedAt = now;
     // To the end of the order of last use.
     this.connections.delete(address);
     this.connections.set(address, connection);
-    this.scheduleCheck();
+    this.scheduleMaintenance();
     return connection;
   }
 
   /** Closes the longest unused connection that carries no call, if it has been unused for at least so long. */
-  private closeLongestUnused(now: number, minIdleMs: number): boolean {
+  private closeLeastRecentlyUsed(now: number, minIdleMs: number): boolean {
     for (const [address, connection] of this.connections) {
       if (connection.callsInProgress > 0) continue;
-      if (now - connection.usedAt < minIdleMs) return false;
-      connection.client.closeIdle();
+      if (now - connection.lastUsedAt < minIdleMs) return false;
+      connection.client.closeIdleConnections();
       this.connections.delete(address);
       return true;
     }
@@ -118,7 +118,7 @@
     for (const queue of [this.waitingCommands, this.waitingQueries])
       for (let call = queue[0]; call; call = queue[0]) {
         const expired = call.expiresAt <= now;
-        const connection = expired ? null : this.connectionTo(call.address);
+        const connection = expired ? null : this.acquireConnection(call.address);
         if (!connection && !expired) return;
         queue.shift();
         if (connection) call.send(connection);
@@ -127,27 +127,27 @@
   }
 
   /** The timer runs while there are connections or waiting calls, and does not keep the process alive. */
-  private scheduleCheck(): void {
-    if (this.timer) return;
-    this.timer = setTimeout(() => {
-      this.timer = null;
-      this.check();
-    }, CHECK_INTERVAL_MS);
-    this.timer.unref();
+  private scheduleMaintenance(): void {
+    if (this.maintenanceTimer) return;
+    this.maintenanceTimer = setTimeout(() => {
+      this.maintenanceTimer = null;
+      this.runMaintenance();
+    }, MAINTENANCE_INTERVAL_MS);
+    this.maintenanceTimer.unref();
   }
 
-  private check(): void {
+  private runMaintenance(): void {
     const now = Date.now();
     this.sendWaiting();
-    while (this.closeLongestUnused(now, IDLE_TIMEOUT_MS));
+    while (this.closeLeastRecentlyUsed(now, IDLE_TIMEOUT_MS));
     const waiting = this.waitingCommands.length + this.waitingQueries.length;
-    if (this.connections.size > 0 || waiting > 0) this.scheduleCheck();
+    if (this.connections.size > 0 || waiting > 0) this.scheduleMaintenance();
   }
 }
 
-function resultOf(reply: HttpReply): Result<Heartbeat> {
+function toResult(reply: HttpReply): Result<Heartbeat> {
   if (reply.status === 0) return { ok: false, kind: reply.sent ? 'indeterminate' : 'refused' };
-  const heartbeat = decodeHeartbeat(parseJson(reply.text));
+  const heartbeat = decodeHeartbeat(parseJson(reply.body));
   switch (reply.status) {
     case 200:
       return heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'indeterminate' };
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -77,7 +77,7 @@
         peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
         log,
         onMessage: () => {},
-        onConnection: (_nodeName, isUp) => {
+        onConnectionChange: (_nodeName, isUp) => {
           if (!isUp) return;
           for (const [, message] of EXAMPLES) connections.send('stand-2', message);
           done();
@@ -105,7 +105,7 @@
           got.push(message);
           if (got.length === EXAMPLES.length) done();
         },
-        onConnection: () => {},
+        onConnectionChange: () => {},
       });
       const socket = net.connect(port, '127.0.0.1', () => {
         for (const [title] of EXAMPLES) socket.write(bytesOf(title));
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -74,7 +74,7 @@
   try {
     check();
   } catch (error) {
-    if (error instanceof SettingsError) return error.faults;
+    if (error instanceof SettingsError) return error.issues;
     throw error;
   }
   return [];
--- a/test/forms/store-messages.test.ts
+++ b/test/forms/store-messages.test.ts
@@ -10,7 +10,7 @@
   store = new StoreClient(await server.listen(), {
     requestsPerSecond: 1000,
     writesPerSecond: 1000,
-    controllers: 1,
+    controllerCount: 1,
   });
 });
 afterAll(() => server.close());
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -119,7 +119,7 @@
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
-  const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastMs: 100 });
+  const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastThresholdMs: 100 });
   let now = 0;
   /** Fills the limit with requests that all take so long. */
   const fill = (tookMs: number) => {
--- a/test/listening.ts
+++ b/test/listening.ts
@@ -40,7 +40,7 @@
 ): Promise<{ connections: InboundConnections; port: number }> {
   const now = () => performance.now();
   const connections = new InboundConnections(maxConnections, now);
-  const { server } = new HttpServer({ handle, connections, now });
+  const { server } = new HttpServer({ handleRequest: handle, inboundConnections: connections, now });
   afterTest(() => server.close());
   return { connections, port: await listen(server) };
 }
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -31,7 +31,7 @@
     peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
     log,
     onMessage: () => {},
-    onConnection: (nodeName, isUp) => changes.push(`${nodeName} ${isUp ? 'up' : 'down'}`),
+    onConnectionChange: (nodeName, isUp) => changes.push(`${nodeName} ${isUp ? 'up' : 'down'}`),
   });
   connections.send('stand-2', message(1));
   connections.send('nobody', message(2));
@@ -67,7 +67,7 @@
     peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
     log,
     onMessage: () => {},
-    onConnection: (_nodeName, isUp) => changes.push(isUp),
+    onConnectionChange: (_nodeName, isUp) => changes.push(isUp),
   });
   await vi.waitFor(() => expect(changes).toEqual([true]), 3000);
 
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -6,7 +6,7 @@
 
 /** A limiter of one controller, and the results of its requests in the order in which they came, as `NAME RESULT`. */
 function createLimiter() {
-  const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllers: 1 });
+  const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllerCount: 1 });
   const results: string[] = [];
   const acquire = (urgency: Urgency, writes: number, name: string) =>
     limiter.acquire(urgency, writes, (acquired) => results.push(`${name} ${acquired}`));
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -47,7 +47,7 @@
   try {
     check();
   } catch (error) {
-    if (error instanceof SettingsError) return error.faults;
+    if (error instanceof SettingsError) return error.issues;
   }
   return [];
 }
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest';
-import { socketBudget } from '../src/transport/socket-budget.js';
+import { computeSocketBudget } from '../src/transport/socket-budget.js';
 
 test('the budget leaves workers their connections at every size', () => {
   for (const [fdLimit, machines, peers] of [
@@ -7,7 +7,7 @@
     [2021, 893, 2],
     [800, 72, 2],
   ] as const) {
-    const budget = socketBudget(fdLimit, peers);
+    const budget = computeSocketBudget(fdLimit, peers);
 
     expect(budget.inbound + budget.workers).toBeLessThan(fdLimit);
     expect(budget.inbound * 0.96).toBeGreaterThan(machines);
--- a/test/store-client.test.ts
+++ b/test/store-client.test.ts
@@ -11,7 +11,11 @@
     response.statusCode = statuses[requests++] ?? 500;
     response.end('{"items":[],"ring":431}');
   });
-  const store = new StoreClient(address, { requestsPerSecond: 10_000, writesPerSecond: 100, controllers: 1 });
+  const store = new StoreClient(address, {
+    requestsPerSecond: 10_000,
+    writesPerSecond: 100,
+    controllerCount: 1,
+  });
   const result = await new Promise<Result<unknown>>((resolve) =>
     store.list({ prefix: 'c/', startAfter: '', urgency: URGENCY.user }, resolve),
   );
