--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,4 +1,4 @@
-/** The command line: commands, options and exit codes. */
+/** Command line interface: commands, options and exit codes. */
 
 import { Command, CommanderError } from 'commander';
 import { SettingsError } from '../config/settings-error.js';
@@ -6,25 +6,25 @@
 /** Exit codes of the program. */
 export const EXIT_CODE = {
   success: 0,
-  /** A defect, or the HTTP server can't listen. */
+  /** An uncaught exception, or the HTTP server failed to listen. */
   failure: 1,
-  /** A wrong command line, settings or policy. */
+  /** Invalid command line, settings or policy. */
   usage: 2,
 } as const;
 
-/** Options of every command. */
+/** Options of all commands. */
 export interface CommandOptions {
-  /** The settings file. */
+  /** Path of the settings file. */
   config: string;
-  /** The policy file; absent: the one delivered with the program. */
+  /** Path of the policy file. Absent: the default policy shipped with the program. */
   policy?: string;
 }
 
-/** What the commands do. They throw {@link SettingsError} if settings or policy can't be used. */
+/** Handlers of the commands. They throw a {@link SettingsError} if the settings or the policy are invalid. */
 export interface CommandHandlers {
-  /** Runs a controller; this is also done without a command. */
+  /** Runs a controller. This is the default command. */
   serve: (options: CommandOptions) => void;
-  /** Checks settings and policy. */
+  /** Validates the settings and the policy. */
   check: (options: CommandOptions) => void;
 }
 
@@ -51,8 +51,9 @@
 }
 
 /**
- * Runs the command of the process's arguments. Faults of settings and policy go to standard error, one a line, and end
- * the process, as does a wrong command line; other errors are thrown.
+ * Parses the process arguments and runs the command. An invalid command line, settings file or policy is
+ * reported on standard error, one issue per line, and the process exits with code 2. Other errors are
+ * rethrown.
  */
 export function runCommandLine(handlers: CommandHandlers): void {
   try {
@@ -62,7 +63,7 @@
       for (const issue of error.issues) process.stderr.write(`${issue}\n`);
       process.exit(EXIT_CODE.usage);
     }
-    // Thrown after the help or the complaint has been written.
+    // Commander throws this after writing the help or the error message.
     if (error instanceof CommanderError)
       process.exit(error.exitCode === 0 ? EXIT_CODE.success : EXIT_CODE.usage);
     throw error;
--- a/src/cli/process-log.ts
+++ b/src/cli/process-log.ts
@@ -1,4 +1,4 @@
-/** The log of the process, and the defects that end up in it. */
+/** Process-wide logger and logging of unhandled errors. */
 
 import { pino } from 'pino';
 import type { Logger } from '../model/logger.js';
@@ -9,8 +9,8 @@
 const STDERR_FD = 2;
 
 /**
- * A log of JSON lines on standard error, of the level that `LOG_LEVEL` names. It is written synchronously, so that the
- * last lines before an exit are not lost.
+ * Creates a logger that writes JSON lines to standard error. The environment variable `LOG_LEVEL` sets the
+ * level. Writes are synchronous, so that the last lines before an exit are not lost.
  */
 export function createLogger(nodeName: string): Logger {
   const level = process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL;
@@ -20,7 +20,7 @@
   );
 }
 
-/** Logs uncaught exceptions, which end the process, and promise rejections that nobody handles, which don't. */
+/** Logs uncaught exceptions, which exit the process, and unhandled promise rejections, which do not. */
 export function logUnhandledErrors(log: Logger): void {
   process.on('uncaughtException', (error) => {
     log.error({ err: error.stack ?? String(error) }, 'uncaught exception');
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -1,4 +1,7 @@
-/** The operators' policy: a TOML table of numbers and CEL expressions, type-checked before the controller starts. */
+/**
+ * Operator policy: a TOML table of numbers and CEL expressions that are type-checked before the controller
+ * starts.
+ */
 
 import { Environment } from '@marcbachmann/cel-js';
 import type { Policy, PolicyFn, PolicyInput } from '../model/policy.js';
@@ -9,14 +12,14 @@
   max: number;
 }
 
-/** A key of the policy table. */
+/** Definition of a key of the policy table. */
 interface PolicyKey {
   field: keyof Policy;
-  /** The value is clamped to it. */
+  /** Range that the value is clamped to. */
   range: Range;
 }
 
-/** The operators' keys, and what they set. */
+/** Keys of the policy table and the policy fields that they set. */
 const POLICY_KEYS: Readonly<Record<string, PolicyKey>> = {
   reserve_replicas: { field: 'reserveReplicas', range: { min: 0, max: 1000 } },
   reserve_batch: { field: 'reserveBatchJobs', range: { min: 0, max: 100 } },
@@ -31,7 +34,7 @@
   patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
 };
 
-/** The names that expressions may use, and what they stand for; all are doubles. */
+/** Variables of the expressions and the input fields that they are read from. All have type double. */
 const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
   services: 'services',
   service_cpus: 'serviceCpus',
@@ -44,10 +47,10 @@
   boot_s: 'bootSeconds',
 };
 
-/** Evaluates one value of the policy. */
+/** Evaluates one compiled policy value. */
 type EvaluateFn = (variables: Record<string, unknown>) => unknown;
 
-/** A value made ready to be evaluated, or what is wrong with it. */
+/** A compiled policy value, or a description of the error in it. */
 type CompiledValue = { ok: true; evaluate: EvaluateFn } | { ok: false; issue: string };
 
 function createEnvironment(): Environment {
@@ -82,7 +85,7 @@
   return { ok: false, issue: value === undefined ? 'missing' : 'must be a number or an expression' };
 }
 
-/** The key with its line in the text, if it is found there. */
+/** Names a key together with its line number, if a line of the text starts with the key. */
 function describeKey(text: string, key: string): string {
   const line = text.split('\n').findIndex((lineText) => lineText.trimStart().startsWith(key));
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
@@ -94,14 +97,16 @@
   return variables;
 }
 
-/** A result that is no number, as of a division by zero, becomes the least value. */
+/**
+ * Clamps a value to its range. A value that is not finite, such as a division by zero, becomes the minimum.
+ */
 function clamp(value: number, { min, max }: Range): number {
   return Math.min(max, Math.max(min, Number.isFinite(value) ? value : min));
 }
 
 /**
- * A policy from its text, which must have every key and no other. Throws {@link SettingsError} that names every fault
- * with its key and line.
+ * Compiles a policy. The text must define every key and no others. Throws a {@link SettingsError} that lists
+ * every issue with its key and line.
  */
 export function compilePolicy(text: string): PolicyFn {
   const table = parseTomlTable(text, 'policy is not TOML');
@@ -125,7 +130,9 @@
   };
 }
 
-/** A policy from a file. Throws {@link SettingsError} if it can't be read or has faults. */
+/**
+ * Loads and compiles a policy file. Throws a {@link SettingsError} if the file can't be read or is invalid.
+ */
 export function loadPolicy(file: string | URL): PolicyFn {
   return compilePolicy(readTextFile(file));
 }
--- a/src/config/settings-error.ts
+++ b/src/config/settings-error.ts
@@ -1,15 +1,16 @@
-/** The error of settings and policy, and reading of the files they come from. */
+/** Error type and file reading shared by settings and policy. */
 
 import { readFileSync } from 'node:fs';
 import { parse as parseToml } from 'smol-toml';
 
-/** Settings or a policy can't be used. */
+/** Thrown when settings or a policy cannot be read or are invalid. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 
   /**
-   * @param issues what is wrong, one line each, named with its field where it has one; at least one
-   * @param options `cause`: the error that was wrapped, if any
+   * @param issues - descriptions of what is wrong, at least one; each is one line and names its field, if it
+   * has one
+   * @param options - `cause` is the wrapped error, if any
    */
   constructor(
     readonly issues: string[],
@@ -19,12 +20,12 @@
   }
 }
 
-/** The message of whatever was thrown. */
+/** Returns the message of a caught value, which need not be an `Error`. */
 export function errorMessage(error: unknown): string {
   return String(error instanceof Error ? error.message : error);
 }
 
-/** Reads a text file. Throws {@link SettingsError} if it can't be read. */
+/** Reads a text file. Throws a {@link SettingsError} if that fails. */
 export function readTextFile(file: string | URL): string {
   try {
     return readFileSync(file, 'utf8');
@@ -33,12 +34,14 @@
   }
 }
 
-/** Parses TOML. Throws {@link SettingsError} whose fault begins with `complaint` if the text is none. */
+/**
+ * Parses TOML. On a syntax error it throws a {@link SettingsError} whose message starts with `errorPrefix`.
+ */
 export function parseTomlTable(text: string, errorPrefix: string): Record<string, unknown> {
   try {
     return parseToml(text);
   } catch (error) {
-    // The lines after the first show the place in the text.
+    // The lines after the first one show an excerpt of the text.
     const [firstLine] = errorMessage(error).split('\n');
     throw new SettingsError([`${errorPrefix}: ${firstLine}`], { cause: error });
   }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,4 +1,6 @@
-/** The platform's settings: a TOML file, checked field by field. The suffix of a field is its unit. */
+/**
+ * Controller settings: a TOML file that is validated field by field. The suffix of a field name is its unit.
+ */
 
 import * as v from 'valibot';
 import { parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
@@ -9,12 +11,15 @@
 const NonNegativeNumber = v.pipe(v.number(), v.minValue(0));
 const PositiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/** Least time between the end of a lease and the bound on cancellations: some reads of cancellations fit into it. */
+/**
+ * Minimum difference of `cancel_s` and `lease_s`. It leaves time to read the stored cancellations several
+ * times.
+ */
 const MIN_CANCELLATION_WINDOW_S = 2;
 
 const PeerSchema = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
 
-/** Guarantee and limit of a team in CPUs and GPUs; 0: none. */
+/** Guaranteed and maximum CPUs and GPUs of a team; 0: none. */
 const TeamSchema = v.object({
   name: NonEmptyString,
   cpus: NonNegativeNumber,
@@ -38,7 +43,8 @@
     gang_peer_s: NonNegativeNumber,
     cancel_s: PositiveNumber,
   }),
-  // A lease may be renewed after a cancellation that has not become known yet: without time for it none could be renewed.
+  // A worker's lease may still be renewed while a stored cancellation is not known yet. The difference of the
+  // two settings bounds that time; without a difference no lease could ever be renewed.
   v.check(
     (workers) => workers.cancel_s >= workers.lease_s + MIN_CANCELLATION_WINDOW_S,
     `cancel_s must exceed lease_s by at least ${MIN_CANCELLATION_WINDOW_S} s`,
@@ -70,12 +76,12 @@
   }),
 });
 
-/** Checked settings, with the names of the file. */
+/** Validated settings, with the field names of the file. */
 export type Settings = v.InferOutput<typeof SettingsSchema>;
 
 /**
- * Settings from their text; unknown fields are ignored. Throws {@link SettingsError} that names every fault with its
- * field.
+ * Parses and validates settings. Unknown fields are ignored. Throws a {@link SettingsError} that lists every
+ * issue with its field.
  */
 export function parseSettings(text: string): Settings {
   const checked = v.safeParse(SettingsSchema, parseTomlTable(text, 'settings are not TOML'));
@@ -85,7 +91,7 @@
   );
 }
 
-/** Settings from a file. Throws {@link SettingsError} if it can't be read or has faults. */
+/** Loads a settings file. Throws a {@link SettingsError} if the file can't be read or is invalid. */
 export function loadSettings(file: string): Settings {
   return parseSettings(readTextFile(file));
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The program: puts a controller together from its settings and runs it. */
+/** Entry point: builds a controller from its settings and runs it. */
 
 import { randomBytes } from 'node:crypto';
 import { type CommandOptions, EXIT_CODE, runCommandLine } from './cli/command-line.js';
@@ -21,9 +21,12 @@
 import { createUserApi } from './transport/user-api.js';
 import { WorkerClient } from './transport/worker-client.js';
 
-/** Relative to the bundle: it lies in a directory beside `deploy/`, as this file does. */
+/** Resolved relative to the bundle, which, like this file, is in a directory next to `deploy/`. */
 const DEFAULT_POLICY_FILE = new URL('../deploy/policy.toml', import.meta.url);
-/** Lease of a controller: its absence goes unnoticed for so long. */
+/**
+ * Time to live of a controller's lease in the key-value store: a failed controller goes unnoticed until it
+ * expires.
+ */
 const CONTROLLER_LEASE_TTL_MS = 3500;
 
 interface Configuration {
@@ -38,7 +41,7 @@
   };
 }
 
-/** What a controller takes from the settings. */
+/** Controller options that are derived from the settings. */
 type ControllerParameters = Pick<
   ControllerOptions,
   | 'nodeName'
@@ -137,7 +140,7 @@
     now: systemClock.now,
   });
   server.listen(bind, (error) => {
-    log.error({ err: String(error) }, 'cannot listen');
+    log.error({ err: String(error) }, 'HTTP server failed to listen');
     process.exit(EXIT_CODE.failure);
   });
 }
@@ -150,7 +153,7 @@
   const controller = createController({ settings, policy, maxWorkerConnections: budget.workers, log });
   controller.start();
   startHttpServer({ controller, bind: settings.bind, maxConnections: budget.inbound, log });
-  log.info({ bind: settings.bind, peerBind: settings.mesh_addr }, 'started');
+  log.info({ bind: settings.bind, peerBind: settings.mesh_addr }, 'controller started');
 }
 
 runCommandLine({
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The cloud over HTTP. */
+/** HTTP client for the cloud provider's API. */
 
 import type { CloudProvider, RentalRequest } from '../model/cloud-provider.js';
 import type { MachineType } from '../model/machine-type.js';
@@ -17,14 +17,17 @@
 const MAX_SOCKETS = 6;
 const CALL_TIMEOUT_MS = 5000;
 const PAGE_SIZE = 500;
-/** Part of the cloud's limit that is used: another controller may have led a moment ago. */
+/** Share of the cloud's rate limit that is used. The rest covers recent calls of a former leader. */
 const RATE_LIMIT_SHARE = 0.85;
-/** Calls saved up, in seconds' worth of the limit; the cloud allows twice as many. */
+/** Burst size in seconds of the rate limit. The cloud allows bursts of twice this size. */
 const BURST_SECONDS = 1;
-/** Time between two looks at the queue while calls wait. */
+/** Interval at which the queue is checked while calls are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 50;
 
-/** Order in which waiting calls are sent, least first: each second of a machine no longer needed is charged. */
+/**
+ * Priorities of queued calls, lowest value first. Deletions lead: an unneeded machine is billed by the
+ * second.
+ */
 const CALL_PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
 
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
@@ -34,19 +37,21 @@
   onReply: (reply: HttpReply) => void;
 }
 
-/** The cloud over HTTP: one queue by priority, paced to stay under the cloud's limit of calls. */
+/**
+ * Calls the cloud provider over HTTP, through one priority queue that is paced to stay under its rate limit.
+ */
 export class CloudClient implements CloudProvider {
   private readonly client: HttpClient;
   private readonly queue: QueuedCall[] = [];
-  /** Calls that may be sent now. */
+  /** Tokens of the rate limit's bucket: the number of calls that may be sent now. */
   private tokens: number;
-  /** When tokens were last added; wall-clock ms. */
+  /** When tokens were last added, in wall-clock ms. */
   private refilledAt = Date.now();
   private drainTimer: NodeJS.Timeout | null = null;
 
   /**
-   * @param address `HOST:PORT` of the cloud
-   * @param callsPerSecond the cloud's limit
+   * @param address - `HOST:PORT` of the cloud's API
+   * @param callsPerSecond - the cloud's rate limit
    */
   constructor(
     address: string,
@@ -56,7 +61,7 @@
     this.tokens = callsPerSecond * BURST_SECONDS;
   }
 
-  /** The machine types with their present prices. Fails as `refused`. */
+  /** Lists the machine types with their current prices. Fails as `refused`. */
   listMachineTypes(callback: ResultCallback<MachineType[]>): void {
     const onReply = (reply: HttpReply) =>
       callback(
@@ -68,8 +73,11 @@
   }
 
   /**
-   * Rents up to `count` machines; the result names those that were rented. Fails as `notFound` if none is available, as `invalid` if
-   * the cloud rejects the request, as `indeterminate` if no response comes and as `refused` otherwise.
+   * Rents up to `count` machines and returns the names of those that were rented. Fails as
+   * - `notFound` if the cloud has no capacity for the request;
+   * - `invalid` if the cloud rejects the request;
+   * - `indeterminate` if no response arrives;
+   * - `refused` otherwise.
    */
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void {
     this.enqueue({
@@ -81,7 +89,7 @@
     });
   }
 
-  /** Deletes machines, known or not. Fails as `indeterminate`. */
+  /** Deletes machines; names that the cloud does not know are allowed. Fails as `indeterminate`. */
   deleteMachines(machineNames: string[], callback: ResultCallback<null>): void {
     this.enqueue({
       priority: CALL_PRIORITY.deletion,
@@ -93,7 +101,7 @@
     });
   }
 
-  /** One page of the machines, in the order of their names, starting after `since`. Fails as `refused`. */
+  /** Lists one page of machines in name order, starting after the name `since`. Fails as `refused`. */
   listMachines(since: string, callback: ResultCallback<MachinePage>): void {
     const start = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
     this.enqueue({
--- a/src/transport/concurrency-limit.ts
+++ b/src/transport/concurrency-limit.ts
@@ -1,30 +1,36 @@
-/** How many requests may be in progress at once, learnt from the time that answers take. */
+/** Adaptive limit on concurrent requests, adjusted by measured latency. */
 
-/** An answer that takes this many times the fastest of late is slow. */
+/** A response is slow if its latency exceeds the baseline latency by this factor. */
 const SLOW_FACTOR = 4;
-/** The fastest time is raised so often and by this factor until an answer comes under it, so that a lasting change is learnt. */
+/**
+ * If no response has been faster than the baseline for this long, the baseline is multiplied by
+ * {@link BASELINE_GROWTH_FACTOR}, so that it adapts to a lasting rise in latency.
+ */
 const BASELINE_LIFETIME_MS = 10_000;
 const BASELINE_GROWTH_FACTOR = 1.5;
-/** Least fastest time, in ms: times below it are noise. */
+/** Lower bound of the baseline latency: differences below it are noise. */
 const MIN_BASELINE_MS = 1;
 const SHRINK_FACTOR = 0.8;
-/** Growth at an answer that was not slow; besides, the limit grows by one for as many answers as it allows at once. */
+/**
+ * Fixed part of the growth of the limit per response that was not slow. The other part is `1 / limit`, which
+ * adds up to one per `limit` responses.
+ */
 const GROWTH_STEP = 0.1;
-/** The limit grows only while more than this part of it is in use: otherwise answers say nothing about it. */
+/** The limit grows only above this utilization: below it, latency says nothing about a higher limit. */
 const MIN_UTILIZATION_TO_GROW = 0.5;
 
-/** Bounds of a {@link ConcurrencyLimit}. */
+/** Options of a {@link ConcurrencyLimit}. */
 export interface ConcurrencyLimitOptions {
   initialLimit: number;
   minLimit: number;
   maxLimit: number;
-  /** An answer within this time is never slow, in ms. */
+  /** A response within this time is never counted as slow, in ms. */
   fastThresholdMs: number;
 }
 
 /**
- * A limit on requests in progress that follows measured times: it grows while answers come about as fast as the fastest of
- * late, and shrinks when they take several times as long.
+ * Limits concurrent requests by measured latency: the limit grows while latency stays close to the baseline,
+ * which is the lowest recent latency, and shrinks when latency is several times the baseline.
  */
 export class ConcurrencyLimit {
   private limit: number;
@@ -37,19 +43,22 @@
     this.limit = options.initialLimit;
   }
 
-  /** Requests that may be in progress now. */
+  /** The current limit, rounded down. */
   get current(): number {
     return Math.floor(this.limit);
   }
 
-  /** Whether one more may start; if so, it must be released once. */
+  /**
+   * Tries to start a request. If it returns true, the caller must call {@link release} once the request has
+   * finished.
+   */
   tryAcquire(): boolean {
     if (this.inFlight >= this.limit) return false;
     this.inFlight++;
     return true;
   }
 
-  /** A request was answered at `now`, having taken so long; both in ms of a steady clock. */
+  /** Ends a request that was answered at `now` after `latencyMs`, and adjusts the limit; monotonic ms. */
   release(now: number, latencyMs: number): void {
     const inFlightBefore = this.inFlight;
     this.inFlight--;
@@ -71,7 +80,10 @@
     }
   }
 
-  /** Once for requests that ran at the same time: what shrank the limit last can't have helped them yet. */
+  /**
+   * Lowers the limit, unless this request started before the last decrease and so cannot reflect its effect
+   * yet.
+   */
   private shrink(now: number, latencyMs: number): void {
     if (now - this.lastShrunkAt <= latencyMs) return;
     this.lastShrunkAt = now;
--- a/src/transport/http-api.ts
+++ b/src/transport/http-api.ts
@@ -1,4 +1,4 @@
-/** All that a controller serves over HTTP: heartbeats of workers, and the API of users and health checks. */
+/** Routes the HTTP requests to a controller: worker heartbeats, user requests and health checks. */
 
 import type { Hono } from 'hono';
 import type { ControllerService } from '../model/controller-service.js';
@@ -9,10 +9,10 @@
 import { HEARTBEAT_PATH } from './http-paths.js';
 import type { HttpResponse, RequestHandler } from './http-server.js';
 
-/** The only headers of a request that the users' API reads. */
+/** The only request headers that the user API reads. */
 const FORWARDED_HEADERS = ['content-type', 'accept'];
 
-/** Parts of {@link createRequestHandler}. */
+/** Dependencies of {@link createRequestHandler}. */
 export interface RequestHandlerOptions {
   userApi: Hono;
   controller: ControllerService;
@@ -20,8 +20,9 @@
 }
 
 /**
- * Serves heartbeats directly and everything else through the users' API: there are hundreds of heartbeats a second, and
- * web requests and responses cost more than the rest of one.
+ * Creates a handler that serves heartbeats directly and passes every other request to the user API. Hundreds
+ * of heartbeats arrive per second, and creating web `Request` and `Response` objects would cost more than the
+ * rest of their handling.
  */
 export function createRequestHandler(options: RequestHandlerOptions): RequestHandler {
   const { userApi, controller, log } = options;
@@ -29,7 +30,7 @@
     if (message.method === 'POST' && message.path === HEARTBEAT_PATH)
       return respond(respondToHeartbeat(controller, log, message.body ?? ''));
     const rejectMalformed = (error: unknown) => {
-      log.info({ err: String(error), method: message.method }, 'request dropped');
+      log.info({ err: String(error), method: message.method }, 'request rejected as malformed');
       respond({ status: 400, body: '{"error":"malformed request"}' });
     };
     const headers = selectForwardedHeaders(message.rawHeaders);
@@ -45,7 +46,7 @@
   };
 }
 
-/** The response to the heartbeat in a request's body: the commands for its worker, or where the leader is. */
+/** Decodes a heartbeat and builds the response: commands for the worker, or a redirect to the leader. */
 export function respondToHeartbeat(controller: ControllerService, log: Logger, text: string): HttpResponse {
   const body = parseJson(text);
   const heartbeat = decodeHeartbeat(body);
@@ -83,9 +84,9 @@
   return headers;
 }
 
-/** Throws if the method or the path is none that web requests allow. */
+/** Converts a parsed message to a web request. Throws if the method or the path is not valid for one. */
 function toWebRequest({ method, path, body }: HttpMessage, headers: Headers): Request {
-  // A URL needs a host; which one is of no account.
+  // The URL constructor needs a host; routing ignores it.
   const url = new URL(path, 'http://localhost');
   const hasBody = method !== 'GET' && method !== 'HEAD';
   return new Request(url, { method, headers, ...(hasBody ? { body: body ?? '' } : {}) });
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,35 +1,38 @@
-/** An HTTP/1.1 client for one server, on persistent connections. */
+/** HTTP/1.1 client for a single server that reuses persistent connections. */
 
 import net from 'node:net';
 import { type HostAndPort, parseAddress } from './address.js';
 import { HttpMessageReader } from './http-parser.js';
 
-/** Largest response body that is taken, in bytes. */
+/** Maximum size of a response body; a larger body is discarded. */
 const MAX_RESPONSE_BODY_BYTES = 64 << 20;
 
-/** A request to send. */
+/** A request and its timeout. */
 export interface HttpCall {
   method: string;
-  /** Path with its query. */
+  /** Path with query string. */
   path: string;
-  /** Sent as JSON; undefined: no body. */
+  /** Sent as JSON. Undefined: no body. */
   body?: unknown;
-  /** Time for the whole call, in ms, the wait for a connection included. */
+  /** Timeout of the whole call in ms, including the wait for a connection. */
   timeoutMs: number;
 }
 
-/** What became of a call. */
+/** Outcome of a call: a response, or `status` 0 without one. */
 export interface HttpReply {
-  /** 0: no response came. */
+  /** HTTP status; 0 if no response was received. */
   status: number;
-  /** Body of the response; empty without one. */
+  /** Response body; empty if there is none. */
   body: string;
-  /** Whether the request may have been executed, or may yet be. */
+  /**
+   * Whether the request was written to a connection, so that the server may have executed it or may still do
+   * so.
+   */
   sent: boolean;
 }
 
 interface PendingCall {
-  /** The request as it goes onto the connection. */
+  /** Request head and body as written to the socket. */
   serializedRequest: string;
   onReply: (reply: HttpReply) => void;
   timeoutTimer: NodeJS.Timeout;
@@ -39,23 +42,24 @@
 interface ClientConnection {
   socket: net.Socket;
   reader: HttpMessageReader;
-  /** The call this connection carries; null: it is idle. */
+  /** The call in progress on this connection; null while idle. */
   call: PendingCall | null;
   connected: boolean;
 }
 
 /**
- * Sends requests to one server over at most `maxSockets` connections, one request at a time on each. Every call is
- * replied to exactly once, at its deadline at the latest; failures of the connection are replies without a status.
+ * Sends requests to one server over at most `maxSockets` connections, one request at a time on each. Every
+ * call gets exactly one reply, no later than its timeout. A connection failure is reported as a reply with
+ * status 0.
  */
 export class HttpClient {
   private readonly server: HostAndPort;
   private readonly connections = new Set<ClientConnection>();
   private readonly idleConnections: ClientConnection[] = [];
-  /** Calls that wait for a connection, first come first served. */
+  /** Calls waiting for a connection, in FIFO order. */
   private readonly queue: PendingCall[] = [];
 
-  /** @param address `HOST:PORT` of the server */
+  /** @param address - `HOST:PORT` of the server */
   constructor(
     private readonly address: string,
     private readonly maxSockets: number,
@@ -63,7 +67,7 @@
     this.server = parseAddress(address);
   }
 
-  /** Sends a request, at once or as soon as a connection is free. */
+  /** Sends a request as soon as a connection is available. */
   call(request: HttpCall, onReply: (reply: HttpReply) => void): void {
     const call: PendingCall = {
       serializedRequest: this.serialize(request),
@@ -75,7 +79,7 @@
     this.sendQueued();
   }
 
-  /** Closes the connections that carry no call. */
+  /** Closes all connections without a call in progress. */
   closeIdleConnections(): void {
     for (const connection of [...this.connections]) if (!connection.call) this.removeConnection(connection);
   }
@@ -95,7 +99,10 @@
     call.onReply(reply);
   }
 
-  /** A request already on its connection may yet be executed; the connection is of no more use. */
+  /**
+   * Ends a call that has timed out. A request that was already written may still be executed; its connection
+   * is closed, because a late response would be taken for the response to the next call.
+   */
   private handleTimeout(call: PendingCall): void {
     for (const connection of this.connections)
       if (connection.call === call) {
@@ -113,7 +120,8 @@
 
   private sendQueued(): void {
     while (this.queue.length > 0) {
-      // The connection used last goes first, so that those not needed stay idle and the server may close them.
+      // Reuses the most recently used connection, so that surplus connections stay idle and the server can
+      // close them.
       const connection =
         this.idleConnections.pop() ??
         (this.connections.size < this.maxSockets ? this.openConnection() : null);
@@ -135,7 +143,7 @@
         maxBodyBytes: MAX_RESPONSE_BODY_BYTES,
         onMessage: ({ status, body, keepAlive }) => {
           const call = connection.call;
-          // A status under 200 is provisional: the response is still to come.
+          // 1xx responses are interim: the final response follows.
           if (status < 200 || !call) return;
           connection.call = null;
           if (keepAlive && !socket.destroyed) this.idleConnections.push(connection);
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -1,41 +1,44 @@
-/** Reads HTTP/1.1 messages from the bytes of one connection. */
+/** Parses the HTTP/1.1 messages received on one connection. */
 
 import { HTTPParser } from 'http-parser-js';
 
-/** Largest head of a message (first line and headers) that is taken, in bytes. */
+/** Maximum size of a message head (start line and headers). */
 const MAX_HEADER_BYTES = 16 * 1024;
 
-/** One complete request or response. */
+/** A complete request or response. */
 export interface HttpMessage {
-  /** Empty in a response. */
+  /** Request method; empty in a response. */
   method: string;
-  /** Path with its query; empty in a response. */
+  /** Path with query string; empty in a response. */
   path: string;
-  /** 0 in a request. */
+  /** Response status; 0 in a request. */
   status: number;
-  /** Names and values in turn, as received. */
+  /** Alternating header names and values, as received. */
   rawHeaders: string[];
-  /** Null if the body was larger than the reader takes. */
+  /** Null if the body exceeded {@link HttpMessageReaderOptions.maxBodyBytes}. */
   body: string | null;
-  /** Whether the sender lets the connection carry further messages. */
+  /** Whether the sender keeps the connection open for further messages. */
   keepAlive: boolean;
 }
 
-/** What an {@link HttpMessageReader} reads, and whom it tells. */
+/** Options of an {@link HttpMessageReader}. */
 export interface HttpMessageReaderOptions {
   messageType: 'REQUEST' | 'RESPONSE';
-  /** Bodies over this many bytes are skipped, and their messages have a null body. */
+  /** Larger bodies are discarded, and their messages have a null body. */
   maxBodyBytes: number;
-  /** Called within {@link HttpMessageReader.push} or {@link HttpMessageReader.end} for each complete message, in order. */
+  /**
+   * Called for each complete message, in order, from {@link HttpMessageReader.push} or
+   * {@link HttpMessageReader.end}.
+   */
   onMessage: (message: HttpMessage) => void;
-  /** Called with the raw headers of each message before its body is read. */
+  /** Called with the raw headers of each message before its body is parsed. */
   onHeaders?: (rawHeaders: string[]) => void;
 }
 
-/** Reads the messages of one connection one after the other. */
+/** Incremental parser for the messages of one connection. */
 export class HttpMessageReader {
   private readonly parser: InstanceType<typeof HTTPParser>;
-  /** The message being read; null between two messages. */
+  /** The message being parsed; null between messages. */
   private message: HttpMessage | null = null;
   private bodyChunks: Buffer[] = [];
   private bodyBytes = 0;
@@ -62,12 +65,12 @@
     this.parser[HTTPParser.kOnMessageComplete] = () => this.completeMessage();
   }
 
-  /** Takes what the connection received. False: it is not HTTP, and nothing more can be read from this connection. */
+  /** Parses received data. Returns false if it is not valid HTTP; the connection is unusable from then on. */
   push(data: Buffer): boolean {
     return typeof this.parser.execute(data) === 'number';
   }
 
-  /** The other side will send no more: completes a response whose body lasts until then. */
+  /** Signals the end of the stream, which completes a response whose body is delimited by it. */
   end(): void {
     this.parser.finish();
   }
@@ -86,11 +89,11 @@
 function decodeBody(chunks: Buffer[]): string {
   const [first] = chunks;
   if (!first) return '';
-  // Most bodies come in one piece, which needs no copy.
+  // Most bodies arrive in a single chunk, which needs no copy.
   return (chunks.length === 1 ? first : Buffer.concat(chunks)).toString('utf8');
 }
 
-/** Value of the first header of that name, or null. `name` is in lower case. */
+/** Returns the value of the first header with the given lower-case name, or null. */
 export function findHeader(rawHeaders: string[], name: string): string | null {
   for (let i = 0; i + 1 < rawHeaders.length; i += 2)
     if (rawHeaders[i]?.toLowerCase() === name) return rawHeaders[i + 1] as string;
--- a/src/transport/http-paths.ts
+++ b/src/transport/http-paths.ts
@@ -1,10 +1,10 @@
-/** The paths that a controller serves over HTTP. */
+/** Paths of a controller's HTTP API. */
 
-/** Workers post their heartbeats here. */
+/** Receives worker heartbeats. */
 export const HEARTBEAT_PATH = '/hello';
 
-/** Health checks ask here whether the controller can serve users. */
+/** Health check: whether the controller can serve users. */
 export const READINESS_PATH = '/ready';
 
-/** Users submit jobs here; a job's own path is below it. */
+/** Job submissions; the paths of single jobs are below it. */
 export const JOBS_PATH = '/v2/runs';
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,6 +1,6 @@
 /**
- * An HTTP/1.1 server on Node's `net`. A scheduler answers hundreds of heartbeats a second, and Node's own HTTP server costs
- * several times what reading and answering one takes.
+ * HTTP/1.1 server built on `node:net`. A controller answers hundreds of heartbeats per second, and the
+ * overhead of `node:http` is several times the cost of parsing and answering a heartbeat.
  */
 
 import net from 'node:net';
@@ -8,19 +8,22 @@
 import { findHeader, type HttpMessage, HttpMessageReader } from './http-parser.js';
 import type { InboundConnections } from './inbound-connections.js';
 
-/** What a request is answered with. */
+/** Response to a request. */
 export interface HttpResponse {
   status: number;
-  /** JSON. */
+  /** Serialized JSON. */
   body: string;
-  /** Headers beside those of the body. `Connection: close` ends the connection after the response. */
+  /**
+   * Headers besides `Content-Type` and `Content-Length`. `Connection: close` closes the connection after the
+   * response.
+   */
   headers?: Record<string, string>;
 }
 
-/** Serves one request. Calls `respond` once, now or later; further calls are ignored. */
+/** Handles one request. Calls `respond` once, synchronously or later; further calls are ignored. */
 export type RequestHandler = (request: HttpMessage, respond: (response: HttpResponse) => void) => void;
 
-/** Parts of an {@link HttpServer}. */
+/** Dependencies of an {@link HttpServer}. */
 export interface HttpServerOptions {
   handleRequest: RequestHandler;
   inboundConnections: InboundConnections;
@@ -28,17 +31,17 @@
   now: () => number;
 }
 
-/** Connections that may wait to be accepted: the workers of a whole fleet come at once when a scheduler is new. */
+/** Backlog of the listening socket: all workers of the fleet connect to a new leader at the same time. */
 const LISTEN_BACKLOG = 8192;
-/** Largest request body that is taken, in bytes. */
+/** Maximum size of a request body. */
 const MAX_REQUEST_BODY_BYTES = 64 * 1024;
-/** Requests a connection may send ahead of their responses. */
+/** Maximum number of pipelined requests waiting on a connection; above it the connection is closed. */
 const MAX_PIPELINED_REQUESTS = 16;
-/** Time for a request to arrive completely. */
+/** Maximum time to receive a complete request. */
 const REQUEST_TIMEOUT_MS = 20_000;
-/** Time an idle connection is kept. */
+/** Maximum idle time of a connection. */
 const IDLE_TIMEOUT_MS = 120_000;
-/** Time between two checks of the timeouts. */
+/** Interval at which the timeouts are checked. */
 const TIMEOUT_CHECK_INTERVAL_MS = 5000;
 
 const REASON_PHRASES: Record<number, string> = {
@@ -55,17 +58,20 @@
 interface ServerConnection {
   socket: net.Socket;
   reader: HttpMessageReader;
-  /** Requests received and not served yet; one is served at a time. */
+  /** Requests received but not served yet; requests are served one at a time. */
   pendingRequests: HttpMessage[];
   /** Whether a request is being served. */
   isServing: boolean;
-  /** Whether a part of a request has arrived. */
+  /** Whether a request has been received in part. */
   isReceiving: boolean;
-  /** When the present request began to arrive, or the connection became idle; monotonic ms. */
+  /**
+   * Start of the current timeout, when a request started to arrive or the connection became idle; monotonic
+   * ms.
+   */
   timeoutStartedAt: number;
 }
 
-/** Reads requests, serves those of a connection one after the other, and closes connections that have timed out. */
+/** Serves the requests of each connection in order, and closes connections that have timed out. */
 export class HttpServer {
   /** The listening socket. */
   readonly server: net.Server;
@@ -84,7 +90,7 @@
     this.server.on('close', () => clearInterval(timeoutCheckTimer));
   }
 
-  /** Accepts connections at `HOST:PORT`. `onError` is told if that fails, now or later. */
+  /** Listens on `bind` (`HOST:PORT`). `onError` is called for any error of the listening socket. */
   listen(bind: string, onError: (error: Error) => void): void {
     this.server.on('error', onError);
     this.server.listen({ ...parseAddress(bind), backlog: LISTEN_BACKLOG });
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -1,4 +1,4 @@
-/** Shares a bounded number of accepted connections among workers, users and health checks. */
+/** Shares the limited number of accepted connections among workers, users and health checks. */
 
 import type { Server, Socket } from 'node:net';
 import { HEARTBEAT_PATH, READINESS_PATH } from './http-paths.js';
@@ -6,19 +6,19 @@
 type ClientKind = 'worker' | 'user' | 'probe';
 
 interface InboundConnection {
-  /** By its last request; null: it has sent none yet. */
+  /** Determined by its latest request; null before the first request. */
   kind: ClientKind | null;
-  /** Whether a request is being served on it. */
+  /** Whether a request is being served on this connection. */
   isServing: boolean;
-  /** When it was opened or last answered on; monotonic ms. */
+  /** When the connection was accepted or last finished a request; monotonic ms. */
   lastUsedAt: number;
 }
 
-/** Part of the connections that users may take while others need them. */
+/** Share of the connections that users may hold when the limit is nearly reached. */
 const USER_SHARE = 0.3;
-/** Part of the connections that is kept free for newcomers. */
+/** Share of the connections that is kept free for new clients. */
 const FREE_SHARE = 0.04;
-/** An idle connection may be closed by us only when unused for this long: its next request may be on its way. */
+/** Minimum idle time before the server may close a connection: a new request may already be in transit. */
 const MIN_IDLE_MS = 1000;
 
 function classifyClient(path: string): ClientKind {
@@ -27,30 +27,31 @@
 }
 
 /**
- * The accepted connections of one server. Near the limit, clients of the kind that is over its share are disconnected
- * after a response (`Connection: close`), and of the idle connections the longest unused are closed, so that neither
- * users nor workers lock the others out.
+ * Tracks the accepted connections of one server. Near the connection limit, the kind of client that exceeds
+ * its share is disconnected after each response (`Connection: close`), and each new connection closes the
+ * least recently used idle connection of that kind or without any request. Neither users nor workers can lock
+ * the others out.
  */
 export class InboundConnections {
-  /** In order of last use, the longest unused first. */
+  /** In order of last use, the least recently used first. */
   private readonly openConnections = new Map<Socket, InboundConnection>();
   private readonly countByKind: Record<ClientKind, number> = { worker: 0, user: 0, probe: 0 };
 
   /**
-   * @param maxConnections limit of open connections; the server refuses those beyond it
-   * @param now monotonic time in ms
+   * @param maxConnections - limit of open connections; the server refuses connections above it
+   * @param now - returns monotonic time in ms
    */
   constructor(
     private readonly maxConnections: number,
     private readonly now: () => number,
   ) {}
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get size(): number {
     return this.openConnections.size;
   }
 
-  /** Bounds and follows the connections of a server. */
+  /** Limits and tracks the connections of `server`. */
   attach(server: Server): void {
     server.maxConnections = this.maxConnections;
     server.on('connection', (socket: Socket) => {
@@ -60,7 +61,7 @@
     });
   }
 
-  /** A request for this path is about to be served. */
+  /** Must be called before a request for `path` is served. */
   requestStarted(socket: Socket, path: string): void {
     const connection = this.openConnections.get(socket);
     if (!connection) return;
@@ -73,18 +74,18 @@
     connection.isServing = true;
   }
 
-  /** The request of this connection has its response. */
+  /** Must be called when the request of a connection has been answered. */
   requestFinished(socket: Socket): void {
     const connection = this.openConnections.get(socket);
     if (!connection) return;
     connection.isServing = false;
     connection.lastUsedAt = this.now();
-    // To the end of the order of last use.
+    // Re-inserting moves the connection to the end of the order of last use.
     this.openConnections.delete(socket);
     this.openConnections.set(socket, connection);
   }
 
-  /** Whether a client that asked for this path is to be disconnected after its response. */
+  /** Whether a connection that requested `path` is to be closed after the response. */
   shouldClose(path: string): boolean {
     return this.isNearlyFull() && classifyClient(path) === this.kindOverShare();
   }
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -1,4 +1,7 @@
-/** Connections between controllers: each sends on the connections it makes and receives on those made to it. */
+/**
+ * Connections between controllers. Each controller sends on outbound connections and receives on inbound
+ * ones.
+ */
 
 import net from 'node:net';
 import { Packr, UnpackrStream } from 'msgpackr';
@@ -7,14 +10,19 @@
 import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
 import { parseAddress } from './address.js';
 
-/** With more than this waiting to be sent a connection is taken to be cut off: starting anew beats piling up. */
+/**
+ * Above this amount of unsent data a connection is considered dead: reconnecting is better than buffering
+ * more.
+ */
 const MAX_UNSENT_BYTES = 4 << 20;
 const CONNECT_TIMEOUT_MS = 2000;
-/** Pause before a connection is made again. It grows with each failure and starts over once a connection is made. */
+/**
+ * Delay before reconnecting. It grows with each failed attempt and is reset when a connection is established.
+ */
 const INITIAL_RECONNECT_DELAY_MS = 200;
 const MAX_RECONNECT_DELAY_MS = 1000;
 const RECONNECT_DELAY_FACTOR = 1.5;
-/** Heartbeats come far more often: a connection without any message for so long is dead. */
+/** Heartbeats are sent far more often, so an inbound connection that is silent for this long is dead. */
 const RECEIVE_TIMEOUT_MS = 15_000;
 
 /** Another controller. */
@@ -24,26 +32,29 @@
   address: string;
 }
 
-/** What {@link PeerConnections} connects, and who is told. */
+/** Options of {@link PeerConnections}. */
 export interface PeerConnectionsOptions {
-  /** Where the other controllers connect to, `HOST:PORT`. */
+  /** Address to listen on for other controllers, `HOST:PORT`. */
   bind: string;
   peers: readonly Peer[];
   log: Logger;
-  /** A message has come, from whichever peer. */
+  /** Called for each message received, from any peer. */
   onMessage: (message: PeerMessage) => void;
-  /** The connection to a peer has been made or lost; a message sent before may be lost. */
+  /** Called when the connection to a peer is established or lost. Messages sent before may be lost. */
   onConnectionChange: (nodeName: string, isUp: boolean) => void;
 }
 
 /**
- * Listens for the other controllers and keeps a connection to each of them. Nothing is sent twice or acknowledged: messages
- * are lost with their connection, and while there is none. Failing to listen is logged; no peer can reach
- * this controller then.
+ * Listens for the other controllers and keeps a connection to each of them. Messages are neither
+ * retransmitted nor acknowledged: they are lost when their connection breaks and while there is none. A
+ * failure to listen is logged; this controller then receives no messages from its peers.
  */
 export class PeerConnections implements PeerTransport {
   private readonly outbound = new Map<string, OutboundConnection>();
-  /** Records: the names of fields go once into a message, however many placements it lists. */
+  /**
+   * Uses msgpackr's record extension: a message contains each field name once, however many placements it
+   * lists.
+   */
   private readonly packr = new Packr();
 
   constructor(private readonly options: PeerConnectionsOptions) {
@@ -58,7 +69,7 @@
       );
   }
 
-  /** Sends a message to a peer if there is a connection to it. */
+  /** Sends a message to a peer; drops it if there is no connection. */
   send(nodeName: string, message: PeerMessage): void {
     const connection = this.outbound.get(nodeName);
     if (connection?.isWritable()) connection.write(this.packr.pack(encodePeerMessage(message)));
@@ -79,7 +90,7 @@
   }
 }
 
-/** The connection to one peer, made again whenever it is lost. */
+/** Connection to one peer that reconnects whenever it is lost. */
 class OutboundConnection {
   private socket: net.Socket;
   private isUp = false;
@@ -92,7 +103,10 @@
     this.socket = this.connect();
   }
 
-  /** Whether there is a connection that takes more; one that is cut off is closed. */
+  /**
+   * Whether data can be written now. Closes a connection with more than {@link MAX_UNSENT_BYTES} of unsent
+   * data.
+   */
   isWritable(): boolean {
     if (!this.isUp) return false;
     if (this.socket.writableLength <= MAX_UNSENT_BYTES) return true;
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,66 +1,77 @@
-/** Keeps one controller's requests to the state service under its part of the service's limits. */
+/**
+ * Rate limiter that keeps a controller's requests to the key-value store within its share of the store's
+ * limits.
+ */
 
 import { URGENCY, type Urgency } from '../model/key-value-store.js';
 
-/** Limits of the state service, which all controllers share. */
+/** Rate limits of the key-value store, which all controllers share. */
 export interface RateLimits {
   requestsPerSecond: number;
-  /** Puts and deletions a second, counted one by one within transactions. */
+  /** Puts and deletes per second; each operation of a transaction counts. */
   writesPerSecond: number;
-  /** Controllers that share the limits. */
+  /** Number of controllers that share the limits. */
   controllerCount: number;
 }
 
-/** Longest wait of a request up to the urgency of placements: users give up after five seconds. */
+/**
+ * Maximum wait of requests with the urgency of placements or a higher one: users give up after five seconds.
+ */
 const MAX_URGENT_WAIT_MS = 3000;
-/** Longest wait of the less urgent ones. */
+/** Maximum wait of requests that are less urgent than placements. */
 const MAX_WAIT_MS = 1500;
 
-/** An equal share is this part of the whole divided by the controllers; the share never shrinks below it. */
+/** Lower bound of a controller's share, as a total that is divided equally among the controllers. */
 const MIN_SHARE_TOTAL = 0.8;
-/** The first share, in equal parts of the whole: the other controllers may be idle. */
+/** Initial share as a multiple of an equal split of the limits: the other controllers may be idle. */
 const INITIAL_SHARE_FACTOR = 2;
 const MAX_INITIAL_SHARE = 0.8;
 const MAX_SHARE = 0.9;
 const SHARE_GROWTH_PER_SECOND = 0.03;
-/** Factor of the share at each request that the service throttled. */
+/** Factor applied to the share for each request that the store throttled. */
 const THROTTLED_FACTOR = 0.8;
 
-/** Unused requests and writes are kept for so many seconds. */
+/** Burst size of both token buckets, in seconds of their refill rate. */
 const BURST_SECONDS = 0.7;
-/** A transaction of more writes than come in so many seconds starts with these, and leaves the budget in debt. */
+/**
+ * A transaction needs at most the write tokens that accrue in this time; a larger one is sent with these and
+ * leaves a negative balance.
+ */
 const LARGE_TRANSACTION_SECONDS = 0.5;
-/** Longest time credited at once, whatever the clock says. */
+/** Maximum time for which one refill adds tokens, so that a jump of the wall clock has a bounded effect. */
 const MAX_REFILL_MS = 2000;
-/** Time between two looks at the queues while requests wait. */
+/** Interval at which the queues are checked while requests are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 10;
 
-/** Told whether the request may go now; false: it was not let through in time and must not be sent. */
+/**
+ * Receives true if the request may be sent now, and false if it was not admitted in time and must not be
+ * sent.
+ */
 export type AcquireCallback = (acquired: boolean) => void;
 
 interface QueuedRequest {
   writes: number;
-  /** When it is given up; wall-clock ms. */
+  /** When the request is rejected if it is still queued; wall-clock ms. */
   expiresAt: number;
   onAcquire: AcquireCallback;
 }
 
 /**
- * Two token buckets, of requests and of writes, with a queue for each urgency. The share of the service's limits is
- * learnt: it starts above an equal one, shrinks whenever the service throttles and grows back slowly. Lease requests
- * never wait.
+ * Token buckets for requests and for writes, with one queue per urgency. The share of the store's limits is
+ * adaptive: it starts above an equal split, shrinks whenever the store throttles a request and grows back
+ * slowly. Lease requests never wait.
  */
 export class RateLimiter {
   private readonly minShare: number;
-  /** Part of the service's limits used here, 0 to 1. */
+  /** Share of the store's limits that this controller uses, from 0 to 1. */
   private share: number;
-  /** Tokens left; negative: in debt. */
+  /** Remaining tokens; negative after a large transaction or lease requests. */
   private requestTokens: number;
   private writeTokens: number;
-  /** When the buckets were last filled; wall-clock ms. */
+  /** When the buckets were last refilled; wall-clock ms. */
   private refilledAt = Date.now();
   private drainTimer: NodeJS.Timeout | null = null;
-  /** Waiting requests, by urgency. */
+  /** Waiting requests by urgency. */
   private readonly queues: Readonly<Record<Urgency, QueuedRequest[]>> = {
     [URGENCY.lease]: [],
     [URGENCY.user]: [],
@@ -77,7 +88,7 @@
     this.writeTokens = this.writeRate();
   }
 
-  /** The service has refused a request because of its rate. */
+  /** Must be called when the store has throttled a request. Shrinks the share and drops unused tokens. */
   onThrottled(): void {
     this.share = Math.max(this.minShare, this.share * THROTTLED_FACTOR);
     this.requestTokens = Math.min(this.requestTokens, 0);
@@ -85,8 +96,8 @@
   }
 
   /**
-   * Asks leave for one request of so many writes. `onResult` is called once: within this call if it may go now or would
-   * wait too long, otherwise from a timer.
+   * Requests admission of one request with `writes` put and delete operations. `onAcquire` is called exactly
+   * once: synchronously if the request may be sent now or would wait too long, otherwise from a timer.
    */
   acquire(urgency: Urgency, writes: number, onAcquire: AcquireCallback): void {
     this.refillTokens();
@@ -96,7 +107,7 @@
       return;
     }
     const maxWaitMs = urgency <= URGENCY.placement ? MAX_URGENT_WAIT_MS : MAX_WAIT_MS;
-    // What would be given up in the end is refused now.
+    // Rejects a request early if it is expected to exceed its maximum wait.
     if (this.expectedWaitMs(urgency, writes) > maxWaitMs) {
       onAcquire(false);
       return;
@@ -113,7 +124,7 @@
     return this.limits.writesPerSecond * this.share;
   }
 
-  /** How long a request of this urgency would wait, as the queues and the share stand. */
+  /** Estimates the wait of a new request of this urgency from the current queues and share. */
   private expectedWaitMs(urgency: Urgency, ownWrites: number): number {
     let requests = 1;
     let writes = ownWrites;
@@ -129,12 +140,12 @@
     return seconds * 1000;
   }
 
-  /** The queues of this urgency and of higher ones, the most urgent first. */
+  /** Returns the queues of this urgency and of all higher ones, most urgent first. */
   private queuesAtOrAbove(urgency: Urgency): QueuedRequest[][] {
     return Object.values(this.queues).slice(0, urgency + 1);
   }
 
-  /** Requests that wait with this urgency or a higher one. */
+  /** Counts the waiting requests of this urgency and of all higher ones. */
   private countQueuedAtOrAbove(urgency: Urgency): number {
     let total = 0;
     for (const queue of this.queuesAtOrAbove(urgency)) total += queue.length;
@@ -171,7 +182,7 @@
     }, QUEUE_POLL_INTERVAL_MS);
   }
 
-  /** Lets requests through, the most urgent first, until one can't be afforded. */
+  /** Admits queued requests, most urgent first, until the tokens do not suffice for the next one. */
   private drainQueues(): void {
     this.refillTokens();
     const now = Date.now();
--- a/src/transport/socket-budget.ts
+++ b/src/transport/socket-budget.ts
@@ -1,25 +1,25 @@
-/** Divides the process's file descriptors among the purposes of its connections. */
+/** Divides the file descriptors of the process among the kinds of its connections. */
 
-/** Connections a controller may hold open, by purpose. */
+/** Maximum number of open connections by kind. */
 export interface SocketBudget {
-  /** Accepted ones: from workers, users and health checks. */
+  /** Accepted HTTP connections from workers, users and health checks. */
   inbound: number;
-  /** Connections to workers, for direct commands. */
+  /** Outbound connections to workers, for direct commands. */
   workers: number;
 }
 
-/** Standard streams, timers and listening sockets of the process, and connections being opened or closed. */
+/** Reserved for standard streams, timers, listening sockets, and connections being opened or closed. */
 const RESERVED_DESCRIPTORS = 40;
-/** Connections to the state service and to the cloud. */
+/** Reserved for connections to the key-value store and to the cloud. */
 const STORE_AND_CLOUD_CONNECTIONS = 30;
-/** Connections with one other controller: one dialled, one accepted, and one spare while either is replaced. */
+/** Connections per peer: one outbound, one inbound, and a spare one while either is being replaced. */
 const CONNECTIONS_PER_PEER = 3;
-/** Part of all descriptors that connections to workers may take. */
+/** Share of all file descriptors for connections to workers. */
 const WORKER_SHARE = 0.15;
 const MIN_WORKER_CONNECTIONS = 4;
 const MIN_INBOUND_CONNECTIONS = 16;
 
-/** The budget that follows from the limit of file descriptors (`limits.fd_limit`) and the number of other controllers. */
+/** Computes the budget from the file descriptor limit (setting `limits.fd_limit`) and the number of peers. */
 export function computeSocketBudget(fdLimit: number, peerCount: number): SocketBudget {
   const available =
     fdLimit - RESERVED_DESCRIPTORS - STORE_AND_CLOUD_CONNECTIONS - CONNECTIONS_PER_PEER * peerCount;
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,4 +1,4 @@
-/** The state service over HTTP. */
+/** HTTP client for the key-value store. */
 
 import {
   type KeyValueStore,
@@ -26,50 +26,56 @@
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
 const MAX_REQUEST_CONNECTIONS = 16;
-/** A watch occupies its connection for as long as it waits. */
+/** Separate limit: a watch occupies its connection until it is answered. */
 const MAX_WATCH_CONNECTIONS = 8;
 const CALL_TIMEOUT_MS = 1500;
-/** Added to the time that a watch waits, for its response to come. */
+/** Added to the wait time of a watch to allow for the transfer of its response. */
 const WATCH_RESPONSE_MARGIN_MS = 3000;
 const PAGE_SIZE = 500;
-/** A throttled request is sent again so often, after a pause that grows by so much each time, plus a random part of it. */
+/**
+ * A throttled request is retried up to this many times. The delay grows by {@link THROTTLED_RETRY_STEP_MS}
+ * with each retry, plus a random part of one step.
+ */
 const MAX_THROTTLED_RETRIES = 3;
 const THROTTLED_RETRY_STEP_MS = 60;
 
-/** A request, and how its response is read. */
+/** A request and the decoding of its response. */
 interface StoreRequest<T> {
   urgency: Urgency;
-  /** Puts and deletions in it. */
+  /** Number of put and delete operations. */
   writes: number;
   call: Omit<HttpCall, 'timeoutMs'>;
-  /** Reads the body of a response with status 200; null: it is malformed, and the outcome unknown. */
+  /**
+   * Decodes the body of a response with status 200. Null: it is malformed, so that the outcome is
+   * indeterminate.
+   */
   decode: (body: unknown) => T | null;
-  /** The result where the service answers that there is no such thing; absent: that is a failure. */
+  /** Result for a response with status 404. Absent: such a response is a failure. */
   valueIfMissing?: T;
 }
 
 /**
- * The state service over HTTP, paced to stay under this controller's part of its limits; lease requests pass the queue.
- * Requests fail as
- * - `refused` if they were surely not executed;
- * - `notFound` if there is no such lease, or the changes asked for are no longer kept;
- * - `conflict`, with the keys, if a transaction's conditions did not hold;
- * - `invalid` if the service rejected them, as it does a write with an expired lease;
- * - `indeterminate` if they may have been executed, or may yet be.
+ * Accesses the key-value store over HTTP, rate-limited to this controller's share of its limits. Lease
+ * requests bypass the rate limiter's queues. Requests fail as
+ * - `refused` if they were certainly not executed;
+ * - `notFound` if the lease does not exist or the requested watch history has been discarded;
+ * - `conflict`, with the failed keys, if a precondition of a transaction did not hold;
+ * - `invalid` if the store rejected them, for example a write with an expired lease;
+ * - `indeterminate` if they may have been executed or may still be executed.
  */
 export class StoreClient implements KeyValueStore {
   private readonly requestClient: HttpClient;
   private readonly watchClient: HttpClient;
   private readonly rateLimiter: RateLimiter;
 
-  /** @param address `HOST:PORT` of the service */
+  /** @param address - `HOST:PORT` of the store */
   constructor(address: string, limits: RateLimits) {
     this.requestClient = new HttpClient(address, MAX_REQUEST_CONNECTIONS);
     this.watchClient = new HttpClient(address, MAX_WATCH_CONNECTIONS);
     this.rateLimiter = new RateLimiter(limits);
   }
 
-  /** A key's item; null: there is none. */
+  /** Reads the item of a key; null if the key does not exist. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void {
     this.execute<StoredItem | null>(
       {
@@ -83,7 +89,7 @@
     );
   }
 
-  /** One page of the keys with a prefix, in their order, starting after `startAfter`. */
+  /** Lists one page of the items with a prefix, in key order, starting after the key `startAfter`. */
   list({ prefix, startAfter, urgency }: ListRequest, callback: ResultCallback<ListPage>): void {
     const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=${PAGE_SIZE}`;
     this.execute(
@@ -92,7 +98,7 @@
     );
   }
 
-  /** Carries out a transaction; its result is the store's revision after it. */
+  /** Executes a transaction and returns the store revision after it. */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void {
     this.execute(
       {
@@ -105,23 +111,25 @@
     );
   }
 
-  /** Takes a lease of a time to live in ms, rounded; its result is the lease's id. */
+  /** Creates a lease and returns its id. The time to live is rounded to whole milliseconds. */
   grantLease(ttlMs: number, callback: ResultCallback<number>): void {
     const call = { method: 'POST', path: '/grants', body: { ttl_ms: Math.round(ttlMs) } };
     this.execute({ urgency: URGENCY.lease, writes: 0, call, decode: decodeLeaseId }, callback);
   }
 
-  /** Renews a lease for its full time. */
+  /** Renews a lease for its full time to live. */
   keepLeaseAlive(leaseId: number, callback: ResultCallback<null>): void {
     this.executeOnLease({ method: 'POST', path: `/grants/${leaseId}/touch`, body: {} }, callback);
   }
 
-  /** Ends a lease; the keys attached to it go. */
+  /** Revokes a lease, which deletes the keys attached to it. */
   revokeLease(leaseId: number, callback: ResultCallback<null>): void {
     this.executeOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /** Waits for changes after the revision `sinceRevision`, for up to `waitMs`; 0: only asks for those there are. */
+  /**
+   * Waits up to `waitMs` for changes after `sinceRevision`. With 0 it returns the existing changes at once.
+   */
   watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
@@ -150,7 +158,7 @@
       }
       this.requestClient.call({ ...request.call, timeoutMs: CALL_TIMEOUT_MS }, (reply) => {
         if (reply.status === 429) this.rateLimiter.onThrottled();
-        // A throttled request was not executed.
+        // Retrying is safe: a throttled request was not executed.
         if (reply.status === 429 && throttledCount < MAX_THROTTLED_RETRIES)
           this.retry(request, callback, throttledCount + 1);
         else if (reply.status === 404 && request.valueIfMissing !== undefined)
--- a/src/transport/system-clock.ts
+++ b/src/transport/system-clock.ts
@@ -1,8 +1,8 @@
-/** The time of the process. */
+/** {@link Clock} of the running process. */
 
 import type { Clock } from '../model/clock.js';
 
-/** Clock, timers and random numbers of Node.js. */
+/** Clock backed by the clocks, timers and random numbers of Node.js. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wallTime: () => Date.now(),
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of users and health checks. */
+/** HTTP API for users and health checks. */
 
 import { type Context, Hono } from 'hono';
 import type { Clock } from '../model/clock.js';
@@ -10,27 +10,32 @@
 import { ConcurrencyLimit } from './concurrency-limit.js';
 import { JOBS_PATH, READINESS_PATH } from './http-paths.js';
 
-/** Limit of users' requests in progress: it starts here and follows the time that answers take. */
+/**
+ * Initial limit of concurrent user requests. It adapts to the measured latency between the two bounds below.
+ */
 const INITIAL_CONCURRENT_REQUESTS = 64;
 const MIN_CONCURRENT_REQUESTS = 8;
 const MAX_CONCURRENT_REQUESTS = 400;
-/** An answer within this time is never taken for slow. */
+/** A response within this time is never counted as slow. */
 const FAST_RESPONSE_MS = 400;
 
-/** Users are told to come back after a random whole number of seconds from 1 to this. */
+/** `Retry-After` is a random whole number of seconds from 1 to this. */
 const MAX_RETRY_AFTER_S = 3;
 
-/** Parts of the users' API. */
+/** Dependencies of {@link createUserApi}. */
 export interface UserApiOptions {
   controller: ControllerService;
   clock: Clock;
   log: Logger;
 }
 
-/** Serves a request, or refuses it if too many are in progress. */
+/** Runs `work` for a request, or responds with 503 if too many requests are in progress. */
 type LimitConcurrency = (context: Context, work: () => Promise<Response>) => Promise<Response>;
 
-/** Users' requests alone are limited: they never hold up heartbeats and health checks. */
+/**
+ * Creates the limit on concurrent user requests. Heartbeats and health checks are not limited, so users
+ * cannot delay them.
+ */
 function createConcurrencyLimiter(clock: Clock): LimitConcurrency {
   const limit = new ConcurrencyLimit({
     initialLimit: INITIAL_CONCURRENT_REQUESTS,
@@ -50,7 +55,10 @@
   };
 }
 
-/** Spread over some seconds, or all that were refused together would come back together. */
+/**
+ * Returns a random delay, so that clients that were refused at the same time do not all retry at the same
+ * time.
+ */
 function randomRetryAfterSeconds(): string {
   return String(1 + Math.floor(Math.random() * MAX_RETRY_AFTER_S));
 }
@@ -64,7 +72,7 @@
   return context.json({ error: 'no such job' }, 404);
 }
 
-/** Serves the requests on jobs. */
+/** Handlers of the job requests. */
 class JobHandlers {
   constructor(
     private readonly controller: ControllerService,
@@ -82,7 +90,7 @@
     }
     const { id, reason } = submission;
     if (id === null) return context.json({ error: reason }, 400);
-    // The repeat of an accepted job is answered as one, whatever it holds.
+    // A repeated submission of a known job gets the state of that job, even if the repeat is malformed.
     return new Promise((resolve) =>
       api.getJob(id, (answer) =>
         resolve(
@@ -117,14 +125,14 @@
       case 'rejected':
         return context.json({ error: answer.reason }, 422);
       case 'unavailable':
-        // The user's next connection is led to a controller that can serve it.
+        // Makes the user reconnect, so that the next connection can reach a controller that can serve it.
         if (this.controller.shouldRedirectUsers()) context.header('Connection', 'close');
         return respondUnavailable(context, answer.reason);
     }
   }
 }
 
-/** The routes of users and health checks. Failures within are logged and answered with 503. */
+/** Creates the routes for users and health checks. Unexpected errors are logged and answered with 503. */
 export function createUserApi(options: UserApiOptions): Hono {
   const { controller, clock, log } = options;
   const app = new Hono();
@@ -143,7 +151,7 @@
   );
   app.notFound((context) => context.json({ error: 'no such path' }, 404));
   app.onError((error, context) => {
-    log.error({ err: error.stack ?? String(error) }, 'request failed');
+    log.error({ err: error.stack ?? String(error) }, 'user request failed unexpectedly');
     return respondUnavailable(context, 'internal error');
   });
   return app;
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,4 +1,4 @@
-/** Direct commands to workers, over a bounded number of connections. */
+/** HTTP client for direct commands to workers, with a limited number of connections. */
 
 import type { Result, ResultCallback } from '../model/result.js';
 import type { CommandBatch, WorkerCommandPort } from '../model/worker-command-port.js';
@@ -7,39 +7,40 @@
 import { decodeHeartbeat, encodeDirectCommands } from '../wire/worker-messages.js';
 import { HttpClient, type HttpReply } from './http-client.js';
 
-/** Time for a call, the wait for a connection included. */
+/** Timeout of a call, including the wait for a connection. */
 const CALL_TIMEOUT_MS = 2000;
-/** A connection unused for so long is closed: sockets are needed for heartbeats and users. */
+/** Idle time after which a connection is closed, because sockets are needed for heartbeats and users. */
 const IDLE_TIMEOUT_MS = 30_000;
-/** Time between two looks at waiting calls and idle connections. */
+/** Interval at which waiting calls and idle connections are checked. */
 const MAINTENANCE_INTERVAL_MS = 500;
 
 const COMMANDS_PATH = '/commands';
 
 interface WorkerConnection {
-  /** Of one socket. */
+  /** Uses a single socket. */
   client: HttpClient;
   callsInProgress: number;
-  /** When it was last used; wall-clock ms. */
+  /** When a call last used the connection; wall-clock ms. */
   lastUsedAt: number;
 }
 
 interface WaitingCall {
   address: string;
-  /** Wall-clock ms. */
+  /** When the call times out; wall-clock ms. */
   expiresAt: number;
-  /** Sends the call on the connection it has been given. */
+  /** Sends the call on the given connection. */
   send: (connection: WorkerConnection) => void;
   onExpired: () => void;
 }
 
 /**
- * One connection to a worker at most: a controller that kept one to every worker of a large fleet would have no sockets
- * left for their heartbeats. Beyond the bound the connection longest unused is closed; when all are in use, calls that
- * carry commands go before those that only ask for a heartbeat.
+ * Keeps at most one connection per worker, and at most `maxConnections` in total: with a connection to every
+ * worker of a large fleet, no sockets would be left for heartbeats. At the limit the least recently used idle
+ * connection is closed. If all connections are in use, calls with commands are sent before calls that only
+ * query a heartbeat.
  */
 export class WorkerClient implements WorkerCommandPort {
-  /** By the worker's address, in order of last use. */
+  /** By worker address, in order of last use. */
   private readonly connections = new Map<string, WorkerConnection>();
   private readonly waitingCommands: WaitingCall[] = [];
   private readonly waitingQueries: WaitingCall[] = [];
@@ -47,17 +48,19 @@
 
   constructor(private readonly maxConnections: number) {}
 
-  /** Connections kept now. */
+  /** Number of open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
   /**
-   * Sends commands to the worker at an address; without commands it only asks for the worker's heartbeat. Fails as
-   * - `refused` if nothing was executed: no connection was found in time or could be made, or the worker said so;
-   * - `conflict`, with the worker's heartbeat, if the worker did not accept the token or the epoch;
-   * - `invalid` if the worker could not read the request;
-   * - `indeterminate` if the commands may have been executed, or may yet be.
+   * Sends commands to the worker at `address`; without commands it only queries the worker's heartbeat. Fails
+   * as
+   * - `refused` if nothing was executed: no connection was available in time, the connection could not be
+   *   established, or the worker refused without a readable heartbeat;
+   * - `conflict`, with the worker's heartbeat, if the worker did not accept the fencing token or the epoch;
+   * - `invalid` if the worker could not decode the request;
+   * - `indeterminate` if the commands may have been executed or may still be executed.
    */
   sendCommands(address: string, batch: CommandBatch, onResult: ResultCallback<Heartbeat>): void {
     const expiresAt = Date.now() + CALL_TIMEOUT_MS;
@@ -85,7 +88,7 @@
     this.scheduleMaintenance();
   }
 
-  /** The connection to a worker, or null if there is none and no room for one more. */
+  /** Returns a connection to a worker, or null if all connections are in use by calls to other workers. */
   private acquireConnection(address: string): WorkerConnection | null {
     const now = Date.now();
     let connection = this.connections.get(address);
@@ -94,14 +97,16 @@
       connection = { client: new HttpClient(address, 1), callsInProgress: 0, lastUsedAt: now };
     }
     connection.lastUsedAt = now;
-    // To the end of the order of last use.
+    // Re-inserting moves the connection to the end of the order of last use.
     this.connections.delete(address);
     this.connections.set(address, connection);
     this.scheduleMaintenance();
     return connection;
   }
 
-  /** Closes the longest unused connection that carries no call, if it has been unused for at least so long. */
+  /**
+   * Closes the least recently used connection without a call, if it has been idle for at least `minIdleMs`.
+   */
   private closeLeastRecentlyUsed(now: number, minIdleMs: number): boolean {
     for (const [address, connection] of this.connections) {
       if (connection.callsInProgress > 0) continue;
@@ -126,7 +131,10 @@
       }
   }
 
-  /** The timer runs while there are connections or waiting calls, and does not keep the process alive. */
+  /**
+   * Starts the maintenance timer, which runs while there are connections or waiting calls. It does not keep
+   * the process alive.
+   */
   private scheduleMaintenance(): void {
     if (this.maintenanceTimer) return;
     this.maintenanceTimer = setTimeout(() => {
