--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -51,9 +51,8 @@
 }
 
 /**
- * Parses the process arguments and runs the command. An invalid command line, settings file or policy is
- * reported on standard error, one issue per line, and the process exits with code 2. Other errors are
- * rethrown.
+ * Parses the process arguments and runs the command. Issues of the command line, settings or policy go to
+ * standard error, one per line, and the process exits with code 2. Other errors are rethrown.
  */
 export function runCommandLine(handlers: CommandHandlers): void {
   try {
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -1,11 +1,8 @@
-/**
- * Operator policy: a TOML table of numbers and CEL expressions that are type-checked before the controller
- * starts.
- */
+/** Operator policy: a TOML table of numbers and of CEL expressions, which are type-checked at startup. */
 
 import { Environment } from '@marcbachmann/cel-js';
 import type { Policy, PolicyFn, PolicyInput } from '../model/policy.js';
-import { errorMessage, parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
+import { getErrorMessage, parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
 
 interface Range {
   min: number;
@@ -75,7 +72,7 @@
       return { ok: false, issue: `must be a number, is ${check.type}` };
     return { ok: true, evaluate: (variables) => evaluate(variables) };
   } catch (error) {
-    return { ok: false, issue: joinLines(errorMessage(error)) };
+    return { ok: false, issue: joinLines(getErrorMessage(error)) };
   }
 }
 
@@ -97,9 +94,7 @@
   return variables;
 }
 
-/**
- * Clamps a value to its range. A value that is not finite, such as a division by zero, becomes the minimum.
- */
+/** Clamps a value to its range. A non-finite value, as from a division by zero, becomes the minimum. */
 function clamp(value: number, { min, max }: Range): number {
   return Math.min(max, Math.max(min, Number.isFinite(value) ? value : min));
 }
@@ -130,9 +125,7 @@
   };
 }
 
-/**
- * Loads and compiles a policy file. Throws a {@link SettingsError} if the file can't be read or is invalid.
- */
+/** Loads and compiles a policy file. Throws a {@link SettingsError} if it cannot be read or is invalid. */
 export function loadPolicy(file: string | URL): PolicyFn {
   return compilePolicy(readTextFile(file));
 }
--- a/src/config/settings-error.ts
+++ b/src/config/settings-error.ts
@@ -8,8 +8,7 @@
   override readonly name = 'SettingsError';
 
   /**
-   * @param issues - descriptions of what is wrong, at least one; each is one line and names its field, if it
-   * has one
+   * @param issues - at least one description of a problem, each a single line that names its field, if any
    * @param options - `cause` is the wrapped error, if any
    */
   constructor(
@@ -21,7 +20,7 @@
 }
 
 /** Returns the message of a caught value, which need not be an `Error`. */
-export function errorMessage(error: unknown): string {
+export function getErrorMessage(error: unknown): string {
   return String(error instanceof Error ? error.message : error);
 }
 
@@ -30,19 +29,17 @@
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
-    throw new SettingsError([`cannot read ${String(file)}: ${errorMessage(error)}`], { cause: error });
+    throw new SettingsError([`cannot read ${String(file)}: ${getErrorMessage(error)}`], { cause: error });
   }
 }
 
-/**
- * Parses TOML. On a syntax error it throws a {@link SettingsError} whose message starts with `errorPrefix`.
- */
+/** Parses TOML. A syntax error throws a {@link SettingsError} whose message starts with `errorPrefix`. */
 export function parseTomlTable(text: string, errorPrefix: string): Record<string, unknown> {
   try {
     return parseToml(text);
   } catch (error) {
     // The lines after the first one show an excerpt of the text.
-    const [firstLine] = errorMessage(error).split('\n');
+    const [firstLine] = getErrorMessage(error).split('\n');
     throw new SettingsError([`${errorPrefix}: ${firstLine}`], { cause: error });
   }
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,6 +1,4 @@
-/**
- * Controller settings: a TOML file that is validated field by field. The suffix of a field name is its unit.
- */
+/** Controller settings: a TOML file that is validated field by field. Field name suffixes are units. */
 
 import * as v from 'valibot';
 import { parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
@@ -11,10 +9,7 @@
 const NonNegativeNumber = v.pipe(v.number(), v.minValue(0));
 const PositiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/**
- * Minimum difference of `cancel_s` and `lease_s`. It leaves time to read the stored cancellations several
- * times.
- */
+/** Minimum of `cancel_s` minus `lease_s`: leaves time to read the stored cancellations several times. */
 const MIN_CANCELLATION_WINDOW_S = 2;
 
 const PeerSchema = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
@@ -91,7 +86,7 @@
   );
 }
 
-/** Loads a settings file. Throws a {@link SettingsError} if the file can't be read or is invalid. */
+/** Loads a settings file. Throws a {@link SettingsError} if it cannot be read or is invalid. */
 export function loadSettings(file: string): Settings {
   return parseSettings(readTextFile(file));
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -23,10 +23,7 @@
 
 /** Resolved relative to the bundle, which, like this file, is in a directory next to `deploy/`. */
 const DEFAULT_POLICY_FILE = new URL('../deploy/policy.toml', import.meta.url);
-/**
- * Time to live of a controller's lease in the key-value store: a failed controller goes unnoticed until it
- * expires.
- */
+/** Time to live of a controller's lease in the key-value store. A failure goes unnoticed until it expires. */
 const CONTROLLER_LEASE_TTL_MS = 3500;
 
 interface Configuration {
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -14,7 +14,7 @@
 import { parseJson } from '../wire/json.js';
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
 
-const MAX_SOCKETS = 6;
+const MAX_CONNECTIONS = 6;
 const CALL_TIMEOUT_MS = 5000;
 const PAGE_SIZE = 500;
 /** Share of the cloud's rate limit that is used. The rest covers recent calls of a former leader. */
@@ -24,10 +24,7 @@
 /** Interval at which the queue is checked while calls are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 50;
 
-/**
- * Priorities of queued calls, lowest value first. Deletions lead: an unneeded machine is billed by the
- * second.
- */
+/** Queue order, lowest value first. Deletions come first: unneeded machines are billed by the second. */
 const CALL_PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
 
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
@@ -37,9 +34,7 @@
   onReply: (reply: HttpReply) => void;
 }
 
-/**
- * Calls the cloud provider over HTTP, through one priority queue that is paced to stay under its rate limit.
- */
+/** Calls the cloud over HTTP through one priority queue, paced to stay under the cloud's rate limit. */
 export class CloudClient implements CloudProvider {
   private readonly client: HttpClient;
   private readonly queue: QueuedCall[] = [];
@@ -57,7 +52,7 @@
     address: string,
     private readonly callsPerSecond: number,
   ) {
-    this.client = new HttpClient(address, MAX_SOCKETS);
+    this.client = new HttpClient(address, MAX_CONNECTIONS);
     this.tokens = callsPerSecond * BURST_SECONDS;
   }
 
--- a/src/transport/concurrency-limit.ts
+++ b/src/transport/concurrency-limit.ts
@@ -44,13 +44,13 @@
   }
 
   /** The current limit, rounded down. */
-  get current(): number {
+  get currentLimit(): number {
     return Math.floor(this.limit);
   }
 
   /**
-   * Tries to start a request. If it returns true, the caller must call {@link release} once the request has
-   * finished.
+   * Tries to start a request. If it returns true, the caller must call {@link ConcurrencyLimit.release} once,
+   * when the request has finished.
    */
   tryAcquire(): boolean {
     if (this.inFlight >= this.limit) return false;
@@ -80,10 +80,7 @@
     }
   }
 
-  /**
-   * Lowers the limit, unless this request started before the last decrease and so cannot reflect its effect
-   * yet.
-   */
+  /** Lowers the limit, unless the request started before the last decrease and cannot reflect its effect. */
   private shrink(now: number, latencyMs: number): void {
     if (now - this.lastShrunkAt <= latencyMs) return;
     this.lastShrunkAt = now;
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -24,10 +24,7 @@
   status: number;
   /** Response body; empty if there is none. */
   body: string;
-  /**
-   * Whether the request was written to a connection, so that the server may have executed it or may still do
-   * so.
-   */
+  /** Whether the request was written to a connection: the server may have executed it or may still do so. */
   sent: boolean;
 }
 
@@ -48,9 +45,8 @@
 }
 
 /**
- * Sends requests to one server over at most `maxSockets` connections, one request at a time on each. Every
- * call gets exactly one reply, no later than its timeout. A connection failure is reported as a reply with
- * status 0.
+ * Sends requests to one server over at most `maxConnections` connections, one request at a time on each.
+ * Every call gets exactly one reply, no later than its timeout. A connection failure gives status 0.
  */
 export class HttpClient {
   private readonly server: HostAndPort;
@@ -62,7 +58,7 @@
   /** @param address - `HOST:PORT` of the server */
   constructor(
     private readonly address: string,
-    private readonly maxSockets: number,
+    private readonly maxConnections: number,
   ) {
     this.server = parseAddress(address);
   }
@@ -124,7 +120,7 @@
       // close them.
       const connection =
         this.idleConnections.pop() ??
-        (this.connections.size < this.maxSockets ? this.openConnection() : null);
+        (this.connections.size < this.maxConnections ? this.openConnection() : null);
       if (!connection) return;
       const call = this.queue.shift() as PendingCall;
       connection.call = call;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -13,10 +13,7 @@
   status: number;
   /** Serialized JSON. */
   body: string;
-  /**
-   * Headers besides `Content-Type` and `Content-Length`. `Connection: close` closes the connection after the
-   * response.
-   */
+  /** Headers besides those of the body. `Connection: close` closes the connection after the response. */
   headers?: Record<string, string>;
 }
 
@@ -27,7 +24,7 @@
 export interface HttpServerOptions {
   handleRequest: RequestHandler;
   inboundConnections: InboundConnections;
-  /** Monotonic time in ms. */
+  /** Returns monotonic time in ms. */
   now: () => number;
 }
 
@@ -64,10 +61,7 @@
   isServing: boolean;
   /** Whether a request has been received in part. */
   isReceiving: boolean;
-  /**
-   * Start of the current timeout, when a request started to arrive or the connection became idle; monotonic
-   * ms.
-   */
+  /** When the current request started to arrive or the connection became idle; monotonic ms. */
   timeoutStartedAt: number;
 }
 
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -1,7 +1,4 @@
-/**
- * Connections between controllers. Each controller sends on outbound connections and receives on inbound
- * ones.
- */
+/** Connections between controllers: each sends on its outbound connections and receives on inbound ones. */
 
 import net from 'node:net';
 import { Packr, UnpackrStream } from 'msgpackr';
@@ -10,15 +7,10 @@
 import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
 import { parseAddress } from './address.js';
 
-/**
- * Above this amount of unsent data a connection is considered dead: reconnecting is better than buffering
- * more.
- */
+/** A connection with more unsent data is considered dead: reconnecting is better than buffering more. */
 const MAX_UNSENT_BYTES = 4 << 20;
 const CONNECT_TIMEOUT_MS = 2000;
-/**
- * Delay before reconnecting. It grows with each failed attempt and is reset when a connection is established.
- */
+/** Delay before reconnecting. It grows with each failed attempt; establishing a connection resets it. */
 const INITIAL_RECONNECT_DELAY_MS = 200;
 const MAX_RECONNECT_DELAY_MS = 1000;
 const RECONNECT_DELAY_FACTOR = 1.5;
@@ -51,10 +43,7 @@
  */
 export class PeerConnections implements PeerTransport {
   private readonly outbound = new Map<string, OutboundConnection>();
-  /**
-   * Uses msgpackr's record extension: a message contains each field name once, however many placements it
-   * lists.
-   */
+  /** Uses msgpackr's records: a message contains each field name once, however many placements it lists. */
   private readonly packr = new Packr();
 
   constructor(private readonly options: PeerConnectionsOptions) {
@@ -103,10 +92,7 @@
     this.socket = this.connect();
   }
 
-  /**
-   * Whether data can be written now. Closes a connection with more than {@link MAX_UNSENT_BYTES} of unsent
-   * data.
-   */
+  /** Whether data can be written now. Closes a connection with more than {@link MAX_UNSENT_BYTES} unsent. */
   isWritable(): boolean {
     if (!this.isUp) return false;
     if (this.socket.writableLength <= MAX_UNSENT_BYTES) return true;
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,11 +1,8 @@
-/**
- * Rate limiter that keeps a controller's requests to the key-value store within its share of the store's
- * limits.
- */
+/** Rate limiter for one controller's requests to the key-value store, whose limits all controllers share. */
 
 import { URGENCY, type Urgency } from '../model/key-value-store.js';
 
-/** Rate limits of the key-value store, which all controllers share. */
+/** Rate limits of the key-value store for all controllers together. */
 export interface RateLimits {
   requestsPerSecond: number;
   /** Puts and deletes per second; each operation of a transaction counts. */
@@ -14,14 +11,12 @@
   controllerCount: number;
 }
 
-/**
- * Maximum wait of requests with the urgency of placements or a higher one: users give up after five seconds.
- */
+/** Maximum wait of requests at least as urgent as placements. Users give up after five seconds. */
 const MAX_URGENT_WAIT_MS = 3000;
 /** Maximum wait of requests that are less urgent than placements. */
 const MAX_WAIT_MS = 1500;
 
-/** Lower bound of a controller's share, as a total that is divided equally among the controllers. */
+/** Sum of the minimum shares of all controllers: a share never falls below an equal part of it. */
 const MIN_SHARE_TOTAL = 0.8;
 /** Initial share as a multiple of an equal split of the limits: the other controllers may be idle. */
 const INITIAL_SHARE_FACTOR = 2;
@@ -38,15 +33,12 @@
  * leaves a negative balance.
  */
 const LARGE_TRANSACTION_SECONDS = 0.5;
-/** Maximum time for which one refill adds tokens, so that a jump of the wall clock has a bounded effect. */
+/** Maximum time for which a refill adds tokens, so that a jump of the wall clock has a bounded effect. */
 const MAX_REFILL_MS = 2000;
 /** Interval at which the queues are checked while requests are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 10;
 
-/**
- * Receives true if the request may be sent now, and false if it was not admitted in time and must not be
- * sent.
- */
+/** Receives true if the request may be sent now, and false if it was not admitted and must not be sent. */
 export type AcquireCallback = (acquired: boolean) => void;
 
 interface QueuedRequest {
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -45,10 +45,7 @@
   /** Number of put and delete operations. */
   writes: number;
   call: Omit<HttpCall, 'timeoutMs'>;
-  /**
-   * Decodes the body of a response with status 200. Null: it is malformed, so that the outcome is
-   * indeterminate.
-   */
+  /** Decodes the body of a response with status 200. Null: it is malformed, and the outcome indeterminate. */
   decode: (body: unknown) => T | null;
   /** Result for a response with status 404. Absent: such a response is a failure. */
   valueIfMissing?: T;
@@ -127,9 +124,7 @@
     this.executeOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /**
-   * Waits up to `waitMs` for changes after `sinceRevision`. With 0 it returns the existing changes at once.
-   */
+  /** Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. */
   watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -10,9 +10,7 @@
 import { ConcurrencyLimit } from './concurrency-limit.js';
 import { JOBS_PATH, READINESS_PATH } from './http-paths.js';
 
-/**
- * Initial limit of concurrent user requests. It adapts to the measured latency between the two bounds below.
- */
+/** Initial limit of concurrent user requests. It adapts to measured latency within the two bounds below. */
 const INITIAL_CONCURRENT_REQUESTS = 64;
 const MIN_CONCURRENT_REQUESTS = 8;
 const MAX_CONCURRENT_REQUESTS = 400;
@@ -55,10 +53,7 @@
   };
 }
 
-/**
- * Returns a random delay, so that clients that were refused at the same time do not all retry at the same
- * time.
- */
+/** Random, so that users who were refused at the same time do not all retry at the same time. */
 function randomRetryAfterSeconds(): string {
   return String(1 + Math.floor(Math.random() * MAX_RETRY_AFTER_S));
 }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -54,8 +54,7 @@
   }
 
   /**
-   * Sends commands to the worker at `address`; without commands it only queries the worker's heartbeat. Fails
-   * as
+   * Sends commands to the worker at `address`, or only queries its heartbeat if there are none. Fails as
    * - `refused` if nothing was executed: no connection was available in time, the connection could not be
    *   established, or the worker refused without a readable heartbeat;
    * - `conflict`, with the worker's heartbeat, if the worker did not accept the fencing token or the epoch;
@@ -104,9 +103,7 @@
     return connection;
   }
 
-  /**
-   * Closes the least recently used connection without a call, if it has been idle for at least `minIdleMs`.
-   */
+  /** Closes the least recently used connection without a call if it has been idle for `minIdleMs`. */
   private closeLeastRecentlyUsed(now: number, minIdleMs: number): boolean {
     for (const [address, connection] of this.connections) {
       if (connection.callsInProgress > 0) continue;
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -131,9 +131,9 @@
 
   fill(20);
   for (let i = 0; i < 20; i++) fill(1000);
-  const shrunk = limit.current;
+  const shrunk = limit.currentLimit;
   expect(shrunk).toBeLessThan(25);
 
   for (let i = 0; i < 200; i++) fill(20);
-  expect(limit.current).toBeGreaterThan(shrunk * 2);
+  expect(limit.currentLimit).toBeGreaterThan(shrunk * 2);
 });
