--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -1,23 +1,23 @@
-/** The operators' policy: a TOML table of numbers and CEL expressions, type-checked before the controller starts. */
+/** Operator policy: a TOML table of numbers and of CEL expressions, which are type-checked at startup. */
 
 import { Environment } from '@marcbachmann/cel-js';
 import type { Policy, PolicyFn, PolicyInput } from '../model/policy.js';
-import { errorMessage, parseTable, readText, SettingsError } from './settings-error.js';
+import { getErrorMessage, parseTomlTable, readTextFile, SettingsError } from './settings-error.js';
 
 interface Range {
   min: number;
   max: number;
 }
 
-/** A key of the policy table. */
-interface KeyDefinition {
+/** Definition of a key of the policy table. */
+interface PolicyKey {
   field: keyof Policy;
-  /** The value is clamped to it. */
+  /** Range that the value is clamped to. */
   range: Range;
 }
 
-/** The operators' keys, and what they set. */
-const KEYS: Readonly<Record<string, KeyDefinition>> = {
+/** Keys of the policy table and the policy fields that they set. */
+const POLICY_KEYS: Readonly<Record<string, PolicyKey>> = {
   reserve_replicas: { field: 'reserveReplicas', range: { min: 0, max: 1000 } },
   reserve_batch: { field: 'reserveBatchJobs', range: { min: 0, max: 100 } },
   idle_s: { field: 'maxIdleSeconds', range: { min: 0, max: 86400 } },
@@ -31,7 +31,7 @@
   patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
 };
 
-/** The names that expressions may use, and what they stand for; all are doubles. */
+/** Variables of the expressions and the input fields that they are read from. All have type double. */
 const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
   services: 'services',
   service_cpus: 'serviceCpus',
@@ -44,11 +44,11 @@
   boot_s: 'bootSeconds',
 };
 
-/** Evaluates one value of the policy. */
-type Evaluate = (variables: Record<string, unknown>) => unknown;
+/** Evaluates one compiled policy value. */
+type EvaluateFn = (variables: Record<string, unknown>) => unknown;
 
-/** A value made ready to be evaluated, or what is wrong with it. */
-type CompiledValue = { ok: true; evaluate: Evaluate } | { ok: false; fault: string };
+/** A compiled policy value, or a description of the error in it. */
+type CompiledValue = { ok: true; evaluate: EvaluateFn } | { ok: false; issue: string };
 
 function createEnvironment(): Environment {
   const environment = new Environment();
@@ -67,57 +67,57 @@
   try {
     const evaluate = environment.parse(expression);
     const check = evaluate.check();
-    if (!check.valid) return { ok: false, fault: joinLines(String(check.error?.message ?? 'type error')) };
+    if (!check.valid) return { ok: false, issue: joinLines(String(check.error?.message ?? 'type error')) };
     if (check.type !== 'double' && check.type !== 'int')
-      return { ok: false, fault: `must be a number, is ${check.type}` };
+      return { ok: false, issue: `must be a number, is ${check.type}` };
     return { ok: true, evaluate: (variables) => evaluate(variables) };
   } catch (error) {
-    return { ok: false, fault: joinLines(errorMessage(error)) };
+    return { ok: false, issue: joinLines(getErrorMessage(error)) };
   }
 }
 
 function compileValue(environment: Environment, value: unknown): CompiledValue {
   if (typeof value === 'number') return { ok: true, evaluate: () => value };
   if (typeof value === 'string') return compileExpression(environment, value);
-  return { ok: false, fault: value === undefined ? 'missing' : 'must be a number or an expression' };
+  return { ok: false, issue: value === undefined ? 'missing' : 'must be a number or an expression' };
 }
 
-/** The key with its line in the text, if it is found there. */
+/** Names a key together with its line number, if a line of the text starts with the key. */
 function describeKey(text: string, key: string): string {
-  const line = text.split('\n').findIndex((content) => content.trimStart().startsWith(key));
+  const line = text.split('\n').findIndex((lineText) => lineText.trimStart().startsWith(key));
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
 }
 
-function variablesFrom(input: PolicyInput): Record<string, number> {
+function toVariables(input: PolicyInput): Record<string, number> {
   const variables: Record<string, number> = {};
   for (const [name, field] of Object.entries(VARIABLES)) variables[name] = input[field];
   return variables;
 }
 
-/** A result that is no number, as of a division by zero, becomes the least value. */
+/** Clamps a value to its range. A non-finite value, as from a division by zero, becomes the minimum. */
 function clamp(value: number, { min, max }: Range): number {
   return Math.min(max, Math.max(min, Number.isFinite(value) ? value : min));
 }
 
 /**
- * A policy from its text, which must have every key and no other. Throws {@link SettingsError} that names every fault
- * with its key and line.
+ * Compiles a policy. The text must define every key and no others. Throws a {@link SettingsError} that lists
+ * every issue with its key and line.
  */
 export function compilePolicy(text: string): PolicyFn {
-  const table = parseTable(text, 'policy is not TOML');
+  const table = parseTomlTable(text, 'policy is not TOML');
   const environment = createEnvironment();
-  const faults: string[] = [];
+  const issues: string[] = [];
   for (const key of Object.keys(table))
-    if (!Object.hasOwn(KEYS, key)) faults.push(`${describeKey(text, key)}: unknown key`);
-  const evaluators: (KeyDefinition & { evaluate: Evaluate })[] = [];
-  for (const [key, definition] of Object.entries(KEYS)) {
+    if (!Object.hasOwn(POLICY_KEYS, key)) issues.push(`${describeKey(text, key)}: unknown key`);
+  const evaluators: (PolicyKey & { evaluate: EvaluateFn })[] = [];
+  for (const [key, definition] of Object.entries(POLICY_KEYS)) {
     const compiled = compileValue(environment, table[key]);
     if (compiled.ok) evaluators.push({ ...definition, evaluate: compiled.evaluate });
-    else faults.push(`${describeKey(text, key)}: ${compiled.fault}`);
+    else issues.push(`${describeKey(text, key)}: ${compiled.issue}`);
   }
-  if (faults.length > 0) throw new SettingsError(faults);
+  if (issues.length > 0) throw new SettingsError(issues);
   return (input) => {
-    const variables = variablesFrom(input);
+    const variables = toVariables(input);
     const policy: Partial<Policy> = {};
     for (const { field, range, evaluate } of evaluators)
       policy[field] = clamp(Number(evaluate(variables)), range);
@@ -125,7 +125,7 @@
   };
 }
 
-/** A policy from a file. Throws {@link SettingsError} if it can't be read or has faults. */
+/** Loads and compiles a policy file. Throws a {@link SettingsError} if it cannot be read or is invalid. */
 export function loadPolicy(file: string | URL): PolicyFn {
-  return compilePolicy(readText(file));
+  return compilePolicy(readTextFile(file));
 }
--- a/src/config/settings-error.ts
+++ b/src/config/settings-error.ts
@@ -1,45 +1,45 @@
-/** The error of settings and policy, and reading of the files they come from. */
+/** Error type and file reading shared by settings and policy. */
 
 import { readFileSync } from 'node:fs';
 import { parse as parseToml } from 'smol-toml';
 
-/** Settings or a policy can't be used. */
+/** Thrown when settings or a policy cannot be read or are invalid. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 
   /**
-   * @param faults what is wrong, one line each, named with its field where it has one; at least one
-   * @param options `cause`: the error that was wrapped, if any
+   * @param issues - at least one description of a problem, each a single line that names its field, if any
+   * @param options - `cause` is the wrapped error, if any
    */
   constructor(
-    readonly faults: string[],
+    readonly issues: string[],
     options?: ErrorOptions,
   ) {
-    super(faults.join('\n'), options);
+    super(issues.join('\n'), options);
   }
 }
 
-/** The message of whatever was thrown. */
-export function errorMessage(error: unknown): string {
+/** Returns the message of a caught value, which need not be an `Error`. */
+export function getErrorMessage(error: unknown): string {
   return String(error instanceof Error ? error.message : error);
 }
 
-/** Reads a text file. Throws {@link SettingsError} if it can't be read. */
-export function readText(file: string | URL): string {
+/** Reads a text file. Throws a {@link SettingsError} if that fails. */
+export function readTextFile(file: string | URL): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
-    throw new SettingsError([`cannot read ${String(file)}: ${errorMessage(error)}`], { cause: error });
+    throw new SettingsError([`cannot read ${String(file)}: ${getErrorMessage(error)}`], { cause: error });
   }
 }
 
-/** Parses TOML. Throws {@link SettingsError} whose fault begins with `complaint` if the text is none. */
-export function parseTable(text: string, complaint: string): Record<string, unknown> {
+/** Parses TOML. A syntax error throws a {@link SettingsError} whose message starts with `errorPrefix`. */
+export function parseTomlTable(text: string, errorPrefix: string): Record<string, unknown> {
   try {
     return parseToml(text);
   } catch (error) {
-    // The lines after the first show the place in the text.
-    const [firstLine] = errorMessage(error).split('\n');
-    throw new SettingsError([`${complaint}: ${firstLine}`], { cause: error });
+    // The lines after the first one show an excerpt of the text.
+    const [firstLine] = getErrorMessage(error).split('\n');
+    throw new SettingsError([`${errorPrefix}: ${firstLine}`], { cause: error });
   }
 }
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -1,114 +1,115 @@
-/** Shares a bounded number of accepted connections among workers, users and health checks. */
+/** Shares the limited number of accepted connections among workers, users and health checks. */
 
 import type { Server, Socket } from 'node:net';
 import { HEARTBEAT_PATH, READINESS_PATH } from './http-paths.js';
 
 type ClientKind = 'worker' | 'user' | 'probe';
 
-interface Connection {
-  /** By its last request; null: it has sent none yet. */
+interface InboundConnection {
+  /** Determined by its latest request; null before the first request. */
   kind: ClientKind | null;
-  /** Whether a request is being served on it. */
-  busy: boolean;
-  /** When it was opened or last answered on; monotonic ms. */
-  usedAt: number;
+  /** Whether a request is being served on this connection. */
+  isServing: boolean;
+  /** When the connection was accepted or last finished a request; monotonic ms. */
+  lastUsedAt: number;
 }
 
-/** Part of the connections that users may take while others need them. */
+/** Share of the connections that users may hold when the limit is nearly reached. */
 const USER_SHARE = 0.3;
-/** Part of the connections that is kept free for newcomers. */
+/** Share of the connections that is kept free for new clients. */
 const FREE_SHARE = 0.04;
-/** An idle connection may be closed by us only when unused for this long: its next request may be on its way. */
+/** Minimum idle time before the server may close a connection: a new request may already be in transit. */
 const MIN_IDLE_MS = 1000;
 
-function clientKind(path: string): ClientKind {
+function classifyClient(path: string): ClientKind {
   if (path.startsWith(HEARTBEAT_PATH)) return 'worker';
   return path.startsWith(READINESS_PATH) ? 'probe' : 'user';
 }
 
 /**
- * The accepted connections of one server. Near the limit, clients of the kind that is over its share are disconnected
- * after a response (`Connection: close`), and of the idle connections the longest unused are closed, so that neither
- * users nor workers lock the others out.
+ * Tracks the accepted connections of one server. Near the connection limit, the kind of client that exceeds
+ * its share is disconnected after each response (`Connection: close`), and each new connection closes the
+ * least recently used idle connection of that kind or without any request. Neither users nor workers can lock
+ * the others out.
  */
 export class InboundConnections {
-  /** In order of last use, the longest unused first. */
-  private readonly open = new Map<Socket, Connection>();
+  /** In order of last use, the least recently used first. */
+  private readonly openConnections = new Map<Socket, InboundConnection>();
   private readonly countByKind: Record<ClientKind, number> = { worker: 0, user: 0, probe: 0 };
 
   /**
-   * @param maxConnections limit of open connections; the server refuses those beyond it
-   * @param now monotonic time in ms
+   * @param maxConnections - limit of open connections; the server refuses connections above it
+   * @param now - returns monotonic time in ms
    */
   constructor(
     private readonly maxConnections: number,
     private readonly now: () => number,
   ) {}
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get size(): number {
-    return this.open.size;
+    return this.openConnections.size;
   }
 
-  /** Bounds and follows the connections of a server. */
+  /** Limits and tracks the connections of `server`. */
   attach(server: Server): void {
     server.maxConnections = this.maxConnections;
     server.on('connection', (socket: Socket) => {
-      this.open.set(socket, { kind: null, busy: false, usedAt: this.now() });
-      socket.once('close', () => this.forget(socket));
-      if (this.isNearlyFull()) this.closeLongestUnused();
+      this.openConnections.set(socket, { kind: null, isServing: false, lastUsedAt: this.now() });
+      socket.once('close', () => this.remove(socket));
+      if (this.isNearlyFull()) this.closeLeastRecentlyUsed();
     });
   }
 
-  /** A request for this path is about to be served. */
+  /** Must be called before a request for `path` is served. */
   requestStarted(socket: Socket, path: string): void {
-    const connection = this.open.get(socket);
+    const connection = this.openConnections.get(socket);
     if (!connection) return;
-    const kind = clientKind(path);
+    const kind = classifyClient(path);
     if (connection.kind !== kind) {
       if (connection.kind) this.countByKind[connection.kind]--;
       this.countByKind[kind]++;
       connection.kind = kind;
     }
-    connection.busy = true;
+    connection.isServing = true;
   }
 
-  /** The request of this connection has its response. */
+  /** Must be called when the request of a connection has been answered. */
   requestFinished(socket: Socket): void {
-    const connection = this.open.get(socket);
+    const connection = this.openConnections.get(socket);
     if (!connection) return;
-    connection.busy = false;
-    connection.usedAt = this.now();
-    // To the end of the order of last use.
-    this.open.delete(socket);
-    this.open.set(socket, connection);
+    connection.isServing = false;
+    connection.lastUsedAt = this.now();
+    // Re-inserting moves the connection to the end of the order of last use.
+    this.openConnections.delete(socket);
+    this.openConnections.set(socket, connection);
   }
 
-  /** Whether a client that asked for this path is to be disconnected after its response. */
-  mustClose(path: string): boolean {
-    return this.isNearlyFull() && clientKind(path) === this.kindOverShare();
+  /** Whether a connection that requested `path` is to be closed after the response. */
+  shouldClose(path: string): boolean {
+    return this.isNearlyFull() && classifyClient(path) === this.kindOverShare();
   }
 
-  private forget(socket: Socket): void {
-    const connection = this.open.get(socket);
+  private remove(socket: Socket): void {
+    const connection = this.openConnections.get(socket);
     if (connection?.kind) this.countByKind[connection.kind]--;
-    this.open.delete(socket);
+    this.openConnections.delete(socket);
   }
 
   private isNearlyFull(): boolean {
-    return this.open.size >= this.maxConnections * (1 - FREE_SHARE);
+    return this.openConnections.size >= this.maxConnections * (1 - FREE_SHARE);
   }
 
   private kindOverShare(): 'worker' | 'user' {
     return this.countByKind.user > this.maxConnections * USER_SHARE ? 'user' : 'worker';
   }
 
-  private closeLongestUnused(): void {
+  private closeLeastRecentlyUsed(): void {
     const now = this.now();
     const kindOverShare = this.kindOverShare();
-    for (const [socket, { kind, busy, usedAt }] of this.open) {
-      if (now - usedAt < MIN_IDLE_MS) return;
-      if (busy || (kind !== null && kind !== kindOverShare)) continue;
+    for (const [socket, { kind, isServing, lastUsedAt }] of this.openConnections) {
+      if (now - lastUsedAt < MIN_IDLE_MS) return;
+      if (isServing || (kind !== null && kind !== kindOverShare)) continue;
       socket.destroy();
       return;
     }
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -1,4 +1,4 @@
-/** The state service over HTTP. */
+/** HTTP client for the key-value store. */
 
 import {
   type KeyValueStore,
@@ -25,76 +25,79 @@
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
-const MAX_REQUEST_SOCKETS = 16;
-/** A watch occupies its connection for as long as it waits. */
-const MAX_WATCH_SOCKETS = 8;
-const DEADLINE_MS = 1500;
-/** Added to the time that a watch waits, for its response to come. */
-const WATCH_RESPONSE_MS = 3000;
-const PAGE_ITEMS = 500;
-/** A throttled request is sent again so often, after a pause that grows by so much each time, plus a random part of it. */
+const MAX_REQUEST_CONNECTIONS = 16;
+/** Separate limit: a watch occupies its connection until it is answered. */
+const MAX_WATCH_CONNECTIONS = 8;
+const CALL_TIMEOUT_MS = 1500;
+/** Added to the wait time of a watch to allow for the transfer of its response. */
+const WATCH_RESPONSE_MARGIN_MS = 3000;
+const PAGE_SIZE = 500;
+/**
+ * A throttled request is retried up to this many times. The delay grows by {@link THROTTLED_RETRY_STEP_MS}
+ * with each retry, plus a random part of one step.
+ */
 const MAX_THROTTLED_RETRIES = 3;
 const THROTTLED_RETRY_STEP_MS = 60;
 
-/** A request, and how its response is read. */
+/** A request and the decoding of its response. */
 interface StoreRequest<T> {
   urgency: Urgency;
-  /** Puts and deletions in it. */
+  /** Number of put and delete operations. */
   writes: number;
-  call: Omit<HttpCall, 'deadlineMs'>;
-  /** Reads the body of a response with status 200; null: it is malformed, and the outcome unknown. */
+  call: Omit<HttpCall, 'timeoutMs'>;
+  /** Decodes the body of a response with status 200. Null: it is malformed, and the outcome indeterminate. */
   decode: (body: unknown) => T | null;
-  /** The result where the service answers that there is no such thing; absent: that is a failure. */
-  ifMissing?: T;
+  /** Result for a response with status 404. Absent: such a response is a failure. */
+  valueIfMissing?: T;
 }
 
 /**
- * The state service over HTTP, paced to stay under this controller's part of its limits; lease requests pass the queue.
- * Requests fail as
- * - `refused` if they were surely not executed;
- * - `notFound` if there is no such lease, or the changes asked for are no longer kept;
- * - `conflict`, with the keys, if a transaction's conditions did not hold;
- * - `invalid` if the service rejected them, as it does a write with an expired lease;
- * - `indeterminate` if they may have been executed, or may yet be.
+ * Accesses the key-value store over HTTP, rate-limited to this controller's share of its limits. Lease
+ * requests bypass the rate limiter's queues. Requests fail as
+ * - `refused` if they were certainly not executed;
+ * - `notFound` if the lease does not exist or the requested watch history has been discarded;
+ * - `conflict`, with the failed keys, if a precondition of a transaction did not hold;
+ * - `invalid` if the store rejected them, for example a write with an expired lease;
+ * - `indeterminate` if they may have been executed or may still be executed.
  */
 export class StoreClient implements KeyValueStore {
-  private readonly requests: HttpClient;
-  private readonly watches: HttpClient;
-  private readonly limiter: RateLimiter;
+  private readonly requestClient: HttpClient;
+  private readonly watchClient: HttpClient;
+  private readonly rateLimiter: RateLimiter;
 
-  /** @param address `HOST:PORT` of the service */
+  /** @param address - `HOST:PORT` of the store */
   constructor(address: string, limits: RateLimits) {
-    this.requests = new HttpClient(address, MAX_REQUEST_SOCKETS);
-    this.watches = new HttpClient(address, MAX_WATCH_SOCKETS);
-    this.limiter = new RateLimiter(limits);
+    this.requestClient = new HttpClient(address, MAX_REQUEST_CONNECTIONS);
+    this.watchClient = new HttpClient(address, MAX_WATCH_CONNECTIONS);
+    this.rateLimiter = new RateLimiter(limits);
   }
 
-  /** A key's item; null: there is none. */
+  /** Reads the item of a key; null if the key does not exist. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void {
-    this.run<StoredItem | null>(
+    this.execute<StoredItem | null>(
       {
         urgency,
         writes: 0,
         call: { method: 'GET', path: `/store/${encodeURI(key)}` },
         decode: decodeStoredItem,
-        ifMissing: null,
+        valueIfMissing: null,
       },
       callback,
     );
   }
 
-  /** One page of the keys with a prefix, in their order, starting after `startAfter`. */
+  /** Lists one page of the items with a prefix, in key order, starting after the key `startAfter`. */
   list({ prefix, startAfter, urgency }: ListRequest, callback: ResultCallback<ListPage>): void {
-    const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=${PAGE_ITEMS}`;
-    this.run(
+    const query = `prefix=${encodeURIComponent(prefix)}&since=${encodeURIComponent(startAfter)}&page=${PAGE_SIZE}`;
+    this.execute(
       { urgency, writes: 0, call: { method: 'GET', path: `/store?${query}` }, decode: decodeListPage },
       callback,
     );
   }
 
-  /** Carries out a transaction; its result is the store's revision after it. */
+  /** Executes a transaction and returns the store revision after it. */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void {
-    this.run(
+    this.execute(
       {
         urgency,
         writes: transaction.operations.length,
@@ -105,74 +108,74 @@
     );
   }
 
-  /** Takes a lease of a time to live in ms, rounded; its result is the lease's id. */
+  /** Creates a lease and returns its id. The time to live is rounded to whole milliseconds. */
   grantLease(ttlMs: number, callback: ResultCallback<number>): void {
     const call = { method: 'POST', path: '/grants', body: { ttl_ms: Math.round(ttlMs) } };
-    this.run({ urgency: URGENCY.lease, writes: 0, call, decode: decodeLeaseId }, callback);
+    this.execute({ urgency: URGENCY.lease, writes: 0, call, decode: decodeLeaseId }, callback);
   }
 
-  /** Renews a lease for its full time. */
+  /** Renews a lease for its full time to live. */
   keepLeaseAlive(leaseId: number, callback: ResultCallback<null>): void {
-    this.runOnLease({ method: 'POST', path: `/grants/${leaseId}/touch`, body: {} }, callback);
+    this.executeOnLease({ method: 'POST', path: `/grants/${leaseId}/touch`, body: {} }, callback);
   }
 
-  /** Ends a lease; the keys attached to it go. */
+  /** Revokes a lease, which deletes the keys attached to it. */
   revokeLease(leaseId: number, callback: ResultCallback<null>): void {
-    this.runOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
+    this.executeOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /** Waits for changes after the revision `sinceRevision`, for up to `waitMs`; 0: only asks for those there are. */
+  /** Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. */
   watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
-    const deadlineMs = waitMs === 0 ? DEADLINE_MS : waitMs + WATCH_RESPONSE_MS;
-    this.limiter.acquire(URGENCY.user, 0, (acquired) => {
+    const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
+    this.rateLimiter.acquire(URGENCY.user, 0, (acquired) => {
       if (!acquired) {
         callback({ ok: false, kind: 'refused' });
         return;
       }
-      this.watches.call({ method: 'GET', path, deadlineMs }, (reply) => {
-        if (reply.status === 429) this.limiter.onThrottled();
-        callback(resultOf(reply, decodeWatchReply));
+      this.watchClient.call({ method: 'GET', path, timeoutMs }, (reply) => {
+        if (reply.status === 429) this.rateLimiter.onThrottled();
+        callback(toResult(reply, decodeWatchReply));
       });
     });
   }
 
-  private runOnLease(call: StoreRequest<true>['call'], callback: ResultCallback<null>): void {
+  private executeOnLease(call: StoreRequest<true>['call'], callback: ResultCallback<null>): void {
     const request = { urgency: URGENCY.lease, writes: 0, call, decode: () => true as const };
-    this.run(request, (result) => callback(result.ok ? { ok: true, value: null } : result));
+    this.execute(request, (result) => callback(result.ok ? { ok: true, value: null } : result));
   }
 
-  private run<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttledBefore = 0): void {
-    this.limiter.acquire(request.urgency, request.writes, (acquired) => {
+  private execute<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttledCount = 0): void {
+    this.rateLimiter.acquire(request.urgency, request.writes, (acquired) => {
       if (!acquired) {
         callback({ ok: false, kind: 'refused' });
         return;
       }
-      this.requests.call({ ...request.call, deadlineMs: DEADLINE_MS }, (reply) => {
-        if (reply.status === 429) this.limiter.onThrottled();
-        // A throttled request was not executed.
-        if (reply.status === 429 && throttledBefore < MAX_THROTTLED_RETRIES)
-          this.retry(request, callback, throttledBefore + 1);
-        else if (reply.status === 404 && request.ifMissing !== undefined)
-          callback({ ok: true, value: request.ifMissing });
-        else callback(resultOf(reply, request.decode));
+      this.requestClient.call({ ...request.call, timeoutMs: CALL_TIMEOUT_MS }, (reply) => {
+        if (reply.status === 429) this.rateLimiter.onThrottled();
+        // Retrying is safe: a throttled request was not executed.
+        if (reply.status === 429 && throttledCount < MAX_THROTTLED_RETRIES)
+          this.retry(request, callback, throttledCount + 1);
+        else if (reply.status === 404 && request.valueIfMissing !== undefined)
+          callback({ ok: true, value: request.valueIfMissing });
+        else callback(toResult(reply, request.decode));
       });
     });
   }
 
-  private retry<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttled: number): void {
-    const delayMs = THROTTLED_RETRY_STEP_MS * (throttled + Math.random());
-    setTimeout(() => this.run(request, callback, throttled), delayMs);
+  private retry<T>(request: StoreRequest<T>, callback: ResultCallback<T>, throttledCount: number): void {
+    const delayMs = THROTTLED_RETRY_STEP_MS * (throttledCount + Math.random());
+    setTimeout(() => this.execute(request, callback, throttledCount), delayMs);
   }
 }
 
-function resultOf<T>(reply: HttpReply, decode: (body: unknown) => T | null): Result<T> {
-  if (reply.status !== 200) return failureOf(reply);
-  const value = decode(parseJson(reply.text));
+function toResult<T>(reply: HttpReply, decode: (body: unknown) => T | null): Result<T> {
+  if (reply.status !== 200) return toFailure(reply);
+  const value = decode(parseJson(reply.body));
   return value === null ? { ok: false, kind: 'indeterminate' } : { ok: true, value };
 }
 
-function failureOf(reply: HttpReply): Failure {
+function toFailure(reply: HttpReply): Failure {
   switch (reply.status) {
     case 0:
       return { ok: false, kind: reply.sent ? 'indeterminate' : 'refused' };
@@ -182,7 +185,7 @@
     case 410:
       return { ok: false, kind: 'notFound' };
     case 409:
-      return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(reply.text)) };
+      return { ok: false, kind: 'conflict', failedKeys: decodeFailedKeys(parseJson(reply.body)) };
     case 429:
     case 503:
       return { ok: false, kind: 'refused' };
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -1,4 +1,4 @@
-/** Direct commands to workers, over a bounded number of connections. */
+/** HTTP client for direct commands to workers, with a limited number of connections. */
 
 import type { Result, ResultCallback } from '../model/result.js';
 import type { CommandBatch, WorkerCommandPort } from '../model/worker-command-port.js';
@@ -7,106 +7,108 @@
 import { decodeHeartbeat, encodeDirectCommands } from '../wire/worker-messages.js';
 import { HttpClient, type HttpReply } from './http-client.js';
 
-/** Time for a call, the wait for a connection included. */
-const CALL_DEADLINE_MS = 2000;
-/** A connection unused for so long is closed: sockets are needed for heartbeats and users. */
+/** Timeout of a call, including the wait for a connection. */
+const CALL_TIMEOUT_MS = 2000;
+/** Idle time after which a connection is closed, because sockets are needed for heartbeats and users. */
 const IDLE_TIMEOUT_MS = 30_000;
-/** Time between two looks at waiting calls and idle connections. */
-const CHECK_INTERVAL_MS = 500;
+/** Interval at which waiting calls and idle connections are checked. */
+const MAINTENANCE_INTERVAL_MS = 500;
 
 const COMMANDS_PATH = '/commands';
 
-interface Connection {
-  /** Of one socket. */
+interface WorkerConnection {
+  /** Uses a single socket. */
   client: HttpClient;
   callsInProgress: number;
-  /** When it was last used; wall-clock ms. */
-  usedAt: number;
+  /** When a call last used the connection; wall-clock ms. */
+  lastUsedAt: number;
 }
 
 interface WaitingCall {
   address: string;
-  /** Wall-clock ms. */
+  /** When the call times out; wall-clock ms. */
   expiresAt: number;
-  /** Sends the call on the connection it has been given. */
-  send: (connection: Connection) => void;
+  /** Sends the call on the given connection. */
+  send: (connection: WorkerConnection) => void;
   onExpired: () => void;
 }
 
 /**
- * One connection to a worker at most: a controller that kept one to every worker of a large fleet would have no sockets
- * left for their heartbeats. Beyond the bound the connection longest unused is closed; when all are in use, calls that
- * carry commands go before those that only ask for a heartbeat.
+ * Keeps at most one connection per worker, and at most `maxConnections` in total: with a connection to every
+ * worker of a large fleet, no sockets would be left for heartbeats. At the limit the least recently used idle
+ * connection is closed. If all connections are in use, calls with commands are sent before calls that only
+ * query a heartbeat.
  */
 export class WorkerClient implements WorkerCommandPort {
-  /** By the worker's address, in order of last use. */
-  private readonly connections = new Map<string, Connection>();
+  /** By worker address, in order of last use. */
+  private readonly connections = new Map<string, WorkerConnection>();
   private readonly waitingCommands: WaitingCall[] = [];
   private readonly waitingQueries: WaitingCall[] = [];
-  private timer: NodeJS.Timeout | null = null;
+  private maintenanceTimer: NodeJS.Timeout | null = null;
 
   constructor(private readonly maxConnections: number) {}
 
-  /** Connections kept now. */
+  /** Number of open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
   /**
-   * Sends commands to the worker at an address; without commands it only asks for the worker's heartbeat. Fails as
-   * - `refused` if nothing was executed: no connection was found in time or could be made, or the worker said so;
-   * - `conflict`, with the worker's heartbeat, if the worker did not accept the token or the epoch;
-   * - `invalid` if the worker could not read the request;
-   * - `indeterminate` if the commands may have been executed, or may yet be.
+   * Sends commands to the worker at `address`, or only queries its heartbeat if there are none. Fails as
+   * - `refused` if nothing was executed: no connection was available in time, the connection could not be
+   *   established, or the worker refused without a readable heartbeat;
+   * - `conflict`, with the worker's heartbeat, if the worker did not accept the fencing token or the epoch;
+   * - `invalid` if the worker could not decode the request;
+   * - `indeterminate` if the commands may have been executed or may still be executed.
    */
   sendCommands(address: string, batch: CommandBatch, onResult: ResultCallback<Heartbeat>): void {
-    const expiresAt = Date.now() + CALL_DEADLINE_MS;
-    const send = (connection: Connection) => {
+    const expiresAt = Date.now() + CALL_TIMEOUT_MS;
+    const send = (connection: WorkerConnection) => {
       const call = {
         method: 'POST',
         path: COMMANDS_PATH,
         body: encodeDirectCommands(batch),
-        deadlineMs: Math.max(1, expiresAt - Date.now()),
+        timeoutMs: Math.max(1, expiresAt - Date.now()),
       };
       connection.callsInProgress++;
       connection.client.call(call, (reply) => {
         connection.callsInProgress--;
         this.sendWaiting();
-        onResult(resultOf(reply));
+        onResult(toResult(reply));
       });
     };
-    const connection = this.connectionTo(address);
+    const connection = this.acquireConnection(address);
     if (connection) {
       send(connection);
       return;
     }
     const queue = batch.commands.length > 0 ? this.waitingCommands : this.waitingQueries;
     queue.push({ address, expiresAt, send, onExpired: () => onResult({ ok: false, kind: 'refused' }) });
-    this.scheduleCheck();
+    this.scheduleMaintenance();
   }
 
-  /** The connection to a worker, or null if there is none and no room for one more. */
-  private connectionTo(address: string): Connection | null {
+  /** Returns a connection to a worker, or null if all connections are in use by calls to other workers. */
+  private acquireConnection(address: string): WorkerConnection | null {
     const now = Date.now();
     let connection = this.connections.get(address);
     if (!connection) {
-      if (this.connections.size >= this.maxConnections && !this.closeLongestUnused(now, 0)) return null;
-      connection = { client: new HttpClient(address, 1), callsInProgress: 0, usedAt: now };
+      if (this.connections.size >= this.maxConnections && !this.closeLeastRecentlyUsed(now, 0)) return null;
+      connection = { client: new HttpClient(address, 1), callsInProgress: 0, lastUsedAt: now };
     }
-    connection.usedAt = now;
-    // To the end of the order of last use.
+    connection.lastUsedAt = now;
+    // Re-inserting moves the connection to the end of the order of last use.
     this.connections.delete(address);
     this.connections.set(address, connection);
-    this.scheduleCheck();
+    this.scheduleMaintenance();
     return connection;
   }
 
-  /** Closes the longest unused connection that carries no call, if it has been unused for at least so long. */
-  private closeLongestUnused(now: number, minIdleMs: number): boolean {
+  /** Closes the least recently used connection without a call if it has been idle for `minIdleMs`. */
+  private closeLeastRecentlyUsed(now: number, minIdleMs: number): boolean {
     for (const [address, connection] of this.connections) {
       if (connection.callsInProgress > 0) continue;
-      if (now - connection.usedAt < minIdleMs) return false;
-      connection.client.closeIdle();
+      if (now - connection.lastUsedAt < minIdleMs) return false;
+      connection.client.closeIdleConnections();
       this.connections.delete(address);
       return true;
     }
@@ -118,7 +120,7 @@
     for (const queue of [this.waitingCommands, this.waitingQueries])
       for (let call = queue[0]; call; call = queue[0]) {
         const expired = call.expiresAt <= now;
-        const connection = expired ? null : this.connectionTo(call.address);
+        const connection = expired ? null : this.acquireConnection(call.address);
         if (!connection && !expired) return;
         queue.shift();
         if (connection) call.send(connection);
@@ -126,28 +128,31 @@
       }
   }
 
-  /** The timer runs while there are connections or waiting calls, and does not keep the process alive. */
-  private scheduleCheck(): void {
-    if (this.timer) return;
-    this.timer = setTimeout(() => {
-      this.timer = null;
-      this.check();
-    }, CHECK_INTERVAL_MS);
-    this.timer.unref();
+  /**
+   * Starts the maintenance timer, which runs while there are connections or waiting calls. It does not keep
+   * the process alive.
+   */
+  private scheduleMaintenance(): void {
+    if (this.maintenanceTimer) return;
+    this.maintenanceTimer = setTimeout(() => {
+      this.maintenanceTimer = null;
+      this.runMaintenance();
+    }, MAINTENANCE_INTERVAL_MS);
+    this.maintenanceTimer.unref();
   }
 
-  private check(): void {
+  private runMaintenance(): void {
     const now = Date.now();
     this.sendWaiting();
-    while (this.closeLongestUnused(now, IDLE_TIMEOUT_MS));
+    while (this.closeLeastRecentlyUsed(now, IDLE_TIMEOUT_MS));
     const waiting = this.waitingCommands.length + this.waitingQueries.length;
-    if (this.connections.size > 0 || waiting > 0) this.scheduleCheck();
+    if (this.connections.size > 0 || waiting > 0) this.scheduleMaintenance();
   }
 }
 
-function resultOf(reply: HttpReply): Result<Heartbeat> {
+function toResult(reply: HttpReply): Result<Heartbeat> {
   if (reply.status === 0) return { ok: false, kind: reply.sent ? 'indeterminate' : 'refused' };
-  const heartbeat = decodeHeartbeat(parseJson(reply.text));
+  const heartbeat = decodeHeartbeat(parseJson(reply.body));
   switch (reply.status) {
     case 200:
       return heartbeat ? { ok: true, value: heartbeat } : { ok: false, kind: 'indeterminate' };
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -119,7 +119,7 @@
 });
 
 test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
-  const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastMs: 100 });
+  const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastThresholdMs: 100 });
   let now = 0;
   /** Fills the limit with requests that all take so long. */
   const fill = (tookMs: number) => {
@@ -131,9 +131,9 @@
 
   fill(20);
   for (let i = 0; i < 20; i++) fill(1000);
-  const shrunk = limit.current;
+  const shrunk = limit.currentLimit;
   expect(shrunk).toBeLessThan(25);
 
   for (let i = 0; i < 200; i++) fill(20);
-  expect(limit.current).toBeGreaterThan(shrunk * 2);
+  expect(limit.currentLimit).toBeGreaterThan(shrunk * 2);
 });
