--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -7,7 +7,7 @@
 import type { ShardMessage } from '../src/model/shard-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
 import { jobRecord } from '../src/store/record-codec.js';
-import { isLeader, leaderOf, runFor, workersWith } from './simulation/cluster-queries.js';
+import { isLeader, leaderOf, runFor, workersOfJob } from './simulation/cluster-queries.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeJobSpec } from './simulation/job-spec.js';
 import { SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
@@ -23,7 +23,7 @@
     return spec.id;
   });
   simulation.simulator.run(60000);
-  for (const id of ids) expect(workersWith(simulation, id).length).toBeGreaterThan(0);
+  for (const id of ids) expect(workersOfJob(simulation, id).length).toBeGreaterThan(0);
   return { simulation, ids };
 }
 
@@ -53,10 +53,10 @@
       expect(simulation.jobs.get(ids[round]!)!.cancelledAt).not.toBeNull();
       simulation.store.setDown(true);
       runFor(simulation, simulation.config.cancellationSeconds * 1200);
-      expect(workersWith(simulation, ids[round]!)).toEqual([]);
+      expect(workersOfJob(simulation, ids[round]!)).toEqual([]);
       for (const nodeName of simulation.nodeNames)
         if (nodeName !== leader) simulation.network.heal(nodeName, leader);
-      simulation.store.readmit(leader);
+      simulation.store.clearRefusal(leader);
       simulation.store.setDown(false);
       runFor(simulation, 12000);
     }
@@ -73,7 +73,7 @@
   runFor(simulation, 200);
   simulation.store.setDown(true);
   runFor(simulation, 3 * simulation.config.heartbeatIntervalSeconds * 1000);
-  expect(workersWith(simulation, ids[0]!)).toEqual([]);
+  expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
   expect(simulation.violations).toEqual([]);
 });
 
@@ -83,23 +83,23 @@
     const { simulation, ids } = startRunningJobs(seed);
     const before = ids
       .slice(1)
-      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+      .flatMap((id) => workersOfJob(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
     const leader = leaderOf(simulation);
     cancelAt(simulation, simulation.nodeNames.find((nodeName) => nodeName !== leader)!, ids[0]!);
     runFor(simulation, 12);
     simulation.store.setDown(true);
     runFor(simulation, simulation.config.cancellationSeconds * 3000);
     expect(simulation.jobs.get(ids[0]!)!.cancelledAt).not.toBeNull();
-    expect(workersWith(simulation, ids[0]!)).toEqual([]);
+    expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
     expect(
       ids
         .slice(1)
-        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+        .flatMap((id) => workersOfJob(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
     ).toEqual(before);
     // A controller that ends may have confirmed a cancellation to a user last of all, and to nobody else.
     simulation.controllers.crash(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
     runFor(simulation, simulation.config.cancellationSeconds * 1000);
-    expect(ids.flatMap((id) => workersWith(simulation, id))).toEqual([]);
+    expect(ids.flatMap((id) => workersOfJob(simulation, id))).toEqual([]);
     simulation.store.setDown(false);
     runFor(simulation, 30000);
     expect(simulation.violations).toEqual([]);
@@ -112,7 +112,7 @@
     const { simulation, ids } = startRunningJobs(seed);
     const before = ids
       .slice(1)
-      .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
+      .flatMap((id) => workersOfJob(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`));
     const old = leaderOf(simulation);
     simulation.store.refusedNodes.add(old);
     const next = () =>
@@ -127,13 +127,13 @@
     };
     controller.parts.coordinator.announce(ids[0]!);
     runFor(simulation, simulation.config.cancellationSeconds * 2500);
-    expect(workersWith(simulation, ids[0]!)).toEqual([]);
+    expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
     expect(
       ids
         .slice(1)
-        .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
+        .flatMap((id) => workersOfJob(simulation, id).map((worker) => `${worker.name}/${worker.agentEpoch}`)),
     ).toEqual(before);
-    simulation.store.readmit(old);
+    simulation.store.clearRefusal(old);
     simulation.store.setDown(false);
     runFor(simulation, 20000);
     expect(simulation.violations).toEqual([]);
@@ -142,12 +142,12 @@
 
 test('a task of a cancelled job is stopped when a heartbeat lists it, also before the full sync of its owner', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.scheduler.requestSync('o');
   const other = { ...taskStatus('running'), jobId: 'wk-2' };
-  harness.heartbeat([taskStatus('running'), other]);
+  harness.sendHeartbeat([taskStatus('running'), other]);
   harness.cancelledJobs.add('wk-1');
-  expect(harness.heartbeat([taskStatus('running'), other])).toEqual([
+  expect(harness.sendHeartbeat([taskStatus('running'), other])).toEqual([
     { type: 'stop', jobId: 'wk-1', taskIndex: 0, attempt: 1, gracePeriodSeconds: 0 },
   ]);
 });
@@ -200,7 +200,7 @@
   const { simulation, ids } = startRunningJobs(7);
   const leader = leaderOf(simulation);
   const inside = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
-  const worker = workersWith(simulation, ids[0]!)[0]!;
+  const worker = workersOfJob(simulation, ids[0]!)[0]!;
   simulation.cloud.isDown = true;
   // Its last renewal; from here on it reaches the controller inside alone, which sends it to the leader.
   for (const nodeName of simulation.nodeNames)
@@ -246,7 +246,7 @@
   raise();
   runFor(simulation, simulation.config.cancellationSeconds * 1200);
   expect(isLeader(simulation, leader)).toBe(true);
-  expect(workersWith(simulation, id)).toEqual([]);
+  expect(workersOfJob(simulation, id)).toEqual([]);
   expect(simulation.violations).toEqual([]);
 });
 
@@ -309,17 +309,17 @@
 test('a lease is renewed only while the owners of its tasks have acknowledged recent cancellations', () => {
   const harness = new SchedulerHarness(5);
   const windowMs = renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
-  harness.heartbeat([taskStatus('running')]);
+  harness.sendHeartbeat([taskStatus('running')]);
   harness.owner.acknowledgesTimestamps = false;
   harness.advance(windowMs - 100);
-  expect(harness.heartbeat([taskStatus('running')])).not.toBeNull();
+  expect(harness.sendHeartbeat([taskStatus('running')])).not.toBeNull();
   harness.advance(200);
-  expect(harness.heartbeat([taskStatus('running')])).toBeNull();
+  expect(harness.sendHeartbeat([taskStatus('running')])).toBeNull();
   // Nothing starts by placements received before.
   harness.sendPlacement({ ...harness.placementSpec('run'), taskIndex: 1, machine: 'n' });
-  harness.heartbeat([], 5, { machine: 'n', address: 'n' });
+  harness.sendHeartbeat([], 5, { machine: 'n', address: 'n' });
   expect(harness.hasFinalized()).toBe(false);
   expect(
     harness.directCalls
@@ -329,18 +329,18 @@
   // The answer that renews again carries the stop.
   harness.sendDesiredState('stop');
   harness.owner.acknowledgesTimestamps = true;
-  expect(harness.heartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
+  expect(harness.sendHeartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
 });
 
 test('a lost placement message holds the cancellation watermark back and leads to a full sync', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
-  harness.heartbeat([taskStatus('running')]);
+  harness.sendHeartbeat([taskStatus('running')]);
   // The owner counts one more message than came.
   harness.owner.placementMessages++;
   harness.advance(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
-  expect(harness.heartbeat([taskStatus('running')])).toBeNull();
+  expect(harness.sendHeartbeat([taskStatus('running')])).toBeNull();
   expect(harness.sentMessages.some((message) => message.type === 'syncRequested')).toBe(true);
 });
 
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -11,20 +11,20 @@
 
 test('a machine that is unreachable inbound gets no work and is deleted, and a reachable one is kept', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   for (let i = 0; i < 8; i++) {
     // The report that follows the answer with the start does not list it: the answer never arrived.
-    harness.heartbeat([]);
+    harness.sendHeartbeat([]);
     harness.advance(1000);
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
   harness.sendRequests([makeResourceRequest('wk-2')]);
   expect(harness.grantedJobs()).toEqual([]);
   for (let i = 0; i < 80; i++) {
-    harness.heartbeat([]);
+    harness.sendHeartbeat([]);
     harness.advance(1000);
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
@@ -32,7 +32,7 @@
 
   const secondHarness = new SchedulerHarness(5);
   for (let i = 0; i < 90; i++) {
-    secondHarness.heartbeat([taskStatus('running')]);
+    secondHarness.sendHeartbeat([taskStatus('running')]);
     secondHarness.advance(1000);
   }
   expect(secondHarness.deletedMachines).toEqual([]);
@@ -40,21 +40,21 @@
 
 test('late duplicates of heartbeats prove no liveness, revert nothing and finalize nothing', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
   harness.directCalls[0]!.callback({ ok: false, kind: 'refused' });
-  harness.heartbeat([], 5, { sequence: 10 });
-  harness.heartbeat([taskStatus('running')], 5, { sequence: 11 });
+  harness.sendHeartbeat([], 5, { sequence: 10 });
+  harness.sendHeartbeat([taskStatus('running')], 5, { sequence: 11 });
   harness.sendDesiredState('stop');
   // With the current token, from before the start: it does not list the task, which runs.
-  expect(harness.heartbeat([], 5, { sequence: 9 })).toEqual([]);
+  expect(harness.sendHeartbeat([], 5, { sequence: 9 })).toEqual([]);
   expect(harness.hasFinalized()).toBe(false);
-  harness.heartbeat([], 5, { agentEpoch: 2, sequence: 12 });
-  expect(harness.heartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
+  harness.sendHeartbeat([], 5, { agentEpoch: 2, sequence: 12 });
+  expect(harness.sendHeartbeat([taskStatus('running')], 5, { agentEpoch: 1, sequence: 20 })).toEqual([]);
   // Nothing but copies is heard from here on.
   for (let i = 0; i < 80; i++) {
-    harness.heartbeat([], 5, { agentEpoch: 1, sequence: 9 });
+    harness.sendHeartbeat([], 5, { agentEpoch: 1, sequence: 9 });
     harness.advance(1000);
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   }
@@ -64,10 +64,10 @@
 test('a new leader places no work on a heartbeat from before its election', () => {
   const harness = new SchedulerHarness(5);
   harness.sendRequests([makeResourceRequest('wk-2')]);
-  harness.heartbeat([], 4);
+  harness.sendHeartbeat([], 4);
   expect(harness.grantedJobs()).toEqual([]);
   harness.advance(100);
-  harness.heartbeat([], 5);
+  harness.sendHeartbeat([], 5);
   expect(harness.grantedJobs()).toEqual(['wk-2']);
 });
 
@@ -169,7 +169,7 @@
   simulation.store.refusedNodes.add(nodeName);
   election.resign(leadership.leaderTerm, 'a test');
   runFor(simulation, 300);
-  simulation.store.readmit(nodeName);
+  simulation.store.clearRefusal(nodeName);
   expect(simulation.nodeNames.some(leads)).toBe(false);
   runFor(simulation, 10000);
   expect(simulation.nodeNames.filter(leads).length).toBe(1);
@@ -180,7 +180,7 @@
   const running = [0, 1, 2].map((taskIndex) => ({ ...harness.placementSpec('run'), taskIndex }));
   const tasks = running.map((placement) => ({ ...taskStatus('running'), taskIndex: placement.taskIndex }));
   for (const placement of running) harness.sendPlacement(placement);
-  harness.heartbeat(tasks);
+  harness.sendHeartbeat(tasks);
   const shardEpochs = { red: 1, blue: 1, free: 1 };
   const part = (count: number, placement: (typeof running)[number]) =>
     harness.scheduler.onShardMessage({
@@ -200,12 +200,12 @@
   expect(harness.sentMessages).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
   expect(harness.sentMessages.some((message) => message.type === 'syncAccepted')).toBe(false);
   harness.advance(5000);
-  expect(harness.heartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
+  expect(harness.sendHeartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
 });
 
 test('an attempt that ended and was removed is not started again when its owner claims it late', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([taskStatus('exited')]);
+  harness.sendHeartbeat([taskStatus('exited')]);
   harness.sendDesiredState('run');
   expect(
     harness.sentMessages.some(
@@ -213,7 +213,7 @@
         message.type === 'allocationEvents' && message.events.some((event) => event.type === 'phase'),
     ),
   ).toBe(true);
-  expect(harness.heartbeat([])?.filter((command) => command.type === 'start')).toEqual([]);
+  expect(harness.sendHeartbeat([])?.filter((command) => command.type === 'start')).toEqual([]);
   expect(
     harness.directCalls.flatMap((call) => call.commands).filter((command) => command.type === 'start'),
   ).toEqual([]);
--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -2,7 +2,7 @@
 
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
-import { isLeader, leaderOf, runFor, runUntil, workersWith } from './simulation/cluster-queries.js';
+import { isLeader, leaderOf, runFor, runUntil, workersOfJob } from './simulation/cluster-queries.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeJobSpec } from './simulation/job-spec.js';
 
@@ -10,7 +10,7 @@
   simulation.nodeNames.filter((other) => other !== nodeName);
 
 function until(simulation: ClusterSimulation, withinMs: number, holds: () => boolean): void {
-  expect(runUntil(simulation, { withinMs, stepMs: 200 }, holds)).toBe(true);
+  expect(runUntil(simulation, { timeoutMs: withinMs, stepMs: 200 }, holds)).toBe(true);
 }
 
 /** A cluster that runs jobs, each task for as long as a test says. */
@@ -31,7 +31,7 @@
     simulation.users.submitJob(spec);
     return spec.id;
   });
-  until(simulation, 90000, () => ids.every((id) => workersWith(simulation, id).length > 0));
+  until(simulation, 90000, () => ids.every((id) => workersOfJob(simulation, id).length > 0));
   return { simulation, ids };
 }
 
@@ -94,8 +94,8 @@
 
 test.each(seeds)('long tasks survive a leader change while their machines are unreachable (%i)', (seed) => {
   const { simulation, ids } = startJobs(seed, () => 60, [{ taskCount: 4 }, { team: 'blue', taskCount: 4 }]);
-  const worker = workersWith(simulation, ids[0]!)[0]!;
-  const otherWorker = workersWith(simulation, ids[1]!).find((x) => x !== worker);
+  const worker = workersOfJob(simulation, ids[0]!)[0]!;
+  const otherWorker = workersOfJob(simulation, ids[1]!).find((x) => x !== worker);
   for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
   if (otherWorker) simulation.network.unreachableInbound.add(otherWorker.name);
   const before = simulation.taskStarts;
@@ -140,7 +140,7 @@
     for (const nodeName of simulation.nodeNames)
       simulation.controllers.crash(nodeName, simulation.config.leaseSeconds * 1300);
     runFor(simulation, simulation.config.leaseSeconds * 1200);
-    expect(ids.flatMap((id) => workersWith(simulation, id))).toEqual([]);
+    expect(ids.flatMap((id) => workersOfJob(simulation, id))).toEqual([]);
     finish(simulation);
   },
 );
@@ -151,7 +151,7 @@
     const { simulation, ids } = startJobs(seed, () => 25, [{ taskCount: 6 }, { team: 'blue', taskCount: 4 }]);
     simulation.duplicatesMessages = true;
     const leaderName = leaderOf(simulation);
-    for (const worker of workersWith(simulation, ids[0]!))
+    for (const worker of workersOfJob(simulation, ids[0]!))
       simulation.network.cut(worker.name, leaderName, 'hold');
     runFor(simulation, 4000);
     simulation.controllers.crash(leaderName, 200);
@@ -209,14 +209,14 @@
       { team: 'blue', taskCount: 5 },
       { kind: 'service', taskCount: 2 },
     ]);
-    simulation.lateWriteShare = 0.35;
+    simulation.delayedWriteShare = 0.35;
     for (let i = 0; i < 5; i++) {
       simulation.users.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
       if (i === 2) simulation.users.cancelJob(ids[2]!);
       runFor(simulation, 9000);
       simulation.controllers.crash(leaderOf(simulation) || simulation.nodeNames[0]!, 300);
     }
-    simulation.lateWriteShare = 0;
+    simulation.delayedWriteShare = 0;
     finish(simulation);
   },
 );
@@ -276,7 +276,7 @@
     runFor(simulation, 500);
     expect(job.cancelledAt).not.toBeNull();
     runFor(simulation, simulation.config.cancellationSeconds * 1500);
-    expect(workersWith(simulation, ids[0]!)).toEqual([]);
+    expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
     expect(simulation.violations).toEqual([]);
   },
 );
@@ -309,9 +309,9 @@
     until(
       simulation,
       60000,
-      () => workersWith(simulation, ids[0]!).length === 10 || simulation.simulator.now > 60000,
+      () => workersOfJob(simulation, ids[0]!).length === 10 || simulation.simulator.now > 60000,
     );
-    const cut = workersWith(simulation, ids[0]!).slice(0, 2);
+    const cut = workersOfJob(simulation, ids[0]!).slice(0, 2);
     for (const worker of cut)
       for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
     simulation.controllers.crash(leaderOf(simulation), 2000);
@@ -322,7 +322,7 @@
     simulation.users.cancelJob(ids[0]!);
     runFor(simulation, 12000);
     // What could be asked is stopped, and its part of the limit is used again; the rest counts until it is settled.
-    expect(workersWith(simulation, 'wk-next').length).toBeGreaterThan(0);
+    expect(workersOfJob(simulation, 'wk-next').length).toBeGreaterThan(0);
     for (const worker of cut)
       for (const nodeName of simulation.nodeNames) simulation.network.heal(worker.name, nodeName);
     finish(simulation);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -12,7 +12,7 @@
   names: string[],
   over: (name: string) => object = () => ({}),
 ): void {
-  for (const machine of names) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  for (const machine of names) harness.sendHeartbeat([], 5, { machine, address: machine, ...over(machine) });
   harness.advance(1000);
   harness.scheduler.flush();
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -32,16 +32,16 @@
         machine: machine,
       });
     for (const machine of all)
-      harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}-${round}` }], 5, {
+      harness.sendHeartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}-${round}` }], 5, {
         machine: machine,
         address: machine,
       });
     harness.advance(100);
     for (const machine of all.slice(0, 20))
-      harness.heartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
+      harness.sendHeartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
     harness.advance(3000);
     for (const machine of all.slice(20))
-      harness.heartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
+      harness.sendHeartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
   }
   for (let i = 0; i < 5; i++) second(harness, all);
   const machines = [...(harness.scheduler as unknown as { state: ClusterState }).state.machines.values()];
@@ -85,10 +85,10 @@
 
 test('a machine that is unreachable outbound gets no new work, keeps its tasks for a lease and is then deleted', () => {
   const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, maxIdleSeconds: 1e6 });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
-  harness.heartbeat([taskStatus('running')]);
+  harness.sendHeartbeat([taskStatus('running')]);
   // Answers direct commands and sends heartbeats to nobody.
   let count = 100;
   const answer = () => {
@@ -141,7 +141,7 @@
       machine,
     });
   for (const machine of cutOff.slice(1))
-    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
+    harness.sendHeartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
       machine,
       address: machine,
       zone: 'b',
@@ -182,17 +182,17 @@
 test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
   const run = (reason: 'stopped' | 'done') => {
     const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-    harness.heartbeat([]);
+    harness.sendHeartbeat([]);
     harness.sendDesiredState('run');
     expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
-    harness.heartbeat([taskStatus('running')]);
+    harness.sendHeartbeat([taskStatus('running')]);
     harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
     const ended = [{ ...taskStatus('exited'), exitReason: reason }];
-    harness.heartbeat(ended);
+    harness.sendHeartbeat(ended);
     harness.sendDesiredState('forget');
     const ops = [];
     for (let i = 0; i < 40; i++) {
-      ops.push(...(harness.heartbeat(ended) ?? []).map((command) => command.type));
+      ops.push(...(harness.sendHeartbeat(ended) ?? []).map((command) => command.type));
       harness.advance(1000);
       ops.push(...harness.directCalls.flatMap((call) => call.commands.map((x) => x.type)));
       for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -205,15 +205,15 @@
 
 test('a machine that lists nothing but what has ended is empty', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 10 });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
-  harness.heartbeat([taskStatus('running')]);
+  harness.sendHeartbeat([taskStatus('running')]);
   harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
   const ended = [{ ...taskStatus('exited'), exitReason: 'stopped' as const }];
-  harness.heartbeat(ended);
+  harness.sendHeartbeat(ended);
   harness.sendDesiredState('forget');
   for (let i = 0; i < 30; i++) {
-    harness.heartbeat(ended);
+    harness.sendHeartbeat(ended);
     harness.advance(1000);
     harness.scheduler.flush();
   }
@@ -222,12 +222,12 @@
 
 test('a machine that is back at once with a worker that knows nothing is deleted, not believed', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  for (let i = 0; i < 10; i++) harness.heartbeat([]);
+  for (let i = 0; i < 10; i++) harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
-  harness.heartbeat([taskStatus('running')]);
+  harness.sendHeartbeat([taskStatus('running')]);
   harness.directCalls.splice(0)[0]!.callback({ ok: false, kind: 'refused' });
   for (let i = 1; i < 20; i++) {
-    harness.heartbeat([], 0, { sequence: Math.min(i, 8) });
+    harness.sendHeartbeat([], 0, { sequence: Math.min(i, 8) });
     harness.advance(1000);
     harness.scheduler.flush();
     const heartbeat = {
@@ -252,7 +252,7 @@
   const all = names(1900);
   for (const machine of all) {
     harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${machine}`, machine: machine });
-    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
+    harness.sendHeartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
       machine: machine,
       address: machine,
     });
@@ -296,7 +296,7 @@
     return capacityOf(...args);
   };
   const machine = all[7] as string;
-  harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${machine}` }], 5, {
+  harness.sendHeartbeat([{ ...taskStatus('exited'), jobId: `wk-${machine}` }], 5, {
     machine: machine,
     address: machine,
   });
@@ -315,7 +315,7 @@
       cpus: 3,
       memoryGb: 1,
     });
-    harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
+    harness.sendHeartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
       machine: machine,
       address: machine,
     });
--- a/test/gang-faults.test.ts
+++ b/test/gang-faults.test.ts
@@ -18,7 +18,7 @@
 
 /** Runs in small steps, so that a fault strikes at the moment that a test waits for. */
 function until(simulation: ClusterSimulation, withinMs: number, holds: () => boolean): void {
-  expect(runUntil(simulation, { withinMs, stepMs: 1 }, holds)).toBe(true);
+  expect(runUntil(simulation, { timeoutMs: withinMs, stepMs: 1 }, holds)).toBe(true);
 }
 
 function finish(simulation: ClusterSimulation, durationMs = 200_000): void {
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -23,7 +23,8 @@
   machines: string[],
   over: (name: string) => object = () => ({}),
 ): void {
-  for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  for (const machine of machines)
+    harness.sendHeartbeat([], 5, { machine, address: machine, ...over(machine) });
   harness.advance(1000);
   harness.scheduler.flush();
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -60,7 +61,7 @@
   const runs = (machine: string) => ({
     tasks: machine === 'c' ? [{ ...taskStatus('running'), jobId: 'wk-low' }] : [],
   });
-  for (const machine of ['a', 'b', 'c']) harness.heartbeat([], 5, { machine, address: machine });
+  for (const machine of ['a', 'b', 'c']) harness.sendHeartbeat([], 5, { machine, address: machine });
   harness.sendPlacement({
     ...harness.placementSpec('run'),
     jobId: 'wk-low',
@@ -93,7 +94,8 @@
   const harness = new SchedulerHarness(5);
   const machines = ['a1', 'a2', 'b1'];
   const zone = (name: string) => ({ zone: name.slice(0, 1) });
-  for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine, ...zone(machine) });
+  for (const machine of machines)
+    harness.sendHeartbeat([], 5, { machine, address: machine, ...zone(machine) });
   const runs = (machine: string) => ({
     ...zone(machine),
     tasks: [{ ...taskStatus('running'), jobId: `wk-${machine}` }],
@@ -117,7 +119,7 @@
   /** Blue (8 guaranteed) runs 12 CPUs on three machines; red is within its guarantee and waits. */
   const evictions = (gang: boolean, booting: number, seconds: number): number => {
     const harness = new SchedulerHarness(5);
-    for (const machine of machines) harness.heartbeat([], 5, { machine, address: machine });
+    for (const machine of machines) harness.sendHeartbeat([], 5, { machine, address: machine });
     const blue = {
       ...harness.placementSpec('run'),
       jobId: 'wk-blue',
@@ -170,11 +172,15 @@
         isGang: slow(machine),
       });
     const report = (machine: string, phase: 'running' | 'exited') =>
-      harness.heartbeat([{ ...taskStatus(phase), jobId: id(machine), taskIndex: all.indexOf(machine) }], 5, {
-        machine,
-        address: machine,
-      });
-    for (const machine of all) harness.heartbeat([], 5, { machine, address: machine });
+      harness.sendHeartbeat(
+        [{ ...taskStatus(phase), jobId: id(machine), taskIndex: all.indexOf(machine) }],
+        5,
+        {
+          machine,
+          address: machine,
+        },
+      );
+    for (const machine of all) harness.sendHeartbeat([], 5, { machine, address: machine });
     for (const machine of all) report(machine, 'running');
     harness.advance(5000);
     for (const machine of all) report(machine, slow(machine) ? 'running' : 'exited');
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -154,7 +154,7 @@
     'close',
   ]);
 
-  simulation.store.readmit('c0');
+  simulation.store.clearRefusal('c0');
   advance(5000);
   expect((await checkReadiness()).status).toBe(200);
 
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -30,30 +30,30 @@
 
 test('placements of an indeterminate write count against the quota while other jobs of that write are reloaded', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
-  harness.lostAnswers.push('carried out at once');
+  harness.lostResponses.push('carried out at once');
   harness.grant('wk-000001', 5);
   harness.grant('wk-000002', 5);
   harness.delayedReadPrefix = 'open/wk-000002';
   // The first job has been read again, which makes the owner send a full sync; the second has not.
-  harness.run(3000);
+  harness.runFor(3000);
   expect(harness.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
   harness.grant('wk-000003', 5);
-  harness.run(1000);
-  harness.releaseReads();
-  harness.run(3000);
+  harness.runFor(1000);
+  harness.releaseDelayedReads();
+  harness.runFor(3000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': 5, 'wk-000002': 5 });
 });
 
 test('a write that was not found when its jobs were reloaded is never carried out later', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
-  harness.lostAnswers.push('carried out late');
+  harness.lostResponses.push('carried out late');
   harness.grant('wk-000001', 5);
   harness.grant('wk-000002', 5);
-  harness.run(3000);
+  harness.runFor(3000);
   harness.grant('wk-000003', MAX_TASKS);
-  harness.run(3000);
+  harness.runFor(3000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000003': MAX_TASKS });
-  harness.carryOutLate();
+  harness.executeDelayed();
   expect(harness.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
 
@@ -71,9 +71,9 @@
 test('a full sync keeps an ended attempt while the write of its outcome is in flight or indeterminate', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
   harness.grant('wk-000001', 1);
-  harness.run(100);
+  harness.runFor(100);
   const ended = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
-  harness.lostAnswers.push('carried out late');
+  harness.lostResponses.push('carried out late');
   harness.owner.onLeaderMessage({
     type: 'allocationEvents',
     fencingToken: 1,
@@ -81,10 +81,10 @@
   });
   const syncedStates: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
-    harness.run(400);
+    harness.runFor(400);
     harness.sentMessages.length = 0;
     harness.owner.resync();
-    harness.run(1);
+    harness.runFor(1);
     const placements = harness.sentMessages.flatMap((message) =>
       message.type === 'fullSync' ? message.placements : [],
     );
@@ -92,7 +92,7 @@
       placements.find(({ taskIndex, machine }) => taskIndex === 0 && machine === 'm1')?.desiredState,
     );
   }
-  expect(harness.lateTransactions.length).toBe(1);
+  expect(harness.delayedTransactions.length).toBe(1);
   expect(syncedStates.slice(0, 3)).toEqual(['keep', 'keep', 'keep']);
   expect(syncedStates).not.toContain(undefined);
 });
@@ -111,25 +111,25 @@
 
 test('a write fence is known to have moved although the answer to its own write is lost', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
-  harness.lostAnswers.push('carried out late', 'carried out at once');
+  harness.lostResponses.push('carried out late', 'carried out at once');
   harness.grant('wk-000001', 5);
-  harness.run(4000);
-  expect(harness.logLines('indeterminate write resolved').length).toBe(1);
-  expect(harness.carryOutLate()).toBe(0);
+  harness.runFor(4000);
+  expect(harness.findLogLines('indeterminate write resolved').length).toBe(1);
+  expect(harness.executeDelayed()).toBe(0);
   harness.grant('wk-000001', MAX_TASKS);
-  harness.run(1000);
+  harness.runFor(1000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': MAX_TASKS });
 });
 
 test('a late write is found if it was carried out before its late fence, and never carried out after it', () => {
   for (const early of [true, false]) {
     const harness = new ShardOwnerHarness(TEAM, specs);
-    harness.lostAnswers.push('carried out late', 'carried out late');
+    harness.lostResponses.push('carried out late', 'carried out late');
     harness.grant('wk-000001', 5);
-    harness.run(2000);
-    if (early) expect(harness.carryOutLate()).toBe(2);
-    harness.run(3000);
-    expect(harness.carryOutLate()).toBe(0);
+    harness.runFor(2000);
+    if (early) expect(harness.executeDelayed()).toBe(2);
+    harness.runFor(3000);
+    expect(harness.executeDelayed()).toBe(0);
     expect(harness.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
     expect(harness.owner.stats().placed).toBe(early ? 5 : 0);
   }
@@ -138,33 +138,33 @@
 test('a write that fails by its fence alone is sent again without reloading its jobs', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
   harness.grant('wk-000001', 1);
-  harness.run(100);
+  harness.runFor(100);
   // A write of an earlier process on the same node, carried out late.
   harness.writeRecord('fence/o', { inst: 'earlier' });
   harness.grant('wk-000002', 5);
-  harness.run(1000);
+  harness.runFor(1000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': 1, 'wk-000002': 5 });
-  expect(harness.logLines('job reloaded')).toEqual([]);
+  expect(harness.findLogLines('job reloaded')).toEqual([]);
 });
 
 test('the log shows an indeterminate write, its resolution and the usage of a team', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
-  harness.lostAnswers.push('carried out at once');
+  harness.lostResponses.push('carried out at once');
   harness.grant('wk-000001', 5);
-  harness.run(3000);
-  expect(harness.logLines('indeterminate write')[0]?.fields).toMatchObject({
+  harness.runFor(3000);
+  expect(harness.findLogLines('indeterminate write')[0]?.fields).toMatchObject({
     jobs: ['wk-000001'],
     jobCount: 1,
     placements: 5,
   });
-  expect(harness.logLines('indeterminate write resolved')[0]?.fields).toMatchObject({
+  expect(harness.findLogLines('indeterminate write resolved')[0]?.fields).toMatchObject({
     jobId: 'wk-000001',
     storedPlacements: 5,
   });
-  expect(harness.logLines('team usage changed').map((line) => line.fields)).toContainEqual(
+  expect(harness.findLogLines('team usage changed').map((line) => line.fields)).toContainEqual(
     expect.objectContaining({ team: 'red', granted: 5, cpus: 5 * CPUS, maxCpus: TEAM.maxCpus }),
   );
-  expect(harness.logLines('team over quota')).toEqual([]);
+  expect(harness.findLogLines('team over quota')).toEqual([]);
 });
 
 test('a repeated log line is rate-limited, and says how many were suppressed', () => {
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -20,7 +20,7 @@
       cancelRequested: true,
       cancelledAt: null,
       reportedState: null,
-      answeredAt: 0,
+      lastAnsweredAt: 0,
       finalStateAt: 0,
     });
   const spotWorker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
@@ -48,7 +48,7 @@
   run(spotWorker, placed.id, 0);
   const large = makeJobSpec(simulation, { team: 'blue', cpus: 2, taskCount: 20, memoryGb: 0.5 });
   put({ ...large, kind: 'service', cpus: 25, memoryGb: 0.1 });
-  bigWorker.size.cpus = 1000;
+  bigWorker.resources.cpus = 1000;
   run(bigWorker, large.id, 0);
   const gone = makeJobSpec(simulation, { kind: 'service' });
   put(gone);
@@ -60,7 +60,7 @@
   runFor(simulation, 76000);
   expect(simulation.serviceLevel.startsAfterCancellation).toBe(1);
   const kinds = new Set(simulation.violations.map((t) => t.split(' ')[1]));
-  bigWorker.size.cpus = 16;
+  bigWorker.resources.cpus = 16;
   expect([...kinds].sort()).toEqual(['forgotten:', 'quota:', 'ran_cancelled:', 'ran_twice:', 'wrong_place:']);
 });
 
@@ -75,7 +75,7 @@
       cancelRequested: false,
       cancelledAt: null,
       reportedState: null,
-      answeredAt: 1e12,
+      lastAnsweredAt: 1e12,
       finalStateAt: 0,
     });
   simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
@@ -93,43 +93,43 @@
 
 test('an unanswered direct start is neither finalized by absence nor reaped; a higher fencing token is requested', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
   expect(harness.directCalls[0]?.commands[0]?.type).toBe('start');
   harness.directCalls[0]!.callback({ ok: false, kind: 'indeterminate' });
   harness.sendDesiredState('stop');
-  harness.heartbeat([]);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
+  harness.sendHeartbeat([]);
   expect(harness.hasFinalized()).toBe(false);
   harness.advance(11000);
   expect(harness.tokenRaiseReasons.length).toBe(1);
-  harness.heartbeat([taskStatus('exited')]);
+  harness.sendHeartbeat([taskStatus('exited')]);
   harness.sendDesiredState('forget');
-  expect(harness.heartbeat([taskStatus('exited')])).toEqual([]);
+  expect(harness.sendHeartbeat([taskStatus('exited')])).toEqual([]);
 });
 
 test('absence finalizes only once the worker has seen this token and has handled the answer with the start', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([], 4);
+  harness.sendHeartbeat([], 4);
   harness.sendDesiredState('stop');
   expect(harness.hasFinalized()).toBe(false);
-  harness.heartbeat([], 4);
+  harness.sendHeartbeat([], 4);
   expect(harness.hasFinalized()).toBe(false);
-  harness.heartbeat([], 5);
+  harness.sendHeartbeat([], 5);
   expect(harness.hasFinalized()).toBe(true);
 });
 
 test('a start sent in a heartbeat answer is awaited until a later heartbeat', () => {
   const harness = new SchedulerHarness(5);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendDesiredState('run');
   harness.directCalls[0]!.callback({ ok: false, kind: 'refused' });
   for (const call of harness.directCalls.slice(1)) call.callback({ ok: false, kind: 'refused' });
-  const commands = harness.heartbeat([]);
+  const commands = harness.sendHeartbeat([]);
   expect(commands?.map((command) => command.type)).toEqual(['start']);
   harness.sendDesiredState('stop');
   expect(harness.hasFinalized()).toBe(false);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   expect(harness.hasFinalized()).toBe(true);
 });
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -107,7 +107,7 @@
   sendHeartbeat(name: string, token: number): void {
     const tasks = this.tasks.get(name)!;
     const over = { machine: name, address: name, zone: this.zoneOf(name) };
-    const commands = this.leader.heartbeat([...tasks.values()], token, over) ?? [];
+    const commands = this.leader.sendHeartbeat([...tasks.values()], token, over) ?? [];
     for (const command of commands) this.execute(name, command);
   }
 
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -32,7 +32,7 @@
     submitAt(simulation, 5000 + i * 10_000, { taskCount: 3 + (i % 3), estimatedRunSeconds: 25 });
   simulation.simulator.run(RUN_MS);
   expect(simulation.violations).toEqual([]);
-  expect(simulation.underServed()).toEqual([]);
+  expect(simulation.underservedGroups()).toEqual([]);
 });
 
 test('under overload at least half of the largest jobs of a class begin within four minutes', () => {
@@ -50,7 +50,7 @@
   }
   simulation.simulator.run(700_000);
   expect(simulation.violations).toEqual([]);
-  expect(simulation.underServed()).toEqual([]);
+  expect(simulation.underservedGroups()).toEqual([]);
 });
 
 test('the many small jobs of a team begin beside its one huge array', () => {
@@ -73,7 +73,7 @@
     });
   simulation.simulator.run(250_000);
   expect(simulation.violations).toEqual([]);
-  const small = simulation.underServed().filter((text) => text.includes('small'));
+  const small = simulation.underservedGroups().filter((text) => text.includes('small'));
   expect(small).toEqual([]);
 });
 
@@ -82,23 +82,23 @@
   const level = new ServiceLevelChecker(teams);
   const simulation = new ClusterSimulation(24, LIMITED);
   const add = (id: string, over: Partial<JobSpec>) =>
-    level.submitted(makeJobSpec(simulation, { id, ...over }), 0);
+    level.recordSubmission(makeJobSpec(simulation, { id, ...over }), 0);
   add('a', { jobClass: 'half', taskCount: 1 });
   add('b', { jobClass: 'half', taskCount: 1 });
   add('c', { jobClass: 'none', taskCount: 2, team: 'free' });
-  level.started('a', 0, 1000);
-  level.started('c', 0, 1000);
-  const all = () => level.underServed(() => false);
+  level.recordStart('a', 0, 1000);
+  level.recordStart('c', 0, 1000);
+  const all = () => level.underservedGroups(() => false);
   expect(all()).toEqual([
     'team free: 0 of 1 served',
     'class none: 0 of 1 served',
     'largest of none: 0 of 1 served',
   ]);
-  level.started('c', 1, 250_000);
+  level.recordStart('c', 1, 250_000);
   expect(all()).toEqual(['largest of none: 0 of 1 served']);
-  expect(level.underServed((id) => id === 'c')).toEqual([]);
+  expect(level.underservedGroups((id) => id === 'c')).toEqual([]);
   // More tasks than the limit of the team admits at a time need not all have begun.
   add('d', { jobClass: 'wide', taskCount: 30 });
-  for (let i = 0; i < 8; i++) level.started('d', i, 5000);
+  for (let i = 0; i < 8; i++) level.recordStart('d', i, 5000);
   expect(all()).toEqual(['largest of none: 0 of 1 served']);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -13,8 +13,8 @@
 test('a guaranteed share claims no more than what another team uses beyond its own', () => {
   const harness = new SchedulerHarness(5);
   // Blue (8 guaranteed) runs 9 CPUs: only one of them may be stopped, and one is not enough.
-  harness.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+  harness.sendHeartbeat([]);
   const blue = {
     ...harness.placementSpec('run'),
     team: 'blue',
@@ -35,8 +35,8 @@
   });
   harness.sendRequests([makeResourceRequest('wk-2', { team: 'free', priority: 1, cpus: 4, memoryGb: 1 })]);
   for (let i = 0; i < 10; i++) {
-    harness.heartbeat([]);
-    harness.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
+    harness.sendHeartbeat([]);
+    harness.sendHeartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
     harness.advance(1000);
     harness.scheduler.flush();
   }
@@ -162,14 +162,14 @@
   const harness = new SchedulerHarness(5, { reserveReplicas: 1, maxIdleSeconds: 10 });
   const onOther = { machine: 'n', address: 'n' };
   const replica = { ...harness.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
-  harness.heartbeat([], 5, onOther);
+  harness.sendHeartbeat([], 5, onOther);
   harness.sendPlacement(replica);
-  harness.heartbeat([taskStatus('running')], 5, onOther);
-  harness.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, onOther);
+  harness.sendHeartbeat([taskStatus('running')], 5, onOther);
+  harness.sendHeartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, onOther);
   harness.sendPlacement({ ...replica, desiredState: 'forget' });
   for (let i = 0; i < 30; i++) {
-    harness.heartbeat([], 5, onOther);
-    harness.heartbeat([]);
+    harness.sendHeartbeat([], 5, onOther);
+    harness.sendHeartbeat([]);
     harness.advance(1000);
     harness.scheduler.flush();
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -181,7 +181,7 @@
   const harness = new SchedulerHarness(5, { reserveBatchJobs: 4, maxIdleSeconds: 1e6 }, [
     { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
   ]);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.sendRequests([makeResourceRequest('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
   harness.grantedJobs();
   const low = makeResourceRequest('wk-low', { priority: 3, cpus: 4 });
@@ -195,7 +195,7 @@
   });
   const run = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
-      harness.heartbeat([]);
+      harness.sendHeartbeat([]);
       harness.advance(1000);
       harness.scheduler.flush();
     }
@@ -208,19 +208,19 @@
 
 test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   const ended = { ...taskStatus('exited'), exitReason: 'attemptListed' as const };
-  harness.heartbeat([ended]);
+  harness.sendHeartbeat([ended]);
   harness.sendRequests([makeResourceRequest('wk-1'), makeResourceRequest('wk-2')]);
   expect(harness.grantedJobs()).toEqual(['wk-2']);
   for (let i = 0; i < 20; i++) {
-    harness.heartbeat([ended]);
+    harness.sendHeartbeat([ended]);
     harness.advance(1000);
     harness.scheduler.flush();
   }
   expect(harness.grantedJobs()).toEqual(['wk-2']);
   expect(harness.tokenRaiseReasons.length).toBeGreaterThan(0);
-  harness.heartbeat([]);
+  harness.sendHeartbeat([]);
   harness.advance(1000);
   expect(harness.grantedJobs()).toEqual(['wk-2', 'wk-1']);
 });
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -14,7 +14,7 @@
 function fullMachineIn(zone: string): SchedulerHarness {
   const harness = new SchedulerHarness(5);
   const over = { zone };
-  harness.heartbeat([], 5, over);
+  harness.sendHeartbeat([], 5, over);
   harness.sendPlacement({
     ...harness.placementSpec('run'),
     jobId: 'wk-low',
@@ -22,7 +22,7 @@
     cpus: 4,
     memoryGb: 1,
   });
-  harness.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, over);
+  harness.sendHeartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, over);
   return harness;
 }
 
@@ -39,7 +39,7 @@
     const harness = fullMachineIn(zone);
     harness.sendRequests([spread, service('wk-alone', {})]);
     for (let i = 0; i < 3; i++) {
-      harness.heartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, { zone });
+      harness.sendHeartbeat([{ ...taskStatus('running'), jobId: 'wk-low' }], 5, { zone });
       harness.advance(1000);
       harness.scheduler.flush();
     }
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -104,7 +104,7 @@
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const second = () => {
     for (const [machine, tasks] of Object.entries(lists))
-      harness.heartbeat(tasks, 5, { machine, address: machine });
+      harness.sendHeartbeat(tasks, 5, { machine, address: machine });
     harness.advance(1000);
     harness.scheduler.flush();
   };
@@ -168,7 +168,7 @@
   const lists = { a: [ended('wk-1', 0)] };
   const { harness, second } = fleet(lists);
   const reaps = () => {
-    const answer = harness.heartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
+    const answer = harness.sendHeartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
     return answer.filter((command) => command.type === 'forget').length;
   };
   harness.sendPlacement({ ...harness.placementSpec('forget'), jobId: 'wk-1', machine: 'a' });
@@ -184,7 +184,7 @@
   const jobCount = 200;
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   const sendHeartbeat = (index: number, over: Partial<Heartbeat> = {}) =>
-    harness.heartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
+    harness.sendHeartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
       machine: `m${index}`,
       address: `m${index}`,
       ...over,
--- a/test/simulation/cluster-config.ts
+++ b/test/simulation/cluster-config.ts
@@ -1,10 +1,10 @@
-/** The deployments that are simulated. */
+/** Configurations of the simulated clusters. */
 
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ServiceLevelObjective, Team } from '../../src/model/team.js';
 import type { Simulator } from './simulated-time.js';
 
-/** What a deployment is: the settings that its controllers get, and the machines that its cloud has. */
+/** Settings of the controllers of a simulated cluster, and the capacity of its cloud. */
 export interface ClusterConfig {
   nodeNames: string[];
   heartbeatIntervalSeconds: number;
@@ -17,9 +17,9 @@
   machineTypes: MachineType[];
   teams: Team[];
   objectives: ServiceLevelObjective[];
-  /** Machines that the cloud has. */
+  /** Number of machines that the cloud can rent out at a time. */
   machineCapacity: number;
-  /** Zones that have none of them. */
+  /** Zones in which the cloud has no machines. */
   zonesWithoutCapacity: string[];
 }
 
@@ -44,7 +44,10 @@
   maxGpus: 0,
 });
 
-/** Three controllers, two machine types in two zones and three teams, one of them without a quota. */
+/**
+ * The default: three controllers, two machine types in two zones and three teams, one of them without a
+ * quota.
+ */
 export const CLUSTER_CONFIG: ClusterConfig = {
   nodeNames: ['c0', 'c1', 'c2'],
   heartbeatIntervalSeconds: 2,
@@ -75,8 +78,11 @@
   zonesWithoutCapacity: [],
 };
 
-/** A deployment drawn by the seed: controllers, zones, one of them perhaps without capacity, teams, types and times. */
-export function drawClusterConfig(simulator: Simulator): ClusterConfig {
+/**
+ * Returns a random configuration: the controllers, teams, machine types, zones and time settings vary with
+ * the seed, and the last of several zones may have no capacity.
+ */
+export function randomClusterConfig(simulator: Simulator): ClusterConfig {
   const zones = ['a', 'b', 'c', 'd'].slice(0, 1 + Math.floor(simulator.random() * 4));
   const zonesWithoutCapacity = zones.length > 1 && simulator.chance(0.4) ? [zones.at(-1) as string] : [];
   const heartbeatIntervalSeconds = simulator.pick([1, 2, 4]);
--- a/test/simulation/cluster-queries.ts
+++ b/test/simulation/cluster-queries.ts
@@ -1,42 +1,45 @@
-/** Questions that tests ask about a simulated cluster, and running it until something holds. */
+/** Helpers for tests that query a simulated cluster or advance its time. */
 
 import type { ClusterSimulation } from './cluster-simulation.js';
 import type { FakeWorker } from './fake-worker.js';
 
-/** Whether the newest process of a node leads, or led when it crashed. */
+/** Whether the latest controller process of a node is the leader, or was when it crashed. */
 export function isLeader(simulation: ClusterSimulation, nodeName: string): boolean {
   return simulation.controllers.get(nodeName)!.controller.status().scheduler !== null;
 }
 
-/** The first node that leads; empty if none does. */
+/** Name of the first node whose controller is the leader; empty if there is none. */
 export function leaderOf(simulation: ClusterSimulation): string {
   return simulation.nodeNames.find((nodeName) => isLeader(simulation, nodeName)) ?? '';
 }
 
-/** The teams whose shards a node owns. */
+/** Teams whose shards a node owns. */
 export function teamsOwnedBy(simulation: ClusterSimulation, nodeName: string): string[] {
   return simulation.controllers.get(nodeName)!.controller.status().teams as string[];
 }
 
-/** The machines on which tasks of a job are. */
-export function workersWith(simulation: ClusterSimulation, jobId: string): FakeWorker[] {
+/** Workers whose machines are occupied by tasks of a job. */
+export function workersOfJob(simulation: ClusterSimulation, jobId: string): FakeWorker[] {
   return [...simulation.workers.values()].filter((worker) =>
     worker.tasks.some((task) => task.jobId === jobId && worker.occupies(task)),
   );
 }
 
-/** Runs until something holds, for so long at most; returns whether it does. */
+/**
+ * Advances simulated time in steps of `stepMs` until the condition holds or `timeoutMs` have passed. Returns
+ * whether the condition holds.
+ */
 export function runUntil(
   { simulator }: ClusterSimulation,
-  { withinMs, stepMs }: { withinMs: number; stepMs: number },
-  holds: () => boolean,
+  { timeoutMs, stepMs }: { timeoutMs: number; stepMs: number },
+  condition: () => boolean,
 ): boolean {
-  const end = simulator.now + withinMs;
-  while (!holds() && simulator.now < end) simulator.run(simulator.now + stepMs);
-  return holds();
+  const deadline = simulator.now + timeoutMs;
+  while (!condition() && simulator.now < deadline) simulator.run(simulator.now + stepMs);
+  return condition();
 }
 
-/** Runs on for so long. */
+/** Advances simulated time. */
 export function runFor({ simulator }: ClusterSimulation, durationMs: number): void {
   simulator.run(simulator.now + durationMs);
 }
--- a/test/simulation/cluster-simulation.ts
+++ b/test/simulation/cluster-simulation.ts
@@ -1,4 +1,7 @@
-/** A whole cluster in simulated time: controllers as written, fakes for everything else, and checks after each step. */
+/**
+ * A whole cluster in simulated time: the real controllers, fakes for everything else, and checks after each
+ * event.
+ */
 
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
 import { FakeCloud } from './fake-cloud.js';
@@ -10,7 +13,10 @@
 import { SimulatedUsers } from './simulated-users.js';
 import { StarvationChecker } from './starvation-checker.js';
 
-/** A deployment in simulated time; the invariants are checked on what the fakes saw. */
+/**
+ * A cluster in simulated time. The invariants are checked against the state of the fakes, not that of the
+ * controllers.
+ */
 export class ClusterSimulation extends SimulatedCluster {
   readonly cloud: FakeCloud;
   readonly controllers: SimulatedControllers;
@@ -44,14 +50,17 @@
     new StarvationChecker(this).start();
   }
 
-  /** Groups of jobs too few of which were served; jobs that fail everywhere or were cancelled don't count. */
-  underServed(): string[] {
-    return this.serviceLevel.underServed(
+  /**
+   * Groups of jobs of which too few were served. Jobs that fail everywhere or that users cancelled don't
+   * count.
+   */
+  underservedGroups(): string[] {
+    return this.serviceLevel.underservedGroups(
       (id) => this.failingJobs.has(id) || this.jobs.get(id)?.cancelRequested === true,
     );
   }
 
-  /** Accepted work that should be over by now. */
+  /** Ids of the jobs that users have not seen end, except services and jobs that fail on every machine. */
   unfinishedJobs(): string[] {
     return [...this.jobs.values()]
       .filter(
--- a/test/simulation/controller-ports.ts
+++ b/test/simulation/controller-ports.ts
@@ -1,4 +1,4 @@
-/** The ports through which a controller of a simulated cluster reaches the state service and the workers. */
+/** The ports through which a controller of a simulated cluster calls the key-value store and the workers. */
 
 import type { KeyValueStore, Transaction } from '../../src/model/key-value-store.js';
 import type { Failure, Result, ResultCallback } from '../../src/model/result.js';
@@ -6,24 +6,27 @@
 import type { QuotaChecker } from './quota-checker.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 import type { CallResult } from './simulated-network.js';
-import type { CommandReply, CommandRequest } from './worker-environment.js';
+import type { CommandRequest, CommandResponse } from './worker-environment.js';
 
-/** A call to the state service or to a worker waits so long for its answer. */
-const DEADLINE_MS = 1500;
-/** A watch may be answered so long after its own time. */
+/** Deadline of a call to the key-value store or to a worker. */
+const CALL_DEADLINE_MS = 1500;
+/** Added to the wait time of a watch to give the deadline of its call. */
 const WATCH_GRACE_MS = 3000;
 const ITEMS_PER_PAGE = 50;
 
-/** Hands what comes to a process over to it: at once, after its pause, or never. */
+/**
+ * Runs a handler in a controller process: immediately, when its pause ends, or never if the process has
+ * crashed.
+ */
 export type Deliver = (handle: () => void) => void;
 
-interface StoreReply<T> {
+interface StoreResponse<T> {
   status: number;
   value?: T;
-  failed?: string[];
+  failedKeys?: string[];
 }
 
-/** What the store port of one process needs. */
+/** Dependencies of the store port of one controller process. */
 export interface StorePortOptions {
   cluster: SimulatedCluster;
   quotaChecker: QuotaChecker;
@@ -31,101 +34,109 @@
   deliver: Deliver;
 }
 
-/** The state service as a controller of the cluster reaches it, with the faults in force. */
+/** The key-value store as one controller reaches it, subject to the active faults. */
 export function storePort(options: StorePortOptions): KeyValueStore {
   const { cluster, nodeName, deliver } = options;
   const { store, simulator, network } = cluster;
-  const ask = <T>(
-    serve: (reply: (storeReply: StoreReply<T>) => void) => void,
-    then: ResultCallback<T>,
-    deadlineMs = DEADLINE_MS,
+  const callStore = <T>(
+    serve: (reply: (response: StoreResponse<T>) => void) => void,
+    callback: ResultCallback<T>,
+    deadlineMs = CALL_DEADLINE_MS,
   ) =>
-    network.call<StoreReply<T>>({
+    network.call<StoreResponse<T>>({
       from: nodeName,
       to: 'state',
       deadlineMs,
       serve,
-      onResult: (answer) => deliver(() => then(resultOf(answer))),
+      onResult: (result) => deliver(() => callback(toResult(result))),
     });
   return {
-    get: (key, _urgency, then) => ask((reply) => reply(store.get(nodeName, key)), then),
-    list: ({ prefix, startAfter }, then) =>
-      ask((reply) => {
-        const serve = () =>
-          reply(store.list(nodeName, { prefix, since: startAfter, pageSize: ITEMS_PER_PAGE }));
+    get: (key, _urgency, callback) => callStore((reply) => reply(store.get(nodeName, key)), callback),
+    list: ({ prefix, startAfter }, callback) =>
+      callStore((reply) => {
+        const serve = () => reply(store.list(nodeName, { prefix, startAfter, pageSize: ITEMS_PER_PAGE }));
         if (cluster.maxReadDelayMs > 0)
           simulator.scheduleAfter(simulator.between(0, cluster.maxReadDelayMs), serve);
         else serve();
-      }, then),
-    compareAndSwap: (transaction, _urgency, then) => {
-      const carryOut = carryOutLater(options, transaction);
-      const noAnswer = () =>
-        simulator.scheduleAfter(DEADLINE_MS, () => deliver(() => then({ ok: false, kind: 'indeterminate' })));
-      if (simulator.chance(cluster.lateWriteShare)) {
-        // After newer ones.
-        simulator.scheduleAfter(simulator.between(2000, 12000), carryOut);
-        return noAnswer();
+      }, callback),
+    compareAndSwap: (transaction, _urgency, callback) => {
+      const execute = prepareTransaction(options, transaction);
+      const failAfterDeadline = () =>
+        simulator.scheduleAfter(CALL_DEADLINE_MS, () =>
+          deliver(() => callback({ ok: false, kind: 'indeterminate' })),
+        );
+      if (simulator.chance(cluster.delayedWriteShare)) {
+        // The write is executed after newer ones.
+        simulator.scheduleAfter(simulator.between(2000, 12000), execute);
+        return failAfterDeadline();
       }
-      if (cluster.lostAnswerShare > 0 && simulator.chance(cluster.lostAnswerShare)) {
-        network.send({ from: nodeName, to: 'state', deliver: carryOut });
-        return noAnswer();
+      if (cluster.lostResponseShare > 0 && simulator.chance(cluster.lostResponseShare)) {
+        network.send({ from: nodeName, to: 'state', deliver: execute });
+        return failAfterDeadline();
       }
-      ask((reply) => reply(carryOut()), then);
+      callStore((reply) => reply(execute()), callback);
     },
-    grantLease: (ttlMs, then) => ask((reply) => reply(store.grantLease(nodeName, ttlMs)), then),
-    keepLeaseAlive: (lease, then) => ask((reply) => reply(store.keepLeaseAlive(nodeName, lease)), then),
-    revokeLease: (lease, then) => ask((reply) => reply(store.revokeLease(nodeName, lease)), then),
-    watch: ({ prefix, sinceRevision, waitMs }, then) =>
-      ask(
-        (reply) => store.watch(nodeName, { prefix, since: sinceRevision, waitMs }, reply),
-        then,
+    grantLease: (ttlMs, callback) => callStore((reply) => reply(store.grantLease(nodeName, ttlMs)), callback),
+    keepLeaseAlive: (lease, callback) =>
+      callStore((reply) => reply(store.keepLeaseAlive(nodeName, lease)), callback),
+    revokeLease: (lease, callback) =>
+      callStore((reply) => reply(store.revokeLease(nodeName, lease)), callback),
+    watch: ({ prefix, sinceRevision, waitMs }, callback) =>
+      callStore(
+        (reply) => store.watch(nodeName, { prefix, sinceRevision, waitMs }, reply),
+        callback,
         waitMs + WATCH_GRACE_MS,
       ),
   };
 }
 
-/** A transaction as it is now, to be carried out once and checked against the quotas then. */
-function carryOutLater({ cluster, quotaChecker, nodeName }: StorePortOptions, transaction: Transaction) {
+/**
+ * Copies a transaction and returns a function that executes the copy and checks the result against the
+ * quotas.
+ */
+function prepareTransaction({ cluster, quotaChecker, nodeName }: StorePortOptions, transaction: Transaction) {
   const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
   return () =>
     quotaChecker.checkTransaction(copy, () => cluster.store.compareAndSwap(nodeName, copy, cluster.config));
 }
 
-/** The workers as a controller of the cluster reaches them directly. */
+/** The workers as one controller reaches them with direct commands. */
 export function workerPort(cluster: SimulatedCluster, nodeName: string, deliver: Deliver): WorkerCommandPort {
   const { simulator, network, config, workers } = cluster;
   return {
-    sendCommands: (address, batch, then) => {
+    sendCommands: (address, batch, callback) => {
       const request: CommandRequest = {
         ...batch,
         commands: JSON.parse(JSON.stringify(batch.commands)),
       };
-      // What was executed may be executed once more, long after.
+      // A late duplicate of a command batch may arrive long after the batch was executed.
       if (cluster.duplicatesMessages && simulator.chance(0.3))
         simulator.scheduleAfter(simulator.between(500, config.leaseSeconds * 2500), () =>
           workers.get(address)?.handleCommands(request, () => {}),
         );
-      network.call<CommandReply>({
+      network.call<CommandResponse>({
         from: nodeName,
         to: address,
-        deadlineMs: DEADLINE_MS,
+        deadlineMs: CALL_DEADLINE_MS,
         serve: (reply) => workers.get(address)?.handleCommands(request, reply),
-        onResult: (answer) =>
+        onResult: (result) =>
           deliver(() => {
-            if (!answer.got) return then({ ok: false, kind: answer.sent ? 'indeterminate' : 'refused' });
-            const { ok, heartbeat } = answer.value;
-            then(ok ? { ok: true, value: heartbeat } : { ok: false, kind: 'conflict', heartbeat });
+            if (!result.received)
+              return callback({ ok: false, kind: result.mayHaveBeenSent ? 'indeterminate' : 'refused' });
+            const { ok, heartbeat } = result.value;
+            callback(ok ? { ok: true, value: heartbeat } : { ok: false, kind: 'conflict', heartbeat });
           }),
       });
     },
   };
 }
 
-function resultOf<T>(answer: CallResult<StoreReply<T>>): Result<T> {
-  if (!answer.got) return { ok: false, kind: answer.sent ? 'indeterminate' : 'refused' } satisfies Failure;
-  const { status, value, failed } = answer.value;
+function toResult<T>(callResult: CallResult<StoreResponse<T>>): Result<T> {
+  if (!callResult.received)
+    return { ok: false, kind: callResult.mayHaveBeenSent ? 'indeterminate' : 'refused' } satisfies Failure;
+  const { status, value, failedKeys } = callResult.value;
   if (status === 200) return { ok: true, value: JSON.parse(JSON.stringify(value ?? null)) as T };
-  if (status === 409) return { ok: false, kind: 'conflict', failedKeys: failed ?? [] };
+  if (status === 409) return { ok: false, kind: 'conflict', failedKeys: failedKeys ?? [] };
   if (status === 404 || status === 410) return { ok: false, kind: 'notFound' };
   if (status === 503) return { ok: false, kind: 'refused' };
   return { ok: false, kind: 'invalid' };
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud of a simulated cluster. */
+/** The cloud provider of a simulated cluster. */
 
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { ListedMachine } from '../../src/model/machine-type.js';
@@ -7,104 +7,111 @@
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { Simulator } from './simulated-time.js';
 
-const DEADLINE_MS = 3000;
-/** The list is so old, taken once a second, and so many are kept. */
-const LIST_LAG_MS = 3000;
+const CALL_DEADLINE_MS = 3000;
+/** Minimum age of the snapshot that a list request returns. */
+const LIST_DELAY_MS = 3000;
 const SNAPSHOT_INTERVAL_MS = 1000;
 const MAX_SNAPSHOTS = 30;
-/** Machines that never come up, and machines on which everything fails. */
+/** Shares of the rented machines that never boot, and on which every task fails. */
 const NEVER_BOOTS_SHARE = 0.1;
 const FAULTY_SHARE = 0.05;
 
-/** What a machine is and where. */
+/** Type and zone of a machine, and whether it is a spot instance. */
 export interface MachineDescription {
   machineType: string;
   zone: string;
   isSpot: boolean;
 }
 
-/** What the fake cloud works on, and whom it tells. */
+/** Dependencies of the fake cloud, and its callbacks. */
 export interface CloudEnvironment {
   simulator: Simulator;
   network: SimulatedNetwork;
   config: ClusterConfig;
-  /** A machine is up. */
+  /** A machine has booted. */
   onMachineStarted(machine: ListedMachine): void;
-  /** A machine is gone with all that is on it. */
+  /** A machine was deleted, along with the tasks on it. */
   onMachineDeleted(name: string): void;
-  /** Everything that this machine runs will fail. */
+  /** Every task on this machine will fail. */
   onFaultyMachine(name: string): void;
 }
 
-/** The cloud as its protocol says: rents machines that boot for a while, deletes them and lists them late. */
+/**
+ * Implements the protocol of the cloud: rents machines, which take time to boot, deletes them and lists them
+ * with a delay.
+ */
 export class FakeCloud {
-  /** Refuses every request. */
+  /** While true, every request is refused. */
   isDown = false;
-  /** Machines that it has. */
+  /** Number of machines that can be rented at a time. */
   capacity: number;
-  private namedMachines = 0;
-  private readonly claims = new Map<string, string[]>();
-  private readonly rented = new Map<string, { machine: ListedMachine; at: number }>();
-  private readonly snapshots: { at: number; machines: ListedMachine[] }[] = [];
+  private lastMachineNumber = 0;
+  private readonly namesByClaim = new Map<string, string[]>();
+  private readonly rentedMachines = new Map<string, { machine: ListedMachine; rentedAt: number }>();
+  private readonly snapshots: { takenAt: number; machines: ListedMachine[] }[] = [];
 
   constructor(private readonly environment: CloudEnvironment) {
     this.capacity = environment.config.machineCapacity;
   }
 
-  /** The name of the next machine. */
-  nextName(): string {
-    return `vm-${String(++this.namedMachines).padStart(6, '0')}`;
+  /** Returns the name of the next machine. */
+  nextMachineName(): string {
+    return `vm-${String(++this.lastMachineNumber).padStart(6, '0')}`;
   }
 
-  /** A machine that is gone is not listed any more. */
-  forget(name: string): void {
-    this.rented.delete(name);
+  /** Removes a deleted machine, so that later snapshots do not list it. */
+  removeMachine(name: string): void {
+    this.rentedMachines.delete(name);
   }
 
-  /** The cloud as a controller reaches it. */
+  /** Returns the cloud as one controller reaches it over the network. */
   port(nodeName: string, deliver: (handle: () => void) => void): CloudProvider {
     const { network, config } = this.environment;
-    const ask = <T>(serve: () => Result<T>, then: ResultCallback<T>) =>
+    const callCloud = <T>(serve: () => Result<T>, callback: ResultCallback<T>) =>
       network.call<Result<T>>({
         from: nodeName,
         to: 'cloud',
-        deadlineMs: DEADLINE_MS,
+        deadlineMs: CALL_DEADLINE_MS,
         serve: (reply) => reply(this.isDown ? { ok: false, kind: 'refused' } : serve()),
-        onResult: (answer) =>
+        onResult: (result) =>
           deliver(() =>
-            then(answer.got ? answer.value : { ok: false, kind: answer.sent ? 'indeterminate' : 'refused' }),
+            callback(
+              result.received
+                ? result.value
+                : { ok: false, kind: result.mayHaveBeenSent ? 'indeterminate' : 'refused' },
+            ),
           ),
       });
     return {
-      listMachineTypes: (then) => ask(() => ({ ok: true, value: config.machineTypes }), then),
-      rentMachines: ({ claim, count, machineType, zone, isSpot }, then) =>
-        ask(() => this.claim(claim, count, { machineType, zone, isSpot }), then),
-      deleteMachines: (names, then) =>
-        ask(() => {
+      listMachineTypes: (callback) => callCloud(() => ({ ok: true, value: config.machineTypes }), callback),
+      rentMachines: ({ claim, count, machineType, zone, isSpot }, callback) =>
+        callCloud(() => this.rentMachines(claim, count, { machineType, zone, isSpot }), callback),
+      deleteMachines: (names, callback) =>
+        callCloud(() => {
           for (const name of names) this.environment.onMachineDeleted(name);
           return { ok: true, value: null };
-        }, then),
-      listMachines: (since, then) => ask(() => ({ ok: true, value: this.list(since) }), then),
+        }, callback),
+      listMachines: (since, callback) => callCloud(() => ({ ok: true, value: this.list(since) }), callback),
     };
   }
 
-  /** Rents up to `count` machines; a repeated claim gets the same answer and rents nothing. */
-  private claim(claim: string, count: number, description: MachineDescription): Result<string[]> {
-    const before = this.claims.get(claim);
-    if (before) return { ok: true, value: before };
+  /** Rents up to `count` machines. A repeated claim returns the same names and rents nothing. */
+  private rentMachines(claimId: string, count: number, description: MachineDescription): Result<string[]> {
+    const previousNames = this.namesByClaim.get(claimId);
+    if (previousNames) return { ok: true, value: previousNames };
     const names: string[] = [];
     const { zonesWithoutCapacity } = this.environment.config;
-    const hasCapacity = !zonesWithoutCapacity.includes(description.zone);
-    while (names.length < count && this.rented.size < this.capacity && hasCapacity)
-      names.push(this.rent(description));
+    const zoneHasCapacity = !zonesWithoutCapacity.includes(description.zone);
+    while (names.length < count && this.rentedMachines.size < this.capacity && zoneHasCapacity)
+      names.push(this.rentMachine(description));
     if (names.length === 0) return { ok: false, kind: 'notFound' };
-    this.claims.set(claim, names);
+    this.namesByClaim.set(claimId, names);
     return { ok: true, value: names };
   }
 
-  private rent(description: MachineDescription): string {
+  private rentMachine(description: MachineDescription): string {
     const { simulator, config } = this.environment;
-    const name = this.nextName();
+    const name = this.nextMachineName();
     const machine: ListedMachine = {
       name,
       address: name,
@@ -112,12 +119,12 @@
       phase: 'booting',
       ageSeconds: 0,
     };
-    this.rented.set(name, { machine, at: simulator.now });
+    this.rentedMachines.set(name, { machine, rentedAt: simulator.now });
     if (simulator.chance(NEVER_BOOTS_SHARE)) return name;
     const { bootSeconds } = config.machineTypes.find((known) => known.name === description.machineType)!;
     if (simulator.chance(FAULTY_SHARE)) this.environment.onFaultyMachine(name);
     simulator.scheduleAfter(simulator.between(0.3, 1.5) * bootSeconds * 1000, () => {
-      if (!this.rented.has(name)) return;
+      if (!this.rentedMachines.has(name)) return;
       machine.phase = 'running';
       this.environment.onMachineStarted(machine);
     });
@@ -125,20 +132,20 @@
   }
 
   private list(since: string): { machines: ListedMachine[]; more: boolean } {
-    const shown = this.snapshots
-      .filter(({ at }) => at <= this.environment.simulator.now - LIST_LAG_MS)
+    const visibleSnapshot = this.snapshots
+      .filter(({ takenAt }) => takenAt <= this.environment.simulator.now - LIST_DELAY_MS)
       .at(-1);
-    return { machines: (shown?.machines ?? []).filter(({ name }) => name > since), more: false };
+    return { machines: (visibleSnapshot?.machines ?? []).filter(({ name }) => name > since), more: false };
   }
 
-  /** Takes the first of the snapshots that the list shows late. */
+  /** Takes a snapshot of the rented machines, now and after each `SNAPSHOT_INTERVAL_MS`. */
   takeSnapshots(): void {
     const { simulator } = this.environment;
-    const machines = [...this.rented.values()].map(({ machine, at }) => ({
+    const machines = [...this.rentedMachines.values()].map(({ machine, rentedAt }) => ({
       ...machine,
-      ageSeconds: (simulator.now - at) / 1000,
+      ageSeconds: (simulator.now - rentedAt) / 1000,
     }));
-    this.snapshots.push({ at: simulator.now, machines });
+    this.snapshots.push({ takenAt: simulator.now, machines });
     if (this.snapshots.length > MAX_SNAPSHOTS) this.snapshots.shift();
     simulator.scheduleAfter(SNAPSHOT_INTERVAL_MS, () => this.takeSnapshots());
   }
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -1,4 +1,4 @@
-/** The state service of a simulated cluster. */
+/** The key-value store of a simulated cluster. */
 
 import type {
   ListPage,
@@ -9,15 +9,15 @@
 } from '../../src/model/key-value-store.js';
 import type { Simulator } from './simulated-time.js';
 
-/** An answer with the status that the state service would give. */
-interface StoreReply<T> {
+/** A response with the HTTP status that the key-value store would return. */
+interface StoreResponse<T> {
   status: number;
   value?: T;
-  /** Keys whose precondition did not hold. */
-  failed?: string[];
+  /** Keys whose preconditions failed. */
+  failedKeys?: string[];
 }
 
-type WatchReply = StoreReply<WatchBatch>;
+type WatchResponse = StoreResponse<WatchBatch>;
 
 interface StoredRecord {
   value: string;
@@ -33,67 +33,70 @@
 
 interface PendingWatch {
   prefix: string;
-  since: number;
+  sinceRevision: number;
   nodeName: string;
-  reply: (reply: WatchReply) => void;
+  reply: (response: WatchResponse) => void;
 }
 
-/** Leases that have run out end within this time. */
-const LEASE_SWEEP_MS = 50;
-/** A watch that ends while its node is refused is answered once it is served, looked at this often. */
-const REFUSED_WATCH_MS = 500;
-/** So many events are kept for watches, and this many are left when the oldest are dropped. */
+/** Interval at which expired leases are removed. */
+const LEASE_EXPIRY_INTERVAL_MS = 50;
+/**
+ * A watch that ends while its node is refused is completed once the refusal is over, which is checked at this
+ * interval.
+ */
+const REFUSED_WATCH_RETRY_MS = 500;
+/** When the event log exceeds `MAX_EVENTS`, it is trimmed to the latest `EVENTS_AFTER_TRIM`. */
 const MAX_EVENTS = 20_000;
-const KEPT_EVENTS = 10_000;
+const EVENTS_AFTER_TRIM = 10_000;
 
-/** The state service as its protocol says, with the statuses that it answers. */
+/** Implements the protocol of the key-value store, including its HTTP statuses. */
 export class FakeStore {
   readonly records = new Map<string, StoredRecord>();
   storeRevision = 1;
   isDown = false;
-  /** Nodes refused with 503 although the others are served. */
+  /** Nodes whose requests are refused with 503 while those of other nodes are served. */
   readonly refusedNodes = new Set<string>();
   private readonly leases = new Map<number, Lease>();
-  private nextLease = 1;
-  private log: WatchEvent[] = [];
+  private nextLeaseId = 1;
+  private eventLog: WatchEvent[] = [];
   private pendingWatches: PendingWatch[] = [];
-  /** A watch from before this revision can't be answered. */
+  /** A watch from an earlier revision fails with 410, as its history is incomplete. */
   oldestRevision = 0;
 
   constructor(private readonly simulator: Simulator) {
-    const sweep = () => {
+    const expireLeases = () => {
       if (!this.isDown)
         for (const [id, lease] of this.leases) if (lease.expiresAt < this.simulator.now) this.endLease(id);
-      simulator.scheduleAfter(LEASE_SWEEP_MS, sweep);
+      simulator.scheduleAfter(LEASE_EXPIRY_INTERVAL_MS, expireLeases);
     };
-    sweep();
+    expireLeases();
   }
 
   private refuses(nodeName: string): boolean {
     return this.isDown || this.refusedNodes.has(nodeName);
   }
 
-  /** An outage for all begins or ends; after it every lease has its full time again. */
+  /** Starts or ends an outage for all nodes. When it ends, every lease is renewed. */
   setDown(down: boolean): void {
     if (this.isDown && !down)
       for (const lease of this.leases.values()) lease.expiresAt = this.simulator.now + lease.ttlMs;
     this.isDown = down;
-    if (!down) this.wakeWatches();
+    if (!down) this.notifyWatches();
   }
 
-  /** A node that was refused alone is served again. */
-  readmit(nodeName: string): void {
+  /** Ends the refusal of a single node. */
+  clearRefusal(nodeName: string): void {
     this.refusedNodes.delete(nodeName);
-    this.wakeWatches();
+    this.notifyWatches();
   }
 
-  /** Watches that go on from before now can't be answered. */
-  loseHistory(): void {
+  /** Discards the event log: a watch from an earlier revision fails from now on. */
+  discardHistory(): void {
     this.oldestRevision = this.storeRevision;
-    this.log = [];
+    this.eventLog = [];
   }
 
-  get(nodeName: string, key: string): StoreReply<StoredItem | null> {
+  get(nodeName: string, key: string): StoreResponse<StoredItem | null> {
     if (this.refuses(nodeName)) return { status: 503 };
     const record = this.records.get(key);
     return {
@@ -106,17 +109,19 @@
 
   list(
     nodeName: string,
-    { prefix, since, pageSize }: { prefix: string; since: string; pageSize: number },
-  ): StoreReply<ListPage> {
+    { prefix, startAfter, pageSize }: { prefix: string; startAfter: string; pageSize: number },
+  ): StoreResponse<ListPage> {
     if (this.refuses(nodeName)) return { status: 503 };
-    const names = [...this.records.keys()].filter((key) => key.startsWith(prefix) && key > since).sort();
-    const items = names.slice(0, pageSize).map((key) => {
+    const matchingKeys = [...this.records.keys()]
+      .filter((key) => key.startsWith(prefix) && key > startAfter)
+      .sort();
+    const items = matchingKeys.slice(0, pageSize).map((key) => {
       const record = this.records.get(key)!;
       return { key, value: JSON.parse(record.value), modRevision: record.modRevision };
     });
     return {
       status: 200,
-      value: { items, hasMore: names.length > pageSize, storeRevision: this.storeRevision },
+      value: { items, hasMore: matchingKeys.length > pageSize, storeRevision: this.storeRevision },
     };
   }
 
@@ -124,17 +129,17 @@
     nodeName: string,
     transaction: Transaction,
     limits: { maxTransactionOperations: number; maxValueKb: number },
-  ): StoreReply<number> {
+  ): StoreResponse<number> {
     if (this.refuses(nodeName)) return { status: 503 };
     if (
       transaction.operations.length > limits.maxTransactionOperations ||
       transaction.preconditions.length > limits.maxTransactionOperations * 4
     )
       throw new Error('transaction over its limits');
-    const failed = transaction.preconditions
+    const failedKeys = transaction.preconditions
       .filter(({ key, modRevision }) => (this.records.get(key)?.modRevision ?? 0) !== modRevision)
       .map(({ key }) => key);
-    if (failed.length > 0) return { status: 409, failed };
+    if (failedKeys.length > 0) return { status: 409, failedKeys };
     for (const operation of transaction.operations) {
       if (operation.type === 'put' && operation.leaseId !== undefined && !this.leases.has(operation.leaseId))
         return { status: 400 };
@@ -144,7 +149,7 @@
     if (transaction.operations.length === 0) return { status: 200, value: this.storeRevision };
     this.storeRevision++;
     for (const operation of transaction.operations) this.apply(operation);
-    this.wakeWatches();
+    this.notifyWatches();
     return { status: 200, value: this.storeRevision };
   }
 
@@ -162,7 +167,7 @@
       leaseId: leaseId ?? 0,
     });
     if (leaseId !== undefined) this.leases.get(leaseId)!.keys.add(key);
-    this.log.push({ type: 'put', key, modRevision: this.storeRevision, value });
+    this.eventLog.push({ type: 'put', key, modRevision: this.storeRevision, value });
   }
 
   private deleteKey(key: string): void {
@@ -170,17 +175,17 @@
     if (!record) return;
     if (record.leaseId) this.leases.get(record.leaseId)?.keys.delete(key);
     this.records.delete(key);
-    this.log.push({ type: 'delete', key, modRevision: this.storeRevision });
+    this.eventLog.push({ type: 'delete', key, modRevision: this.storeRevision });
   }
 
-  grantLease(nodeName: string, ttlMs: number): StoreReply<number> {
+  grantLease(nodeName: string, ttlMs: number): StoreResponse<number> {
     if (this.refuses(nodeName)) return { status: 503 };
-    const id = this.nextLease++;
+    const id = this.nextLeaseId++;
     this.leases.set(id, { ttlMs, expiresAt: this.simulator.now + ttlMs, keys: new Set() });
     return { status: 200, value: id };
   }
 
-  keepLeaseAlive(nodeName: string, id: number): StoreReply<null> {
+  keepLeaseAlive(nodeName: string, id: number): StoreResponse<null> {
     if (this.refuses(nodeName)) return { status: 503 };
     const lease = this.leases.get(id);
     if (!lease) return { status: 404 };
@@ -188,7 +193,7 @@
     return { status: 200, value: null };
   }
 
-  revokeLease(nodeName: string, id: number): StoreReply<null> {
+  revokeLease(nodeName: string, id: number): StoreResponse<null> {
     if (this.refuses(nodeName)) return { status: 503 };
     if (!this.leases.has(id)) return { status: 404 };
     this.endLease(id);
@@ -201,46 +206,47 @@
     if (!lease || lease.keys.size === 0) return;
     this.storeRevision++;
     for (const key of [...lease.keys]) this.deleteKey(key);
-    this.wakeWatches();
+    this.notifyWatches();
   }
 
   watch(
     nodeName: string,
-    { prefix, since, waitMs }: { prefix: string; since: number; waitMs: number },
-    reply: (reply: WatchReply) => void,
+    { prefix, sinceRevision, waitMs }: { prefix: string; sinceRevision: number; waitMs: number },
+    reply: (response: WatchResponse) => void,
   ): void {
     if (this.refuses(nodeName)) {
       reply({ status: 503 });
       return;
     }
-    if (since < this.oldestRevision) {
+    if (sinceRevision < this.oldestRevision) {
       reply({ status: 410 });
       return;
     }
-    const watch = { prefix, since, nodeName, reply };
+    const watch = { prefix, sinceRevision, nodeName, reply };
     this.pendingWatches.push(watch);
-    this.wakeWatches();
-    const end = () => {
+    this.notifyWatches();
+    const endWatch = () => {
       const index = this.pendingWatches.indexOf(watch);
       if (index < 0) return;
-      if (this.refuses(nodeName)) return this.simulator.scheduleAfter(REFUSED_WATCH_MS, end);
+      if (this.refuses(nodeName)) return this.simulator.scheduleAfter(REFUSED_WATCH_RETRY_MS, endWatch);
       this.pendingWatches.splice(index, 1);
       reply({ status: 200, value: { storeRevision: this.storeRevision, events: [] } });
     };
-    this.simulator.scheduleAfter(waitMs, end);
+    this.simulator.scheduleAfter(waitMs, endWatch);
   }
 
-  private wakeWatches(): void {
+  private notifyWatches(): void {
     for (const watch of [...this.pendingWatches]) {
       if (this.refuses(watch.nodeName)) continue;
-      // A response holds every change: a watch held back while its history was lost can't be answered.
-      if (watch.since < this.oldestRevision) {
+      // A response must contain every change, so a watch that was blocked while the history was discarded
+      // fails.
+      if (watch.sinceRevision < this.oldestRevision) {
         this.pendingWatches.splice(this.pendingWatches.indexOf(watch), 1);
         watch.reply({ status: 410 });
         continue;
       }
-      const events = this.log.filter(
-        (event) => event.modRevision > watch.since && event.key.startsWith(watch.prefix),
+      const events = this.eventLog.filter(
+        (event) => event.modRevision > watch.sinceRevision && event.key.startsWith(watch.prefix),
       );
       if (events.length === 0) continue;
       this.pendingWatches.splice(this.pendingWatches.indexOf(watch), 1);
@@ -249,9 +255,9 @@
       );
       watch.reply({ status: 200, value: { storeRevision: this.storeRevision, events: copy } });
     }
-    if (this.log.length > MAX_EVENTS) {
-      this.log = this.log.slice(-KEPT_EVENTS);
-      this.oldestRevision = this.log[0]!.modRevision;
+    if (this.eventLog.length > MAX_EVENTS) {
+      this.eventLog = this.eventLog.slice(-EVENTS_AFTER_TRIM);
+      this.oldestRevision = this.eventLog[0]!.modRevision;
     }
   }
 }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -5,77 +5,80 @@
 import type { Heartbeat, WorkerCommand } from '../../src/model/worker-messages.js';
 import type { Simulator } from './simulated-time.js';
 import type {
-  CommandReply,
   CommandRequest,
+  CommandResponse,
   FakeTask,
   FakeWorkerOptions,
-  MachineSize,
+  MachineResources,
   RefusalReason,
   WorkerEnvironment,
 } from './worker-environment.js';
 
-/** How often a worker looks whether something is due. */
+/** Interval at which a worker checks its lease and whether a heartbeat is due. */
 const POLL_INTERVAL_MS = 50;
 const HEARTBEAT_DEADLINE_MS = 4000;
-/** After an answer without a leader the next controller is asked so much later. */
-const NEXT_CONTROLLER_MS = 1000;
-/** Changes are sent at the earliest so long after the last heartbeat. */
+/** Delay before a worker sends its heartbeat to the next controller when one has not accepted it. */
+const NEXT_CONTROLLER_DELAY_MS = 1000;
+/** Minimum time between a heartbeat and an early one that reports changes. */
 const MIN_HEARTBEAT_GAP_MS = 500;
-/** What comes to a hanging machine is looked at again after so long. */
+/** Delays after which results and commands for a hung machine are tried again. */
 const HANG_RETRY_MS = 100;
 const HANG_COMMAND_RETRY_MS = 200;
 const GANG_WAIT_POLL_MS = 200;
 const GANG_LOSS_POLL_MS = 500;
-/** A task of a gang ends if it has waited so long for the others. */
-const GANG_WAIT_MS = 15_000;
-const FAILURE_AFTER_MS = 300;
+/** A task of a gang exits if the other tasks are not ready within this time. */
+const GANG_WAIT_TIMEOUT_MS = 15_000;
+const FAILURE_DELAY_MS = 300;
 /** Sums of decimal amounts are compared with this tolerance. */
 const EPSILON = 1e-9;
 
-/** A worker as its protocol says, with the machine that it runs on. */
+/** Implements the worker protocol, and simulates the machine that the worker runs on. */
 export class FakeWorker {
   readonly name: string;
   readonly machineType: string;
   readonly zone: string;
   readonly isSpot: boolean;
-  readonly size: MachineSize;
+  readonly resources: MachineResources;
   tasks: FakeTask[] = [];
   agentEpoch = 1;
   heartbeatSequence = 0;
   fencingToken = 0;
   isAlive = true;
-  /** A hanging machine does nothing, but may resume. */
+  /** A hung machine does nothing, but may resume. */
   isHung = false;
-  /** When the cloud takes the machine back, if it has said so. */
+  /** When the cloud will reclaim the machine; null: no eviction notice. */
   evictionAt: number | null = null;
   private readonly environment: WorkerEnvironment;
   private readonly simulator: Simulator;
   private readonly heartbeatIntervalMs: number;
   private readonly leaseMs: number;
-  private lastAnsweredAt: number;
+  private leaseRenewedAt: number;
   private targetNode: string;
   private heartbeatInFlight = false;
   private nextHeartbeatAt = 0;
-  private hasChanged = false;
+  private hasUnreportedChanges = false;
   private incarnation = 0;
-  private readonly images = new Set<string>();
+  private readonly cachedImages = new Set<string>();
 
   constructor(options: FakeWorkerOptions) {
     this.name = options.name;
     this.machineType = options.machineType;
     this.zone = options.zone;
     this.isSpot = options.isSpot;
-    this.size = options.size;
+    this.resources = options.resources;
     this.environment = options.environment;
     this.simulator = options.environment.simulator;
     this.heartbeatIntervalMs = options.heartbeatIntervalMs;
     this.leaseMs = options.leaseMs;
-    this.lastAnsweredAt = this.simulator.now;
+    this.leaseRenewedAt = this.simulator.now;
     this.targetNode = this.simulator.pick(this.environment.nodeNames());
-    this.loop();
+    this.poll();
   }
 
-  /** On the machine, as the invariants count it: has its image, not ended. */
+  /**
+   * Whether a task occupies the machine in the sense of the invariants: its image is fetched, and it has not
+   * exited.
+   */
   occupies(task: FakeTask): boolean {
     return this.isAlive && task.phase !== 'fetching' && task.phase !== 'exited';
   }
@@ -103,29 +106,29 @@
     };
   }
 
-  private loop(): void {
+  private poll(): void {
     if (!this.isAlive) return;
     if (!this.isHung) {
-      if (this.simulator.now - this.lastAnsweredAt > this.leaseMs) this.restart();
+      if (this.simulator.now - this.leaseRenewedAt > this.leaseMs) this.restart();
       if (!this.heartbeatInFlight && this.isHeartbeatDue()) this.sendHeartbeat();
     }
-    this.simulator.scheduleAfter(POLL_INTERVAL_MS, () => this.loop());
+    this.simulator.scheduleAfter(POLL_INTERVAL_MS, () => this.poll());
   }
 
-  /** Its lease has run out: it ends all tasks and begins anew. */
+  /** Drops all tasks and starts a new epoch, because the lease has expired. */
   private restart(): void {
     this.tasks = [];
     this.agentEpoch++;
     this.incarnation++;
-    this.lastAnsweredAt = this.simulator.now;
-    this.hasChanged = true;
+    this.leaseRenewedAt = this.simulator.now;
+    this.hasUnreportedChanges = true;
   }
 
   private isHeartbeatDue(): boolean {
     const { now } = this.simulator;
     if (now >= this.nextHeartbeatAt) return true;
     const earliest = this.nextHeartbeatAt - this.heartbeatIntervalMs * 1.25 + MIN_HEARTBEAT_GAP_MS;
-    return this.hasChanged && now >= earliest;
+    return this.hasUnreportedChanges && now >= earliest;
   }
 
   private sendHeartbeat(): void {
@@ -135,7 +138,7 @@
     const heartbeat = this.makeHeartbeat();
     this.environment.duplicateHeartbeat(heartbeat);
     this.heartbeatInFlight = true;
-    this.hasChanged = false;
+    this.hasUnreportedChanges = false;
     this.nextHeartbeatAt = simulator.now + this.heartbeatIntervalMs * simulator.between(0.75, 1.25);
     this.environment.network.call<HeartbeatResult>({
       from: this.name,
@@ -147,79 +150,88 @@
           if (this.isHung) return simulator.scheduleAfter(HANG_RETRY_MS, handle);
           this.heartbeatInFlight = false;
           if (!this.isAlive) return;
-          // Answers are dropped after their deadline, also by a machine that hung meanwhile.
-          const isLate = simulator.now - sentAt > HEARTBEAT_DEADLINE_MS;
-          if (!result.got || result.value.type === 'unavailable' || isLate) this.tryNextController();
-          else this.onAnswer(result.value, { sentAt, agentEpoch, targetNode });
+          // A response after the deadline is dropped, even if it arrived in time at a machine that was hung.
+          const isPastDeadline = simulator.now - sentAt > HEARTBEAT_DEADLINE_MS;
+          if (!result.received || result.value.type === 'unavailable' || isPastDeadline)
+            this.tryNextController();
+          else this.onHeartbeatResponse(result.value, { sentAt, agentEpoch, targetNode });
         };
         handle();
       },
     });
   }
 
-  private onAnswer(
-    answer: Exclude<HeartbeatResult, { type: 'unavailable' }>,
-    sent: { sentAt: number; agentEpoch: number; targetNode: string },
+  private onHeartbeatResponse(
+    response: Exclude<HeartbeatResult, { type: 'unavailable' }>,
+    request: { sentAt: number; agentEpoch: number; targetNode: string },
   ): void {
-    if (answer.type === 'redirected') {
-      const { leaderName } = answer;
-      if (leaderName && leaderName !== sent.targetNode && this.environment.nodeNames().includes(leaderName)) {
+    if (response.type === 'redirected') {
+      const { leaderName } = response;
+      if (
+        leaderName &&
+        leaderName !== request.targetNode &&
+        this.environment.nodeNames().includes(leaderName)
+      ) {
         this.targetNode = leaderName;
         this.nextHeartbeatAt = this.simulator.now + this.simulator.between(0, 500);
       } else this.tryNextController();
       return;
     }
-    if (sent.agentEpoch !== this.agentEpoch || answer.fencingToken < this.fencingToken) return;
-    this.noteFencingToken(answer.fencingToken);
-    this.lastAnsweredAt = sent.sentAt;
-    this.execute(answer.commands);
+    if (request.agentEpoch !== this.agentEpoch || response.fencingToken < this.fencingToken) return;
+    this.raiseFencingToken(response.fencingToken);
+    this.leaseRenewedAt = request.sentAt;
+    this.execute(response.commands);
   }
 
   private tryNextController(): void {
     const nodeNames = this.environment.nodeNames();
     this.targetNode = nodeNames[(nodeNames.indexOf(this.targetNode) + 1) % nodeNames.length] as string;
-    this.nextHeartbeatAt = this.simulator.now + NEXT_CONTROLLER_MS;
+    this.nextHeartbeatAt = this.simulator.now + NEXT_CONTROLLER_DELAY_MS;
   }
 
-  private noteFencingToken(token: number): void {
-    if (token > this.fencingToken) this.hasChanged = true;
+  private raiseFencingToken(token: number): void {
+    if (token > this.fencingToken) this.hasUnreportedChanges = true;
     this.fencingToken = Math.max(this.fencingToken, token);
   }
 
-  /** Commands that a leader sent directly: refused with a lower token than it knows or for another epoch. */
-  handleCommands(request: CommandRequest, reply: (commandReply: CommandReply) => void): void {
+  /**
+   * Handles direct commands from a leader. Refuses them if their token is outdated or they are for another
+   * epoch.
+   */
+  handleCommands(request: CommandRequest, respond: (response: CommandResponse) => void): void {
     if (!this.isAlive) return;
     if (this.isHung) {
-      this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, reply));
+      this.simulator.scheduleAfter(HANG_COMMAND_RETRY_MS, () => this.handleCommands(request, respond));
       return;
     }
     if (request.fencingToken < this.fencingToken || request.agentEpoch !== this.agentEpoch) {
-      reply({ ok: false, heartbeat: this.makeHeartbeat() });
+      respond({ ok: false, heartbeat: this.makeHeartbeat() });
       return;
     }
-    this.noteFencingToken(request.fencingToken);
+    this.raiseFencingToken(request.fencingToken);
     this.execute(request.commands);
-    reply({ ok: true, heartbeat: this.makeHeartbeat() });
+    respond({ ok: true, heartbeat: this.makeHeartbeat() });
   }
 
   private execute(commands: WorkerCommand[]): void {
     for (const command of commands) {
       const { jobId, taskIndex, attempt } = command;
       const task = this.tasks.find(
-        (listed) => listed.jobId === jobId && listed.taskIndex === taskIndex && listed.attempt === attempt,
+        (candidate) =>
+          candidate.jobId === jobId && candidate.taskIndex === taskIndex && candidate.attempt === attempt,
       );
       if (command.type === 'start') {
         if (!task) this.start(jobId, taskIndex, attempt);
       } else if (command.type === 'stop') {
         if (task && task.phase !== 'exited') this.stop(task, command.gracePeriodSeconds);
-      } else if (task?.phase === 'exited') this.tasks = this.tasks.filter((listed) => listed !== task);
+      } else if (task?.phase === 'exited') this.tasks = this.tasks.filter((candidate) => candidate !== task);
     }
-    this.hasChanged ||= commands.length > 0;
+    this.hasUnreportedChanges ||= commands.length > 0;
   }
 
   private start(jobId: string, taskIndex: number, attempt: number): void {
     const spec = this.environment.jobSpec(jobId);
-    const exitReason = spec ? this.reasonToRefuse(spec, taskIndex) : 'unknown';
+    const exitReason = spec ? this.refusalReason(spec, taskIndex) : 'unknown';
     if (exitReason !== null && exitReason !== 'unknown') this.environment.onRefusal(exitReason);
     const task: FakeTask = {
       jobId,
@@ -231,14 +243,16 @@
       incarnation: this.incarnation,
     };
     this.tasks.push(task);
-    this.hasChanged = true;
+    this.hasUnreportedChanges = true;
     if (task.phase === 'exited' || !spec) return;
     this.environment.onStart(jobId, taskIndex, attempt);
-    const fetchMs = this.images.has(spec.image) ? 1 : (spec.imageGb / this.size.imageFetchGbPerSecond) * 1000;
+    const fetchMs = this.cachedImages.has(spec.image)
+      ? 1
+      : (spec.imageGb / this.resources.imageFetchGbPerSecond) * 1000;
     this.runLater(task, fetchMs, () => this.onImageFetched(task, spec));
   }
 
-  private reasonToRefuse(spec: JobSpec, taskIndex: number): RefusalReason | null {
+  private refusalReason(spec: JobSpec, taskIndex: number): RefusalReason | null {
     if (this.tasks.some((task) => task.jobId === spec.id && task.taskIndex === taskIndex))
       return 'attemptListed';
     let { cpus, memoryGb } = spec;
@@ -247,19 +261,20 @@
       cpus += this.environment.jobSpec(task.jobId)?.cpus ?? 0;
       memoryGb += this.environment.jobSpec(task.jobId)?.memoryGb ?? 0;
     }
-    const fits = cpus <= this.size.cpus + EPSILON && memoryGb <= this.size.memoryGb + EPSILON;
+    const fits = cpus <= this.resources.cpus + EPSILON && memoryGb <= this.resources.memoryGb + EPSILON;
     return fits ? null : 'noCapacity';
   }
 
   private onImageFetched(task: FakeTask, spec: JobSpec): void {
-    this.images.add(spec.image);
-    // "If the task is started again, it exits with `done` as soon as it has its image."
+    this.cachedImages.add(spec.image);
+    // The worker protocol: a completed task that is started again exits with `done` as soon as its image is
+    // fetched.
     if (this.environment.isComplete(task.jobId, task.taskIndex)) this.exit(task, 'done');
     else if (spec.kind === 'gang') {
       task.phase = 'waiting';
       this.awaitGang(task, spec);
-    } else this.begin(task);
-    this.hasChanged = true;
+    } else this.startRunning(task);
+    this.hasUnreportedChanges = true;
   }
 
   private runLater(task: FakeTask, delayMs: number, callback: () => void): void {
@@ -277,70 +292,73 @@
     this.simulator.scheduleAfter(delayMs, run);
   }
 
-  private begin(task: FakeTask): void {
+  private startRunning(task: FakeTask): void {
     task.phase = 'running';
-    this.hasChanged = true;
-    if (this.environment.fails(task.jobId, this.name)) {
-      this.runLater(task, FAILURE_AFTER_MS, () => this.exit(task, 'error'));
+    this.hasUnreportedChanges = true;
+    if (this.environment.taskFails(task.jobId, this.name)) {
+      this.runLater(task, FAILURE_DELAY_MS, () => this.exit(task, 'error'));
       return;
     }
-    const ms = this.environment.runDurationMs(task.jobId, task.taskIndex);
-    if (Number.isFinite(ms))
-      this.runLater(task, ms, () => {
+    const durationMs = this.environment.runDurationMs(task.jobId, task.taskIndex);
+    if (Number.isFinite(durationMs))
+      this.runLater(task, durationMs, () => {
         if (task.phase !== 'running') return;
         this.finish(task);
       });
   }
 
-  /** A gang completes together: when one task is done, all are. */
+  /** Completes a task. When one task of a gang completes, all its tasks do. */
   private finish(task: FakeTask): void {
     const spec = this.environment.jobSpec(task.jobId);
     if (spec?.kind !== 'gang') {
-      this.environment.complete(task.jobId, task.taskIndex);
+      this.environment.markComplete(task.jobId, task.taskIndex);
       this.exit(task, 'done');
       return;
     }
-    for (let index = 0; index < spec.taskCount; index++) this.environment.complete(task.jobId, index);
+    for (let index = 0; index < spec.taskCount; index++) this.environment.markComplete(task.jobId, index);
     for (const other of this.environment.gangTasks(task.jobId, task.attempt))
       if (other.phase === 'running') Object.assign(other, { phase: 'exited', exitReason: 'done' });
-    this.hasChanged = true;
+    this.hasUnreportedChanges = true;
   }
 
-  /** A waiting task of a gang begins once all others wait or run, and ends with the first that is lost. */
+  /**
+   * Starts a waiting task of a gang once all other tasks are waiting or running, and ends it when one of them
+   * is lost.
+   */
   private awaitGang(task: FakeTask, spec: JobSpec): void {
-    const gang = () => this.environment.gangTasks(task.jobId, task.attempt);
-    const checkComplete = () => {
+    const gangTasks = () => this.environment.gangTasks(task.jobId, task.attempt);
+    const checkAllReady = () => {
       if (task.phase !== 'waiting') return;
-      const tasks = gang();
+      const tasks = gangTasks();
       const isReady = tasks.every(({ phase }) => phase === 'waiting' || phase === 'running');
-      if (tasks.length === spec.taskCount && isReady) return this.begin(task);
-      this.runLater(task, GANG_WAIT_POLL_MS, checkComplete);
+      if (tasks.length === spec.taskCount && isReady) return this.startRunning(task);
+      this.runLater(task, GANG_WAIT_POLL_MS, checkAllReady);
     };
-    this.runLater(task, 1, checkComplete);
-    this.runLater(task, GANG_WAIT_MS, () => {
+    this.runLater(task, 1, checkAllReady);
+    this.runLater(task, GANG_WAIT_TIMEOUT_MS, () => {
       if (task.phase === 'waiting') this.exit(task, 'gangIncomplete');
     });
-    const checkLoss = () => {
+    const checkAllAlive = () => {
       if (task.phase === 'running') {
-        const tasks = gang();
+        const tasks = gangTasks();
         const isDone = tasks.some(({ exitReason }) => exitReason === 'done');
         const live = tasks.filter(({ phase }) => phase !== 'exited');
         if (!isDone && live.length < spec.taskCount) return this.exit(task, 'gangMemberLost');
       }
-      this.runLater(task, GANG_LOSS_POLL_MS, checkLoss);
+      this.runLater(task, GANG_LOSS_POLL_MS, checkAllAlive);
     };
-    this.runLater(task, GANG_LOSS_POLL_MS, checkLoss);
+    this.runLater(task, GANG_LOSS_POLL_MS, checkAllAlive);
   }
 
-  private stop(task: FakeTask, graceSeconds: number): void {
+  private stop(task: FakeTask, gracePeriodSeconds: number): void {
     const spec = this.environment.jobSpec(task.jobId);
     if (task.phase === 'running' && spec?.kind === 'gang') this.environment.onGangStop(task);
     if (
       task.phase === 'running' &&
       spec &&
       spec.checkpointIntervalSeconds > 0 &&
-      graceSeconds >= spec.checkpointSaveSeconds &&
-      graceSeconds > 0
+      gracePeriodSeconds >= spec.checkpointSaveSeconds &&
+      gracePeriodSeconds > 0
     ) {
       task.phase = 'saving';
       this.runLater(task, spec.checkpointSaveSeconds * 1000, () => {
@@ -348,11 +366,11 @@
         this.exit(task, 'stopped');
       });
     } else this.exit(task, 'stopped');
-    this.hasChanged = true;
+    this.hasUnreportedChanges = true;
   }
 
-  /** Its gang is being stopped and it was not told to stop in time. */
-  exitWithGang(task: FakeTask): void {
+  /** Ends a running task whose gang is being stopped, as it was not stopped in time itself. */
+  exitOnGangStop(task: FakeTask): void {
     if (this.isAlive && this.tasks.includes(task) && task.phase === 'running')
       this.exit(task, 'gangMemberLost');
   }
@@ -360,11 +378,11 @@
   private exit(task: FakeTask, reason: ExitReason): void {
     task.phase = 'exited';
     task.exitReason = reason;
-    this.hasChanged = true;
+    this.hasUnreportedChanges = true;
   }
 
-  /** The machine is gone with all that is on it. */
-  die(): void {
+  /** Removes the machine with all its tasks. */
+  terminate(): void {
     this.isAlive = false;
     this.tasks = [];
   }
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -1,4 +1,4 @@
-/** Faults drawn by a seed. */
+/** Random faults of a simulated cluster, determined by the seed. */
 
 import type { ClusterSimulation } from './cluster-simulation.js';
 import { makeJobSpec } from './job-spec.js';
@@ -6,13 +6,14 @@
 
 type Link = [node: string, other: string];
 
-/** One fault as it is drawn: how long it lasts, and the controller that it strikes if it strikes one. */
-class DrawnFault {
+/** Randomly chosen parameters of one fault; not every kind of fault uses all of them. */
+class RandomFault {
   readonly cutMode: CutMode;
+  /** Node of the controller that the fault affects. */
   readonly nodeName: string;
   readonly durationMs: number;
   readonly machines: string[];
-  /** The nodes of the other controllers. */
+  /** Nodes of the other controllers. */
   readonly peers: string[];
 
   constructor(
@@ -27,21 +28,22 @@
     this.peers = nodeNames.filter((other) => other !== this.nodeName);
   }
 
-  /** Does something when the fault is over. */
-  atEnd(run: () => void): void {
-    this.simulation.simulator.scheduleAfter(this.durationMs, run);
+  /** Calls back when the fault ends. */
+  onEnd(callback: () => void): void {
+    this.simulation.simulator.scheduleAfter(this.durationMs, callback);
   }
 
+  /** Cuts links for the duration of the fault. */
   cut(links: Link[]): void {
     const { network } = this.simulation;
     for (const [node, other] of links) network.cut(node, other, this.cutMode);
-    this.atEnd(() => {
+    this.onEnd(() => {
       for (const [node, other] of links) network.heal(node, other);
       if (this.cutMode === 'reset') this.reconnectPeers();
     });
   }
 
-  cutController(others: string[]): void {
+  cutControllerFrom(others: string[]): void {
     this.cut(others.map((other) => [this.nodeName, other]));
   }
 
@@ -56,23 +58,29 @@
   }
 }
 
-type Inject = (fault: DrawnFault) => void;
+type FaultInjector = (fault: RandomFault) => void;
 
-const crashController: Inject = ({ simulation: { controllers, simulator }, nodeName }) =>
+const crashController: FaultInjector = ({ simulation: { controllers, simulator }, nodeName }) =>
   controllers.crash(nodeName, simulator.chance(0.3) ? simulator.between(50, 400) : 2500);
 
-const crashAllControllers: Inject = ({ simulation: { controllers, simulator, nodeNames } }) => {
+const crashAllControllers: FaultInjector = ({ simulation: { controllers, simulator, nodeNames } }) => {
   for (const nodeName of nodeNames) controllers.crash(nodeName, simulator.between(100, 4000));
 };
 
-const rollingRestart: Inject = ({ simulation: { controllers, simulator, nodeNames } }) => {
+const rollingRestart: FaultInjector = ({ simulation: { controllers, simulator, nodeNames } }) => {
   nodeNames.forEach((nodeName, index) => {
     simulator.scheduleAfter(index * 6000, () => controllers.crash(nodeName, 1500));
   });
 };
 
-/** Back at once, and gone again in the midst of the election. */
-const crashDuringElection: Inject = ({ simulation: { controllers, simulator, nodeNames }, nodeName }) => {
+/**
+ * Crashes a controller that restarts within 200 ms, then crashes it and a random one while a leader is
+ * elected.
+ */
+const crashDuringElection: FaultInjector = ({
+  simulation: { controllers, simulator, nodeNames },
+  nodeName,
+}) => {
   controllers.crash(nodeName, simulator.between(20, 200));
   simulator.scheduleAfter(simulator.between(200, 900), () =>
     controllers.crash(nodeName, simulator.between(20, 200)),
@@ -82,17 +90,17 @@
   );
 };
 
-const pauseController: Inject = ({ simulation: { controllers, simulator }, nodeName, durationMs }) =>
+const pauseController: FaultInjector = ({ simulation: { controllers, simulator }, nodeName, durationMs }) =>
   controllers.pause(nodeName, Math.min(durationMs, simulator.between(1000, 30000)));
 
-const cutFromStore: Inject = (fault) => fault.cutController(['state']);
-const cutFromMachines: Inject = (fault) => fault.cutController(fault.machines);
-const cutFromAll: Inject = (fault) =>
-  fault.cutController([...fault.peers, ...fault.machines, 'state', 'cloud', 'users']);
-const cutFromPeers: Inject = (fault) => fault.cutController(fault.peers);
-const cutFromPeersAndStore: Inject = (fault) => fault.cutController([...fault.peers, 'state']);
+const cutFromStore: FaultInjector = (fault) => fault.cutControllerFrom(['state']);
+const cutFromMachines: FaultInjector = (fault) => fault.cutControllerFrom(fault.machines);
+const cutFromAll: FaultInjector = (fault) =>
+  fault.cutControllerFrom([...fault.peers, ...fault.machines, 'state', 'cloud', 'users']);
+const cutFromPeers: FaultInjector = (fault) => fault.cutControllerFrom(fault.peers);
+const cutFromPeersAndStore: FaultInjector = (fault) => fault.cutControllerFrom([...fault.peers, 'state']);
 
-const cutAllPeers: Inject = (fault) => {
+const cutAllPeers: FaultInjector = (fault) => {
   const { nodeNames } = fault.simulation;
   fault.cut(
     nodeNames.flatMap((node) =>
@@ -101,15 +109,18 @@
   );
 };
 
-const cutMachine: Inject = (fault) => {
+const cutMachine: FaultInjector = (fault) => {
   const { simulator, nodeNames } = fault.simulation;
   if (fault.machines.length === 0) return;
   const machine = simulator.pick(fault.machines);
   fault.cut([...nodeNames, 'state'].map((node) => [node, machine]));
 };
 
-/** The controller with all machines of zone a on one side, everything else on the other. */
-const cutZone: Inject = (fault) => {
+/**
+ * Partitions the network: one controller and the machines of zone a on one side, everything else on the
+ * other.
+ */
+const partitionZone: FaultInjector = (fault) => {
   const workers = [...fault.simulation.workers.values()];
   const machinesIn = (zone: string) =>
     workers.filter((worker) => worker.zone === zone).map(({ name }) => name);
@@ -118,62 +129,64 @@
   fault.cut(inside.flatMap((node) => outside.map((other): Link => [node, other])));
 };
 
-const storeOutage: Inject = ({ simulation: { store, simulator }, durationMs }) => {
+const storeOutage: FaultInjector = ({ simulation: { store, simulator }, durationMs }) => {
   store.setDown(true);
   simulator.scheduleAfter(Math.min(durationMs, 25000), () => store.setDown(false));
 };
 
-const refuseController: Inject = (fault) => {
+const refuseController: FaultInjector = (fault) => {
   const { store } = fault.simulation;
   store.refusedNodes.add(fault.nodeName);
-  fault.atEnd(() => store.readmit(fault.nodeName));
+  fault.onEnd(() => store.clearRefusal(fault.nodeName));
 };
 
-/** Refused alone, then an outage for all, with cancellations in between and questions meanwhile. */
-const refuseControllerThenStoreOutage: Inject = ({ simulation, nodeName, durationMs }) => {
+/**
+ * The store refuses one controller, then all; users cancel jobs before the outage and poll them during it.
+ */
+const refuseControllerThenStoreOutage: FaultInjector = ({ simulation, nodeName, durationMs }) => {
   const { store, simulator, users } = simulation;
   store.refusedNodes.add(nodeName);
   simulator.scheduleAfter(simulator.between(100, 900), () => users.cancelRunningJobs(3, 0));
   simulator.scheduleAfter(1000, () => store.setDown(true));
   simulator.scheduleAfter(Math.min(durationMs + 1000, 60000), () => {
     store.setDown(false);
-    store.readmit(nodeName);
+    store.clearRefusal(nodeName);
   });
 };
 
-const loseWatchHistory: Inject = ({ simulation: { store } }) => store.loseHistory();
+const discardWatchHistory: FaultInjector = ({ simulation: { store } }) => store.discardHistory();
 
-const slowStore: Inject = (fault) => {
+const slowStore: FaultInjector = (fault) => {
   const { slowdowns } = fault.simulation.network;
   slowdowns.set('state', 100);
-  fault.atEnd(() => void slowdowns.delete('state'));
+  fault.onEnd(() => void slowdowns.delete('state'));
 };
 
-const delayWrites: Inject = (fault) => {
+const delayWrites: FaultInjector = (fault) => {
   const { simulation } = fault;
-  simulation.lateWriteShare = simulation.simulator.between(0.05, 0.4);
-  fault.atEnd(() => {
-    simulation.lateWriteShare = 0;
+  simulation.delayedWriteShare = simulation.simulator.between(0.05, 0.4);
+  fault.onEnd(() => {
+    simulation.delayedWriteShare = 0;
   });
 };
 
-const loseAnswersOfWrites: Inject = (fault) => {
+const loseWriteResponses: FaultInjector = (fault) => {
   const { simulation } = fault;
-  simulation.lostAnswerShare = simulation.simulator.between(0.1, 0.6);
-  fault.atEnd(() => {
-    simulation.lostAnswerShare = 0;
+  simulation.lostResponseShare = simulation.simulator.between(0.1, 0.6);
+  fault.onEnd(() => {
+    simulation.lostResponseShare = 0;
   });
 };
 
-const duplicateMessages: Inject = (fault) => {
+const duplicateMessages: FaultInjector = (fault) => {
   const { simulation } = fault;
   simulation.duplicatesMessages = true;
-  fault.atEnd(() => {
+  fault.onEnd(() => {
     simulation.duplicatesMessages = false;
   });
 };
 
-const hangMachine: Inject = ({ simulation: { simulator, workers }, machines, durationMs }) => {
+const hangMachine: FaultInjector = ({ simulation: { simulator, workers }, machines, durationMs }) => {
   const worker = machines.length > 0 ? workers.get(simulator.pick(machines)) : null;
   if (!worker) return;
   worker.isHung = true;
@@ -182,7 +195,7 @@
   });
 };
 
-const reclaimSpotMachines: Inject = ({ simulation: { simulator, workers, machines } }) => {
+const reclaimSpotMachines: FaultInjector = ({ simulation: { simulator, workers, machines } }) => {
   for (const [name, worker] of [...workers]) {
     if (!worker.isSpot || !simulator.chance(0.5)) continue;
     if (simulator.chance(0.5)) worker.evictionAt = simulator.now + 4000;
@@ -192,57 +205,57 @@
   }
 };
 
-const cloudOutage: Inject = (fault) => {
+const cloudOutage: FaultInjector = (fault) => {
   const { cloud } = fault.simulation;
   cloud.isDown = true;
-  fault.atEnd(() => {
+  fault.onEnd(() => {
     cloud.isDown = false;
   });
 };
 
-/** Some machines, now and then the whole fleet at once. */
-function drawMachines({ simulation: { simulator }, machines }: DrawnFault, share: number): string[] {
+/** Picks each machine with the given probability; in a fifth of the cases picks all. */
+function pickMachines({ simulation: { simulator }, machines }: RandomFault, share: number): string[] {
   return simulator.chance(0.2) ? machines : machines.filter(() => simulator.chance(share));
 }
 
-/** Machines are heard, but nothing reaches them. */
-const blockInbound: Inject = (fault) => {
+/** Machines can send, but nothing reaches them. */
+const blockInbound: FaultInjector = (fault) => {
   const { unreachableInbound } = fault.simulation.network;
-  const machines = drawMachines(fault, 0.3);
+  const machines = pickMachines(fault, 0.3);
   for (const machine of machines) unreachableInbound.add(machine);
-  fault.atEnd(() => {
+  fault.onEnd(() => {
     for (const machine of machines) unreachableInbound.delete(machine);
   });
 };
 
-/** Machines are reached, but can't open connections. */
-const blockOutbound: Inject = (fault) => {
+/** Machines can be reached, but can't open connections. */
+const blockOutbound: FaultInjector = (fault) => {
   const { unreachableOutbound } = fault.simulation.network;
-  const machines = drawMachines(fault, 0.4);
+  const machines = pickMachines(fault, 0.4);
   for (const machine of machines) unreachableOutbound.add(machine);
-  fault.atEnd(() => {
+  fault.onEnd(() => {
     for (const machine of machines) unreachableOutbound.delete(machine);
   });
 };
 
-const cancelRunningJobs: Inject = ({ simulation: { simulator, users } }) =>
+const cancelRunningJobs: FaultInjector = ({ simulation: { simulator, users } }) =>
   users.cancelRunningJobs(4, simulator.chance(0.5) ? simulator.between(5000, 25000) : 0);
 
-const cancelAtCompletion: Inject = (fault) => {
+const cancelAtCompletion: FaultInjector = (fault) => {
   const { simulation } = fault;
   simulation.cancelsAtCompletion = true;
-  fault.atEnd(() => {
+  fault.onEnd(() => {
     simulation.cancelsAtCompletion = false;
   });
 };
 
-const unusualRequests: Inject = ({ simulation: { simulator, users }, durationMs }) => {
+const unusualRequests: FaultInjector = ({ simulation: { simulator, users }, durationMs }) => {
   for (let sent = 0; sent < 6; sent++)
     simulator.scheduleAfter(simulator.between(0, durationMs), () => users.sendUnusualRequest());
 };
 
-/** One team gets more short work than its limit admits for a while. */
-const overloadTeam: Inject = ({ simulation }) => {
+/** Submits more short jobs for one team than its quota admits at a time. */
+const overloadTeam: FaultInjector = ({ simulation }) => {
   const { simulator, config, users } = simulation;
   const team = simulator.pick(config.teams).name;
   for (let submitted = 0; submitted < 8; submitted++)
@@ -251,8 +264,8 @@
     );
 };
 
-/** A fault is drawn by its index: a seed draws the same faults as long as their order stays. */
-const FAULTS: readonly Inject[] = [
+/** Kinds of faults, selected by a random index: changing their order changes the faults of every seed. */
+const FAULT_INJECTORS: readonly FaultInjector[] = [
   crashController,
   crashAllControllers,
   rollingRestart,
@@ -266,8 +279,8 @@
   hangMachine,
   reclaimSpotMachines,
   cloudOutage,
-  loseWatchHistory,
-  cutZone,
+  discardWatchHistory,
+  partitionZone,
   duplicateMessages,
   blockInbound,
   cutFromPeersAndStore,
@@ -281,13 +294,16 @@
   cancelRunningJobs,
   cancelAtCompletion,
   unusualRequests,
-  loseAnswersOfWrites,
+  loseWriteResponses,
   overloadTeam,
 ];
 
-/** Injects a fault drawn by the seed; faults may overlap, and all are over by `until`, in simulated milliseconds. */
+/**
+ * Injects a random fault; faults may overlap. `until`, in simulated milliseconds, limits
+ * `RandomFault.durationMs`.
+ */
 export function injectFault(simulation: ClusterSimulation, until: number): void {
-  const fault = new DrawnFault(simulation, until);
-  const inject = FAULTS[Math.floor(simulation.simulator.random() * FAULTS.length)]!;
+  const fault = new RandomFault(simulation, until);
+  const inject = FAULT_INJECTORS[Math.floor(simulation.simulator.random() * FAULT_INJECTORS.length)]!;
   inject(fault);
 }
--- a/test/simulation/job-spec.ts
+++ b/test/simulation/job-spec.ts
@@ -2,7 +2,7 @@
 
 import type { JobSpec } from '../../src/model/job.js';
 
-/** A small job of team red. */
+/** A single-task job of team red. */
 export const DEFAULT_JOB_SPEC: JobSpec = {
   id: '',
   jobClass: 'c',
@@ -27,7 +27,10 @@
   acceptedAtMs: 0,
 };
 
-/** An array of three tasks, numbered after the jobs that its users have submitted; each field can be replaced. */
+/**
+ * Returns an array job of three tasks, whose id follows the number of jobs submitted so far. Each field can
+ * be overridden.
+ */
 export function makeJobSpec(
   { jobs }: { jobs: ReadonlyMap<string, unknown> },
   overrides: Partial<JobSpec>,
--- a/test/simulation/output-digest.ts
+++ b/test/simulation/output-digest.ts
@@ -1,6 +1,7 @@
 /**
- * SIMDIGEST=1: a digest of all that leaves the controllers of a simulated cluster, in its encoded form and with its time. A step
- * that changes no behaviour leaves every digest as it was; see CONTRIBUTING.md.
+ * With SIMDIGEST=1, computes a digest of everything that the controllers of a simulated cluster send, in its
+ * encoded form and with its time. A change that preserves behaviour leaves every digest unchanged; see
+ * CONTRIBUTING.md.
  */
 import { createHash } from 'node:crypto';
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
@@ -19,129 +20,135 @@
   encodeRedirect,
 } from '../../src/wire/worker-messages.js';
 
-const enabled = Boolean(process.env.SIMDIGEST);
+const isEnabled = Boolean(process.env.SIMDIGEST);
 const digests: OutputDigest[] = [];
 
-/** Prints the digest of each simulated cluster that a test has made. */
+/** Prints the digest of each simulated cluster that a test has created. */
 export function printDigests(testName: string): void {
   for (const digest of digests.splice(0)) console.log(`digest ${digest.finish()} ${testName}`);
 }
 
-/** Takes down what the controllers of one simulated cluster send. */
+/** Hashes everything that the controllers of one simulated cluster send. */
 export class OutputDigest {
   private readonly hash = createHash('sha256');
-  private outputs = 0;
+  private outputCount = 0;
 
   constructor(
     private readonly seed: number,
     private readonly now: () => number,
   ) {
-    if (enabled) digests.push(this);
+    if (isEnabled) digests.push(this);
   }
 
+  /** Returns the digest with the seed and the number of outputs. */
   finish(): string {
-    return `${this.hash.digest('hex').slice(0, 16)} seed ${this.seed} outputs ${this.outputs}`;
+    return `${this.hash.digest('hex').slice(0, 16)} seed ${this.seed} outputs ${this.outputCount}`;
   }
 
-  private add(nodeName: string, channel: string, encoded: () => unknown): void {
-    if (!enabled) return;
-    this.outputs++;
+  private record(nodeName: string, channel: string, encoded: () => unknown): void {
+    if (!isEnabled) return;
+    this.outputCount++;
     this.hash.update(`${this.now().toFixed(6)} ${nodeName} ${channel} ${JSON.stringify(encoded())}\n`);
   }
 
   peerMessage(nodeName: string, to: string, message: PeerMessage): void {
-    this.add(nodeName, `peer ${to}`, () => encodePeerMessage(message));
+    this.record(nodeName, `peer ${to}`, () => encodePeerMessage(message));
   }
 
-  heartbeatAnswer(nodeName: string, answer: HeartbeatResult): void {
-    this.add(nodeName, 'heartbeat answer', () => {
-      switch (answer.type) {
+  heartbeatResponse(nodeName: string, response: HeartbeatResult): void {
+    this.record(nodeName, 'heartbeat answer', () => {
+      switch (response.type) {
         case 'accepted':
-          return [200, encodeHeartbeatAnswer(answer.fencingToken, answer.commands)];
+          return [200, encodeHeartbeatAnswer(response.fencingToken, response.commands)];
         case 'redirected':
-          return [421, encodeRedirect(answer.leaderName)];
+          return [421, encodeRedirect(response.leaderName)];
         case 'unavailable':
           return [503];
       }
     });
   }
 
-  userAnswer(nodeName: string, answer: ApiAnswer): void {
-    this.add(nodeName, 'user answer', () => {
-      switch (answer.type) {
+  userResponse(nodeName: string, response: ApiAnswer): void {
+    this.record(nodeName, 'user answer', () => {
+      switch (response.type) {
         case 'job':
-          return [answer.created ? 201 : 200, encodeJobStatus('', answer)];
+          return [response.created ? 201 : 200, encodeJobStatus('', response)];
         case 'notFound':
           return [404];
         case 'rejected':
-          return [422, answer.reason];
+          return [422, response.reason];
         case 'unavailable':
-          return [503, answer.reason];
+          return [503, response.reason];
       }
     });
   }
 
+  /** Wraps the store port of a controller so that its calls are recorded. */
   store(nodeName: string, port: KeyValueStore): KeyValueStore {
-    const add = (call: string, encoded: unknown) => this.add(nodeName, `store ${call}`, () => encoded);
+    const recordCall = (call: string, encoded: unknown) =>
+      this.record(nodeName, `store ${call}`, () => encoded);
     return {
-      get: (key, urgency, then) => {
-        add('get', [key, urgency]);
-        port.get(key, urgency, then);
+      get: (key, urgency, callback) => {
+        recordCall('get', [key, urgency]);
+        port.get(key, urgency, callback);
       },
-      list: (request, then) => {
-        add('list', [request.prefix, request.startAfter, request.urgency]);
-        port.list(request, then);
+      list: (request, callback) => {
+        recordCall('list', [request.prefix, request.startAfter, request.urgency]);
+        port.list(request, callback);
       },
-      compareAndSwap: (transaction, urgency, then) => {
-        add('txn', [encodeTransaction(transaction), urgency]);
-        port.compareAndSwap(transaction, urgency, then);
+      compareAndSwap: (transaction, urgency, callback) => {
+        recordCall('txn', [encodeTransaction(transaction), urgency]);
+        port.compareAndSwap(transaction, urgency, callback);
       },
-      grantLease: (ttlMs, then) => {
-        add('grant', ttlMs);
-        port.grantLease(ttlMs, then);
+      grantLease: (ttlMs, callback) => {
+        recordCall('grant', ttlMs);
+        port.grantLease(ttlMs, callback);
       },
-      keepLeaseAlive: (lease, then) => {
-        add('touch', lease);
-        port.keepLeaseAlive(lease, then);
+      keepLeaseAlive: (lease, callback) => {
+        recordCall('touch', lease);
+        port.keepLeaseAlive(lease, callback);
       },
-      revokeLease: (lease, then) => {
-        add('end', lease);
-        port.revokeLease(lease, then);
+      revokeLease: (lease, callback) => {
+        recordCall('end', lease);
+        port.revokeLease(lease, callback);
       },
-      watch: (request, then) => {
-        add('watch', [request.prefix, request.sinceRevision, request.waitMs]);
-        port.watch(request, then);
+      watch: (request, callback) => {
+        recordCall('watch', [request.prefix, request.sinceRevision, request.waitMs]);
+        port.watch(request, callback);
       },
     };
   }
 
+  /** Wraps the cloud port of a controller so that its calls are recorded. */
   cloud(nodeName: string, port: CloudProvider): CloudProvider {
-    const add = (call: string, encoded: unknown) => this.add(nodeName, `cloud ${call}`, () => encoded);
+    const recordCall = (call: string, encoded: unknown) =>
+      this.record(nodeName, `cloud ${call}`, () => encoded);
     return {
-      listMachineTypes: (then) => {
-        add('types', null);
-        port.listMachineTypes(then);
+      listMachineTypes: (callback) => {
+        recordCall('types', null);
+        port.listMachineTypes(callback);
       },
-      rentMachines: (request, then) => {
-        add('rent', encodeRental(request));
-        port.rentMachines(request, then);
+      rentMachines: (request, callback) => {
+        recordCall('rent', encodeRental(request));
+        port.rentMachines(request, callback);
       },
-      deleteMachines: (names, then) => {
-        add('remove', encodeDeletion(names));
-        port.deleteMachines(names, then);
+      deleteMachines: (names, callback) => {
+        recordCall('remove', encodeDeletion(names));
+        port.deleteMachines(names, callback);
       },
-      listMachines: (since, then) => {
-        add('list', since);
-        port.listMachines(since, then);
+      listMachines: (since, callback) => {
+        recordCall('list', since);
+        port.listMachines(since, callback);
       },
     };
   }
 
+  /** Wraps the worker port of a controller so that its commands are recorded. */
   workers(nodeName: string, port: WorkerCommandPort): WorkerCommandPort {
     return {
-      sendCommands: (address, batch, then) => {
-        this.add(nodeName, `worker ${address}`, () => encodeDirectCommands(batch));
-        port.sendCommands(address, batch, then);
+      sendCommands: (address, batch, callback) => {
+        this.record(nodeName, `worker ${address}`, () => encodeDirectCommands(batch));
+        port.sendCommands(address, batch, callback);
       },
     };
   }
--- a/test/simulation/quota-checker.ts
+++ b/test/simulation/quota-checker.ts
@@ -1,12 +1,15 @@
-/** The check of quotas on what is stored. */
+/** Checks the quotas against stored placements. */
 
 import type { Transaction } from '../../src/model/key-value-store.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** `place/<id>/<chunk>` as stored: an attempt of a task by its index, with its machine, epoch and zone until it is settled. */
+/**
+ * Stored placement of a task: its attempt and, until the placement is finalized, its machine, epoch and zone.
+ */
 type StoredPlacement =
   | [attempt: number]
   | [attempt: number, machine: string, agentEpoch: number, zone: string];
+/** Value of a `place/<id>/<chunk>` record: placements by task index. */
 interface StoredPlacements {
   t: Record<string, StoredPlacement>;
 }
@@ -15,44 +18,46 @@
 const EPSILON = 1e-9;
 
 /**
- * Checks each transaction as it is carried out, at once or late: what it newly places must fit into the limits of the teams
- * beside all that their tasks take on machines. A fault is seen here before any of it has started.
+ * Checks each transaction when the store executes it, even if that is late: the placements that it adds and
+ * the tasks already on machines must together fit within the quota of the team. This detects a violation
+ * before any of the tasks has started.
  */
 export class QuotaChecker {
   constructor(private readonly cluster: SimulatedCluster) {}
 
-  /** Carries out a transaction, and looks at what it has placed. */
-  checkTransaction<T extends { status: number }>(transaction: Transaction, carryOut: () => T): T {
-    const records = transaction.operations.filter(
+  /** Executes a transaction and checks the placements that it has added. */
+  checkTransaction<T extends { status: number }>(transaction: Transaction, execute: () => T): T {
+    const placementOperations = transaction.operations.filter(
       (operation) => operation.type === 'put' && operation.key.startsWith('place/'),
     );
-    const before = new Map(records.map(({ key }) => [key, this.tasksOf(key)]));
-    const reply = carryOut();
-    if (reply.status === 200) for (const [key, old] of before) this.check(key, old);
-    return reply;
+    const tasksByKey = new Map(placementOperations.map(({ key }) => [key, this.storedTasks(key)]));
+    const response = execute();
+    if (response.status === 200)
+      for (const [key, previousTasks] of tasksByKey) this.checkChunk(key, previousTasks);
+    return response;
   }
 
-  private tasksOf(key: string): Record<string, StoredPlacement> {
+  private storedTasks(key: string): Record<string, StoredPlacement> {
     const stored = this.cluster.store.records.get(key);
     return stored ? (JSON.parse(stored.value) as StoredPlacements).t : {};
   }
 
-  private check(key: string, old: Record<string, StoredPlacement>): void {
+  private checkChunk(key: string, previousTasks: Record<string, StoredPlacement>): void {
     const id = key.split('/')[1] ?? '';
     const spec = this.cluster.jobs.get(id)?.spec;
-    const limit = this.cluster.config.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
-    if (!spec || limit === 0) return;
-    const added = Object.entries(this.tasksOf(key)).filter(
-      ([index, placed]) => placed.length === 4 && placed[0] !== old[index]?.[0],
+    const maxCpus = this.cluster.config.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
+    if (!spec || maxCpus === 0) return;
+    const addedTasks = Object.entries(this.storedTasks(key)).filter(
+      ([index, placement]) => placement.length === 4 && placement[0] !== previousTasks[index]?.[0],
     );
-    const used = this.cpusOnMachines(spec.team) + added.length * spec.cpus;
-    if (added.length > 0 && used > limit + EPSILON)
+    const usedCpus = this.occupiedCpus(spec.team) + addedTasks.length * spec.cpus;
+    if (addedTasks.length > 0 && usedCpus > maxCpus + EPSILON)
       this.cluster.reportViolation(
-        `quota: ${added.length} tasks of ${id} stored, ${spec.team} would use ${used} of ${limit}`,
+        `quota: ${addedTasks.length} tasks of ${id} stored, ${spec.team} would use ${usedCpus} of ${maxCpus}`,
       );
   }
 
-  private cpusOnMachines(team: string): number {
+  private occupiedCpus(team: string): number {
     let cpus = 0;
     for (const worker of this.cluster.workers.values()) {
       for (const task of worker.tasks) {
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -1,4 +1,7 @@
-/** Seeded scenarios over a whole cluster: jobs, cancellations and faults, and then a time in which all work must finish. */
+/**
+ * Seeded scenarios on a whole cluster: jobs, cancellations and faults, then a fault-free period in which all
+ * work must finish.
+ */
 
 import type { JobSpec } from '../../src/model/job.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
@@ -6,8 +9,8 @@
 import { injectFault } from './faults.js';
 import { makeJobSpec } from './job-spec.js';
 
-/** Without faults at the end, so long is left for all accepted work to finish. */
-const QUIET_END_MS = 200_000;
+/** Length of the fault-free period at the end, in which all accepted work must finish. */
+const FAULT_FREE_MS = 200_000;
 
 function randomJobSpec(simulation: ClusterSimulation): JobSpec {
   const { simulator, config } = simulation;
@@ -32,7 +35,10 @@
   });
 }
 
-/** Jobs, cancellations and so many faults drawn by the seed, then a quiet end in which all accepted work must finish. */
+/**
+ * Runs random jobs, cancellations and the given number of faults, then a fault-free period in which accepted
+ * work must finish.
+ */
 export function runScenario(
   seed: number,
   faultCount: number,
@@ -40,9 +46,9 @@
 ): ClusterSimulation {
   const simulation = new ClusterSimulation(seed, config);
   const { simulator, failingJobs, users } = simulation;
-  const busyUntil = 120_000;
-  for (let submitted = 0; submitted < 14; submitted++) {
-    const at = simulator.chance(0.4) ? simulator.between(0, 3000) : simulator.between(0, busyUntil);
+  const activityEndsAt = 120_000;
+  for (let index = 0; index < 14; index++) {
+    const at = simulator.chance(0.4) ? simulator.between(0, 3000) : simulator.between(0, activityEndsAt);
     simulator.scheduleAt(at, () => {
       const spec = randomJobSpec(simulation);
       if (simulator.chance(0.06) && spec.kind === 'array') failingJobs.add(spec.id);
@@ -51,41 +57,43 @@
         simulator.scheduleAfter(simulator.between(200, 60000), () => cancelWhenAccepted(simulation, spec.id));
     });
   }
-  for (let fault = 0; fault < faultCount; fault++)
-    simulator.scheduleAt(simulator.between(3000, busyUntil), () => injectFault(simulation, busyUntil + 5000));
-  simulation.faultsEndAt = busyUntil + 5000;
+  for (let index = 0; index < faultCount; index++)
+    simulator.scheduleAt(simulator.between(3000, activityEndsAt), () =>
+      injectFault(simulation, activityEndsAt + 5000),
+    );
+  simulation.faultsEndAt = activityEndsAt + 5000;
   simulator.scheduleAt(1000, () => users.queryUnknownJob());
-  simulator.run(busyUntil + QUIET_END_MS);
+  simulator.run(activityEndsAt + FAULT_FREE_MS);
   return simulation;
 }
 
 /**
- * Every team is held at its limit while transactions get no answer, carried out at once or late; with every second seed one
- * other fault meets that.
+ * Submits enough jobs to keep every team at its quota while some transactions get no response and are
+ * executed at once or late. Even seeds add one other fault.
  */
 export function runIndeterminateWritesScenario(seed: number): ClusterSimulation {
   const teams = CLUSTER_CONFIG.teams.map((team) => ({ ...team, maxCpus: team.maxCpus / 2 }));
   const simulation = new ClusterSimulation(seed, { ...CLUSTER_CONFIG, teams });
   const { simulator } = simulation;
-  const busyUntil = 100_000;
+  const activityEndsAt = 100_000;
   for (const { name } of teams)
-    for (let submitted = 0; submitted < 24; submitted++)
+    for (let index = 0; index < 24; index++)
       simulator.scheduleAt(simulator.between(0, 60000), () => submitRandomArray(simulation, name));
   simulator.scheduleAt(8000, () => {
-    simulation.lostAnswerShare = simulator.pick([0, 0.3, 0.5]);
-    simulation.lateWriteShare = simulation.lostAnswerShare > 0 ? simulator.pick([0, 0.2]) : 0.4;
-    // The jobs of one write are read again at different times.
+    simulation.lostResponseShare = simulator.pick([0, 0.3, 0.5]);
+    simulation.delayedWriteShare = simulation.lostResponseShare > 0 ? simulator.pick([0, 0.2]) : 0.4;
+    // Reads are delayed at random, so the jobs of an indeterminate write are reloaded at different times.
     simulation.maxReadDelayMs = simulator.pick([0, 50, 300]);
   });
   if (seed % 2 === 0)
-    simulator.scheduleAt(simulator.between(20000, 50000), () => injectFault(simulation, busyUntil));
-  simulator.scheduleAt(busyUntil, () => {
-    simulation.lostAnswerShare = 0;
-    simulation.lateWriteShare = 0;
+    simulator.scheduleAt(simulator.between(20000, 50000), () => injectFault(simulation, activityEndsAt));
+  simulator.scheduleAt(activityEndsAt, () => {
+    simulation.lostResponseShare = 0;
+    simulation.delayedWriteShare = 0;
     simulation.maxReadDelayMs = 0;
   });
-  simulation.faultsEndAt = busyUntil + 5000;
-  simulator.run(busyUntil + QUIET_END_MS);
+  simulation.faultsEndAt = activityEndsAt + 5000;
+  simulator.run(activityEndsAt + FAULT_FREE_MS);
   return simulation;
 }
 
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -1,4 +1,4 @@
-/** A leader's scheduler alone. */
+/** Runs a leader's scheduler without the rest of the cluster. */
 
 import type { CloudProvider } from '../../src/model/cloud-provider.js';
 import type { ListedMachine } from '../../src/model/machine-type.js';
@@ -29,7 +29,10 @@
   minRentalWaitSeconds: 10,
 };
 
-/** A scheduler alone, with heartbeats made by the test and a worker whose answers the test decides on. */
+/**
+ * A scheduler whose heartbeats and shard messages come from the test, which also answers its direct commands
+ * to workers.
+ */
 export class SchedulerHarness {
   readonly scheduler: Scheduler;
   readonly sentMessages: LeaderMessage[] = [];
@@ -38,12 +41,16 @@
   readonly deletedMachines: string[] = [];
   readonly resignationReasons: string[] = [];
   readonly peers = { count: 0 };
-  /** Jobs known to be stored as cancelled, whatever their owner has read. */
+  /** Jobs that the scheduler knows to be stored as cancelled, regardless of what their owner has read. */
   readonly cancelledJobs = new Set<string>();
-  /** Machines rented and deleted: the cloud answers only if a test says so; none rented comes up by itself. */
+  /**
+   * Rentals: the cloud responds only if `isAnswered` is set, and rented machines do not boot by themselves.
+   */
   readonly rentals = { isAnswered: false, count: 0 };
   readonly listedMachines: ListedMachine[] = [];
-  /** The owner acknowledges the leader's timestamps, unless a test says that it does not. */
+  /**
+   * Whether the owner acknowledges the leader's timestamps, and the number of its placement messages so far.
+   */
   readonly owner = { acknowledgesTimestamps: true, placementMessages: 0 };
   private now = 0;
   private sequence = 0;
@@ -59,7 +66,7 @@
     );
     this.scheduler.onShardMessage({
       type: 'fullSync',
-      fencingToken: fencingToken,
+      fencingToken,
       instanceId: 'o',
       syncNumber: 1,
       chunkCount: 1,
@@ -97,7 +104,7 @@
       machineTypes: () => CLUSTER_CONFIG.machineTypes,
       policy: () => ({ ...POLICY, ...this.policy }),
       holdsLeadership: () => true,
-      send: (_i, message) => this.sentMessages.push(message),
+      send: (_instanceId, message) => this.sentMessages.push(message),
       wake: () => {},
       onHigherToken: () => {},
       inheritedCoverage: () => null,
@@ -115,7 +122,7 @@
       rentMachines: ({ claim, count }, callback) => {
         if (!this.rentals.isAnswered) return;
         this.rentals.count += count;
-        callback({ ok: true, value: Array.from({ length: count }, (_, i) => `${claim}-${i}`) });
+        callback({ ok: true, value: Array.from({ length: count }, (_, index) => `${claim}-${index}`) });
       },
       deleteMachines: (names, callback) => {
         this.deletedMachines.push(...names);
@@ -139,10 +146,13 @@
     });
   }
 
-  /** A heartbeat of machine `m`, unless a test says otherwise; null if it is to be answered later. */
-  heartbeat(tasks: TaskStatus[], fencingToken = this.fencingToken, over: Partial<Heartbeat> = {}) {
+  /**
+   * Sends a heartbeat of machine `m`; the test can override fields. Returns null if its lease must not be
+   * renewed now.
+   */
+  sendHeartbeat(tasks: TaskStatus[], fencingToken = this.fencingToken, overrides: Partial<Heartbeat> = {}) {
     this.acknowledgeTimestamps();
-    const answer = this.scheduler.handleHeartbeat({
+    const result = this.scheduler.handleHeartbeat({
       machine: 'm',
       address: 'm',
       machineType: 'small',
@@ -153,12 +163,12 @@
       fencingToken,
       evictionNoticeSeconds: null,
       tasks,
-      ...over,
+      ...overrides,
     });
-    return answer === 'later' ? null : answer;
+    return result === 'later' ? null : result;
   }
 
-  /** Task 0 of job `wk-1` on machine `m`. */
+  /** Returns the placement of task 0 of job `wk-1` on machine `m`. */
   placementSpec(desiredState: PlacementSpec['desiredState']): PlacementSpec {
     return {
       jobId: 'wk-1',
@@ -184,7 +194,7 @@
     };
   }
 
-  /** The owner sends the leader a placement. */
+  /** Sends a placement from the owner to the leader. */
   sendPlacement(placement: PlacementSpec): void {
     this.scheduler.onShardMessage({
       type: 'placements',
@@ -196,12 +206,12 @@
     this.scheduler.flush();
   }
 
-  /** The owner sends task 0 of job `wk-1` in this desired state. */
+  /** Sends the placement of task 0 of job `wk-1` in the given desired state from the owner to the leader. */
   sendDesiredState(desiredState: PlacementSpec['desiredState']): void {
     this.sendPlacement(this.placementSpec(desiredState));
   }
 
-  /** The owner sends its pending resource requests. */
+  /** Sends the pending resource requests of the owner to the leader. */
   sendRequests(requests: ResourceRequest[]): void {
     this.scheduler.onShardMessage({
       type: 'resourceRequests',
@@ -220,14 +230,14 @@
     );
   }
 
-  /** Lets time pass, with one tick of the scheduler at its end. */
-  advance(milliseconds: number): void {
-    this.now += milliseconds;
+  /** Advances the clock, acknowledges the leader's timestamps, and runs one tick of the scheduler. */
+  advance(durationMs: number): void {
+    this.now += durationMs;
     this.acknowledgeTimestamps();
     this.scheduler.tick();
   }
 
-  /** The jobs of all grants sent so far, one entry a grant. */
+  /** Job ids of all grants sent so far, one entry per grant. */
   grantedJobs(): string[] {
     this.scheduler.flush();
     return this.sentMessages.flatMap((message) =>
@@ -236,6 +246,7 @@
   }
 }
 
+/** Status of attempt 1 of task 0 of job `wk-1`, as its worker reports it. */
 export const taskStatus = (phase: 'running' | 'exited'): TaskStatus => ({
   jobId: 'wk-1',
   taskIndex: 0,
@@ -245,7 +256,11 @@
   checkpointSaved: false,
 });
 
-export const makeResourceRequest = (id: string, over: Partial<ResourceRequest> = {}): ResourceRequest => ({
+/** Returns a resource request for one small task; each field can be overridden. */
+export const makeResourceRequest = (
+  id: string,
+  overrides: Partial<ResourceRequest> = {},
+): ResourceRequest => ({
   jobId: id,
   team: 'red',
   jobClass: 'c',
@@ -273,5 +288,5 @@
   objectiveSeconds: null,
   slackSeconds: null,
   lastProcessedGrantId: 0,
-  ...over,
+  ...overrides,
 });
--- a/test/simulation/service-level-checker.ts
+++ b/test/simulation/service-level-checker.ts
@@ -1,71 +1,77 @@
-/** The check that no group of jobs is left unserved. */
+/** Checks that no group of jobs is underserved. */
 
 import type { JobSpec } from '../../src/model/job.js';
 import type { Team } from '../../src/model/team.js';
 
-/** Time within which the largest jobs of a class must have begun. */
-const LARGE_BEGIN_MS = 240_000;
-/** Share of the jobs of a class that are smaller than its largest ones. */
+/** Time within which at least half of the largest jobs of a class must be served. */
+const MAX_LARGE_JOB_WAIT_MS = 240_000;
+/** Quantile of the task counts of a class from which a job counts as one of its largest. */
 const LARGEST_QUANTILE = 0.75;
-/** Least share of a group of jobs that must be served. */
-const LEAST_SERVED = 0.5;
+/** Minimum share of a group of jobs that must be served. */
+const MIN_SERVED_SHARE = 0.5;
 
 interface TrackedJob {
   spec: JobSpec;
   submittedAt: number;
-  begun: Set<number>;
-  /** When all of its tasks, or as many as the limit of its team admits at a time, had begun. */
+  startedTasks: Set<number>;
+  /** When the job was served, see `ServiceLevelChecker`; infinite until then. */
   servedAt: number;
 }
 
 /**
- * Counts which jobs are served: a job is once all of its tasks have begun, or as many of them as the limit of its team
- * admits at a time. A scenario fails if less than half of a class, of a team or of the largest jobs of a class is served, the
- * largest within four minutes.
+ * Counts the jobs that are served. A job is served once all of its tasks, or as many as the quota of its team
+ * admits at a time, have started. A scenario fails if fewer than half of the jobs of a class or team are
+ * served, or fewer than half of the largest jobs of a class within four minutes.
  */
 export class ServiceLevelChecker {
-  /** Starts of tasks after the cancellation of their job was confirmed: commands that were under way by then. */
+  /**
+   * Number of tasks that started, by commands in flight, after the cancellation of their job had been
+   * confirmed.
+   */
   startsAfterCancellation = 0;
   private readonly jobs = new Map<string, TrackedJob>();
 
   constructor(private readonly teams: readonly Team[]) {}
 
-  submitted(spec: JobSpec, now: number): void {
+  recordSubmission(spec: JobSpec, now: number): void {
     this.jobs.set(spec.id, {
       spec,
       submittedAt: now,
-      begun: new Set(),
+      startedTasks: new Set(),
       servedAt: Number.POSITIVE_INFINITY,
     });
   }
 
-  started(jobId: string, taskIndex: number, now: number): void {
+  recordStart(jobId: string, taskIndex: number, now: number): void {
     const job = this.jobs.get(jobId);
     if (!job) return;
-    job.begun.add(taskIndex);
-    if (job.begun.size >= this.tasksToServe(job.spec)) job.servedAt = Math.min(job.servedAt, now);
+    job.startedTasks.add(taskIndex);
+    if (job.startedTasks.size >= this.requiredTasks(job.spec)) job.servedAt = Math.min(job.servedAt, now);
   }
 
-  /** Groups of jobs of which less than half was served; those in `excused` do not count. */
-  underServed(excused: (jobId: string) => boolean): string[] {
-    const all = [...this.jobs.values()].filter(({ spec }) => !excused(spec.id));
-    const failed: string[] = [];
-    const judge = (name: string, group: TrackedJob[], served: (job: TrackedJob) => boolean) => {
-      const count = group.filter(served).length;
-      if (group.length > 0 && count < group.length * LEAST_SERVED)
-        failed.push(`${name}: ${count} of ${group.length} served`);
+  /**
+   * Descriptions of the groups of which fewer than half of the jobs were served; excluded jobs do not count.
+   */
+  underservedGroups(isExcluded: (jobId: string) => boolean): string[] {
+    const countedJobs = [...this.jobs.values()].filter(({ spec }) => !isExcluded(spec.id));
+    const failures: string[] = [];
+    const checkGroup = (name: string, group: TrackedJob[], predicate: (job: TrackedJob) => boolean) => {
+      const servedCount = group.filter(predicate).length;
+      if (group.length > 0 && servedCount < group.length * MIN_SERVED_SHARE)
+        failures.push(`${name}: ${servedCount} of ${group.length} served`);
     };
-    const begun = (job: TrackedJob) => Number.isFinite(job.servedAt);
-    const inTime = (job: TrackedJob) => job.servedAt - job.submittedAt <= LARGE_BEGIN_MS;
-    for (const [team, group] of groupBy(all, ({ spec }) => spec.team)) judge(`team ${team}`, group, begun);
-    for (const [name, group] of groupBy(all, ({ spec }) => spec.jobClass)) {
-      judge(`class ${name}`, group, begun);
-      judge(`largest of ${name}`, largest(group), inTime);
+    const isServed = (job: TrackedJob) => Number.isFinite(job.servedAt);
+    const isServedInTime = (job: TrackedJob) => job.servedAt - job.submittedAt <= MAX_LARGE_JOB_WAIT_MS;
+    for (const [team, group] of groupBy(countedJobs, ({ spec }) => spec.team))
+      checkGroup(`team ${team}`, group, isServed);
+    for (const [name, group] of groupBy(countedJobs, ({ spec }) => spec.jobClass)) {
+      checkGroup(`class ${name}`, group, isServed);
+      checkGroup(`largest of ${name}`, largestJobs(group), isServedInTime);
     }
-    return failed;
+    return failures;
   }
 
-  private tasksToServe(spec: JobSpec): number {
+  private requiredTasks(spec: JobSpec): number {
     const limit = this.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
     if (limit <= 0 || spec.cpus <= 0) return spec.taskCount;
     return Math.min(spec.taskCount, Math.floor(limit / spec.cpus + 1e-9));
@@ -78,8 +84,8 @@
   return groups;
 }
 
-/** The upper quarter of a class by tasks; of a class of one size all jobs are as large as any other. */
-function largest(group: TrackedJob[]): TrackedJob[] {
+/** The upper quarter of a group by task count; all jobs if they have the same number of tasks. */
+function largestJobs(group: TrackedJob[]): TrackedJob[] {
   const sizes = group.map(({ spec }) => spec.taskCount).sort((a, b) => a - b);
   const threshold = sizes[Math.floor(sizes.length * LARGEST_QUANTILE)] ?? 0;
   return group.filter(({ spec }) => spec.taskCount >= threshold);
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -1,4 +1,4 @@
-/** A shard owner alone. */
+/** Runs a shard owner without the rest of the cluster. */
 
 import type { JobSpec } from '../../src/model/job.js';
 import type { KeyValueStore, Transaction } from '../../src/model/key-value-store.js';
@@ -14,10 +14,13 @@
 
 const LIMITS = { maxTransactionOperations: 16, maxValueKb: 4 };
 const NODE_NAME = 'o';
-const DEADLINE_MS = 1500;
+const CALL_DEADLINE_MS = 1500;
 
-/** Options of an owner that talks to nobody; each can be replaced. */
-export function shardOwnerOptions(over: Partial<ShardOwnerOptions>): ShardOwnerOptions {
+/**
+ * Options of an owner whose messages, log and wake-ups are dropped and that has no store; each can be
+ * overridden.
+ */
+export function shardOwnerOptions(overrides: Partial<ShardOwnerOptions>): ShardOwnerOptions {
   return {
     nodeName: NODE_NAME,
     instanceId: NODE_NAME,
@@ -36,28 +39,31 @@
     refreshOpenJobs: () => {},
     send: () => {},
     wake: () => {},
-    ...over,
+    ...overrides,
   };
 }
 
-/** What becomes of a transaction whose answer is lost. */
-export type LostAnswer = 'carried out at once' | 'carried out late';
+/** When the store executes a transaction whose response is lost. */
+export type LostResponse = 'carried out at once' | 'carried out late';
 
-/** The owner of one team against the fake state service; answers can be lost and reads held back. */
+/**
+ * The shard owner of one team with the fake key-value store. Tests can lose responses of transactions and
+ * delay reads.
+ */
 export class ShardOwnerHarness {
   readonly simulator = new Simulator(1);
   readonly store = new FakeStore(this.simulator);
   readonly sentMessages: ShardMessage[] = [];
-  readonly logged: { fields: LogFields; message: string }[] = [];
+  readonly logLines: { fields: LogFields; message: string }[] = [];
   readonly owner: ShardOwner;
-  /** How the next transactions are lost, in order; null: answered. */
-  readonly lostAnswers: (LostAnswer | null)[] = [];
-  /** Transactions without an answer that are not carried out yet. */
-  readonly lateTransactions: Transaction[] = [];
-  /** Reads of keys that begin so wait until `release`. */
+  /** For each of the next transactions, in order, how its response is lost; null: it is not. */
+  readonly lostResponses: (LostResponse | null)[] = [];
+  /** Transactions without a response that the store has not executed yet. */
+  readonly delayedTransactions: Transaction[] = [];
+  /** Lists of keys with this prefix wait until `releaseDelayedReads`; empty: none wait. */
   delayedReadPrefix = '';
   private readonly delayedReads: (() => void)[] = [];
-  private nextGrant = 1;
+  private nextGrantId = 1;
 
   constructor(
     private readonly team: Team,
@@ -88,55 +94,55 @@
     this.owner.setShards(
       new Map([[team.name, this.store.records.get(`sys/team/${team.name}`)!.modRevision]]),
     );
-    this.run(100);
+    this.runFor(100);
     this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
-    this.run(100);
+    this.runFor(100);
   }
 
-  /** Lets simulated time pass. */
-  run(ms: number): void {
-    this.simulator.run(this.simulator.now + ms);
+  /** Advances simulated time. */
+  runFor(durationMs: number): void {
+    this.simulator.run(this.simulator.now + durationMs);
   }
 
-  /** Grants places for tasks of a job, as a leader would. */
-  grant(job: string, tasks: number, zone = 'a'): void {
-    const grants: Grant[] = Array.from({ length: tasks }, () => {
-      const id = this.nextGrant++;
-      return { id, jobId: job, team: this.team.name, machine: `m${id}`, zone, agentEpoch: 1 };
+  /** Grants places for tasks of a job, each on a new machine, as the leader would. */
+  grant(jobId: string, taskCount: number, zone = 'a'): void {
+    const grants: Grant[] = Array.from({ length: taskCount }, () => {
+      const id = this.nextGrantId++;
+      return { id, jobId, team: this.team.name, machine: `m${id}`, zone, agentEpoch: 1 };
     });
     this.owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 1 });
     this.owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants });
   }
 
-  /** The reads held back are answered. */
-  releaseReads(): void {
+  /** Executes the delayed reads and stops delaying new ones. */
+  releaseDelayedReads(): void {
     this.delayedReadPrefix = '';
     for (const serve of this.delayedReads.splice(0)) serve();
   }
 
-  /** Carries out the transactions that are late; returns how many of them were. */
-  carryOutLate(): number {
-    const done = this.lateTransactions
+  /** Executes the delayed transactions. Returns the number of those that succeeded. */
+  executeDelayed(): number {
+    const executed = this.delayedTransactions
       .splice(0)
       .filter((transaction) => this.store.compareAndSwap(NODE_NAME, transaction, LIMITS).status === 200);
-    return done.length;
+    return executed.length;
   }
 
-  /** Tasks by job that the stored records have on a machine. */
+  /** Number of tasks by job that have a machine in the stored placements. */
   storedPlacementCounts(): Record<string, number> {
-    const stored: Record<string, number> = {};
+    const counts: Record<string, number> = {};
     for (const [key, { value }] of this.store.records) {
       const [kind, job] = key.split('/');
       if (kind !== 'place' || !job) continue;
       const tasks = Object.values((JSON.parse(value) as { t: Record<string, unknown[]> }).t).filter(
         (task) => task.length === 4,
       );
-      stored[job] = (stored[job] ?? 0) + tasks.length;
+      counts[job] = (counts[job] ?? 0) + tasks.length;
     }
-    return stored;
+    return counts;
   }
 
-  /** CPUs of the team's stored placements. */
+  /** Total CPUs of the tasks that have a machine in the stored placements. */
   storedCpus(cpusOf: (job: string) => number): number {
     return Object.entries(this.storedPlacementCounts()).reduce(
       (sum, [job, count]) => sum + count * cpusOf(job),
@@ -144,12 +150,12 @@
     );
   }
 
-  /** What was logged with this message. */
-  logLines(message: string): { fields: LogFields; message: string }[] {
-    return this.logged.filter((line) => line.message === message);
+  /** Log lines with the given message. */
+  findLogLines(message: string): { fields: LogFields; message: string }[] {
+    return this.logLines.filter((line) => line.message === message);
   }
 
-  /** Another's write, carried out at once. */
+  /** Stores a record directly, as another client of the store would. */
   writeRecord(key: string, value: unknown): void {
     this.store.compareAndSwap(
       NODE_NAME,
@@ -159,40 +165,40 @@
   }
 
   private logger(): Logger {
-    const take = (fields: LogFields, message: string) => this.logged.push({ fields, message });
-    return { debug: take, info: take, error: take };
+    const record = (fields: LogFields, message: string) => this.logLines.push({ fields, message });
+    return { debug: record, info: record, error: record };
   }
 
   private storePort(): KeyValueStore {
-    const answer = <T>(serve: () => { status: number; value?: T; failed?: string[] }): Result<T> => {
-      const { status, value, failed } = serve();
+    const toResult = <T>(serve: () => { status: number; value?: T; failedKeys?: string[] }): Result<T> => {
+      const { status, value, failedKeys } = serve();
       if (status === 200) return { ok: true, value: value as T };
       return status === 409
-        ? { ok: false, kind: 'conflict', failedKeys: failed ?? [] }
+        ? { ok: false, kind: 'conflict', failedKeys: failedKeys ?? [] }
         : { ok: false, kind: 'refused' };
     };
     const port: Partial<KeyValueStore> = {
-      get: (key, _urgency, then) =>
-        this.simulator.scheduleAfter(1, () => then(answer(() => this.store.get(NODE_NAME, key)))),
-      list: ({ prefix, startAfter }, then) => {
+      get: (key, _urgency, callback) =>
+        this.simulator.scheduleAfter(1, () => callback(toResult(() => this.store.get(NODE_NAME, key)))),
+      list: ({ prefix, startAfter }, callback) => {
         const serve = () =>
           this.simulator.scheduleAfter(1, () =>
-            then(answer(() => this.store.list(NODE_NAME, { prefix, since: startAfter, pageSize: 50 }))),
+            callback(toResult(() => this.store.list(NODE_NAME, { prefix, startAfter, pageSize: 50 }))),
           );
         if (this.delayedReadPrefix !== '' && prefix.startsWith(this.delayedReadPrefix))
           this.delayedReads.push(serve);
         else serve();
       },
-      compareAndSwap: (transaction, _urgency, then) => {
-        const loss = this.lostAnswers.shift() ?? null;
+      compareAndSwap: (transaction, _urgency, callback) => {
+        const lostResponse = this.lostResponses.shift() ?? null;
         const copy = structuredClone(transaction);
-        if (loss === null)
+        if (lostResponse === null)
           return this.simulator.scheduleAfter(1, () =>
-            then(answer(() => this.store.compareAndSwap(NODE_NAME, copy, LIMITS))),
+            callback(toResult(() => this.store.compareAndSwap(NODE_NAME, copy, LIMITS))),
           );
-        if (loss === 'carried out at once') this.store.compareAndSwap(NODE_NAME, copy, LIMITS);
-        else this.lateTransactions.push(copy);
-        this.simulator.scheduleAfter(DEADLINE_MS, () => then({ ok: false, kind: 'indeterminate' }));
+        if (lostResponse === 'carried out at once') this.store.compareAndSwap(NODE_NAME, copy, LIMITS);
+        else this.delayedTransactions.push(copy);
+        this.simulator.scheduleAfter(CALL_DEADLINE_MS, () => callback({ ok: false, kind: 'indeterminate' }));
       },
     };
     return port as KeyValueStore;
--- a/test/simulation/simulated-cluster.ts
+++ b/test/simulation/simulated-cluster.ts
@@ -1,4 +1,6 @@
-/** The state that all parts of a simulated cluster share: time, network, store, machines, jobs, and the faults in force. */
+/**
+ * State shared by all parts of a simulated cluster: time, network, store, machines, jobs and active faults.
+ */
 
 import type { JobSpec } from '../../src/model/job.js';
 import type { JobState } from '../../src/model/job-answer.js';
@@ -10,7 +12,7 @@
 import { SimulatedNetwork } from './simulated-network.js';
 import { Simulator } from './simulated-time.js';
 
-/** A job as its user knows it. */
+/** A job from the point of view of its user. */
 export interface UserJob {
   spec: JobSpec;
   accepted: boolean;
@@ -18,13 +20,13 @@
   /** When a controller first confirmed the cancellation, in simulated milliseconds. */
   cancelledAt: number | null;
   reportedState: JobState | null;
-  /** When a question about it was last answered. */
-  answeredAt: number;
-  /** When its user was first told that it is done or cancelled. */
+  /** When a request about the job was last answered. */
+  lastAnsweredAt: number;
+  /** When its user was first told that it is done or cancelled; infinite until then. */
   finalStateAt: number;
 }
 
-/** State without behaviour of its own, so that users, machines, controllers and checkers need not import each other. */
+/** Shared state, kept apart so that users, machines, controllers and checkers need not import each other. */
 export class SimulatedCluster {
   readonly simulator: Simulator;
   readonly network: SimulatedNetwork;
@@ -36,27 +38,30 @@
   readonly jobs = new Map<string, UserJob>();
   /** Completed tasks as `job/index`. */
   readonly completedTasks = new Set<string>();
-  /** Invariants that did not hold, each with its time. */
+  /** Violations of invariants, each with its simulated time in seconds. */
   readonly violations: string[] = [];
-  /** Whether some rented machines fail every task. */
+  /** Whether some rented machines turn out to be faulty, see `faultyMachines`. */
   bootsFaultyMachines = true;
   /** Machines on which every task fails. */
   readonly faultyMachines = new Set<string>();
   /** Jobs that fail on every machine. */
   readonly failingJobs = new Set<string>();
-  /** Copies of heartbeats and commands come late, from moments to well over a lease. */
+  /**
+   * Whether some heartbeats and commands are delivered a second time, 0.5 s to two and a half worker leases
+   * later.
+   */
   duplicatesMessages = false;
-  /** Share of transactions that get no answer and are carried out 2 to 12 s later. */
-  lateWriteShare = 0;
-  /** Share of transactions that are carried out at once and get no answer. */
-  lostAnswerShare = 0;
-  /** Reads of stored records take up to so much longer, each by another time. */
+  /** Share of transactions that get no response and are executed 2 to 12 s later. */
+  delayedWriteShare = 0;
+  /** Share of transactions that are executed at once but whose response is lost. */
+  lostResponseShare = 0;
+  /** Maximum random delay added to each list request to the key-value store. */
   maxReadDelayMs = 0;
-  /** Jobs are cancelled at the moment at which a task of theirs ends. */
+  /** Whether users cancel some jobs just when a task of them completes. */
   cancelsAtCompletion = false;
-  /** From here on no fault is injected: accepted work must progress. */
+  /** Time from which no fault is injected, so that accepted work must make progress. */
   faultsEndAt = Number.POSITIVE_INFINITY;
-  /** Tasks that began to occupy a machine. */
+  /** Number of times that a task began to occupy a machine. */
   taskStarts = 0;
 
   constructor(
@@ -71,19 +76,19 @@
     this.store = new FakeStore(this.simulator);
   }
 
-  /** How long a task runs, in milliseconds; tests may replace it. */
+  /** Run time of a task in milliseconds, infinite for services; tests may replace this function. */
   runDurationMs = (jobId: string, taskIndex: number): number => {
     const spec = this.jobs.get(jobId)?.spec;
     if (!spec || spec.kind === 'service') return Number.POSITIVE_INFINITY;
     return spec.kind === 'gang' ? 6000 : 2000 + ((taskIndex * 7919 + jobId.length * 104729) % 9000);
   };
 
-  /** The node that a user or a duplicated message happens to reach. */
+  /** Picks a random node, to which a user request or a duplicated heartbeat goes. */
   pickNode(): string {
     return this.simulator.pick(this.nodeNames);
   }
 
-  /** Notes that an invariant did not hold. */
+  /** Records a violation of an invariant. */
   reportViolation(text: string): void {
     this.violations.push(`${(this.simulator.now / 1000).toFixed(3)} ${text}`);
   }
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -1,4 +1,6 @@
-/** The controllers of a simulated cluster: the program as written, as processes that crash, pause and start again. */
+/**
+ * The controllers of a simulated cluster: the real `Controller`, in processes that crash, pause and restart.
+ */
 
 import { readFileSync } from 'node:fs';
 import { compilePolicy } from '../../src/config/policy.js';
@@ -15,8 +17,8 @@
 type ControllerOptions = ConstructorParameters<typeof Controller>[0];
 
 const POLICY = compilePolicy(readFileSync(new URL('../../deploy/policy.toml', import.meta.url), 'utf8'));
-/** Work that a controller defers to its next turn runs after so long. */
-const NEXT_TURN_MS = 0.2;
+/** Delay after which a callback passed to `Clock.defer` runs. */
+const DEFERRED_CALLBACK_DELAY_MS = 0.2;
 
 const noop = () => {};
 
@@ -24,16 +26,16 @@
 export interface ControllerProcess {
   controller: Controller;
   isAlive: boolean;
-  /** Stands still, with its clocks running on: what comes meanwhile waits in the backlog. */
+  /** A paused process does nothing while its clocks run on; messages and timers wait in the backlog. */
   isPaused: boolean;
   backlog: (() => void)[];
 }
 
-/** Starts, crashes and pauses the controllers, one on each node. */
+/** Starts, crashes and pauses the controller processes, one per node. */
 export class SimulatedControllers {
-  /** The newest process of each node, also if it has crashed. */
+  /** The latest process of each node, even if it has crashed. */
   readonly processes = new Map<string, ControllerProcess>();
-  private startedProcesses = 0;
+  private startedProcessCount = 0;
 
   constructor(
     private readonly cluster: SimulatedCluster,
@@ -41,12 +43,12 @@
     private readonly quotaChecker: QuotaChecker,
   ) {}
 
-  /** The newest process of a node. */
+  /** Returns the latest process of a node. */
   get(nodeName: string): ControllerProcess | undefined {
     return this.processes.get(nodeName);
   }
 
-  /** Starts a new process, connected with all that are alive. */
+  /** Starts a new process on a node and connects it with all processes that are alive. */
   start(nodeName: string): void {
     const process: ControllerProcess = {
       controller: undefined as unknown as Controller,
@@ -54,7 +56,7 @@
       isPaused: false,
       backlog: [],
     };
-    const instanceId = `${nodeName}.${++this.startedProcesses}`;
+    const instanceId = `${nodeName}.${++this.startedProcessCount}`;
     process.controller = new Controller({
       nodeName,
       instanceId,
@@ -71,14 +73,14 @@
     }
   }
 
-  /** Whatever comes to a process: handled at once, after its pause, or never. */
+  /** Runs a callback in a process: immediately, when its pause ends, or never if the process has crashed. */
   deliver(process: ControllerProcess, callback: () => void): void {
     if (!process.isAlive) return;
     if (process.isPaused) process.backlog.push(callback);
     else callback();
   }
 
-  /** A controller stands still while its clocks run on. */
+  /** Pauses the process of a node while its clocks run on. */
   pause(nodeName: string, durationMs: number): void {
     const process = this.processes.get(nodeName);
     if (!process?.isAlive || process.isPaused) return;
@@ -89,7 +91,7 @@
     });
   }
 
-  /** A controller ends without a word, and another is started on its node later. */
+  /** Ends the process of a node without notice, and starts a new one later. */
   crash(nodeName: string, restartAfterMs: number): void {
     const process = this.processes.get(nodeName);
     if (!process?.isAlive) return;
@@ -143,24 +145,24 @@
         simulator.scheduleAfter(delayMs, () => deliver(callback));
         return noop;
       },
-      defer: (callback) => simulator.scheduleAfter(NEXT_TURN_MS, () => deliver(callback)),
+      defer: (callback) => simulator.scheduleAfter(DEFERRED_CALLBACK_DELAY_MS, () => deliver(callback)),
       random: () => simulator.random(),
     };
   }
 
   private sendToPeer(from: string, to: string, message: PeerMessage): void {
     this.cluster.digest.peerMessage(from, to, message);
-    const text = JSON.stringify(encodePeerMessage(message));
+    const encoded = JSON.stringify(encodePeerMessage(message));
     const deliver = () => {
       const peer = this.processes.get(to);
-      const received = decodePeerMessage(JSON.parse(text));
-      if (!received) throw new Error(`not a peer message: ${text}`);
+      const received = decodePeerMessage(JSON.parse(encoded));
+      if (!received) throw new Error(`not a peer message: ${encoded}`);
       if (peer) this.deliver(peer, () => peer.controller.push({ type: 'peerMessage', message: received }));
     };
     this.cluster.network.send({ from, to, deliver });
   }
 
-  /** SIMLOG=1 prints what the controllers decide, with simulated time. */
+  /** With SIMLOG=1, prints the log of the controllers with simulated time. */
   private logger(nodeName: string): Logger {
     if (!process.env.SIMLOG) return { debug: noop, info: noop, error: noop };
     const print = (fields: LogFields, message: string) => {
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a simulated cluster with their workers, and what the workers see of everything else. */
+/** The machines of a simulated cluster, and the environment of their workers. */
 
 import type { HeartbeatResult } from '../../src/model/heartbeat-result.js';
 import { taskKey } from '../../src/model/job.js';
@@ -9,48 +9,57 @@
 import type { SimulatedControllers } from './simulated-controllers.js';
 import type { FakeTask, WorkerEnvironment } from './worker-environment.js';
 
-/** `gang_peer_s` of the protocol: all tasks of a gang are told within this time of the first. */
-const GANG_PEER_MS = 6000;
-/** Share of heartbeats that are duplicated while messages are. */
-const DUPLICATED_SHARE = 0.3;
-/** Share of completed tasks whose job is cancelled at that moment, and how soon after it. */
+/**
+ * `gang_peer_s` of the protocol: after the first task of a gang is told to stop, all others must be within
+ * this time.
+ */
+const GANG_STOP_WINDOW_MS = 6000;
+/** Share of heartbeats that are duplicated while `SimulatedCluster.duplicatesMessages` is set. */
+const DUPLICATED_HEARTBEAT_SHARE = 0.3;
+/**
+ * While `SimulatedCluster.cancelsAtCompletion` is set: share of completed tasks whose job is cancelled, and
+ * the maximum delay.
+ */
 const CANCELLED_AT_COMPLETION_SHARE = 0.3;
-const CANCELLED_AT_COMPLETION_MS = 30;
+const MAX_CANCELLATION_DELAY_MS = 30;
 
-/** The other parts of the cluster that machines talk to. */
-export interface MachineSurroundings {
+/** The other parts of the cluster that the machines use. */
+export interface MachineDependencies {
   cluster: SimulatedCluster;
   cloud: FakeCloud;
   controllers: SimulatedControllers;
   cancelJob(jobId: string): void;
 }
 
-/** Starts and destroys machines, and counts what their workers were asked that they should not have been. */
+/** Starts and destroys machines, and counts commands that their workers should not have received. */
 export class SimulatedMachines {
-  /** Starts that workers refused: another attempt of the task is listed, or there is no room. */
+  /** Number of `start` commands that workers refused, by reason. */
   readonly refusals = { attemptListed: 0, noCapacity: 0 };
-  /** Attempts that were started once more: one that ended must never be. */
+  /** Attempts of incomplete tasks that were started a second time, which must never happen. */
   readonly restartedAttempts: string[] = [];
-  /** Running tasks of gangs that were told to stop, and those that were not within the time for it. */
+  /**
+   * Number of running gang tasks that were told to stop, and of those that were not within
+   * `GANG_STOP_WINDOW_MS`.
+   */
   readonly gangStops = { signalled: 0, late: 0 };
   private readonly stoppingGangs = new Set<string>();
   private readonly startedAttempts = new Set<string>();
   private readonly cluster: SimulatedCluster;
 
-  constructor(private readonly surroundings: MachineSurroundings) {
-    this.cluster = surroundings.cluster;
+  constructor(private readonly dependencies: MachineDependencies) {
+    this.cluster = dependencies.cluster;
   }
 
   /** Starts the worker of a machine that has booted. */
   start(name: string, { machineType, zone, isSpot }: MachineDescription): FakeWorker {
     const { config, workers } = this.cluster;
-    const size = config.machineTypes.find((known) => known.name === machineType)!;
+    const type = config.machineTypes.find((known) => known.name === machineType)!;
     const worker = new FakeWorker({
       name,
       machineType,
       zone,
       isSpot,
-      size: { ...size },
+      resources: { ...type },
       environment: this.environment(),
       heartbeatIntervalMs: config.heartbeatIntervalSeconds * 1000,
       leaseMs: config.leaseSeconds * 1000,
@@ -59,15 +68,15 @@
     return worker;
   }
 
-  /** A machine that is up at once, without having been rented. */
+  /** Adds a machine that is up at once, without renting it. */
   add(description: MachineDescription): FakeWorker {
-    return this.start(this.surroundings.cloud.nextName(), description);
+    return this.start(this.dependencies.cloud.nextMachineName(), description);
   }
 
-  /** Deleted, or taken back by the cloud. */
+  /** Removes a machine that was deleted or reclaimed by the cloud. */
   destroy(name: string): void {
-    this.surroundings.cloud.forget(name);
-    this.cluster.workers.get(name)?.die();
+    this.dependencies.cloud.removeMachine(name);
+    this.cluster.workers.get(name)?.terminate();
     this.cluster.workers.delete(name);
   }
 
@@ -78,7 +87,7 @@
       network: cluster.network,
       jobSpec: (jobId) => cluster.jobs.get(jobId)?.spec,
       runDurationMs: (jobId, taskIndex) => cluster.runDurationMs(jobId, taskIndex),
-      fails: (jobId, machine) => cluster.failingJobs.has(jobId) || cluster.faultyMachines.has(machine),
+      taskFails: (jobId, machine) => cluster.failingJobs.has(jobId) || cluster.faultyMachines.has(machine),
       nodeNames: () => cluster.nodeNames,
       sendHeartbeat: (nodeName, heartbeat, reply) => this.sendHeartbeat(nodeName, heartbeat, reply),
       duplicateHeartbeat: (heartbeat) => this.duplicateHeartbeat(heartbeat),
@@ -87,34 +96,35 @@
       onStart: (jobId, taskIndex, attempt) => this.onStart(jobId, taskIndex, attempt),
       onRefusal: (reason) => void this.refusals[reason]++,
       isComplete: (jobId, taskIndex) => cluster.completedTasks.has(`${jobId}/${taskIndex}`),
-      complete: (jobId, taskIndex) => this.complete(jobId, taskIndex),
+      markComplete: (jobId, taskIndex) => this.complete(jobId, taskIndex),
     };
   }
 
   private sendHeartbeat(
     nodeName: string,
     heartbeat: Heartbeat,
-    reply: (answer: HeartbeatResult) => void,
+    reply: (result: HeartbeatResult) => void,
   ): void {
-    const { controllers } = this.surroundings;
+    const { controllers } = this.dependencies;
     const process = controllers.get(nodeName);
-    const text = JSON.stringify(heartbeat);
+    const encoded = JSON.stringify(heartbeat);
     if (!process) return;
     controllers.deliver(process, () => {
-      const answer = process.controller.handleHeartbeat(JSON.parse(text));
-      this.cluster.digest.heartbeatAnswer(nodeName, answer);
-      reply(JSON.parse(JSON.stringify(answer)));
+      const result = process.controller.handleHeartbeat(JSON.parse(encoded));
+      this.cluster.digest.heartbeatResponse(nodeName, result);
+      reply(JSON.parse(JSON.stringify(result)));
     });
   }
 
   private duplicateHeartbeat(heartbeat: Heartbeat): void {
     const { simulator, config } = this.cluster;
-    const { controllers } = this.surroundings;
-    if (!this.cluster.duplicatesMessages || !simulator.chance(DUPLICATED_SHARE)) return;
-    const text = JSON.stringify(heartbeat);
+    const { controllers } = this.dependencies;
+    if (!this.cluster.duplicatesMessages || !simulator.chance(DUPLICATED_HEARTBEAT_SHARE)) return;
+    const encoded = JSON.stringify(heartbeat);
     simulator.scheduleAfter(simulator.between(500, config.leaseSeconds * 2500), () => {
       const process = controllers.get(this.cluster.pickNode());
-      if (process) controllers.deliver(process, () => process.controller.handleHeartbeat(JSON.parse(text)));
+      if (process)
+        controllers.deliver(process, () => process.controller.handleHeartbeat(JSON.parse(encoded)));
     });
   }
 
@@ -127,7 +137,8 @@
   private onStart(jobId: string, taskIndex: number, attempt: number): void {
     const { completedTasks, simulator } = this.cluster;
     const key = taskKey(jobId, taskIndex, attempt);
-    // What is done may be removed before a late repeat of its start comes: it then ends at once, which is allowed.
+    // A worker may forget a completed task before a late duplicate of its start arrives. The repeated start
+    // is allowed, as the task exits as soon as its image is fetched.
     if (this.startedAttempts.has(key) && !completedTasks.has(`${jobId}/${taskIndex}`))
       this.restartedAttempts.push(`${(simulator.now / 1000).toFixed(3)} ${key}`);
     this.startedAttempts.add(key);
@@ -137,22 +148,22 @@
     const { cluster } = this;
     cluster.completedTasks.add(`${jobId}/${taskIndex}`);
     if (cluster.cancelsAtCompletion && cluster.simulator.chance(CANCELLED_AT_COMPLETION_SHARE))
-      cluster.simulator.scheduleAfter(cluster.simulator.between(0, CANCELLED_AT_COMPLETION_MS), () =>
-        this.surroundings.cancelJob(jobId),
+      cluster.simulator.scheduleAfter(cluster.simulator.between(0, MAX_CANCELLATION_DELAY_MS), () =>
+        this.dependencies.cancelJob(jobId),
       );
   }
 
   private onGangStop({ jobId, attempt }: FakeTask): void {
     this.gangStops.signalled++;
-    const gang = `${jobId}#${attempt}`;
-    if (this.stoppingGangs.has(gang)) return;
-    this.stoppingGangs.add(gang);
-    this.cluster.simulator.scheduleAfter(GANG_PEER_MS, () => {
+    const gangKey = `${jobId}#${attempt}`;
+    if (this.stoppingGangs.has(gangKey)) return;
+    this.stoppingGangs.add(gangKey);
+    this.cluster.simulator.scheduleAfter(GANG_STOP_WINDOW_MS, () => {
       for (const worker of this.cluster.workers.values())
         for (const task of worker.tasks) {
           if (task.jobId !== jobId || task.attempt !== attempt || task.phase !== 'running') continue;
           this.gangStops.late++;
-          worker.exitWithGang(task);
+          worker.exitOnGangStop(task);
         }
     });
   }
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -2,12 +2,12 @@
 
 import type { Simulator } from './simulated-time.js';
 
-/** What a cut link does with packets: holds them back until it heals, or resets the connection. */
+/** Effect of a cut link: it holds packets back until it heals, or resets connections. */
 export type CutMode = 'hold' | 'reset';
-/** The answer of a call, or that there was none and whether the request may have been sent. */
-export type CallResult<T> = { got: true; value: T } | { got: false; sent: boolean };
+/** The response to a call or, if none was received, whether the request may have been sent. */
+export type CallResult<T> = { received: true; value: T } | { received: false; mayHaveBeenSent: boolean };
 
-/** One message. */
+/** A one-way message. */
 export interface NetworkMessage {
   from: string;
   to: string;
@@ -16,7 +16,7 @@
   onLost?(): void;
 }
 
-/** One call that expects an answer. */
+/** A call that expects a response. */
 export interface NetworkCall<T> {
   from: string;
   to: string;
@@ -27,19 +27,22 @@
 
 interface CutLink {
   mode: CutMode;
-  waiting: (() => void)[];
+  heldMessages: (() => void)[];
 }
 
-/** Links between nodes: small delays, cuts that hold packets back or reset, and messages that come minutes late. */
+/**
+ * The links between nodes, with small delays. Links can be cut, nodes blocked in one direction or slowed
+ * down.
+ */
 export class SimulatedNetwork {
-  /** Nodes that nothing reaches, although what they send arrives. */
+  /** Nodes that no message reaches, although the messages that they send arrive. */
   readonly unreachableInbound = new Set<string>();
-  /** Nodes that can't open a connection to anybody, although others reach them. */
+  /** Nodes that can't open connections, although others can reach them. */
   readonly unreachableOutbound = new Set<string>();
-  /** Nodes whose answers take so many times as long. */
+  /** Factor by which messages from a node are delayed. */
   readonly slowdowns = new Map<string, number>();
-  private readonly cuts = new Map<string, CutLink>();
-  /** By direction, when the last message arrives: later ones must not overtake it. */
+  private readonly cutLinks = new Map<string, CutLink>();
+  /** Arrival time of the last message in each direction of a link: later messages must not overtake it. */
   private readonly lastArrivals = new Map<string, number>();
 
   constructor(private readonly simulator: Simulator) {}
@@ -47,69 +50,73 @@
   /** Cuts the link between two nodes, in both directions. */
   cut(node: string, other: string, mode: CutMode): void {
     const key = linkKey(node, other);
-    if (!this.cuts.has(key)) this.cuts.set(key, { mode, waiting: [] });
+    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, heldMessages: [] });
   }
 
-  /** Ends a cut; what it held back goes out now. */
+  /** Restores a link and sends the messages that it held back. */
   heal(node: string, other: string): void {
     const key = linkKey(node, other);
-    const link = this.cuts.get(key);
-    this.cuts.delete(key);
-    for (const resend of link?.waiting ?? []) resend();
+    const link = this.cutLinks.get(key);
+    this.cutLinks.delete(key);
+    for (const resend of link?.heldMessages ?? []) resend();
   }
 
-  /** How the link between two nodes is cut; null if it is not. */
-  isCut(node: string, other: string): CutMode | null {
-    return this.cuts.get(linkKey(node, other))?.mode ?? null;
+  /** Returns how the link between two nodes is cut; null if it is not. */
+  cutModeOf(node: string, other: string): CutMode | null {
+    return this.cutLinks.get(linkKey(node, other))?.mode ?? null;
   }
 
-  /** One way, in order per pair of nodes. */
+  /** Sends a one-way message. Messages from one node to another arrive in order. */
   send(message: NetworkMessage): void {
     const { from, to } = message;
-    const link = this.cuts.get(linkKey(from, to));
+    const link = this.cutLinks.get(linkKey(from, to));
     if (this.unreachableInbound.has(to)) return;
     if (link?.mode === 'reset') {
       message.onLost?.();
       return;
     }
     if (link) {
-      link.waiting.push(() => this.send(message));
+      link.heldMessages.push(() => this.send(message));
       return;
     }
     const direction = `${from}>${to}`;
     const delayMs = this.simulator.between(0.3, 4) * (this.slowdowns.get(from) ?? 1);
-    const arrival = Math.max(this.simulator.now + delayMs, (this.lastArrivals.get(direction) ?? 0) + 0.001);
-    this.lastArrivals.set(direction, arrival);
-    this.simulator.scheduleAt(arrival, message.deliver);
+    const arrivalTime = Math.max(
+      this.simulator.now + delayMs,
+      (this.lastArrivals.get(direction) ?? 0) + 0.001,
+    );
+    this.lastArrivals.set(direction, arrivalTime);
+    this.simulator.scheduleAt(arrivalTime, message.deliver);
   }
 
-  /** A call with a deadline. What was sent may be executed long after the caller gave up. */
+  /** Calls a node with a deadline. A request that was sent may be executed long after the deadline. */
   call<T>({ from, to, deadlineMs, serve, onResult }: NetworkCall<T>): void {
     const { simulator } = this;
-    let isOver = false;
-    const end = (result: CallResult<T>) => {
-      if (isOver) return;
-      isOver = true;
+    let isComplete = false;
+    const complete = (result: CallResult<T>) => {
+      if (isComplete) return;
+      isComplete = true;
       onResult(result);
     };
-    const onLost = () => end({ got: false, sent: true });
+    const onLost = () => complete({ received: false, mayHaveBeenSent: true });
     if (this.unreachableOutbound.has(from)) {
-      simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+      simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
       return;
     }
-    const cutMode = this.isCut(from, to);
-    // Half the calls under a cut go out on a kept connection and are held; the others never connect.
+    const cutMode = this.cutModeOf(from, to);
+    // During a `hold` cut, half of the calls use a kept-alive connection and are held back; the others never
+    // connect.
     if (cutMode === 'hold' && simulator.chance(0.5)) {
-      simulator.scheduleAfter(deadlineMs, () => end({ got: false, sent: false }));
+      simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
       return;
     }
     if (cutMode === 'reset') {
-      simulator.scheduleAfter(2, () => end({ got: false, sent: simulator.chance(0.3) }));
+      simulator.scheduleAfter(2, () => complete({ received: false, mayHaveBeenSent: simulator.chance(0.3) }));
       return;
     }
     simulator.scheduleAfter(deadlineMs, onLost);
     const reply = (value: T) =>
-      this.send({ from: to, to: from, deliver: () => end({ got: true, value }), onLost });
+      this.send({ from: to, to: from, deliver: () => complete({ received: true, value }), onLost });
     this.send({ from, to, deliver: () => serve(reply), onLost });
   }
 }
--- a/test/simulation/simulated-time.ts
+++ b/test/simulation/simulated-time.ts
@@ -1,32 +1,36 @@
-/** Simulated time and chance. */
+/** Simulated time and seeded random numbers. */
 
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 interface ScheduledEvent {
   at: number;
-  /** Events of one moment run in the order in which they were scheduled. */
-  order: number;
-  run(): void;
+  /** Orders events with the same time: they run in the order in which they were scheduled. */
+  sequence: number;
+  callback(): void;
 }
 
-/** One heap of events and one seeded generator: what a seed draws happens again with that seed. Times in milliseconds. */
+/**
+ * A discrete-event simulator with one heap of events and one seeded random number generator, so that a run
+ * can be reproduced from its seed. Times are in milliseconds.
+ */
 export class Simulator {
   now = 0;
   /** Called after each event. */
   afterEvent: () => void = () => {};
   private readonly heap: ScheduledEvent[] = [];
-  private scheduledEvents = 0;
+  private scheduledEventCount = 0;
   private readonly generator: ReturnType<typeof xoroshiro128plus>;
 
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A number from 0 up to 1, without 1. */
+  /** Returns a random number from 0 (included) to 1 (excluded). */
   random(): number {
     return (this.generator.next() >>> 0) / 2 ** 32;
   }
 
+  /** Returns a random number from `low` (included) to `high` (excluded). */
   between(low: number, high: number): number {
     return low + (high - low) * this.random();
   }
@@ -35,15 +39,15 @@
     return choices[Math.floor(this.random() * choices.length)] as T;
   }
 
-  /** True with this probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean {
     return this.random() < probability;
   }
 
-  /** Runs a callback at a time, or now if that has passed. */
-  scheduleAt(time: number, run: () => void): void {
+  /** Schedules a callback at a time, or now if that time has passed. */
+  scheduleAt(time: number, callback: () => void): void {
     const { heap } = this;
-    heap.push({ at: Math.max(this.now, time), order: this.scheduledEvents++, run });
+    heap.push({ at: Math.max(this.now, time), sequence: this.scheduledEventCount++, callback });
     let index = heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
@@ -53,22 +57,22 @@
     }
   }
 
-  scheduleAfter(delayMs: number, run: () => void): void {
-    this.scheduleAt(this.now + delayMs, run);
+  scheduleAfter(delayMs: number, callback: () => void): void {
+    this.scheduleAt(this.now + delayMs, callback);
   }
 
-  /** Runs all events up to a time, which is then now. */
-  run(until: number): void {
-    while (this.heap.length > 0 && this.heap[0]!.at <= until) {
-      const event = this.takeFirst();
+  /** Runs all events up to `endTime` and sets `now` to it. */
+  run(endTime: number): void {
+    while (this.heap.length > 0 && this.heap[0]!.at <= endTime) {
+      const event = this.popNextEvent();
       this.now = event.at;
-      event.run();
+      event.callback();
       this.afterEvent();
     }
-    this.now = until;
+    this.now = endTime;
   }
 
-  private takeFirst(): ScheduledEvent {
+  private popNextEvent(): ScheduledEvent {
     const { heap } = this;
     const first = heap[0]!;
     const last = heap.pop()!;
@@ -87,5 +91,5 @@
 }
 
 function isBefore(event: ScheduledEvent, other: ScheduledEvent): boolean {
-  return event.at < other.at || (event.at === other.at && event.order < other.order);
+  return event.at < other.at || (event.at === other.at && event.sequence < other.sequence);
 }
