--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -1,4 +1,7 @@
-/** The users of a simulated cluster: they submit, question and cancel jobs, and judge whether the answers agree. */
+/**
+ * The users of a simulated cluster: they submit, poll and cancel jobs, and check that the responses are
+ * consistent.
+ */
 
 import type { Controller } from '../../src/controller/controller.js';
 import type { JobSpec } from '../../src/model/job.js';
@@ -9,31 +12,34 @@
 import type { SimulatedControllers } from './simulated-controllers.js';
 
 const REQUEST_DEADLINE_MS = 5000;
-/** A request that finds no controller has failed after so long. */
+/** Time until a request to a node without a running controller fails. */
 const CONNECTION_REFUSED_MS = 5;
-/** A request without an answer is repeated after so long, so many times. */
-const RETRY_MS = 1000;
-const RETRIES = 60;
+/** A submission or cancellation that is not answered is repeated at this interval. */
+const RETRY_INTERVAL_MS = 1000;
+const MAX_RETRIES = 60;
 /** More CPUs than any machine has. */
-const TOO_MANY_CPUS = 1e6;
+const OVERSIZED_CPUS = 1e6;
 
-type Request = (controller: Controller, reply: (answer: ApiAnswer) => void) => void;
+type Request = (controller: Controller, reply: (response: ApiAnswer) => void) => void;
 
-/** An answer about a job. */
-type JobAnswer = Extract<ApiAnswer, { type: 'job' }>;
+/** A response with the status of a job. */
+type JobResponse = Extract<ApiAnswer, { type: 'job' }>;
 
 const isFinal = (state: JobState | null) => state === 'done' || state === 'cancelled';
 
-/** Sends users' requests to any controllers; answers that contradict one another are violations. */
+/**
+ * Sends users' requests to random controllers. Responses that contradict one another are reported as
+ * violations.
+ */
 export class SimulatedUsers {
-  private unusualRequests = 0;
+  private oversizedJobCount = 0;
 
   constructor(
     private readonly cluster: SimulatedCluster,
     private readonly controllers: SimulatedControllers,
   ) {}
 
-  /** Submits a job until it is answered, and asks about it from then on. */
+  /** Submits a job, with retries until it is answered, and polls it every few seconds. */
   submitJob(spec: JobSpec): void {
     const { simulator, jobs, serviceLevel } = this.cluster;
     const job: UserJob = {
@@ -42,12 +48,12 @@
       cancelRequested: false,
       cancelledAt: null,
       reportedState: null,
-      answeredAt: simulator.now,
+      lastAnsweredAt: simulator.now,
       finalStateAt: Number.POSITIVE_INFINITY,
     };
     jobs.set(spec.id, job);
-    serviceLevel.submitted(spec, simulator.now);
-    this.sendSubmission(job, RETRIES);
+    serviceLevel.recordSubmission(spec, simulator.now);
+    this.sendSubmission(job, MAX_RETRIES);
     const poll = () => {
       this.queryJob(job);
       simulator.scheduleAfter(simulator.between(3000, 7000), poll);
@@ -55,25 +61,28 @@
     simulator.scheduleAfter(2000, poll);
   }
 
-  /** Asks about a job that nobody has submitted. */
+  /** Polls a job that nobody has submitted. */
   queryUnknownJob(): void {
     this.sendRequest(
       (controller, reply) => controller.api.getJob('wk-nobody', reply),
-      (answer) => {
-        if (answer?.type === 'job') this.cluster.reportViolation('invented');
+      (response) => {
+        if (response?.type === 'job') this.cluster.reportViolation('invented: wk-nobody was never submitted');
       },
     );
   }
 
-  /** Cancels a job that was accepted, until that is answered. */
+  /** Cancels an accepted job, with retries until that is answered. */
   cancelJob(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (!job?.accepted || job.cancelRequested) return;
     job.cancelRequested = true;
-    this.sendCancellation(job, RETRIES);
+    this.sendCancellation(job, MAX_RETRIES);
   }
 
-  /** A question and a repeat at once, through any controllers; with `cancel` a cancellation between them. */
+  /**
+   * Polls and resubmits a job at once, through random controllers, with a cancellation in between if `cancel`
+   * is set.
+   */
   queryAndResubmit(id: string, cancel: boolean): void {
     const job = this.cluster.jobs.get(id)!;
     this.queryJob(job);
@@ -81,15 +90,18 @@
     this.resubmit(job, job.spec);
   }
 
-  /** Users cancel so many jobs that run, at once; the first machine of each hangs for a while. */
+  /**
+   * Cancels up to `count` running jobs within 200 ms. The first machine of each hangs for `hangMs`, unless
+   * that is 0.
+   */
   cancelRunningJobs(count: number, hangMs: number): void {
     const { simulator, workers } = this.cluster;
-    const workersOfJobs = new Map<string, FakeWorker[]>();
+    const workersByJob = new Map<string, FakeWorker[]>();
     for (const worker of workers.values())
       for (const task of worker.tasks)
         if (worker.occupies(task))
-          workersOfJobs.set(task.jobId, [...(workersOfJobs.get(task.jobId) ?? []), worker]);
-    for (const [id, [worker]] of [...workersOfJobs].slice(0, count)) {
+          workersByJob.set(task.jobId, [...(workersByJob.get(task.jobId) ?? []), worker]);
+    for (const [id, [worker]] of [...workersByJob].slice(0, count)) {
       simulator.scheduleAfter(simulator.between(0, 200), () => this.cancelJob(id));
       if (hangMs === 0 || !worker || worker.isHung) continue;
       worker.isHung = true;
@@ -99,22 +111,25 @@
     }
   }
 
-  /** Repeats with another body, cancellations of what is done, jobs that fit no machine: what was reported stays true. */
+  /**
+   * Sends a random unusual request: a job that fits no machine, a cancellation of a job that is done, or a
+   * resubmission with other fields. None of them may change what was reported about an accepted job.
+   */
   sendUnusualRequest(): void {
     const { simulator, jobs } = this.cluster;
-    const known = [...jobs.values()].filter((job) => job.accepted);
-    const job = known.length > 0 ? simulator.pick(known) : undefined;
-    if (!job || simulator.chance(0.3)) this.submitTooLarge(job?.spec ?? DEFAULT_JOB_SPEC);
-    else if (job.reportedState === 'done') this.cancelDone(job);
-    else this.resubmit(job, { ...job.spec, cpus: TOO_MANY_CPUS, team: 'nobody' });
+    const acceptedJobs = [...jobs.values()].filter((job) => job.accepted);
+    const job = acceptedJobs.length > 0 ? simulator.pick(acceptedJobs) : undefined;
+    if (!job || simulator.chance(0.3)) this.submitOversizedJob(job?.spec ?? DEFAULT_JOB_SPEC);
+    else if (job.reportedState === 'done') this.cancelDoneJob(job);
+    else this.resubmit(job, { ...job.spec, cpus: OVERSIZED_CPUS, team: 'nobody' });
   }
 
-  private sendRequest(request: Request, onAnswer: (answer: ApiAnswer | null) => void): void {
+  private sendRequest(request: Request, onResponse: (response: ApiAnswer | null) => void): void {
     const { simulator, network, digest } = this.cluster;
     const nodeName = this.cluster.pickNode();
     const process = this.controllers.get(nodeName);
     if (!process?.isAlive) {
-      simulator.scheduleAfter(CONNECTION_REFUSED_MS, () => onAnswer(null));
+      simulator.scheduleAfter(CONNECTION_REFUSED_MS, () => onResponse(null));
       return;
     }
     network.call<ApiAnswer>({
@@ -123,30 +138,30 @@
       deadlineMs: REQUEST_DEADLINE_MS,
       serve: (reply) =>
         this.controllers.deliver(process, () =>
-          request(process.controller, (answer) => {
+          request(process.controller, (response) => {
             if (!process.isAlive) return;
-            digest.userAnswer(nodeName, answer);
-            reply(answer);
+            digest.userResponse(nodeName, response);
+            reply(response);
           }),
         ),
-      onResult: (result) => onAnswer(result.got ? result.value : null),
+      onResult: (result) => onResponse(result.received ? result.value : null),
     });
   }
 
   private sendSubmission(job: UserJob, retriesLeft: number): void {
     const { simulator } = this.cluster;
     const { spec } = job;
-    const askedAt = simulator.now;
+    const requestedAt = simulator.now;
     this.sendRequest(
       (controller, reply) => controller.api.submitJob(spec, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.recordAnswer(job, answer, askedAt);
-        else if (answer && (answer.type === 'rejected' || answer.type === 'notFound') && job.accepted)
-          this.cluster.reportViolation(`forgotten: ${spec.id} answered ${answer.type}`);
+      (response) => {
+        if (response?.type === 'job') this.recordResponse(job, response, requestedAt);
+        else if (response && (response.type === 'rejected' || response.type === 'notFound') && job.accepted)
+          this.cluster.reportViolation(`forgotten: ${spec.id} answered ${response.type}`);
         else if (retriesLeft > 0)
-          simulator.scheduleAfter(RETRY_MS, () => this.sendSubmission(job, retriesLeft - 1));
-        // A late repeat, also long after.
-        if (answer?.type === 'job' && simulator.chance(0.2))
+          simulator.scheduleAfter(RETRY_INTERVAL_MS, () => this.sendSubmission(job, retriesLeft - 1));
+        // Some users resubmit the job later.
+        if (response?.type === 'job' && simulator.chance(0.2))
           simulator.scheduleAfter(simulator.between(1000, 60000), () => this.sendSubmission(job, 0));
       },
     );
@@ -154,13 +169,13 @@
 
   private sendCancellation(job: UserJob, retriesLeft: number): void {
     const { simulator } = this.cluster;
-    const askedAt = simulator.now;
+    const requestedAt = simulator.now;
     this.sendRequest(
       (controller, reply) => controller.api.cancelJob(job.spec.id, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.recordAnswer(job, answer, askedAt);
+      (response) => {
+        if (response?.type === 'job') this.recordResponse(job, response, requestedAt);
         else if (retriesLeft > 0)
-          simulator.scheduleAfter(RETRY_MS, () => this.sendCancellation(job, retriesLeft - 1));
+          simulator.scheduleAfter(RETRY_INTERVAL_MS, () => this.sendCancellation(job, retriesLeft - 1));
       },
     );
   }
@@ -168,66 +183,70 @@
   private queryJob(job: UserJob): void {
     const { id } = job.spec;
     const wasAccepted = job.accepted;
-    const askedAt = this.cluster.simulator.now;
+    const requestedAt = this.cluster.simulator.now;
     this.sendRequest(
       (controller, reply) => controller.api.getJob(id, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.recordAnswer(job, answer, askedAt);
-        else if (answer?.type === 'notFound' && wasAccepted) this.cluster.reportViolation(`forgotten: ${id}`);
+      (response) => {
+        if (response?.type === 'job') this.recordResponse(job, response, requestedAt);
+        else if (response?.type === 'notFound' && wasAccepted)
+          this.cluster.reportViolation(`forgotten: ${id}`);
       },
     );
   }
 
-  /** Submits a job that was accepted once more, perhaps with another body. */
+  /** Resubmits a job, possibly with other fields: an accepted job must be found again. */
   private resubmit(job: UserJob, spec: JobSpec): void {
-    const askedAt = this.cluster.simulator.now;
+    const requestedAt = this.cluster.simulator.now;
     this.sendRequest(
       (controller, reply) => controller.api.submitJob(spec, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.recordAnswer(job, answer, askedAt);
-        else if (answer && answer.type !== 'unavailable')
-          this.cluster.reportViolation(`forgotten: a repeat of ${job.spec.id} was answered ${answer.type}`);
+      (response) => {
+        if (response?.type === 'job') this.recordResponse(job, response, requestedAt);
+        else if (response && response.type !== 'unavailable')
+          this.cluster.reportViolation(`forgotten: resubmission of ${job.spec.id} answered ${response.type}`);
       },
     );
   }
 
-  private submitTooLarge(template: JobSpec): void {
-    const spec = { ...template, id: `wk-odd${++this.unusualRequests}`, cpus: TOO_MANY_CPUS };
+  private submitOversizedJob(template: JobSpec): void {
+    const spec = { ...template, id: `wk-odd${++this.oversizedJobCount}`, cpus: OVERSIZED_CPUS };
     this.sendRequest(
       (controller, reply) => controller.api.submitJob(spec, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.cluster.reportViolation(`accepted: ${spec.id} fits no machine`);
+      (response) => {
+        if (response?.type === 'job') this.cluster.reportViolation(`accepted: ${spec.id} fits no machine`);
       },
     );
   }
 
-  private cancelDone(job: UserJob): void {
-    const askedAt = this.cluster.simulator.now;
+  private cancelDoneJob(job: UserJob): void {
+    const requestedAt = this.cluster.simulator.now;
     this.sendRequest(
       (controller, reply) => controller.api.cancelJob(job.spec.id, reply),
-      (answer) => {
-        if (answer?.type === 'job') this.recordAnswer(job, answer, askedAt);
+      (response) => {
+        if (response?.type === 'job') this.recordResponse(job, response, requestedAt);
       },
     );
   }
 
-  /** No answer is older than its question: one asked before the user was told the end may still report less. */
-  private recordAnswer(job: UserJob, { state, finishedTasks: done }: JobAnswer, askedAt: number): void {
+  /**
+   * Checks a response against earlier ones. A request sent before its user was told of the final state may
+   * still be answered with an earlier state.
+   */
+  private recordResponse(job: UserJob, { state, finishedTasks }: JobResponse, requestedAt: number): void {
     const { cluster } = this;
     const { id, taskCount } = job.spec;
     job.accepted = true;
-    job.answeredAt = cluster.simulator.now;
+    job.lastAnsweredAt = cluster.simulator.now;
     if (state === 'cancelled') {
-      if (!job.cancelRequested) cluster.reportViolation(`went_back: ${id} cancelled by nobody`);
+      if (!job.cancelRequested) cluster.reportViolation(`went_back: ${id} cancelled without a request`);
       job.cancelledAt ??= cluster.simulator.now;
     }
     if (state === 'done')
       for (let index = 0; index < taskCount; index++)
         if (!cluster.completedTasks.has(`${id}/${index}`))
           cluster.reportViolation(`not_done: ${id}/${index}`);
-    if (isFinal(job.reportedState) && state !== job.reportedState && askedAt >= job.finalStateAt)
+    if (isFinal(job.reportedState) && state !== job.reportedState && requestedAt >= job.finalStateAt)
       cluster.reportViolation(`went_back: ${id} ${job.reportedState} to ${state}`);
-    if (done > taskCount) cluster.reportViolation(`too many done: ${id}`);
+    if (finishedTasks > taskCount) cluster.reportViolation(`too many done: ${id}`);
     if (isFinal(job.reportedState)) return;
     job.reportedState = state;
     if (isFinal(state)) job.finalStateAt = cluster.simulator.now;
--- a/test/simulation/starvation-checker.ts
+++ b/test/simulation/starvation-checker.ts
@@ -1,22 +1,25 @@
-/** The check that no accepted job is left waiting while it could run. */
+/** Checks that no accepted job is left waiting while it could run. */
 
 import type { JobSpec } from '../../src/model/job.js';
 import type { FakeWorker } from './fake-worker.js';
 import type { SimulatedCluster, UserJob } from './simulated-cluster.js';
 
-/** So long a job may wait once the faults are over, while a machine that fits has room and its team may use it. */
+/**
+ * Maximum time that a job may wait, once the faults are over, while machines and the quota of its team have
+ * room for it.
+ */
 const MAX_WAIT_MS = 90_000;
 const CHECK_INTERVAL_MS = 1000;
 /** Sums of decimal amounts are compared with this tolerance. */
 const EPSILON = 1e-9;
 
-/** What is on the machines, counted anew at each check. */
-class MachineUse {
-  /** Tasks on any machine, as `job/index`. */
+/** Counts the tasks on all machines, for one check. */
+class MachineUsage {
+  /** Tasks that any worker lists as not exited, as `job/index`. */
   readonly listedTasks = new Set<string>();
-  /** CPUs by team. */
-  readonly teamCpus = new Map<string, number>();
-  /** By job, its tasks in each zone. */
+  /** CPUs of the listed tasks by team. */
+  readonly cpusByTeam = new Map<string, number>();
+  /** Number of listed tasks by job and zone. */
   readonly tasksByZone = new Map<string, Map<string, number>>();
 
   constructor(cluster: SimulatedCluster) {
@@ -29,21 +32,21 @@
 
   private add(spec: JobSpec, taskIndex: number, zone: string): void {
     this.listedTasks.add(`${spec.id}/${taskIndex}`);
-    this.teamCpus.set(spec.team, (this.teamCpus.get(spec.team) ?? 0) + spec.cpus);
+    this.cpusByTeam.set(spec.team, (this.cpusByTeam.get(spec.team) ?? 0) + spec.cpus);
     const zones = this.tasksByZone.get(spec.id) ?? new Map<string, number>();
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
     this.tasksByZone.set(spec.id, zones);
   }
 }
 
-/** Watches for jobs that are left waiting, and for what is accepted and never begins. */
+/** Reports accepted jobs that keep waiting, or never start, although they could run. */
 export class StarvationChecker {
-  /** By job, since when it has waited although it could run. */
+  /** Time since which each job has been waiting although it could run. */
   private readonly waitingSince = new Map<string, number>();
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
-  /** Checks now and once a second from then on. */
+  /** Checks now and then once a second. */
   start(): void {
     this.check();
     this.cluster.simulator.scheduleAfter(CHECK_INTERVAL_MS, () => this.start());
@@ -52,11 +55,11 @@
   private check(): void {
     const { cluster, waitingSince } = this;
     const { now } = cluster.simulator;
-    const use = new MachineUse(cluster);
+    const usage = new MachineUsage(cluster);
     for (const job of cluster.jobs.values()) {
       const { spec } = job;
-      const waitingTasks = this.waitingTasks(spec, use);
-      if (!this.couldRun(job, waitingTasks, use)) {
+      const waitingTasks = this.waitingTasks(spec, usage);
+      if (!this.couldRun(job, waitingTasks, usage)) {
         waitingSince.delete(spec.id);
         continue;
       }
@@ -70,7 +73,7 @@
     }
   }
 
-  private waitingTasks(spec: JobSpec, { listedTasks }: MachineUse): number {
+  private waitingTasks(spec: JobSpec, { listedTasks }: MachineUsage): number {
     const { completedTasks } = this.cluster;
     let waiting = 0;
     for (let index = 0; index < spec.taskCount; index++) {
@@ -80,26 +83,30 @@
     return waiting;
   }
 
-  /** Whether the job has tasks left to place, its team may run them and machines have room for them. */
-  private couldRun(job: UserJob, waitingTasks: number, use: MachineUse): boolean {
+  /**
+   * Whether the job has tasks to place, within the quota of its team, for which machines have room; a gang
+   * needs room for all.
+   */
+  private couldRun(job: UserJob, waitingTasks: number, usage: MachineUsage): boolean {
     const { spec } = job;
-    const isOver = job.reportedState === 'done' || job.reportedState === 'cancelled';
-    if (!job.accepted || isOver || job.cancelRequested || this.cluster.failingJobs.has(spec.id)) return false;
+    const isFinal = job.reportedState === 'done' || job.reportedState === 'cancelled';
+    if (!job.accepted || isFinal || job.cancelRequested || this.cluster.failingJobs.has(spec.id))
+      return false;
     const neededTasks = spec.kind === 'gang' ? spec.taskCount : 1;
     if (waitingTasks < neededTasks) return false;
     const limit = this.cluster.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
-    const usedCpus = (use.teamCpus.get(spec.team) ?? 0) + spec.cpus * neededTasks;
+    const usedCpus = (usage.cpusByTeam.get(spec.team) ?? 0) + spec.cpus * neededTasks;
     if (limit !== 0 && usedCpus > limit + EPSILON) return false;
-    return this.freeTaskSlots(spec, use.tasksByZone.get(spec.id)) >= neededTasks;
+    return this.freeSlots(spec, usage.tasksByZone.get(spec.id)) >= neededTasks;
   }
 
-  /** Tasks of a job that machines in reach could take now. */
-  private freeTaskSlots(spec: JobSpec, tasksByZone: ReadonlyMap<string, number> | undefined): number {
+  /** Number of slots for tasks of a job on machines that every controller can reach. */
+  private freeSlots(spec: JobSpec, tasksByZone: ReadonlyMap<string, number> | undefined): number {
     let slots = 0;
     for (const worker of this.cluster.workers.values()) {
-      if (!this.isReachable(worker) || !isAllowedOn(spec, worker)) continue;
-      if (!isAllowedInZone(spec, worker.zone, tasksByZone)) continue;
-      let { cpus, memoryGb } = worker.size;
+      if (!this.isReachable(worker) || !isMachineAllowed(spec, worker)) continue;
+      if (!isZoneAllowed(spec, worker.zone, tasksByZone)) continue;
+      let { cpus, memoryGb } = worker.resources;
       for (const task of worker.tasks) {
         if (task.phase === 'exited') continue;
         cpus -= this.cluster.jobs.get(task.jobId)?.spec.cpus ?? 0;
@@ -116,22 +123,23 @@
     if (faultyMachines.has(worker.name)) return false;
     if (network.unreachableOutbound.has(worker.name) || network.unreachableInbound.has(worker.name))
       return false;
-    return nodeNames.every((nodeName) => network.isCut(nodeName, worker.name) === null);
+    return nodeNames.every((nodeName) => network.cutModeOf(nodeName, worker.name) === null);
   }
 }
 
-function isAllowedOn(spec: JobSpec, worker: FakeWorker): boolean {
+function isMachineAllowed(spec: JobSpec, worker: FakeWorker): boolean {
   if (worker.isSpot && !spec.spotAllowed) return false;
   return !spec.machineTypes || spec.machineTypes.includes(worker.machineType);
 }
 
-function isAllowedInZone(
+function isZoneAllowed(
   spec: JobSpec,
   zone: string,
   tasksByZone: ReadonlyMap<string, number> | undefined,
 ): boolean {
   if (spec.zone !== null && spec.zone !== zone) return false;
-  const tasksHere = tasksByZone?.get(zone) ?? 0;
-  if (spec.zoneAntiAffinity && spec.taskCount > 1 && tasksHere >= Math.ceil(spec.taskCount / 2)) return false;
+  const tasksInZone = tasksByZone?.get(zone) ?? 0;
+  if (spec.zoneAntiAffinity && spec.taskCount > 1 && tasksInZone >= Math.ceil(spec.taskCount / 2))
+    return false;
   return !spec.zoneAffinity || !tasksByZone || tasksByZone.size === 0 || tasksByZone.has(zone);
 }
--- a/test/simulation/worker-environment.ts
+++ b/test/simulation/worker-environment.ts
@@ -1,4 +1,4 @@
-/** What a simulated worker is given, lists and exchanges. */
+/** Types of simulated workers: their tasks, options, environment and direct commands. */
 
 import type { HeartbeatResult } from '../../src/model/heartbeat-result.js';
 import type { ExitReason, JobSpec, TaskPhase } from '../../src/model/job.js';
@@ -14,66 +14,69 @@
   phase: TaskPhase;
   exitReason: ExitReason | null;
   checkpointSaved: boolean;
-  /** Of the worker's process that runs it: what an earlier process had planned for it no longer happens. */
+  /**
+   * Number of the worker's process that runs the task: timers that an earlier process set for it have no
+   * effect.
+   */
   incarnation: number;
 }
 
-/** What a worker sees of the cluster. */
+/** The cluster from the point of view of a worker. */
 export interface WorkerEnvironment {
   simulator: Simulator;
   network: SimulatedNetwork;
   jobSpec(jobId: string): JobSpec | undefined;
-  /** How long a task runs; infinite for one that does not end by itself. */
+  /** Run time of a task in milliseconds; infinite for one that does not end by itself. */
   runDurationMs(jobId: string, taskIndex: number): number;
-  /** Every task of this job on this machine fails. */
-  fails(jobId: string, machine: string): boolean;
+  /** Whether tasks of the job fail on the machine. */
+  taskFails(jobId: string, machine: string): boolean;
   nodeNames(): string[];
-  sendHeartbeat(nodeName: string, heartbeat: Heartbeat, reply: (answer: HeartbeatResult) => void): void;
-  /** Sends a copy of a heartbeat later, while messages are duplicated. */
+  sendHeartbeat(nodeName: string, heartbeat: Heartbeat, reply: (result: HeartbeatResult) => void): void;
+  /** May send a copy of a heartbeat later, while messages are duplicated. */
   duplicateHeartbeat(heartbeat: Heartbeat): void;
-  /** The tasks of a gang's attempt on all machines that do not hang. */
+  /** Returns the tasks of an attempt of a gang on all machines that are not hung. */
   gangTasks(jobId: string, attempt: number): FakeTask[];
-  /** A running task of a gang was told to stop. */
+  /** Called when a running task of a gang is told to stop. */
   onGangStop(task: FakeTask): void;
-  /** An attempt was started. */
+  /** Called when an attempt is started. */
   onStart(jobId: string, taskIndex: number, attempt: number): void;
-  /** A start was refused. */
+  /** Called when a start is refused. */
   onRefusal(reason: RefusalReason): void;
   isComplete(jobId: string, taskIndex: number): boolean;
-  complete(jobId: string, taskIndex: number): void;
+  markComplete(jobId: string, taskIndex: number): void;
 }
 
-/** Why a worker refuses a start: it lists another attempt of the task, or has no room. */
+/** Why a worker refuses a start: it lists another attempt of the task, or lacks capacity. */
 export type RefusalReason = 'attemptListed' | 'noCapacity';
 
-/** What a machine has for tasks. */
-export interface MachineSize {
+/** Resources of a machine that its tasks share. */
+export interface MachineResources {
   cpus: number;
   memoryGb: number;
   imageFetchGbPerSecond: number;
 }
 
-/** What a worker is made of. */
+/** Constructor options of `FakeWorker`. */
 export interface FakeWorkerOptions {
   name: string;
   machineType: string;
   zone: string;
   isSpot: boolean;
-  size: MachineSize;
+  resources: MachineResources;
   environment: WorkerEnvironment;
   heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
-/** Commands sent to a worker directly. */
+/** Commands sent directly to a worker. */
 export interface CommandRequest {
   fencingToken: number;
   agentEpoch: number;
   commands: WorkerCommand[];
 }
 
-/** A worker's answer to direct commands; not `ok` if they were refused for their token or epoch. */
-export interface CommandReply {
+/** A worker's response to direct commands; `ok` is false if they were refused for their token or epoch. */
+export interface CommandResponse {
   ok: boolean;
   heartbeat: Heartbeat;
 }
