--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -11,24 +11,29 @@
 });
 afterAll(() => server.close());
 
-/** A call of the cloud: the request as it was sent, and what is made of this answer. */
-async function call<T>(status: number, text: string, ask: (then: (result: Result<T>) => void) => void) {
-  server.reply = { status, text };
-  const result = await new Promise<Result<T>>((done) => ask(done));
+/**
+ * Sends a request to the cloud, which responds as given. Returns the request as it was sent, and the decoded
+ * result.
+ */
+async function call<T>(status: number, text: string, send: (callback: (result: Result<T>) => void) => void) {
+  server.response = { status, text };
+  const result = await new Promise<Result<T>>((resolve) => send(resolve));
   return { request: server.requests.at(-1), result };
 }
-const types = (status: number, text: string) =>
-  call<MachineType[]>(status, text, (then) => cloud.listMachineTypes(then));
-const rent = (status: number, text: string) =>
-  call<string[]>(status, text, (then) =>
-    cloud.rentMachines({ claim: 'r-17', machineType: 'g8', zone: 'a', isSpot: true, count: 12 }, then),
+const listMachineTypes = (status: number, text: string) =>
+  call<MachineType[]>(status, text, (callback) => cloud.listMachineTypes(callback));
+const rentMachines = (status: number, text: string) =>
+  call<string[]>(status, text, (callback) =>
+    cloud.rentMachines({ claim: 'r-17', machineType: 'g8', zone: 'a', isSpot: true, count: 12 }, callback),
+  );
+const deleteMachines = (status: number) =>
+  call<null>(status, '{}', (callback) => cloud.deleteMachines(['vm-000231', 'vm-000232'], callback));
+const listMachines = (status: number, text: string, since = 'vm-000230') =>
+  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (callback) =>
+    cloud.listMachines(since, callback),
   );
-const remove = (status: number) =>
-  call<null>(status, '{}', (then) => cloud.deleteMachines(['vm-000231', 'vm-000232'], then));
-const list = (status: number, text: string, since = 'vm-000230') =>
-  call<{ machines: ListedMachine[]; more: boolean }>(status, text, (then) => cloud.listMachines(since, then));
 
-const G8: MachineType = {
+const G8_TYPE: MachineType = {
   name: 'g8',
   cpus: 96,
   gpus: 8,
@@ -42,18 +47,18 @@
 };
 
 describe('machine types', () => {
-  test('are asked for and read', async () => {
+  test('are requested and decoded', async () => {
     const text =
       '{"barks":[{"label":"g8","vcpus":96,"cards":8,"ram_gb":768,"cache_gb":200,"pull_gb_per_s":1.5,"hourly":12.0,"spot_price":4.5,"ready_s":45,"slopes":["a","b"]}]}';
-    expect(await types(200, text)).toStrictEqual({
+    expect(await listMachineTypes(200, text)).toStrictEqual({
       request: 'GET /machine_types',
-      result: { ok: true, value: [G8] },
+      result: { ok: true, value: [G8_TYPE] },
     });
   });
 
-  test('are read with what may be missing, and passed over without what may not', async () => {
-    const least = {
-      ...G8,
+  test('get defaults for missing optional fields, and are skipped if a required field is missing', async () => {
+    const typeWithDefaults = {
+      ...G8_TYPE,
       gpus: 0,
       imageCacheGb: 0,
       imageFetchGbPerSecond: 0.1,
@@ -64,19 +69,19 @@
     };
     const text =
       '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768},{"vcpus":96,"ram_gb":768},{"label":"g8","ram_gb":768},{"label":"g8","vcpus":96}]}';
-    expect((await types(200, text)).result).toStrictEqual({ ok: true, value: [least] });
-    const priced = '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768,"hourly":3}]}';
-    expect((await types(200, priced)).result).toStrictEqual({
+    expect((await listMachineTypes(200, text)).result).toStrictEqual({ ok: true, value: [typeWithDefaults] });
+    const textWithPrice = '{"barks":[{"label":"g8","vcpus":96,"ram_gb":768,"hourly":3}]}';
+    expect((await listMachineTypes(200, textWithPrice)).result).toStrictEqual({
       ok: true,
-      value: [{ ...least, hourlyPrice: 3, hourlySpotPrice: 3 }],
+      value: [{ ...typeWithDefaults, hourlyPrice: 3, hourlySpotPrice: 3 }],
     });
-    expect((await types(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
+    expect((await listMachineTypes(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
   });
 });
 
-describe('renting', () => {
-  test('names the claim, the type, the zone, the kind and the number', async () => {
-    expect(await rent(200, '{"trunks":["vm-000231","vm-000232"]}')).toStrictEqual({
+describe('renting machines', () => {
+  test('sends the claim, machine type, zone, spot flag and count', async () => {
+    expect(await rentMachines(200, '{"trunks":["vm-000231","vm-000232"]}')).toStrictEqual({
       request:
         'POST /machines application/json {"claim":"r-17","bark":"g8","slope":"a","windfall":true,"number":12}',
       result: { ok: true, value: ['vm-000231', 'vm-000232'] },
@@ -88,25 +93,25 @@
     [503, '{"error":"no capacity"}', { ok: false, kind: 'notFound' }],
     [503, '{"error":"trouble"}', { ok: false, kind: 'refused' }],
     [400, '{}', { ok: false, kind: 'invalid' }],
-  ])('is answered by %i %s', async (status, text, result) => {
-    expect((await rent(status, text)).result).toStrictEqual(result);
+  ])('returns the result of a response with %i %s', async (status, text, result) => {
+    expect((await rentMachines(status, text)).result).toStrictEqual(result);
   });
 });
 
-describe('returning machines', () => {
-  test('names them', async () => {
-    expect(await remove(200)).toStrictEqual({
+describe('deleting machines', () => {
+  test('sends their names', async () => {
+    expect(await deleteMachines(200)).toStrictEqual({
       request: 'POST /machines/delete application/json {"trunks":["vm-000231","vm-000232"]}',
       result: { ok: true, value: null },
     });
-    expect((await remove(503)).result).toStrictEqual({ ok: false, kind: 'indeterminate' });
+    expect((await deleteMachines(503)).result).toStrictEqual({ ok: false, kind: 'indeterminate' });
   });
 });
 
 describe('the list of machines', () => {
   const text =
     '{"trunks":[{"name_id":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"phase":"running","age_s":61.5},{"name_id":"vm-000232","phase":"booting"},{"name_id":"vm-000233","phase":"failed"},{"name_id":"vm-000234","phase":"else"},{"phase":"running"}],"has_next":true}';
-  const bare = { address: '', machineType: '', zone: '', isSpot: false, ageSeconds: 0 };
+  const defaults = { address: '', machineType: '', zone: '', isSpot: false, ageSeconds: 0 };
   const machines: ListedMachine[] = [
     {
       name: 'vm-000231',
@@ -117,19 +122,19 @@
       phase: 'running',
       ageSeconds: 61.5,
     },
-    { name: 'vm-000232', phase: 'booting', ...bare },
-    { name: 'vm-000233', phase: 'failed', ...bare },
+    { name: 'vm-000232', phase: 'booting', ...defaults },
+    { name: 'vm-000233', phase: 'failed', ...defaults },
   ];
 
-  test('is asked for in pages and read', async () => {
-    expect(await list(200, text)).toStrictEqual({
+  test('is requested in pages and decoded', async () => {
+    expect(await listMachines(200, text)).toStrictEqual({
       request: 'GET /machines?since=vm-000230&page=500',
       result: { ok: true, value: { machines, more: true } },
     });
-    expect(await list(200, '{"trunks":[]}', '')).toStrictEqual({
+    expect(await listMachines(200, '{"trunks":[]}', '')).toStrictEqual({
       request: 'GET /machines?page=500',
       result: { ok: true, value: { machines: [], more: false } },
     });
-    expect((await list(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
+    expect((await listMachines(503, '{}')).result).toStrictEqual({ ok: false, kind: 'refused' });
   });
 });
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -7,7 +7,7 @@
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import type { Heartbeat } from '../../src/model/worker-messages.js';
 import { Simulator } from '../simulation/simulated-time.js';
-import { RecordedState } from './recorded-state.js';
+import { RecordingStore } from './recording-store.js';
 
 const POLICY = compilePolicy(`
 reserve_replicas = 0
@@ -22,7 +22,7 @@
 parting_s = 30
 patience_s = 0
 `);
-const TYPE: MachineType = {
+const MACHINE_TYPE: MachineType = {
   name: 'g8',
   cpus: 96,
   gpus: 8,
@@ -34,12 +34,12 @@
   bootSeconds: 45,
   zones: ['a', 'b'],
 };
-const TYPES_TEXT =
+const MACHINE_TYPES_TEXT =
   '[{"name":"g8","cpus":96,"gpus":8,"mem":768,"cacheGb":200,"fetchGbPerS":1,"price":12,"spotPrice":4.5,"bootS":45,"zones":["a","b"]}]';
-const LEADER = { 'sys/leader': '{"inst":"stand-2.9f","host":"stand-2","token":4}' };
-const OWN_NODE = { 'sys/node/stand-1': '{"inst":"stand-1.0a","lease":7}' };
+const OTHER_LEADER_RECORD = { 'sys/leader': '{"inst":"stand-2.9f","host":"stand-2","token":4}' };
+const OWN_NODE_RECORD = { 'sys/node/stand-1': '{"inst":"stand-1.0a","lease":7}' };
 
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   machine: 'vm-000231',
   address: '10.1.0.232:9000',
   machineType: 'g8',
@@ -51,7 +51,7 @@
   evictionNoticeSeconds: null,
   tasks: [],
 };
-const SPEC: JobSpec = {
+const JOB_SPEC: JobSpec = {
   id: 'wk-7',
   jobClass: 'train',
   team: 'vision',
@@ -75,11 +75,11 @@
   acceptedAtMs: 0,
 };
 
-/** A controller that has run for so long over these stored records. */
-function controllerOver(records: Record<string, string>, cloudTypes: MachineType[], ms = 3000) {
-  const sim = new Simulator(1);
-  const state = new RecordedState(new Map(Object.entries(records)));
-  const sent: PeerMessage[] = [];
+/** Runs a controller on the given stored records for a while. */
+function runController(records: Record<string, string>, cloudTypes: MachineType[], durationMs = 3000) {
+  const simulator = new Simulator(1);
+  const store = new RecordingStore(new Map(Object.entries(records)));
+  const sentMessages: PeerMessage[] = [];
   const controller = new Controller({
     nodeName: 'stand-1',
     instanceId: 'stand-1.0a',
@@ -93,106 +93,117 @@
     leaseTtlMs: 3500,
     policy: POLICY,
     clock: {
-      now: () => sim.now,
-      wallTime: () => sim.now,
+      now: () => simulator.now,
+      wallTime: () => simulator.now,
       after: (delayMs, run) => {
-        sim.scheduleAfter(delayMs, run);
+        simulator.scheduleAfter(delayMs, run);
         return () => {};
       },
-      defer: (run) => sim.scheduleAfter(0, run),
+      defer: (run) => simulator.scheduleAfter(0, run),
       random: () => 0.5,
     },
     log: { debug: () => {}, info: () => {}, error: () => {} },
-    store: state.port,
+    store: store.port,
     cloud: {
-      listMachineTypes: (then) =>
-        then(cloudTypes.length > 0 ? { ok: true, value: cloudTypes } : { ok: false, kind: 'refused' }),
-      rentMachines: (_request, then) => then({ ok: false, kind: 'refused' }),
-      deleteMachines: (_names, then) => then({ ok: true, value: null }),
-      listMachines: (_since, then) => then({ ok: true, value: { machines: [], more: false } }),
+      listMachineTypes: (callback) =>
+        callback(cloudTypes.length > 0 ? { ok: true, value: cloudTypes } : { ok: false, kind: 'refused' }),
+      rentMachines: (_request, callback) => callback({ ok: false, kind: 'refused' }),
+      deleteMachines: (_names, callback) => callback({ ok: true, value: null }),
+      listMachines: (_since, callback) => callback({ ok: true, value: { machines: [], more: false } }),
     },
     workers: { sendCommands: () => {} },
-    peers: { send: (_host, message) => sent.push(message) },
+    peers: { send: (_nodeName, message) => sentMessages.push(message) },
   });
   controller.start();
-  sim.run(ms);
+  simulator.run(durationMs);
   const submit = () => {
     let answer: ApiAnswer | undefined;
-    controller.api.submitJob(SPEC, (given) => {
-      answer = given;
+    controller.api.submitJob(JOB_SPEC, (result) => {
+      answer = result;
     });
-    sim.run(sim.now + 1000);
+    simulator.run(simulator.now + 1000);
     return answer;
   };
-  return { controller, state, sent, submit };
+  return { controller, store, sentMessages: sentMessages, submit };
 }
 
 describe('records that a controller writes', () => {
-  test('its own node, the token and the leader, in this order', () => {
-    const { state } = controllerOver({}, []);
-    expect(state.transactions.slice(0, 2)).toEqual([
+  test('node, fencing token and leader, in this order', () => {
+    const { store } = runController({}, []);
+    expect(store.transactions.slice(0, 2)).toEqual([
       '{"when":[{"key":"sys/node/stand-1","mark":0}],"then":[{"write":"sys/node/stand-1","value":{"inst":"stand-1.0a","lease":7},"tenure":7}]}',
       '{"when":[{"key":"sys/leader","mark":0},{"key":"sys/token","mark":0}],"then":[{"write":"sys/token","value":{"n":1}},{"write":"sys/leader","value":{"inst":"stand-1.0a","host":"stand-1","token":1},"tenure":7}]}',
     ]);
   });
 
-  test('as the leader: the machine types, and the owner of each team', () => {
-    const { state } = controllerOver(OWN_NODE, [TYPE]);
-    expect(state.transactions).toContain(
-      `{"when":[{"key":"sys/leader","mark":51}],"then":[{"write":"sys/types","value":${TYPES_TEXT}}]}`,
+  test('machine types and the owner of each team, as the leader', () => {
+    const { store } = runController(OWN_NODE_RECORD, [MACHINE_TYPE]);
+    expect(store.transactions).toContain(
+      `{"when":[{"key":"sys/leader","mark":51}],"then":[{"write":"sys/types","value":${MACHINE_TYPES_TEXT}}]}`,
     );
-    expect(state.transactions).toContain(
+    expect(store.transactions).toContain(
       '{"when":[{"key":"sys/leader","mark":51},{"key":"sys/team/vision","mark":0}],"then":[{"write":"sys/team/vision","value":{"inst":"stand-1.0a"}}]}',
     );
   });
 });
 
 describe('records that a controller reads', () => {
-  test('the token: the next leader takes the one above it', () => {
-    const { state } = controllerOver({ 'sys/token': '{"n":41}' }, []);
-    expect(state.transactions[1]).toBe(
+  test('fencing token: the next leader takes the next higher one', () => {
+    const { store } = runController({ 'sys/token': '{"n":41}' }, []);
+    expect(store.transactions[1]).toBe(
       '{"when":[{"key":"sys/leader","mark":0},{"key":"sys/token","mark":41}],"then":[{"write":"sys/token","value":{"n":42}},{"write":"sys/leader","value":{"inst":"stand-1.0a","host":"stand-1","token":42},"tenure":7}]}',
     );
   });
 
-  test('the node: the lease of a predecessor on this host is ended', () => {
-    const { state } = controllerOver({ 'sys/node/stand-1': '{"inst":"stand-1.00","lease":6}' }, []);
-    expect(state.endedLeases).toEqual([6]);
-    expect(state.transactions[0]).toBe(
+  test('node: the lease of an earlier process on the same node is revoked', () => {
+    const { store } = runController({ 'sys/node/stand-1': '{"inst":"stand-1.00","lease":6}' }, []);
+    expect(store.revokedLeases).toEqual([6]);
+    expect(store.transactions[0]).toBe(
       '{"when":[{"key":"sys/node/stand-1","mark":41}],"then":[{"write":"sys/node/stand-1","value":{"inst":"stand-1.0a","lease":7},"tenure":7}]}',
     );
-    expect(controllerOver(OWN_NODE, []).state.endedLeases).toEqual([]);
+    expect(runController(OWN_NODE_RECORD, []).store.revokedLeases).toEqual([]);
   });
 
-  test('the leader: workers are sent to it, and nobody else campaigns', () => {
-    const { controller, state } = controllerOver(LEADER, []);
-    expect(controller.handleHeartbeat(REPORT)).toStrictEqual({ type: 'redirected', leaderName: 'stand-2' });
-    expect(state.transactions.length).toBe(1);
+  test('leader: workers are redirected to it, and the controller does not campaign', () => {
+    const { controller, store } = runController(OTHER_LEADER_RECORD, []);
+    expect(controller.handleHeartbeat(HEARTBEAT)).toStrictEqual({
+      type: 'redirected',
+      leaderName: 'stand-2',
+    });
+    expect(store.transactions.length).toBe(1);
   });
 
-  test('the machine types: submissions are decided by them', () => {
-    expect(controllerOver(LEADER, []).submit()?.type).toBe('unavailable');
-    expect(controllerOver({ ...LEADER, 'sys/types': TYPES_TEXT }, []).submit()?.type).toBe('job');
-    const small = TYPES_TEXT.replace('"cpus":96', '"cpus":0.5');
-    expect(controllerOver({ ...LEADER, 'sys/types': small }, []).submit()?.type).toBe('rejected');
+  test('machine types: they decide whether a submission is accepted', () => {
+    expect(runController(OTHER_LEADER_RECORD, []).submit()?.type).toBe('unavailable');
+    expect(
+      runController({ ...OTHER_LEADER_RECORD, 'sys/types': MACHINE_TYPES_TEXT }, []).submit()?.type,
+    ).toBe('job');
+    const smallTypesText = MACHINE_TYPES_TEXT.replace('"cpus":96', '"cpus":0.5');
+    expect(runController({ ...OTHER_LEADER_RECORD, 'sys/types': smallTypesText }, []).submit()?.type).toBe(
+      'rejected',
+    );
   });
 
-  test('the team: its owner tells the leader of it', () => {
-    const records = { ...LEADER, ...OWN_NODE, 'sys/team/vision': '{"inst":"stand-1.0a"}' };
-    const { sent } = controllerOver(records, []);
-    const told = sent.flatMap(({ body }) => (body.type === 'toLeader' ? [body] : []));
+  test('team: its owner sends the leader a full sync for it', () => {
+    const records = {
+      ...OTHER_LEADER_RECORD,
+      ...OWN_NODE_RECORD,
+      'sys/team/vision': '{"inst":"stand-1.0a"}',
+    };
+    const { sentMessages } = runController(records, []);
+    const messagesToLeader = sentMessages.flatMap(({ body }) => (body.type === 'toLeader' ? [body] : []));
     expect(
-      told.map(({ recipient: to, message }) => [
-        to,
+      messagesToLeader.map(({ recipient, message }) => [
+        recipient,
         message.type,
         message.fencingToken,
         message.type === 'fullSync' && message.shardEpochs,
       ]),
     ).toContainEqual(['stand-2.9f', 'fullSync', 4, { vision: 41 }]);
-    const others = { ...records, 'sys/team/vision': '{"inst":"stand-3.0a"}' };
-    const toldByOther = controllerOver(others, []).sent.flatMap(({ body }) =>
+    const recordsOfOtherOwner = { ...records, 'sys/team/vision': '{"inst":"stand-3.0a"}' };
+    const shardEpochsSent = runController(recordsOfOtherOwner, []).sentMessages.flatMap(({ body }) =>
       body.type === 'toLeader' && body.message.type === 'fullSync' ? [body.message.shardEpochs] : [],
     );
-    expect(toldByOther.filter((shardEpochs) => Object.keys(shardEpochs).length > 0)).toEqual([]);
+    expect(shardEpochsSent.filter((shardEpochs) => Object.keys(shardEpochs).length > 0)).toEqual([]);
   });
 });
--- a/test/forms/exit-codes.test.ts
+++ b/test/forms/exit-codes.test.ts
@@ -22,52 +22,52 @@
 cloud = { rps = 3.0, list_lag_s = 5.0 }
 limits = { core_share = 0.4, mem_mb = 300.0, fd_limit = 1000 }
 `;
-const inRepository = (path: string) => fileURLToPath(new URL(`../../${path}`, import.meta.url));
-const folder = mkdtempSync(join(tmpdir(), 'exit-codes-'));
-const program = join(folder, 'target', 'main.js');
+const repositoryPath = (path: string) => fileURLToPath(new URL(`../../${path}`, import.meta.url));
+const directory = mkdtempSync(join(tmpdir(), 'exit-codes-'));
+const programPath = join(directory, 'target', 'main.js');
 
 beforeAll(async () => {
-  mkdirSync(join(folder, 'deploy'));
-  copyFileSync(inRepository('deploy/policy.toml'), join(folder, 'deploy', 'policy.toml'));
-  writeFileSync(join(folder, 'good.toml'), SETTINGS_TEXT);
+  mkdirSync(join(directory, 'deploy'));
+  copyFileSync(repositoryPath('deploy/policy.toml'), join(directory, 'deploy', 'policy.toml'));
+  writeFileSync(join(directory, 'good.toml'), SETTINGS_TEXT);
   writeFileSync(
-    join(folder, 'bad.toml'),
+    join(directory, 'bad.toml'),
     SETTINGS_TEXT.replace('size = 1', 'size = 0').replace('area = "z1"', ''),
   );
-  writeFileSync(join(folder, 'policy.toml'), 'idle_s = 1\n');
+  writeFileSync(join(directory, 'policy.toml'), 'idle_s = 1\n');
   await build({
-    entryPoints: [inRepository('src/main.ts')],
+    entryPoints: [repositoryPath('src/main.ts')],
     bundle: true,
     platform: 'node',
     format: 'esm',
     logLevel: 'warning',
-    outfile: program,
+    outfile: programPath,
     banner: {
       js: "import { createRequire as makeRequire } from 'node:module'; const require = makeRequire(import.meta.url);",
     },
   });
-  writeFileSync(join(folder, 'package.json'), '{"type":"module"}');
+  writeFileSync(join(directory, 'package.json'), '{"type":"module"}');
 });
-afterAll(() => rmSync(folder, { recursive: true }));
+afterAll(() => rmSync(directory, { recursive: true }));
 
-function run(options: string[]): [code: number | null, out: string, errors: string] {
-  const { status, stdout, stderr } = spawnSync(process.execPath, [program, ...options], {
-    cwd: folder,
+function run(args: string[]): [exitCode: number | null, stdout: string, stderr: string] {
+  const { status, stdout, stderr } = spawnSync(process.execPath, [programPath, ...args], {
+    cwd: directory,
     encoding: 'utf8',
     timeout: 10000,
   });
   return [status, stdout, stderr.split('\n\nUsage:')[0] ?? ''];
 }
 
-const BAD_SETTINGS =
+const BAD_SETTINGS_ERRORS =
   'area: Invalid key: Expected "area" but received undefined\nparams.size: Invalid value: Expected >=1 but received 0\n';
 
-describe('the program ends', () => {
+describe('the program exits', () => {
   test.each<[string, number, string, string]>([
     ['check --config good.toml', 0, 'ok\n', ''],
-    ['check --config bad.toml', 2, '', BAD_SETTINGS],
-    ['serve --config bad.toml', 2, '', BAD_SETTINGS],
-    ['--config bad.toml', 2, '', BAD_SETTINGS],
+    ['check --config bad.toml', 2, '', BAD_SETTINGS_ERRORS],
+    ['serve --config bad.toml', 2, '', BAD_SETTINGS_ERRORS],
+    ['--config bad.toml', 2, '', BAD_SETTINGS_ERRORS],
     ['check', 2, '', "error: required option '--config <file>' not specified"],
     ['check --config good.toml --moss', 2, '', "error: unknown option '--moss'"],
     ['check --config', 2, '', "error: option '--config <file>' argument missing"],
@@ -77,13 +77,13 @@
       '',
       "error: too many arguments for 'check'. Expected 0 arguments but got 1.",
     ],
-  ])('%s', (options, code, out, errors) => {
-    expect(run(options.split(' '))).toEqual([code, out, errors]);
+  ])('%s', (args, exitCode, stdout, stderr) => {
+    expect(run(args.split(' '))).toEqual([exitCode, stdout, stderr]);
   });
 
-  test('with the faults of a policy, or of a file that is not there', () => {
-    const [code, , errors] = run(['check', '--config', 'good.toml', '--policy', 'policy.toml']);
-    expect([code, errors.split('\n')[0]]).toEqual([2, 'policy.reserve_replicas: missing']);
+  test('with 2 and an error for an invalid policy or a missing file', () => {
+    const [exitCode, , stderr] = run(['check', '--config', 'good.toml', '--policy', 'policy.toml']);
+    expect([exitCode, stderr.split('\n')[0]]).toEqual([2, 'policy.reserve_replicas: missing']);
     expect(run(['check', '--config', 'none.toml'])).toEqual([
       2,
       '',
@@ -91,10 +91,10 @@
     ]);
   });
 
-  test('with 0 after its help, which names commands and options', () => {
-    const [code, out] = run(['--help']);
-    expect([code, out.match(/^ {2}\S+/gm)]).toEqual([0, ['  -h,', '  serve', '  check', '  help']]);
-    const [, ofCheck] = run(['check', '--help']);
-    expect(ofCheck.match(/--\S+( <\w+>)?/g)).toEqual(['--config <file>', '--policy <file>', '--help']);
+  test('with 0 after printing its help, which lists commands and options', () => {
+    const [exitCode, stdout] = run(['--help']);
+    expect([exitCode, stdout.match(/^ {2}\S+/gm)]).toEqual([0, ['  -h,', '  serve', '  check', '  help']]);
+    const [, checkHelp] = run(['check', '--help']);
+    expect(checkHelp.match(/--\S+( <\w+>)?/g)).toEqual(['--config <file>', '--policy <file>', '--help']);
   });
 });
--- a/test/forms/outside-names.test.ts
+++ b/test/forms/outside-names.test.ts
@@ -1,4 +1,7 @@
-/** Names and texts that leave the process, listed in `outside-names.txt` one a line: each must still be in the sources. */
+/**
+ * Names and texts that leave the process are listed in `outside-names.txt`, one per line. Each must still
+ * occur in the sources.
+ */
 
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,7 +10,7 @@
 import { expect, test } from 'vitest';
 
 const sourceRoot = fileURLToPath(new URL('../../src/', import.meta.url));
-const names = readFileSync(new URL('./outside-names.txt', import.meta.url), 'utf8')
+const outsideNames = readFileSync(new URL('./outside-names.txt', import.meta.url), 'utf8')
   .trim()
   .split('\n');
 
@@ -28,13 +31,13 @@
   );
 }
 
-/** All property names, string literals and parts of templates in the sources. */
+/** Returns all property names, string literals and template literal parts in the sources. */
 function collectTokens(): Set<string> {
-  const tokens = new Set<string>();
+  const collected = new Set<string>();
   const visit = (node: ts.Node): void => {
     if (ts.isImportDeclaration(node)) return;
-    if (isText(node)) tokens.add(node.text.trim());
-    else if (isPropertyName(node)) tokens.add(node.text);
+    if (isText(node)) collected.add(node.text.trim());
+    else if (isPropertyName(node)) collected.add(node.text);
     ts.forEachChild(node, visit);
   };
   for (const path of readdirSync(sourceRoot, { recursive: true, encoding: 'utf8' })) {
@@ -42,11 +45,11 @@
     const text = readFileSync(join(sourceRoot, path), 'utf8');
     visit(ts.createSourceFile(path, text, ts.ScriptTarget.ES2022, true));
   }
-  return tokens;
+  return collected;
 }
 
-const tokens = collectTokens();
+const sourceTokens = collectTokens();
 
-test('every name that leaves the process is still in the sources', () => {
-  expect(names.filter((name) => !tokens.has(name))).toEqual([]);
+test('every name that leaves the process still occurs in the sources', () => {
+  expect(outsideNames.filter((name) => !sourceTokens.has(name))).toEqual([]);
 });
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -1,4 +1,4 @@
-/** Typed examples of every message between controllers, and the texts and bytes that are pinned for them. */
+/** Typed examples of every message between controllers, and their expected encodings. */
 
 import { readFileSync } from 'node:fs';
 import type { TaskPhase } from '../../src/model/job.js';
@@ -6,12 +6,15 @@
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../../src/model/placement.js';
 import type { LeaderMessage, ShardMessage } from '../../src/model/shard-messages.js';
 
-/** By title: the JSON text of what is on the wire, and its bytes in base64. */
-export const PINNED = JSON.parse(
+/**
+ * Expected encoding of each example by title: the JSON text of the encoded value, and its MessagePack bytes
+ * in base64.
+ */
+export const EXPECTED_ENCODINGS = JSON.parse(
   readFileSync(new URL('./peer-messages.json', import.meta.url), 'utf8'),
 ) as Record<string, { json: string; bytes: string }>;
 
-const WANT: ResourceRequest = {
+const REQUEST: ResourceRequest = {
   jobId: 'wk-000412',
   team: 'vision',
   jobClass: 'train',
@@ -40,8 +43,8 @@
   slackSeconds: 12.5,
   lastProcessedGrantId: 41,
 };
-const WANT_OF_NULLS: ResourceRequest = {
-  ...WANT,
+const REQUEST_WITH_NULLS: ResourceRequest = {
+  ...REQUEST,
   machineTypes: null,
   zone: null,
   zoneAllowance: null,
@@ -52,23 +55,23 @@
   slackSeconds: null,
 };
 const {
-  preferredMachine: near,
-  maxWaitSeconds: patienceS,
-  objectiveSeconds: aimS,
-  slackSeconds: slackS,
-  lastProcessedGrantId: seen,
-  ...WANT_UNTIL_NEAR
-} = WANT;
-const WANT_OF_FEW_TASKS: ResourceRequest = {
-  ...WANT_UNTIL_NEAR,
+  preferredMachine,
+  maxWaitSeconds,
+  objectiveSeconds,
+  slackSeconds,
+  lastProcessedGrantId,
+  ...REQUEST_UP_TO_AVOIDED_MACHINES
+} = REQUEST;
+const REQUEST_WITH_REMAINING_TASKS: ResourceRequest = {
+  ...REQUEST_UP_TO_AVOIDED_MACHINES,
   remainingTasks: [3, 4],
-  preferredMachine: near,
-  maxWaitSeconds: patienceS,
-  objectiveSeconds: aimS,
-  slackSeconds: slackS,
-  lastProcessedGrantId: seen,
+  preferredMachine,
+  maxWaitSeconds,
+  objectiveSeconds,
+  slackSeconds,
+  lastProcessedGrantId,
 };
-const HELD: PlacementSpec = {
+const PLACEMENT: PlacementSpec = {
   jobId: 'wk-000412',
   taskIndex: 3,
   attempt: 2,
@@ -90,8 +93,8 @@
   spreadOverZones: false,
   grantId: 41,
 };
-const HELD_OF_NULLS: PlacementSpec = {
-  ...HELD,
+const STOPPING_PLACEMENT: PlacementSpec = {
+  ...PLACEMENT,
   desiredState: 'stop',
   gracePeriodSeconds: 4.5,
   machineTypes: null,
@@ -106,7 +109,7 @@
   zone: 'a',
   agentEpoch: 4,
 };
-const inPhase = (phase: TaskPhase): AllocationEvent => ({
+const phaseEvent = (phase: TaskPhase): AllocationEvent => ({
   type: 'phase',
   jobId: 'wk-000412',
   taskIndex: 3,
@@ -118,7 +121,7 @@
 });
 
 const BODIES: Record<string, PeerMessageBody> = {
-  'ping with all that may be null': {
+  'heartbeat with all nullable fields set': {
     type: 'heartbeat',
     leaderName: 'stand-2.9f',
     fencingToken: 7,
@@ -129,7 +132,7 @@
     cancellationsAnnounced: 3,
     coverage: { instanceId: 'stand-2.9f', timestamp: 998, pendingMachines: ['vm-000010'] },
   },
-  'ping with nulls': {
+  'heartbeat with nulls': {
     type: 'heartbeat',
     leaderName: '',
     fencingToken: 0,
@@ -140,7 +143,7 @@
     cancellationsAnnounced: 0,
     coverage: null,
   },
-  'ping with a cover of any machine': {
+  'heartbeat with coverage pending on any machine': {
     type: 'heartbeat',
     leaderName: '',
     fencingToken: 0,
@@ -159,7 +162,7 @@
   },
 };
 const OWNER_MESSAGES: Record<string, ShardMessage> = {
-  sync: {
+  fullSync: {
     type: 'fullSync',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
@@ -167,10 +170,10 @@
     chunkCount: 2,
     chunkIndex: 1,
     shardEpochs: { vision: 40 },
-    placements: [HELD, HELD_OF_NULLS],
-    requests: [WANT],
+    placements: [PLACEMENT, STOPPING_PLACEMENT],
+    requests: [REQUEST],
   },
-  'sync without anything': {
+  'fullSync without content': {
     type: 'fullSync',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
@@ -181,37 +184,42 @@
     placements: [],
     requests: [],
   },
-  wants: {
+  resourceRequests: {
     type: 'resourceRequests',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
-    requests: [WANT, WANT_OF_NULLS],
+    requests: [REQUEST, REQUEST_WITH_NULLS],
   },
-  'wants with the tasks left': {
+  'resourceRequests with remaining tasks': {
     type: 'resourceRequests',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
-    requests: [WANT_OF_FEW_TASKS],
+    requests: [REQUEST_WITH_REMAINING_TASKS],
   },
-  held: { type: 'placements', fencingToken: 7, instanceId: 'stand-1.0a', placements: [HELD, HELD_OF_NULLS] },
-  'held, each desired state': {
+  placements: {
+    type: 'placements',
+    fencingToken: 7,
+    instanceId: 'stand-1.0a',
+    placements: [PLACEMENT, STOPPING_PLACEMENT],
+  },
+  'placements with the other desired states': {
     type: 'placements',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
     placements: [
-      { ...HELD, desiredState: 'keep' },
-      { ...HELD, desiredState: 'forget' },
-      { ...HELD, desiredState: 'pending' },
+      { ...PLACEMENT, desiredState: 'keep' },
+      { ...PLACEMENT, desiredState: 'forget' },
+      { ...PLACEMENT, desiredState: 'pending' },
     ],
   },
-  drop: {
+  release: {
     type: 'release',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
     tasks: [{ machine: 'vm-000231', taskKey: 'wk-000412/3#2' }],
     grants: [41, 42],
   },
-  covered: {
+  cancellationCoverage: {
     type: 'cancellationCoverage',
     fencingToken: 7,
     instanceId: 'stand-1.0a',
@@ -221,19 +229,19 @@
     leaderTimestamp: 123.5,
   },
 };
-const SCHEDULER_MESSAGES: Record<string, LeaderMessage> = {
-  synced: { type: 'syncAccepted', fencingToken: 7, syncNumber: 5 },
-  'synced without a number': { type: 'syncAccepted', fencingToken: 7 },
-  resync: { type: 'syncRequested', fencingToken: 7 },
+const LEADER_MESSAGES: Record<string, LeaderMessage> = {
+  syncAccepted: { type: 'syncAccepted', fencingToken: 7, syncNumber: 5 },
+  'syncAccepted without a number': { type: 'syncAccepted', fencingToken: 7 },
+  syncRequested: { type: 'syncRequested', fencingToken: 7 },
   grants: { type: 'grants', fencingToken: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
   'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
-  mark: { type: 'timestamp', fencingToken: 7, leaderTimestamp: 123456.5 },
-  'seen, each phase': {
+  timestamp: { type: 'timestamp', fencingToken: 7, leaderTimestamp: 123456.5 },
+  'allocationEvents with each phase': {
     type: 'allocationEvents',
     fencingToken: 7,
-    events: [inPhase('fetching'), inPhase('waiting'), inPhase('running'), inPhase('saving')],
+    events: [phaseEvent('fetching'), phaseEvent('waiting'), phaseEvent('running'), phaseEvent('saving')],
   },
-  'seen, each end': {
+  'allocationEvents with each exit reason': {
     type: 'allocationEvents',
     fencingToken: 7,
     events: (
@@ -258,7 +266,7 @@
       checkpointSaved: reason === 'stopped',
     })),
   },
-  'seen, settled': {
+  'allocationEvents with a finalized task': {
     type: 'allocationEvents',
     fencingToken: 7,
     events: [{ type: 'finalized', jobId: 'wk-000412', taskIndex: 3, attempt: 2, machine: 'vm-000231' }],
@@ -271,19 +279,22 @@
   },
 };
 
+/** All examples with their titles. */
 export const EXAMPLES: [string, PeerMessage][] = [
   ...Object.entries(BODIES),
   ...Object.entries(OWNER_MESSAGES).map(([title, message]): [string, PeerMessageBody] => [
     `to the leader: ${title}`,
     { type: 'toLeader', recipient: 'stand-2.9f', message },
   ]),
-  ...Object.entries(SCHEDULER_MESSAGES).map(([title, message]): [string, PeerMessageBody] => [
-    `to an owner: ${title}`,
+  ...Object.entries(LEADER_MESSAGES).map(([title, message]): [string, PeerMessageBody] => [
+    `to a shard owner: ${title}`,
     { type: 'toShardOwner', recipient: 'stand-2.9f', message },
   ]),
-].map(([title, body], i) => [
+].map(([title, body], index) => [
   title,
-  { nodeName: 'stand-1', instanceId: 'stand-1.0a', sequence: i + 1, body },
+  { nodeName: 'stand-1', instanceId: 'stand-1.0a', sequence: index + 1, body },
 ]);
 
-export const bytesOf = (title: string): Buffer => Buffer.from(PINNED[title]?.bytes ?? '', 'base64');
+/** Returns the expected encoding of the example with the given title. */
+export const expectedBytes = (title: string): Buffer =>
+  Buffer.from(EXPECTED_ENCODINGS[title]?.bytes ?? '', 'base64');
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -6,45 +6,57 @@
 
 type Fields = Record<string, unknown>;
 
-/** The names of fields in their order, with those of listed objects. */
-function fieldsOf(message: Fields): string {
-  const listed = ['held', 'wants', 'grants', 'seen', 'tasks', 'had', 'cover'];
+/** Lists the names of the fields in order, with the fields of some nested objects in parentheses. */
+function describeFields(message: Fields): string {
+  const expandedFields = ['held', 'wants', 'grants', 'seen', 'tasks', 'had', 'cover'];
   return Object.entries(message)
     .map(([name, value]) => {
-      const first = Array.isArray(value) ? value.at(-1) : value;
-      if (!listed.includes(name) || typeof first !== 'object' || first === null) return name;
-      return `${name}(${fieldsOf(first as Fields)})`;
+      const sample = Array.isArray(value) ? value.at(-1) : value;
+      if (!expandedFields.includes(name) || typeof sample !== 'object' || sample === null) return name;
+      return `${name}(${describeFields(sample as Fields)})`;
     })
     .join();
 }
 
-/** What controllers send one another in a run with jobs of each kind, by what it is: the fields of each that came. */
-function fieldsSent(): Record<string, string[]> {
-  const world = new ClusterSimulation(7);
-  const sent = new Map<string, Set<string>>();
-  for (const { controller: ctl } of world.controllers.processes.values()) {
-    const push = ctl.push.bind(ctl);
-    ctl.push = (command) => {
+/**
+ * Runs a cluster with jobs of each kind. Returns the distinct field lists of the peer messages by kind of
+ * message.
+ */
+function collectSentFields(): Record<string, string[]> {
+  const simulation = new ClusterSimulation(7);
+  const fieldsByKind = new Map<string, Set<string>>();
+  for (const { controller } of simulation.controllers.processes.values()) {
+    const push = controller.push.bind(controller);
+    controller.push = (command) => {
       if (command.type === 'peerMessage') {
-        const { body, ...around } = new Unpackr().unpack(encode(command.message));
+        const { body, ...envelope } = new Unpackr().unpack(encode(command.message));
         const message = body.m ?? body;
         const kind = body.m ? `${body.k} ${message.k}` : body.k;
-        const fields = sent.get(kind) ?? new Set();
-        fields.add(`${Object.keys(around)}:${body.m ? `${Object.keys(body)}:` : ''}${fieldsOf(message)}`);
-        sent.set(kind, fields);
+        const fields = fieldsByKind.get(kind) ?? new Set();
+        fields.add(
+          `${Object.keys(envelope)}:${body.m ? `${Object.keys(body)}:` : ''}${describeFields(message)}`,
+        );
+        fieldsByKind.set(kind, fields);
       }
       push(command);
     };
   }
-  const tasks = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
-  for (let i = 0; i < 4; i++) {
-    world.users.submitJob(
-      makeJobSpec(world, { ...tasks, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }),
+  const commonFields = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
+  for (let index = 0; index < 4; index++) {
+    simulation.users.submitJob(
+      makeJobSpec(simulation, {
+        ...commonFields,
+        priority: 3,
+        machineTypes: ['small'],
+        estimatedRunSeconds: 300,
+      }),
+    );
+    simulation.users.submitJob(
+      makeJobSpec(simulation, { ...commonFields, kind: 'gang', priority: 2, team: 'blue' }),
     );
-    world.users.submitJob(makeJobSpec(world, { ...tasks, kind: 'gang', priority: 2, team: 'blue' }));
-    world.users.submitJob(
-      makeJobSpec(world, {
-        ...tasks,
+    simulation.users.submitJob(
+      makeJobSpec(simulation, {
+        ...commonFields,
         kind: 'service',
         priority: 0,
         zoneAntiAffinity: true,
@@ -53,55 +65,56 @@
       }),
     );
   }
-  world.simulator.run(20000);
-  const [array, gang, service] = [...world.jobs.keys()];
-  world.failingJobs.add(array!);
-  world.users.cancelJob(gang!);
-  world.users.cancelJob(service!);
-  world.simulator.run(25000);
-  for (const machine of [...world.workers.keys()].slice(0, 2)) world.machines.destroy(machine);
-  for (let i = 0; i < 4; i++) world.users.submitJob(makeJobSpec(world, { ...tasks, priority: 1, cpus: 4 }));
-  world.simulator.run(50000);
-  return Object.fromEntries([...sent].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
+  simulation.simulator.run(20000);
+  const [array, gang, service] = [...simulation.jobs.keys()];
+  simulation.failingJobs.add(array!);
+  simulation.users.cancelJob(gang!);
+  simulation.users.cancelJob(service!);
+  simulation.simulator.run(25000);
+  for (const machine of [...simulation.workers.keys()].slice(0, 2)) simulation.machines.destroy(machine);
+  for (let index = 0; index < 4; index++)
+    simulation.users.submitJob(makeJobSpec(simulation, { ...commonFields, priority: 1, cpus: 4 }));
+  simulation.simulator.run(50000);
+  return Object.fromEntries([...fieldsByKind].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
 }
 
-const AROUND = 'host,inst,seq:';
-const INSIDE = 'host,inst,seq:k,to,m:';
-const HELD =
+const ENVELOPE = 'host,inst,seq:';
+const RECIPIENT_ENVELOPE = 'host,inst,seq:k,to,m:';
+const PLACEMENT_FIELDS =
   'job,idx,attempt,machine,season,want,graceS,team,rank,gang,service,cpus,gpus,mem,image,imageGb,estimateS,types,spread,grant';
-const WANT =
+const REQUEST_FIELDS =
   'job,team,cls,rank,order,stage,count,whole,service,cpus,gpus,mem,image,imageGb,estimateS,types,spot,zone,zoneRoom,zoneCap,together,avoid';
-const SENT: Record<string, string[]> = {
-  cancelled: [`${AROUND}k,job,n`],
-  images: [`${AROUND}k,add,gone`],
-  'owner covered': [`${INSIDE}k,token,inst,sync,n,gens,mark`],
-  'owner drop': [`${INSIDE}k,token,inst,tasks(machine,key),grants`],
-  'owner held': [`${INSIDE}k,token,inst,held(${HELD})`],
-  'owner sync': [`${INSIDE}k,token,inst,sync,parts,part,gens,held,wants`],
+const EXPECTED_FIELDS: Record<string, string[]> = {
+  cancelled: [`${ENVELOPE}k,job,n`],
+  images: [`${ENVELOPE}k,add,gone`],
+  'owner covered': [`${RECIPIENT_ENVELOPE}k,token,inst,sync,n,gens,mark`],
+  'owner drop': [`${RECIPIENT_ENVELOPE}k,token,inst,tasks(machine,key),grants`],
+  'owner held': [`${RECIPIENT_ENVELOPE}k,token,inst,held(${PLACEMENT_FIELDS})`],
+  'owner sync': [`${RECIPIENT_ENVELOPE}k,token,inst,sync,parts,part,gens,held,wants`],
   'owner wants': [
-    `${INSIDE}k,token,inst,wants`,
-    `${INSIDE}k,token,inst,wants(${WANT},near,patienceS,aimS,slackS,seen)`,
-    `${INSIDE}k,token,inst,wants(${WANT},tasksLeft,near,patienceS,aimS,slackS,seen)`,
+    `${RECIPIENT_ENVELOPE}k,token,inst,wants`,
+    `${RECIPIENT_ENVELOPE}k,token,inst,wants(${REQUEST_FIELDS},near,patienceS,aimS,slackS,seen)`,
+    `${RECIPIENT_ENVELOPE}k,token,inst,wants(${REQUEST_FIELDS},tasksLeft,near,patienceS,aimS,slackS,seen)`,
   ],
   ping: [
-    `${AROUND}k,leader,token,okAgeMs,strays,mark,had(inst,mark),told,cover`,
-    `${AROUND}k,leader,token,okAgeMs,strays,mark,had(inst,mark),told,cover(inst,mark,pending)`,
-    `${AROUND}k,leader,token,okAgeMs,strays,mark,had,told,cover`,
+    `${ENVELOPE}k,leader,token,okAgeMs,strays,mark,had(inst,mark),told,cover`,
+    `${ENVELOPE}k,leader,token,okAgeMs,strays,mark,had(inst,mark),told,cover(inst,mark,pending)`,
+    `${ENVELOPE}k,leader,token,okAgeMs,strays,mark,had,told,cover`,
   ],
-  'scheduler evict': [`${INSIDE}k,token,tasks(job,idx,attempt),why`],
+  'scheduler evict': [`${RECIPIENT_ENVELOPE}k,token,tasks(job,idx,attempt),why`],
   'scheduler grants': [
-    `${INSIDE}k,token,grants(id,job,team,machine,zone,season)`,
-    `${INSIDE}k,token,grants(id,job,team,machine,zone,season,endedTasks)`,
+    `${RECIPIENT_ENVELOPE}k,token,grants(id,job,team,machine,zone,season)`,
+    `${RECIPIENT_ENVELOPE}k,token,grants(id,job,team,machine,zone,season,endedTasks)`,
   ],
-  'scheduler mark': [`${INSIDE}k,token,at`],
-  'scheduler resync': [`${INSIDE}k,token`],
+  'scheduler mark': [`${RECIPIENT_ENVELOPE}k,token,at`],
+  'scheduler resync': [`${RECIPIENT_ENVELOPE}k,token`],
   'scheduler seen': [
-    `${INSIDE}k,token,seen(s,job,idx,attempt,machine)`,
-    `${INSIDE}k,token,seen(s,job,idx,attempt,machine,phase,why,saved)`,
+    `${RECIPIENT_ENVELOPE}k,token,seen(s,job,idx,attempt,machine)`,
+    `${RECIPIENT_ENVELOPE}k,token,seen(s,job,idx,attempt,machine,phase,why,saved)`,
   ],
-  'scheduler synced': [`${INSIDE}k,token,sync`],
+  'scheduler synced': [`${RECIPIENT_ENVELOPE}k,token,sync`],
 };
 
-test('messages between controllers have these fields in this order', () => {
-  expect(fieldsSent()).toEqual(SENT);
+test('messages between controllers have the expected fields in the expected order', () => {
+  expect(collectSentFields()).toEqual(EXPECTED_FIELDS);
 });
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -4,29 +4,29 @@
 import type { PeerMessage } from '../../src/model/peer-message.js';
 import { PeerConnections } from '../../src/transport/peer-connections.js';
 import { decode, encode } from './peer-codec.js';
-import { bytesOf, EXAMPLES, PINNED } from './peer-message-examples.js';
+import { EXAMPLES, EXPECTED_ENCODINGS, expectedBytes } from './peer-message-examples.js';
 
 describe('messages between controllers', () => {
-  test('every example is pinned, and nothing else', () => {
-    expect(EXAMPLES.map(([title]) => title)).toEqual(Object.keys(PINNED));
+  test('every example has an expected encoding, and every expected encoding an example', () => {
+    expect(EXAMPLES.map(([title]) => title)).toEqual(Object.keys(EXPECTED_ENCODINGS));
   });
 
-  test.each(EXAMPLES)('are sent as pinned: %s', (title, message) => {
-    expect(JSON.stringify(new Unpackr().unpack(bytesOf(title)))).toBe(PINNED[title]?.json);
-    expect(encode(message).toString('base64')).toBe(PINNED[title]?.bytes);
+  test.each(EXAMPLES)('are encoded as expected: %s', (title, message) => {
+    expect(JSON.stringify(new Unpackr().unpack(expectedBytes(title)))).toBe(EXPECTED_ENCODINGS[title]?.json);
+    expect(encode(message).toString('base64')).toBe(EXPECTED_ENCODINGS[title]?.bytes);
   });
 
-  test.each(EXAMPLES)('are read from what is pinned: %s', (title, message) => {
-    expect(decode(bytesOf(title))).toStrictEqual([message]);
+  test.each(EXAMPLES)('are decoded from the expected encoding: %s', (title, message) => {
+    expect(decode(expectedBytes(title))).toStrictEqual([message]);
   });
 
-  test('are dropped when a field that decides is missing or of another type', () => {
-    const spoilt = (title: string, from: string, to: string) => {
-      const text = PINNED[title]?.json ?? '';
+  test('are dropped if a required field is missing or has the wrong type', () => {
+    const decodeAltered = (title: string, from: string, to: string) => {
+      const text = EXPECTED_ENCODINGS[title]?.json ?? '';
       expect(text).toContain(from);
       return decode(Buffer.from(new Packr().pack(JSON.parse(text.replace(from, to)))));
     };
-    const ping = 'ping with all that may be null';
+    const peerHeartbeat = 'heartbeat with all nullable fields set';
     for (const [title, from, to] of [
       ['cancelled', '"host":"stand-1"', '"host":1'],
       ['cancelled', '"inst":', '"other":'],
@@ -38,40 +38,40 @@
       ['images', '"add":', '"other":'],
       ['images', '"gone":', '"other":'],
       ['images', '6.2', '"6.2"'],
-      [ping, '"leader":', '"other":'],
-      [ping, '"token":', '"other":'],
-      [ping, '"okAgeMs":', '"other":'],
-      [ping, '"strays":', '"other":'],
-      [ping, '"mark":123456.5', '"mark":null'],
-      [ping, '"had":', '"other":'],
-      [ping, '"mark":999', '"other":999'],
-      [ping, '"told":', '"other":'],
-      [ping, '"mark":998', '"other":998'],
-      [ping, '"pending":', '"other":'],
-      ['to an owner: resync', '"to":', '"other":'],
-      ['to an owner: resync', '"m":', '"other":'],
+      [peerHeartbeat, '"leader":', '"other":'],
+      [peerHeartbeat, '"token":', '"other":'],
+      [peerHeartbeat, '"okAgeMs":', '"other":'],
+      [peerHeartbeat, '"strays":', '"other":'],
+      [peerHeartbeat, '"mark":123456.5', '"mark":null'],
+      [peerHeartbeat, '"had":', '"other":'],
+      [peerHeartbeat, '"mark":999', '"other":999'],
+      [peerHeartbeat, '"told":', '"other":'],
+      [peerHeartbeat, '"mark":998', '"other":998'],
+      [peerHeartbeat, '"pending":', '"other":'],
+      ['to a shard owner: syncRequested', '"to":', '"other":'],
+      ['to a shard owner: syncRequested', '"m":', '"other":'],
     ] as const)
-      expect([title, from, spoilt(title, from, to)]).toEqual([title, from, [null]]);
-    expect(spoilt('cancelled', '"n":3', '"n":3,"later":1').length).toBe(1);
+      expect([title, from, decodeAltered(title, from, to)]).toEqual([title, from, [null]]);
+    expect(decodeAltered('cancelled', '"n":3', '"n":3,"later":1').length).toBe(1);
   });
 
-  test('go through the sockets of two controllers in these bytes', async () => {
+  test('are sent to a peer as the expected bytes', async () => {
     const log = { debug: () => {}, info: () => {}, error: () => {} };
-    const wire = Buffer.concat(EXAMPLES.map(([title]) => bytesOf(title)));
+    const expectedStream = Buffer.concat(EXAMPLES.map(([title]) => expectedBytes(title)));
     const received: Buffer[] = [];
-    const listening = net.createServer();
-    await new Promise<void>((done) => listening.listen(0, '127.0.0.1', done));
-    const { port } = listening.address() as AddressInfo;
-    const all = new Promise<void>((done) => {
-      listening.on('connection', (socket) => {
+    const listener = net.createServer();
+    await new Promise<void>((resolve) => listener.listen(0, '127.0.0.1', resolve));
+    const { port } = listener.address() as AddressInfo;
+    const allReceived = new Promise<void>((resolve) => {
+      listener.on('connection', (socket) => {
         socket.on('error', () => {});
-        socket.on('data', (part) => {
-          received.push(part);
-          if (Buffer.concat(received).length >= wire.length) done();
+        socket.on('data', (chunk) => {
+          received.push(chunk);
+          if (Buffer.concat(received).length >= expectedStream.length) resolve();
         });
       });
     });
-    await new Promise<void>((done) => {
+    await new Promise<void>((resolve) => {
       const connections: PeerConnections = new PeerConnections({
         bind: '127.0.0.1:0',
         peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
@@ -80,37 +80,37 @@
         onConnection: (_nodeName, isUp) => {
           if (!isUp) return;
           for (const [, message] of EXAMPLES) connections.send('stand-2', message);
-          done();
+          resolve();
         },
       });
     });
-    await all;
-    expect(Buffer.concat(received).toString('base64')).toBe(wire.toString('base64'));
-    listening.close();
+    await allReceived;
+    expect(Buffer.concat(received).toString('base64')).toBe(expectedStream.toString('base64'));
+    listener.close();
   });
 
-  test('come out of a controller’s socket as read', async () => {
+  test('are received from a peer and decoded', async () => {
     const log = { debug: () => {}, info: () => {}, error: () => {} };
-    const free = net.createServer();
-    await new Promise<void>((done) => free.listen(0, '127.0.0.1', done));
-    const { port } = free.address() as AddressInfo;
-    await new Promise((done) => free.close(done));
-    const got: PeerMessage[] = [];
-    await new Promise<void>((done) => {
+    const portProbe = net.createServer();
+    await new Promise<void>((resolve) => portProbe.listen(0, '127.0.0.1', resolve));
+    const { port } = portProbe.address() as AddressInfo;
+    await new Promise((resolve) => portProbe.close(resolve));
+    const received: PeerMessage[] = [];
+    await new Promise<void>((resolve) => {
       new PeerConnections({
         bind: `127.0.0.1:${port}`,
         peers: [],
         log,
         onMessage: (message) => {
-          got.push(message);
-          if (got.length === EXAMPLES.length) done();
+          received.push(message);
+          if (received.length === EXAMPLES.length) resolve();
         },
         onConnection: () => {},
       });
       const socket = net.connect(port, '127.0.0.1', () => {
-        for (const [title] of EXAMPLES) socket.write(bytesOf(title));
+        for (const [title] of EXAMPLES) socket.write(expectedBytes(title));
       });
     });
-    expect(got).toStrictEqual(EXAMPLES.map(([, message]) => message));
+    expect(received).toStrictEqual(EXAMPLES.map(([, message]) => message));
   });
 });
--- a/test/forms/recording-server.ts
+++ b/test/forms/recording-server.ts
@@ -1,32 +1,34 @@
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-export interface Reply {
+/** Status and body of a response. */
+export interface CannedResponse {
   status: number;
   text: string;
 }
 
-/** An HTTP server that keeps what it is sent as text, and answers with texts. */
+/** An HTTP server that records the text of each request and sends a canned response. */
 export class RecordingServer {
-  /** `METHOD path content-type body` of each request, without what is absent. */
+  /** `METHOD path content-type body` of each request; absent parts are left out. */
   readonly requests: string[] = [];
-  reply: Reply = { status: 200, text: '{}' };
+  /** Sent in response to every request. */
+  response: CannedResponse = { status: 200, text: '{}' };
   private readonly server = http.createServer((request, response) => {
     let body = '';
-    request.on('data', (part) => {
-      body += String(part);
+    request.on('data', (chunk) => {
+      body += String(chunk);
     });
     request.on('end', () => {
       const type = request.headers['content-type'] ?? '';
-      this.requests.push([request.method, request.url, type, body].filter((part) => part !== '').join(' '));
-      response.writeHead(this.reply.status, { connection: 'close' });
-      response.end(this.reply.text);
+      this.requests.push([request.method, request.url, type, body].filter((chunk) => chunk !== '').join(' '));
+      response.writeHead(this.response.status, { connection: 'close' });
+      response.end(this.response.text);
     });
   });
 
-  /** Starts to listen; its address and port. */
+  /** Starts listening on a free port and returns `ADDRESS:PORT`. */
   async listen(): Promise<string> {
-    await new Promise<void>((done) => this.server.listen(0, '127.0.0.1', done));
+    await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -70,7 +70,7 @@
   },
 };
 
-function faultsOf(check: () => unknown): string[] {
+function errorsOf(check: () => unknown): string[] {
   try {
     check();
   } catch (error) {
@@ -80,14 +80,14 @@
   return [];
 }
 
-/** The faults of the settings with one line replaced, which must be there. */
-function faultsWith(line: string, instead: string): string[] {
+/** Returns the errors of the settings after a line, which must exist, has been replaced. */
+function errorsWithLine(line: string, replacement: string): string[] {
   expect(SETTINGS_TEXT).toContain(`\n${line}\n`);
-  return faultsOf(() => parseSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${instead}\n`)));
+  return errorsOf(() => parseSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${replacement}\n`)));
 }
 
 describe('settings', () => {
-  test('are read whole', () => {
+  test('are parsed completely', () => {
     expect(parseSettings(SETTINGS_TEXT)).toStrictEqual(SETTINGS);
   });
 
@@ -142,8 +142,8 @@
     ],
     ['mem_mb = 300.5', 'params.limits.mem_mb: Invalid key: Expected "mem_mb" but received undefined'],
     ['fd_limit = 1000', 'params.limits.fd_limit: Invalid key: Expected "fd_limit" but received undefined'],
-  ])('are refused without a line: %s', (line, fault) => {
-    expect(faultsWith(line, '')).toEqual([fault]);
+  ])('are rejected if a line is missing: %s', (line, error) => {
+    expect(errorsWithLine(line, '')).toEqual([error]);
   });
 
   test.each([
@@ -239,23 +239,23 @@
     ],
     ['share = 0.9', 'share = ""', 'params.objectives.0.share: Invalid type: Expected number but received ""'],
     ['cancel_s = 60.5', 'cancel_s = 32.4', 'params.workers: cancel_s must exceed lease_s by at least 2 s'],
-  ])('are refused with an invalid value: %s', (line, instead, fault) => {
-    expect(faultsWith(line, instead).join('\n')).toBe(fault);
+  ])('are rejected if a value is invalid: %s', (line, replacement, error) => {
+    expect(errorsWithLine(line, replacement).join('\n')).toBe(error);
   });
 
-  test('need no siblings and no objectives, and an objective needs its kind alone', () => {
-    const few = SETTINGS_TEXT.replace(/\[\[siblings\]\][^[]*/, '').replace(
+  test('may omit siblings, objectives, and all fields of an objective but its kind', () => {
+    const textWithoutOptional = SETTINGS_TEXT.replace(/\[\[siblings\]\][^[]*/, '').replace(
       /\[\[params.objectives\]\][^[]*/,
       '',
     );
-    const { siblings, params } = parseSettings(few);
+    const { siblings, params } = parseSettings(textWithoutOptional);
     expect([siblings, params.objectives]).toEqual([[], []]);
-    const bare = SETTINGS_TEXT.replace('class = "train"\nwithin_s = 60.5\nshare = 0.9\n', '');
-    expect(parseSettings(bare).params.objectives).toStrictEqual([{ kind: 'finished' }]);
+    const textWithKindOnly = SETTINGS_TEXT.replace('class = "train"\nwithin_s = 60.5\nshare = 0.9\n', '');
+    expect(parseSettings(textWithKindOnly).params.objectives).toStrictEqual([{ kind: 'finished' }]);
   });
 
-  test('that are not TOML are refused', () => {
-    expect(faultsOf(() => parseSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
+  test('are rejected if they are not TOML', () => {
+    expect(errorsOf(() => parseSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
   });
 });
 
@@ -284,7 +284,7 @@
   rebalanceIntervalSeconds: 9.5,
   minRentalWaitSeconds: 10.5,
 };
-const INPUT: PolicyInput = {
+const POLICY_INPUT: PolicyInput = {
   services: 1,
   serviceCpus: 2,
   queuedTasks: 3,
@@ -296,11 +296,11 @@
   bootSeconds: 9,
 };
 
-describe('the operators’ policy', () => {
+describe('policy', () => {
   const lines = POLICY_TEXT.trim().split('\n');
 
-  test('is read whole', () => {
-    expect(compilePolicy(POLICY_TEXT)(INPUT)).toStrictEqual(POLICY);
+  test('is evaluated completely', () => {
+    expect(compilePolicy(POLICY_TEXT)(POLICY_INPUT)).toStrictEqual(POLICY);
   });
 
   test.each([
@@ -316,9 +316,9 @@
     ['min(boot_s, queued)', 3],
     ['max(boot_s, queued)', 9],
     ['ceil(boot_s * 0.7)', 7],
-  ])('may use %s', (expression, value) => {
+  ])('may use the expression %s', (expression, value) => {
     const text = POLICY_TEXT.replace('idle_s = 3.5', `idle_s = "${expression}"`);
-    expect(compilePolicy(text)(INPUT).maxIdleSeconds).toBe(value);
+    expect(compilePolicy(text)(POLICY_INPUT).maxIdleSeconds).toBe(value);
   });
 
   test.each([
@@ -333,9 +333,9 @@
     ['batch_tasks', 'policy.batch_tasks: missing'],
     ['parting_s', 'policy.parting_s: missing'],
     ['patience_s', 'policy.patience_s: missing'],
-  ])('is refused without %s', (name, fault) => {
+  ])('is rejected without %s', (name, error) => {
     const text = lines.filter((line) => !line.startsWith(`${name} =`)).join('\n');
-    expect(faultsOf(() => compilePolicy(text))).toEqual([fault]);
+    expect(errorsOf(() => compilePolicy(text))).toEqual([error]);
   });
 
   test.each([
@@ -350,15 +350,15 @@
     ['batch_tasks = 8.5', '1', '10000'],
     ['parting_s = 9.5', '1', '86400'],
     ['patience_s = 10.5', '0', '3600'],
-  ])('is held to its range: %s', (line, low, high) => {
+  ])('is clamped to the range of each key: %s', (line, min, max) => {
     const name = line.split(' ')[0];
-    const at = (value: string) =>
+    const evaluate = (value: string) =>
       JSON.stringify(
-        Object.values(compilePolicy(POLICY_TEXT.replace(line, `${name} = ${value}`))(INPUT))[
+        Object.values(compilePolicy(POLICY_TEXT.replace(line, `${name} = ${value}`))(POLICY_INPUT))[
           lines.indexOf(line)
         ],
       );
-    expect([at('-1'), at('1e9')]).toEqual([low, high]);
+    expect([evaluate('-1'), evaluate('1e9')]).toEqual([min, max]);
   });
 
   test.each<[string, string[]]>([
@@ -370,7 +370,7 @@
       ['policy.idle_s (line 3): Unknown variable: no_such  >    1 | no_such + 1.0          ^'],
     ],
     ['idle_s = "1 +"', ['policy.idle_s (line 3): Unexpected token: EOF  >    1 | 1 +             ^']],
-  ])('is refused with %s', (instead, fault) => {
-    expect(faultsOf(() => compilePolicy(POLICY_TEXT.replace('idle_s = 3.5', instead)))).toEqual(fault);
+  ])('is rejected with %s', (replacement, error) => {
+    expect(errorsOf(() => compilePolicy(POLICY_TEXT.replace('idle_s = 3.5', replacement)))).toEqual(error);
   });
 });
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -15,9 +15,9 @@
 import { WatchCache } from '../../src/store/watch-cache.js';
 import { decodeItem, encodeTransaction } from '../../src/wire/store-messages.js';
 import { shardOwnerOptions } from '../simulation/shard-owner-harness.js';
-import { RecordedState } from './recorded-state.js';
+import { RecordingStore } from './recording-store.js';
 
-const GANG: JobSpec = {
+const GANG_SPEC: JobSpec = {
   id: 'wk-000412',
   jobClass: 'train',
   team: 'vision',
@@ -42,8 +42,8 @@
 };
 const GANG_TEXT =
   '{"id":"wk-000412","cls":"train","team":"vision","shape":"gang","rank":1,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":["g8"],"zone":"a","together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900,"at":1700000000000}';
-const ARRAY: JobSpec = {
-  ...GANG,
+const ARRAY_SPEC: JobSpec = {
+  ...GANG_SPEC,
   id: 'wk-7',
   kind: 'array',
   priority: 3,
@@ -53,8 +53,8 @@
 };
 const ARRAY_TEXT =
   '{"id":"wk-7","cls":"train","team":"vision","shape":"array","rank":3,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":true,"apart":false,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
-const SERVICE: JobSpec = {
-  ...ARRAY,
+const SERVICE_SPEC: JobSpec = {
+  ...ARRAY_SPEC,
   id: 'wk-8',
   kind: 'service',
   priority: 0,
@@ -65,7 +65,7 @@
   '{"id":"wk-8","cls":"train","team":"vision","shape":"service","rank":0,"tasks":3,"cpus":8,"gpus":1,"mem":64,"image":"img-07","imageGb":6.2,"types":null,"zone":null,"together":false,"apart":true,"spot":true,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":null,"at":1700000000000}';
 
 const TEAM: Team = { name: 'vision', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 };
-const TYPE: MachineType = {
+const MACHINE_TYPE: MachineType = {
   name: 'g8',
   cpus: 96,
   gpus: 8,
@@ -99,58 +99,61 @@
   };
 }
 
-/** The API over stored texts, and its answer to one request. */
-function ask(
+/**
+ * Sends a request to the API on the given stored records. Returns its response and the transactions that it
+ * has sent.
+ */
+function callApi(
   records: Record<string, string>,
-  request: (api: JobApi, then: (answer: ApiAnswer) => void) => void,
+  request: (api: JobApi, callback: (answer: ApiAnswer) => void) => void,
 ) {
-  const state = new RecordedState(new Map(Object.entries(records)));
+  const store = new RecordingStore(new Map(Object.entries(records)));
   const clock = steppingClock();
-  const open = new WatchCache({
+  const openJobs = new WatchCache({
     prefix: 'open/',
-    store: state.port,
+    store: store.port,
     clock,
     watchWaitMs: 10000,
     minWatchIntervalMs: 100,
     isFollowed: false,
     onChange: () => {},
   });
-  open.start();
+  openJobs.start();
   const api = new JobApi({
-    store: state.port,
-    openJobs: open,
+    store: store.port,
+    openJobs,
     teams: new Map([[TEAM.name, TEAM]]),
-    machineTypes: () => [TYPE],
+    machineTypes: () => [MACHINE_TYPE],
     log,
     onCancelled: () => {},
   });
   let answer: ApiAnswer | undefined;
-  request(api, (given) => {
-    answer = given;
+  request(api, (result) => {
+    answer = result;
   });
-  return { answer, transactions: state.transactions };
+  return { answer, transactions: store.transactions };
 }
 
-function storedJob(records: Record<string, string>): StoredJob | undefined {
-  const found = new Map<string, StoredJob>();
+function decodeJob(records: Record<string, string>): StoredJob | undefined {
+  const jobs = new Map<string, StoredJob>();
   for (const [key, text] of Object.entries(records))
-    mergeStoredItem(found, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
-  return [...found.values()][0];
+    mergeStoredItem(jobs, decodeItem(JSON.parse(`{"key":"${key}","value":${text},"mark":41}`))!);
+  return [...jobs.values()][0];
 }
 
-/** What is written of a job's changes, as it goes to the state service. */
-function writtenText(operations: StoreOperation[] | undefined): string {
+/** Encodes operations as they are sent to the key-value store. */
+function encodeOperations(operations: StoreOperation[] | undefined): string {
   return JSON.stringify(encodeTransaction({ preconditions: [], operations: operations ?? [] }).then);
 }
 
 function ownedJob(spec: JobSpec): OwnedJob {
-  const stored = storedJob({ [`open/${spec.id}/a`]: `{"j":${GANG_TEXT}}` })!;
+  const stored = decodeJob({ [`open/${spec.id}/a`]: `{"j":${GANG_TEXT}}` })!;
   return createOwnedJob({ spec, stored, releaseWindow: 64 });
 }
 
 function placement(taskIndex: number, machine: string): Placement {
   return {
-    taskIndex: taskIndex,
+    taskIndex,
     attempt: 2,
     machine,
     agentEpoch: 4,
@@ -164,11 +167,11 @@
 
 describe('the record of an accepted job, open/<id>/a', () => {
   test.each([
-    ['gang, every field set', GANG, GANG_TEXT],
-    ['array, no types, zone or deadline', ARRAY, ARRAY_TEXT],
-    ['service', SERVICE, SERVICE_TEXT],
-  ])('is written at acceptance: %s', (_title, spec, text) => {
-    const { answer, transactions } = ask({}, (api, then) => api.submitJob(spec, then));
+    ['gang, all fields set', GANG_SPEC, GANG_TEXT],
+    ['array, no types, zone or deadline', ARRAY_SPEC, ARRAY_TEXT],
+    ['service', SERVICE_SPEC, SERVICE_TEXT],
+  ])('is written when the job is accepted: %s', (_title, spec, text) => {
+    const { answer, transactions } = callApi({}, (api, callback) => api.submitJob(spec, callback));
     expect(transactions).toEqual([
       `{"when":[{"key":"open/${spec.id}/a","mark":0},{"key":"end/${spec.id}","mark":0}],"then":[{"write":"open/${spec.id}/a","value":{"j":${text}}}]}`,
     ]);
@@ -176,11 +179,11 @@
   });
 
   test.each([
-    ['first', `{"j":${GANG_TEXT}}`, `{"j":${GANG_TEXT},"o":41,"x":1}`],
-    ['written again before', `{"j":${GANG_TEXT},"o":12}`, `{"j":${GANG_TEXT},"o":12,"x":1}`],
-  ])('is written again at cancellation with the revision of acceptance: %s', (_title, before, after) => {
-    const { answer, transactions } = ask({ 'open/wk-000412/a': before }, (api, then) =>
-      api.cancelJob('wk-000412', then),
+    ['first update', `{"j":${GANG_TEXT}}`, `{"j":${GANG_TEXT},"o":41,"x":1}`],
+    ['later update', `{"j":${GANG_TEXT},"o":12}`, `{"j":${GANG_TEXT},"o":12,"x":1}`],
+  ])('is updated when the job is cancelled, with the revision of acceptance: %s', (_title, before, after) => {
+    const { answer, transactions } = callApi({ 'open/wk-000412/a': before }, (api, callback) =>
+      api.cancelJob('wk-000412', callback),
     );
     expect(transactions).toEqual([
       `{"when":[{"key":"open/wk-000412/a","mark":41},{"key":"open/wk-000412/n","mark":0}],"then":[{"write":"open/wk-000412/a","value":${after}}]}`,
@@ -189,15 +192,15 @@
   });
 
   test.each([
-    ['gang', GANG, `{"j":${GANG_TEXT}}`, 41, false],
-    ['array, accepted at 12', ARRAY, `{"j":${ARRAY_TEXT},"o":12}`, 12, false],
-    ['service, cancelled', SERVICE, `{"j":${SERVICE_TEXT},"o":12,"x":1}`, 12, true],
-    ['cancelled, no revision of acceptance', GANG, `{"j":${GANG_TEXT},"x":1}`, 41, true],
-  ])('is read: %s', (_title, spec, text, order, cancelled) => {
-    const stored = storedJob({ [`open/${spec.id}/a`]: text });
+    ['gang', GANG_SPEC, `{"j":${GANG_TEXT}}`, 41, false],
+    ['array, accepted at 12', ARRAY_SPEC, `{"j":${ARRAY_TEXT},"o":12}`, 12, false],
+    ['service, cancelled', SERVICE_SPEC, `{"j":${SERVICE_TEXT},"o":12,"x":1}`, 12, true],
+    ['cancelled, no revision of acceptance', GANG_SPEC, `{"j":${GANG_TEXT},"x":1}`, 41, true],
+  ])('is decoded: %s', (_title, spec, text, acceptedRevision, cancelled) => {
+    const stored = decodeJob({ [`open/${spec.id}/a`]: text });
     expect(stored?.spec).toStrictEqual(spec);
     expect([stored?.acceptedRevision, stored?.jobRevision, stored?.cancelled]).toEqual([
-      order,
+      acceptedRevision,
       41,
       cancelled,
     ]);
@@ -206,26 +209,26 @@
 
 describe('the counter of a job, open/<id>/n', () => {
   test.each<[string, number, number[], number, string]>([
-    ['nothing done', 3, [], 0, '{"n":0,"r":0,"b":""}'],
-    ['runs', 200, [0, 1, 2, 50, 51], 7, '{"n":5,"r":7,"b":"0.3,1b.2"}'],
+    ['no task done', 3, [], 0, '{"n":0,"r":0,"b":""}'],
+    ['run-length encoded', 200, [0, 1, 2, 50, 51], 7, '{"n":5,"r":7,"b":"0.3,1b.2"}'],
     [
-      'all done',
+      'all tasks done',
       100,
       Array.from({ length: 100 }, (_, taskIndex) => taskIndex),
       0,
       '{"n":100,"r":0,"b":"0.2s"}',
     ],
-    ['plain bits', 24, [0, 2, 4, 6, 8, 10, 12, 14, 16, 18], 1, '{"n":10,"r":1,"b":"=VVUF"}'],
-  ])('is written and read: %s', (_title, tasks, done, running, text) => {
-    const job = ownedJob({ ...ARRAY, taskCount: tasks });
+    ['plain bitmap', 24, [0, 2, 4, 6, 8, 10, 12, 14, 16, 18], 1, '{"n":10,"r":1,"b":"=VVUF"}'],
+  ])('is encoded and decoded: %s', (_title, taskCount, done, running, text) => {
+    const job = ownedJob({ ...ARRAY_SPEC, taskCount });
     for (const taskIndex of done) job.counter.add(taskIndex);
     job.runningTasks = running;
     job.isCounterDirty = true;
     expect(
-      writtenText(progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations),
+      encodeOperations(progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations),
     ).toBe(`[{"write":"open/wk-7/n","value":${text}}]`);
-    const stored = storedJob({
-      'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${tasks}`)}}`,
+    const stored = decodeJob({
+      'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${taskCount}`)}}`,
       'open/wk-7/n': text,
     });
     expect([stored?.runningTasks, stored?.counterRevision, stored?.counter?.count]).toEqual([
@@ -234,18 +237,18 @@
       done.length,
     ]);
     expect(
-      Array.from({ length: tasks }, (_, taskIndex) => taskIndex).filter((taskIndex) =>
+      Array.from({ length: taskCount }, (_, taskIndex) => taskIndex).filter((taskIndex) =>
         stored?.counter?.has(taskIndex),
       ),
     ).toEqual(done);
   });
 });
 
-describe('placements of a chunk of tasks, place/<id>/k', () => {
-  const pinnedText = '{"t":{"0":[2,"vm-000231",4,"a"],"1":[1]}}';
+describe('the placements of a chunk of tasks, place/<id>/<chunk>', () => {
+  const placementsText = '{"t":{"0":[2,"vm-000231",4,"a"],"1":[1]}}';
 
-  test('are written with the counter, settled ones as their attempt alone', () => {
-    const job = ownedJob(GANG);
+  test('are written with the counter, finalized ones as their attempt only', () => {
+    const job = ownedJob(GANG_SPEC);
     job.placements.set(0, placement(0, 'vm-000231'));
     job.latestAttempts.set(1, 1);
     job.counter.add(2);
@@ -253,42 +256,44 @@
     job.runningTasks = 1;
     job.dirtyChunks.add(0);
     const write = progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events });
-    expect(writtenText(write?.operations)).toBe(
-      `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${pinnedText}}]`,
+    expect(encodeOperations(write?.operations)).toBe(
+      `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${placementsText}}]`,
     );
   });
 
-  test('of a later chunk are written under its number, and dropped when none is left', () => {
-    const job = ownedJob(GANG);
+  test('are written under the number of the chunk, and deleted when none is left', () => {
+    const job = ownedJob(GANG_SPEC);
     job.placements.set(2, placement(2, 'vm-000232'));
     job.dirtyChunks.add(2);
     job.dirtyChunks.add(1);
     job.chunkRevisions.set(1, 8);
-    expect(writtenText(progressWrite(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations)).toBe(
+    expect(
+      encodeOperations(progressWrite(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations),
+    ).toBe(
       '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
     );
   });
 
-  test('are read by an owner, which goes on from them', () => {
-    const state = new RecordedState(
+  test('are loaded by a new owner, which continues from them', () => {
+    const store = new RecordingStore(
       new Map([
         ['open/wk-000412/a', `{"j":${GANG_TEXT.replace('"gang"', '"array"')}}`],
-        ['place/wk-000412/0', pinnedText],
+        ['place/wk-000412/0', placementsText],
       ]),
     );
-    const said: ShardMessage[] = [];
+    const sent: ShardMessage[] = [];
     const owner = new ShardOwner(
       shardOwnerOptions({
         teams: new Map([[TEAM.name, TEAM]]),
-        store: state.port,
+        store: store.port,
         clock: steppingClock(),
-        send: (message) => said.push(message),
+        send: (message) => sent.push(message),
       }),
     );
     owner.setLeader(3);
     owner.setShards(new Map([[TEAM.name, 40]]));
     owner.flush();
-    const placements = said.flatMap((message) => (message.type === 'fullSync' ? message.placements : []));
+    const placements = sent.flatMap((message) => (message.type === 'fullSync' ? message.placements : []));
     expect(
       placements.map(({ jobId: job, taskIndex, attempt, machine, agentEpoch }) => [
         job,
@@ -299,45 +304,45 @@
       ]),
     ).toEqual([['wk-000412', 0, 2, 'vm-000231', 4]]);
     owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 3 });
-    const place = { jobId: 'wk-000412', team: TEAM.name, zone: 'a', agentEpoch: 1 };
+    const grantFields = { jobId: 'wk-000412', team: TEAM.name, zone: 'a', agentEpoch: 1 };
     owner.onLeaderMessage({
       type: 'grants',
       fencingToken: 3,
       grants: [
-        { ...place, id: 1, machine: 'vm-000240' },
-        { ...place, id: 2, machine: 'vm-000241' },
+        { ...grantFields, id: 1, machine: 'vm-000240' },
+        { ...grantFields, id: 2, machine: 'vm-000241' },
       ],
     });
     owner.flush();
-    expect(state.transactions.at(-1)).toContain(
+    expect(store.transactions.at(-1)).toContain(
       '{"write":"place/wk-000412/0","value":{"t":{"0":[2,"vm-000231",4,"a"],"1":[2,"vm-000240",1,"a"],"2":[1,"vm-000241",1,"a"]}}}',
     );
   });
 });
 
 describe('the final record of a job, end/<id>', () => {
-  const finalOf = (job: OwnedJob): JobWrite | null => cleanupWrite(job, { maxOperations: 16, events });
+  const finalWrite = (job: OwnedJob): JobWrite | null => cleanupWrite(job, { maxOperations: 16, events });
 
-  test('is written when it is done, and the working records are dropped', () => {
-    const job = ownedJob(GANG);
+  test('is written when the job is done, and its working records are deleted', () => {
+    const job = ownedJob(GANG_SPEC);
     for (let taskIndex = 0; taskIndex < 3; taskIndex++) job.counter.add(taskIndex);
     job.counterRevision = 9;
     job.chunkRevisions.set(0, 8);
-    expect(writtenText(finalOf(job)?.operations)).toBe(
+    expect(encodeOperations(finalWrite(job)?.operations)).toBe(
       '[{"drop":"place/wk-000412/0"},{"write":"end/wk-000412","value":{"d":1,"n":3}},{"drop":"open/wk-000412/a"},{"drop":"open/wk-000412/n"}]',
     );
   });
 
-  test('is written when it was cancelled', () => {
-    const job = ownedJob(GANG);
+  test('is written when the job was cancelled', () => {
+    const job = ownedJob(GANG_SPEC);
     job.cancelled = true;
-    expect(writtenText(finalOf(job)?.operations)).toBe(
+    expect(encodeOperations(finalWrite(job)?.operations)).toBe(
       '[{"write":"end/wk-000412","value":{"d":0,"n":0}},{"drop":"open/wk-000412/a"}]',
     );
   });
 });
 
-describe('answers to users from stored records', () => {
+describe('responses to users from stored records', () => {
   const open = { 'open/wk-7/a': `{"j":${ARRAY_TEXT}}` };
 
   test.each<[string, Record<string, string>, ApiAnswer]>([
@@ -369,26 +374,26 @@
       { type: 'job', created: false, state: 'cancelled', finishedTasks: 2, runningTasks: 0 },
     ],
   ])('%s', (_title, records, expected) => {
-    expect(ask(records, (api, then) => api.getJob('wk-7', then)).answer).toStrictEqual(expected);
+    expect(callApi(records, (api, callback) => api.getJob('wk-7', callback)).answer).toStrictEqual(expected);
   });
 });
 
-describe('the record that fences an owner’s writes, fence/<host>', () => {
+describe('the write fence of an owner, fence/<node>', () => {
   test.each<[string, Record<string, string>, number]>([
-    ['for the first time', {}, 0],
-    ['again', { 'fence/stand-1': '{"inst":"stand-1.0a1b2c"}' }, 41],
+    ['first time', {}, 0],
+    ['later', { 'fence/stand-1': '{"inst":"stand-1.0a1b2c"}' }, 41],
   ])('is written when it moves: %s', (_title, records, revision) => {
-    const state = new RecordedState(new Map(Object.entries(records)));
+    const store = new RecordingStore(new Map(Object.entries(records)));
     const fence = new WriteFence({
       key: 'fence/stand-1',
       instanceId: 'stand-1.0d1e2f',
-      store: state.port,
+      store: store.port,
       clock: steppingClock(),
       log,
       onReady: () => {},
     });
     fence.move(() => {});
-    expect(state.transactions).toEqual([
+    expect(store.transactions).toEqual([
       `{"when":[{"key":"fence/stand-1","mark":${revision}}],"then":[{"write":"fence/stand-1","value":{"inst":"stand-1.0d1e2f"}}]}`,
     ]);
   });
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -36,55 +36,64 @@
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 const clock = { now: () => 0, wallTime: () => 1700000000000 } as Clock;
 
-/** A request to a controller that gives this answer: its reply, and what was asked of the controller. */
-async function ask(
+/**
+ * Sends a request to a controller whose API returns `answer`. Returns the HTTP response and the calls of the
+ * API.
+ */
+async function sendRequest(
   method: string,
   path: string,
   body: string,
-  given: ApiAnswer,
-  of: { ready?: boolean; elsewhere?: boolean } = {},
-): Promise<{ reply: string; retry: boolean; asked: unknown[] }> {
-  const asked: unknown[] = [];
+  answer: ApiAnswer,
+  options: { ready?: boolean; redirectsUsers?: boolean } = {},
+): Promise<{ response: string; hasRetryAfter: boolean; calls: unknown[] }> {
+  const calls: unknown[] = [];
   const controller = {
     api: {
-      submitJob: (spec: JobSpec, then: (answer: ApiAnswer) => void) => {
-        asked.push('submit', spec);
-        then(given);
+      submitJob: (spec: JobSpec, callback: (answer: ApiAnswer) => void) => {
+        calls.push('submit', spec);
+        callback(answer);
       },
-      getJob: (id: string, then: (answer: ApiAnswer) => void) => {
-        asked.push('poll', id);
-        then(given);
+      getJob: (id: string, callback: (answer: ApiAnswer) => void) => {
+        calls.push('poll', id);
+        callback(answer);
       },
-      cancelJob: (id: string, then: (answer: ApiAnswer) => void) => {
-        asked.push('abort', id);
-        then(given);
+      cancelJob: (id: string, callback: (answer: ApiAnswer) => void) => {
+        calls.push('abort', id);
+        callback(answer);
       },
     },
-    isReady: () => of.ready ?? true,
-    shouldRedirectUsers: () => of.elsewhere ?? false,
+    isReady: () => options.ready ?? true,
+    shouldRedirectUsers: () => options.redirectsUsers ?? false,
   } satisfies Partial<Record<keyof Controller, unknown>> as unknown as Controller;
   const userApi = createUserApi({ controller, clock, log });
   const handle = createRequestHandler({ userApi, controller, log });
-  const reply = await new Promise<HttpResponse>((done) =>
-    handle({ method, path, status: 0, rawHeaders: [], body, keepAlive: true }, done),
+  const httpResponse = await new Promise<HttpResponse>((resolve) =>
+    handle({ method, path, status: 0, rawHeaders: [], body, keepAlive: true }, resolve),
   );
-  const { 'Retry-After': again, ...others } = reply.headers ?? {};
-  if (again !== undefined) expect(again).toMatch(/^[123]$/);
+  const { 'Retry-After': retryAfter, ...otherHeaders } = httpResponse.headers ?? {};
+  if (retryAfter !== undefined) expect(retryAfter).toMatch(/^[123]$/);
   return {
-    reply: `${reply.status} ${reply.body} ${JSON.stringify(others)}`,
-    retry: again !== undefined,
-    asked,
+    response: `${httpResponse.status} ${httpResponse.body} ${JSON.stringify(otherHeaders)}`,
+    hasRetryAfter: retryAfter !== undefined,
+    calls,
   };
 }
 
-const QUEUED: ApiAnswer = { type: 'job', created: false, state: 'queued', finishedTasks: 0, runningTasks: 0 };
-const PENDING_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
+const QUEUED_ANSWER: ApiAnswer = {
+  type: 'job',
+  created: false,
+  state: 'queued',
+  finishedTasks: 0,
+  runningTasks: 0,
+};
+const QUEUED_TEXT = '{"name_id":"wk-000412","phase":"pending","done":0,"running":0}';
 
 describe('a submission', () => {
-  const read = (text: string) => decodeSubmission(JSON.parse(text), 1700000000000);
+  const decode = (text: string) => decodeSubmission(JSON.parse(text), 1700000000000);
 
-  test('is read whole', () => {
-    expect(read(JOB_TEXT)).toStrictEqual({ ok: true, spec: SPEC });
+  test('is decoded completely', () => {
+    expect(decode(JOB_TEXT)).toStrictEqual({ ok: true, spec: SPEC });
   });
 
   test.each<[string, string, string, Partial<JobSpec>]>([
@@ -99,10 +108,10 @@
     ['zone omitted', '"slope":"a",', '', { zone: null }],
     ['no deadline', '"frost_s":900.0', '"frost_s":null', { deadlineSeconds: null }],
     ['deadline omitted', ',"frost_s":900.0', '', { deadlineSeconds: null }],
-    ['a field that is not known', '{"name_id"', '{"moss":1,"name_id"', {}],
-  ])('is read: %s', (_title, from, to, difference) => {
+    ['unknown field', '{"name_id"', '{"moss":1,"name_id"', {}],
+  ])('is decoded: %s', (_title, from, to, difference) => {
     expect(JOB_TEXT).toContain(from);
-    expect(read(JOB_TEXT.replace(from, to))).toStrictEqual({ ok: true, spec: { ...SPEC, ...difference } });
+    expect(decode(JOB_TEXT.replace(from, to))).toStrictEqual({ ok: true, spec: { ...SPEC, ...difference } });
   });
 
   test.each([
@@ -122,12 +131,16 @@
     ['growth_s', '"growth_s":240.0'],
     ['ring_s', '"ring_s":30.0'],
     ['resin_s', '"resin_s":4.0'],
-  ])('is refused without %s, which is named', async (name, field) => {
+  ])('is rejected without %s, which the error names', async (name, field) => {
     const text = JOB_TEXT.replace(field, '"moss":0');
-    expect(read(text)).toStrictEqual({ ok: false, id: 'wk-000412', reason: `${name} is missing or invalid` });
-    const { reply, asked } = await ask('POST', '/v2/runs', text, { type: 'notFound' });
-    expect(reply).toBe(`400 {"error":"${name} is missing or invalid"} {}`);
-    expect(asked).toEqual(['poll', 'wk-000412']);
+    expect(decode(text)).toStrictEqual({
+      ok: false,
+      id: 'wk-000412',
+      reason: `${name} is missing or invalid`,
+    });
+    const { response, calls } = await sendRequest('POST', '/v2/runs', text, { type: 'notFound' });
+    expect(response).toBe(`400 {"error":"${name} is missing or invalid"} {}`);
+    expect(calls).toEqual(['poll', 'wk-000412']);
   });
 
   test.each([
@@ -139,8 +152,8 @@
     ['vcpus', '"vcpus":8.0', '"vcpus":-1'],
     ['shape', '"shape":"group"', '"shape":"gang"'],
     ['rank', '"rank":"urgent"', '"rank":1'],
-  ])('is refused when %s is invalid', (name, from, to) => {
-    expect(read(JOB_TEXT.replace(from, to))).toStrictEqual({
+  ])('is rejected if %s is invalid', (name, from, to) => {
+    expect(decode(JOB_TEXT.replace(from, to))).toStrictEqual({
       ok: false,
       id: 'wk-000412',
       reason: `${name} is missing or invalid`,
@@ -152,25 +165,25 @@
     ['[]', '400 {"error":"not a JSON object"} {}'],
     ['{}', '400 {"error":"name_id is missing or invalid"} {}'],
     ['{"name_id":"job-1"}', '400 {"error":"name_id is missing or invalid"} {}'],
-  ])('is refused without a job id: %s', async (text, expected) => {
-    const { reply, asked } = await ask('POST', '/v2/runs', text, QUEUED);
-    expect([reply, asked]).toEqual([expected, []]);
+  ])('is rejected without a valid job id: %s', async (text, expected) => {
+    const { response, calls } = await sendRequest('POST', '/v2/runs', text, QUEUED_ANSWER);
+    expect([response, calls]).toEqual([expected, []]);
   });
 
-  test('that is malformed is answered as its job is, if that is known', async () => {
-    expect((await ask('POST', '/v2/runs', '{"name_id":"wk-000412"}', QUEUED)).reply).toBe(
-      `200 ${PENDING_TEXT} {}`,
+  test('is answered with the status of its job if it is malformed but the job is known', async () => {
+    expect((await sendRequest('POST', '/v2/runs', '{"name_id":"wk-000412"}', QUEUED_ANSWER)).response).toBe(
+      `200 ${QUEUED_TEXT} {}`,
     );
   });
 });
 
-describe('the state of a job', () => {
+describe('job state', () => {
   test.each([
     ['queued', 'pending'],
     ['running', 'running'],
     ['done', 'done'],
     ['cancelled', 'withdrawn'],
-  ] as const)('%s is written as %s', (state, phase) => {
+  ] as const)('%s is encoded as %s', (state, phase) => {
     const answer = { type: 'job', created: false, state, finishedTasks: 3, runningTasks: 13 } as const;
     expect(JSON.stringify(encodeJobStatus('wk-000412', answer))).toBe(
       `{"name_id":"wk-000412","phase":"${phase}","done":3,"running":13}`,
@@ -178,32 +191,39 @@
   });
 });
 
-describe('answers to users', () => {
-  const never: ApiAnswer = { type: 'rejected', reason: 'unknown team x' };
-  const later: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
+describe('responses to users', () => {
+  const rejected: ApiAnswer = { type: 'rejected', reason: 'unknown team x' };
+  const unavailable: ApiAnswer = { type: 'unavailable', reason: 'state service not reached' };
 
   test.each<[string, string, string, ApiAnswer, string, unknown[]]>([
     [
       'accepted',
       'POST',
       '/v2/runs',
-      { ...QUEUED, created: true },
-      `201 ${PENDING_TEXT} {}`,
+      { ...QUEUED_ANSWER, created: true },
+      `201 ${QUEUED_TEXT} {}`,
       ['submit', SPEC],
     ],
-    ['known', 'POST', '/v2/runs', QUEUED, `200 ${PENDING_TEXT} {}`, ['submit', SPEC]],
-    ['never', 'POST', '/v2/runs', never, '422 {"error":"unknown team x"} {}', ['submit', SPEC]],
-    ['later', 'POST', '/v2/runs', later, '503 {"error":"state service not reached"} {}', ['submit', SPEC]],
-    ['polled', 'GET', '/v2/runs/wk-000412', QUEUED, `200 ${PENDING_TEXT} {}`, ['poll', 'wk-000412']],
+    ['accepted before', 'POST', '/v2/runs', QUEUED_ANSWER, `200 ${QUEUED_TEXT} {}`, ['submit', SPEC]],
+    ['rejected', 'POST', '/v2/runs', rejected, '422 {"error":"unknown team x"} {}', ['submit', SPEC]],
     [
-      'unknown',
+      'unavailable',
+      'POST',
+      '/v2/runs',
+      unavailable,
+      '503 {"error":"state service not reached"} {}',
+      ['submit', SPEC],
+    ],
+    ['status', 'GET', '/v2/runs/wk-000412', QUEUED_ANSWER, `200 ${QUEUED_TEXT} {}`, ['poll', 'wk-000412']],
+    [
+      'unknown job',
       'GET',
       '/v2/runs/wk-1',
       { type: 'notFound' },
       '404 {"error":"no such job"} {}',
       ['poll', 'wk-1'],
     ],
-    ['not an id', 'GET', '/v2/runs/job-1', QUEUED, '404 {"error":"no such job"} {}', []],
+    ['invalid job id', 'GET', '/v2/runs/job-1', QUEUED_ANSWER, '404 {"error":"no such job"} {}', []],
     [
       'cancelled',
       'POST',
@@ -212,24 +232,35 @@
       '200 {"name_id":"wk-000412","phase":"withdrawn","done":3,"running":0} {}',
       ['abort', 'wk-000412'],
     ],
-    ['cancel, not an id', 'POST', '/v2/runs/job-1/abort', QUEUED, '404 {"error":"no such job"} {}', []],
-    ['ready', 'GET', '/ready', QUEUED, '200 {"ready":true} {}', []],
-    ['no such path', 'GET', '/v2/jobs', QUEUED, '404 {"error":"no such path"} {}', []],
-  ])('%s', async (_title, method, path, given, reply, asked) => {
-    const got = await ask(method, path, method === 'POST' ? JOB_TEXT : '', given);
-    expect([got.reply, got.asked, got.retry]).toStrictEqual([reply, asked, reply.startsWith('503')]);
+    [
+      'cancellation with an invalid job id',
+      'POST',
+      '/v2/runs/job-1/abort',
+      QUEUED_ANSWER,
+      '404 {"error":"no such job"} {}',
+      [],
+    ],
+    ['ready', 'GET', '/ready', QUEUED_ANSWER, '200 {"ready":true} {}', []],
+    ['unknown path', 'GET', '/v2/jobs', QUEUED_ANSWER, '404 {"error":"no such path"} {}', []],
+  ])('%s', async (_title, method, path, answer, expectedResponse, expectedCalls) => {
+    const result = await sendRequest(method, path, method === 'POST' ? JOB_TEXT : '', answer);
+    expect([result.response, result.calls, result.hasRetryAfter]).toStrictEqual([
+      expectedResponse,
+      expectedCalls,
+      expectedResponse.startsWith('503'),
+    ]);
   });
 
-  test('lead users to another controller when this one cannot serve them', async () => {
-    const got = await ask('GET', '/v2/runs/wk-1', '', later, { elsewhere: true });
-    expect([got.reply, got.retry]).toEqual([
+  test('close the connection when users should go to another controller', async () => {
+    const result = await sendRequest('GET', '/v2/runs/wk-1', '', unavailable, { redirectsUsers: true });
+    expect([result.response, result.hasRetryAfter]).toEqual([
       '503 {"error":"state service not reached"} {"Connection":"close"}',
       true,
     ]);
   });
 
-  test('tell health checks that a controller is not ready', async () => {
-    const got = await ask('GET', '/ready', '', later, { ready: false });
-    expect([got.reply, got.retry]).toEqual(['503 {"error":"not ready"} {}', true]);
+  test('report to health checks that the controller is not ready', async () => {
+    const result = await sendRequest('GET', '/ready', '', unavailable, { ready: false });
+    expect([result.response, result.hasRetryAfter]).toEqual(['503 {"error":"not ready"} {}', true]);
   });
 });
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -9,9 +9,9 @@
 import { decodeHeartbeat } from '../../src/wire/worker-messages.js';
 import { RecordingServer } from './recording-server.js';
 
-const REPORT_TEXT =
+const HEARTBEAT_TEXT =
   '{"trunk":"vm-000231","address":"10.1.0.232:9000","bark":"g8","slope":"a","windfall":true,"season":1,"tally":88,"crook":41,"felling_s":null,"saplings":[{"sapling":"wk-000412/3","sprout":2,"phase":"running"},{"sapling":"wk-000398/0","sprout":1,"phase":"ended","blight":"done"}]}';
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   machine: 'vm-000231',
   address: '10.1.0.232:9000',
   machineType: 'g8',
@@ -45,27 +45,31 @@
   { type: 'stop', jobId: 'wk-000377', taskIndex: 1, attempt: 1, gracePeriodSeconds: 10 },
   { type: 'forget', jobId: 'wk-000398', taskIndex: 0, attempt: 1 },
 ];
-const CALLS_TEXT =
+const COMMANDS_TEXT =
   '[{"call":"start","sapling":"wk-000412/4","sprout":2},{"call":"stop","sapling":"wk-000377/1","sprout":1,"pruning_s":10},{"call":"reap","sapling":"wk-000398/0","sprout":1}]';
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
-const taskOf = (text: string) =>
-  decodeHeartbeat(JSON.parse(REPORT_TEXT.replace(/"saplings":.*$/, `"saplings":[${text}]}`)))?.tasks[0];
+const decodeTask = (text: string) =>
+  decodeHeartbeat(JSON.parse(HEARTBEAT_TEXT.replace(/"saplings":.*$/, `"saplings":[${text}]}`)))?.tasks[0];
 
-describe('a worker’s report', () => {
-  test('is read whole', () => {
-    expect(decodeHeartbeat(JSON.parse(REPORT_TEXT))).toStrictEqual(REPORT);
+describe('a heartbeat of a worker', () => {
+  test('is decoded completely', () => {
+    expect(decodeHeartbeat(JSON.parse(HEARTBEAT_TEXT))).toStrictEqual(HEARTBEAT);
   });
 
   test.each<[string, string, Partial<Heartbeat>]>([
-    ['notice', REPORT_TEXT.replace('"felling_s":null', '"felling_s":31.5'), { evictionNoticeSeconds: 31.5 }],
-    ['no notice field', REPORT_TEXT.replace('"felling_s":null,', ''), {}],
-    ['ordinary machine', REPORT_TEXT.replace('"windfall":true', '"windfall":false'), { isSpot: false }],
-    ['no token field', REPORT_TEXT.replace('"crook":41,', ''), { fencingToken: 0 }],
-    ['token null', REPORT_TEXT.replace('"crook":41', '"crook":null'), { fencingToken: 0 }],
-    ['a field that is not known', REPORT_TEXT.replace('{"trunk"', '{"moss":1,"trunk"'), {}],
-  ])('is read: %s', (_title, text, difference) => {
-    expect(decodeHeartbeat(JSON.parse(text))).toStrictEqual({ ...REPORT, ...difference });
+    [
+      'eviction notice',
+      HEARTBEAT_TEXT.replace('"felling_s":null', '"felling_s":31.5'),
+      { evictionNoticeSeconds: 31.5 },
+    ],
+    ['eviction notice omitted', HEARTBEAT_TEXT.replace('"felling_s":null,', ''), {}],
+    ['on-demand machine', HEARTBEAT_TEXT.replace('"windfall":true', '"windfall":false'), { isSpot: false }],
+    ['token omitted', HEARTBEAT_TEXT.replace('"crook":41,', ''), { fencingToken: 0 }],
+    ['token null', HEARTBEAT_TEXT.replace('"crook":41', '"crook":null'), { fencingToken: 0 }],
+    ['unknown field', HEARTBEAT_TEXT.replace('{"trunk"', '{"moss":1,"trunk"'), {}],
+  ])('is decoded: %s', (_title, text, difference) => {
+    expect(decodeHeartbeat(JSON.parse(text))).toStrictEqual({ ...HEARTBEAT, ...difference });
   });
 
   test.each<[string, TaskPhase]>([
@@ -74,8 +78,8 @@
     ['running', 'running'],
     ['saving', 'saving'],
     ['ended', 'exited'],
-  ])('names the task state %s', (text, phase) => {
-    expect(taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"${text}"}`)?.phase).toBe(phase);
+  ])('may contain the task phase %s', (text, phase) => {
+    expect(decodeTask(`{"sapling":"wk-1/3","sprout":2,"phase":"${text}"}`)?.phase).toBe(phase);
   });
 
   test.each<[string, ExitReason]>([
@@ -88,9 +92,9 @@
     ['busy', 'attemptListed'],
     ['unknown', 'unknown'],
     ['anything else', 'error'],
-  ])('names the end %s', (text, reason) => {
+  ])('may contain the exit reason %s', (text, reason) => {
     expect(
-      taskOf(`{"sapling":"wk-1/3","sprout":2,"phase":"ended","blight":"${text}","stored":true}`),
+      decodeTask(`{"sapling":"wk-1/3","sprout":2,"phase":"ended","blight":"${text}","stored":true}`),
     ).toStrictEqual({
       jobId: 'wk-1',
       taskIndex: 3,
@@ -111,59 +115,58 @@
     '"sapling":"wk-000412/3"',
     '"sprout":2',
     '"phase":"running"',
-  ])('is not read without %s', (field) => {
-    expect(decodeHeartbeat(JSON.parse(REPORT_TEXT.replace(field, '"moss":0')))).toBe(null);
+  ])('is not decoded without %s', (field) => {
+    expect(decodeHeartbeat(JSON.parse(HEARTBEAT_TEXT.replace(field, '"moss":0')))).toBe(null);
   });
 });
 
-describe('the answer to a report', () => {
-  const answered = (answer: HeartbeatResult, text = REPORT_TEXT) => {
-    const reports: Heartbeat[] = [];
+describe('the response to a heartbeat', () => {
+  const respondToHeartbeat = (result: HeartbeatResult, text = HEARTBEAT_TEXT) => {
+    const heartbeats: Heartbeat[] = [];
     const controller: Pick<Controller, 'handleHeartbeat'> = {
-      handleHeartbeat: (given) => {
-        reports.push(given);
-        return answer;
+      handleHeartbeat: (heartbeat) => {
+        heartbeats.push(heartbeat);
+        return result;
       },
     };
-    const reply = answerHeartbeat(controller as Controller, log, text);
-    return { reply, reports };
+    const response = answerHeartbeat(controller as Controller, log, text);
+    return { response, heartbeats };
   };
 
-  test('holds the token and the commands', () => {
-    const { reply, reports } = answered({ type: 'accepted', fencingToken: 41, commands: COMMANDS });
-    expect([reply.status, reply.body, reply.headers]).toEqual([
+  test('contains the fencing token and the commands', () => {
+    const { response, heartbeats } = respondToHeartbeat({
+      type: 'accepted',
+      fencingToken: 41,
+      commands: COMMANDS,
+    });
+    expect([response.status, response.body, response.headers]).toEqual([
       200,
-      `{"crook":41,"calls":${CALLS_TEXT}}`,
+      `{"crook":41,"calls":${COMMANDS_TEXT}}`,
       undefined,
     ]);
-    expect(reports).toStrictEqual([REPORT]);
-    expect(answered({ type: 'accepted', fencingToken: 42, commands: [] }).reply.body).toBe(
+    expect(heartbeats).toStrictEqual([HEARTBEAT]);
+    expect(respondToHeartbeat({ type: 'accepted', fencingToken: 42, commands: [] }).response.body).toBe(
       '{"crook":42,"calls":[]}',
     );
   });
 
   test.each<[string, HeartbeatResult, number, string]>([
-    ['the leader is known', { type: 'redirected', leaderName: 'stand-2' }, 421, '{"keeper":"stand-2"}'],
-    ['the leader is not known', { type: 'redirected', leaderName: null }, 421, '{}'],
-    [
-      'the state service is not reached',
-      { type: 'unavailable' },
-      503,
-      '{"error":"state service not reached"}',
-    ],
-  ])('sends the worker elsewhere: %s', (_title, answer, status, body) => {
-    const { reply } = answered(answer);
-    expect([reply.status, reply.body]).toEqual([status, body]);
-    expect(JSON.stringify(reply.headers)).toBe(status === 503 ? '{"Retry-After":"1"}' : undefined);
+    ['leader known', { type: 'redirected', leaderName: 'stand-2' }, 421, '{"keeper":"stand-2"}'],
+    ['leader unknown', { type: 'redirected', leaderName: null }, 421, '{}'],
+    ['key-value store not reachable', { type: 'unavailable' }, 503, '{"error":"state service not reached"}'],
+  ])('tells the worker to turn to another controller: %s', (_title, result, status, body) => {
+    const { response } = respondToHeartbeat(result);
+    expect([response.status, response.body]).toEqual([status, body]);
+    expect(JSON.stringify(response.headers)).toBe(status === 503 ? '{"Retry-After":"1"}' : undefined);
   });
 
-  test.each(['{', '[]', '{"trunk":"vm-1"}'])('refuses a malformed report: %s', (text) => {
-    const { reply, reports } = answered({ type: 'unavailable' }, text);
-    expect([reply.status, reply.body, reports]).toEqual([400, '{"error":"malformed report"}', []]);
+  test.each(['{', '[]', '{"trunk":"vm-1"}'])('rejects a malformed heartbeat: %s', (text) => {
+    const { response, heartbeats } = respondToHeartbeat({ type: 'unavailable' }, text);
+    expect([response.status, response.body, heartbeats]).toEqual([400, '{"error":"malformed report"}', []]);
   });
 });
 
-describe('commands straight to a worker', () => {
+describe('direct commands to a worker', () => {
   const server = new RecordingServer();
   let address = '';
   beforeAll(async () => {
@@ -172,26 +175,26 @@
   afterAll(() => server.close());
 
   const send = (status: number, text: string, commands: WorkerCommand[] = []) => {
-    server.reply = { status, text };
-    return new Promise<Result<Heartbeat>>((done) =>
-      new WorkerClient(1).sendCommands(address, { fencingToken: 41, agentEpoch: 3, commands }, done),
+    server.response = { status, text };
+    return new Promise<Result<Heartbeat>>((resolve) =>
+      new WorkerClient(1).sendCommands(address, { fencingToken: 41, agentEpoch: 3, commands }, resolve),
     );
   };
 
-  test('are sent to /commands with token, season and calls, and answered by a report', async () => {
-    expect(await send(200, REPORT_TEXT, COMMANDS)).toStrictEqual({ ok: true, value: REPORT });
+  test('are sent to /commands with fencing token, epoch and commands, and answered with a heartbeat', async () => {
+    expect(await send(200, HEARTBEAT_TEXT, COMMANDS)).toStrictEqual({ ok: true, value: HEARTBEAT });
     expect(server.requests.at(-1)).toBe(
-      `POST /commands application/json {"crook":41,"season":3,"calls":${CALLS_TEXT}}`,
+      `POST /commands application/json {"crook":41,"season":3,"calls":${COMMANDS_TEXT}}`,
     );
   });
 
   test.each<[number, string, Result<Heartbeat>]>([
     [200, '{}', { ok: false, kind: 'indeterminate' }],
-    [409, REPORT_TEXT, { ok: false, kind: 'conflict', heartbeat: REPORT }],
+    [409, HEARTBEAT_TEXT, { ok: false, kind: 'conflict', heartbeat: HEARTBEAT }],
     [409, '{}', { ok: false, kind: 'refused' }],
     [400, '{}', { ok: false, kind: 'invalid' }],
     [500, '{}', { ok: false, kind: 'indeterminate' }],
-  ])('are answered by %i %s', async (status, text, result) => {
+  ])('return the result of a response with %i %s', async (status, text, result) => {
     expect(await send(status, text)).toStrictEqual(result);
     expect(server.requests.at(-1)).toBe('POST /commands application/json {"crook":41,"season":3,"calls":[]}');
   });
