--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -78,7 +78,7 @@
         // From the end of the task until its heartbeat, its count and its final record have been written.
         for (let query = 0; query < 6; query++)
           simulation.simulator.scheduleAfter(simulation.simulator.between(0, 2500), () =>
-            simulation.users.queryAndResubmit(spec.id, index % 3 !== 0),
+            simulation.users.pollAndResubmit(spec.id, index % 3 !== 0),
           );
       }
       simulation.simulator.scheduleAfter(5, watch);
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -11,10 +11,7 @@
 });
 afterAll(() => server.close());
 
-/**
- * Sends a request to the cloud, which responds as given. Returns the request as it was sent, and the decoded
- * result.
- */
+/** Calls the cloud, which sends the given response. Returns the request as sent and the decoded result. */
 async function call<T>(status: number, text: string, send: (callback: (result: Result<T>) => void) => void) {
   server.response = { status, text };
   const result = await new Promise<Result<T>>((resolve) => send(resolve));
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -75,7 +75,7 @@
   acceptedAtMs: 0,
 };
 
-/** Runs a controller on the given stored records for a while. */
+/** Runs a controller on the given stored records for `durationMs`. */
 function runController(records: Record<string, string>, cloudTypes: MachineType[], durationMs = 3000) {
   const simulator = new Simulator(1);
   const store = new RecordingStore(new Map(Object.entries(records)));
--- a/test/forms/outside-names.test.ts
+++ b/test/forms/outside-names.test.ts
@@ -1,6 +1,5 @@
 /**
- * Names and texts that leave the process are listed in `outside-names.txt`, one per line. Each must still
- * occur in the sources.
+ * Checks that the sources still contain every name and text that leaves the process, see `outside-names.txt`.
  */
 
 import { readdirSync, readFileSync } from 'node:fs';
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -7,8 +7,7 @@
 import type { LeaderMessage, ShardMessage } from '../../src/model/shard-messages.js';
 
 /**
- * Expected encoding of each example by title: the JSON text of the encoded value, and its MessagePack bytes
- * in base64.
+ * Expected encoding of each example by title: the encoded value as JSON, and its MessagePack bytes in base64.
  */
 export const EXPECTED_ENCODINGS = JSON.parse(
   readFileSync(new URL('./peer-messages.json', import.meta.url), 'utf8'),
--- a/test/forms/peer-messages-sent.test.ts
+++ b/test/forms/peer-messages-sent.test.ts
@@ -18,10 +18,7 @@
     .join();
 }
 
-/**
- * Runs a cluster with jobs of each kind. Returns the distinct field lists of the peer messages by kind of
- * message.
- */
+/** Runs a cluster with jobs of each kind. Returns the distinct field lists of each kind of peer message. */
 function collectSentFields(): Record<string, string[]> {
   const simulation = new ClusterSimulation(7);
   const fieldsByKind = new Map<string, Set<string>>();
@@ -41,22 +38,15 @@
       push(command);
     };
   }
-  const commonFields = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
+  const base = { taskCount: 6, checkpointIntervalSeconds: 1, checkpointSaveSeconds: 1 };
   for (let index = 0; index < 4; index++) {
     simulation.users.submitJob(
-      makeJobSpec(simulation, {
-        ...commonFields,
-        priority: 3,
-        machineTypes: ['small'],
-        estimatedRunSeconds: 300,
-      }),
-    );
-    simulation.users.submitJob(
-      makeJobSpec(simulation, { ...commonFields, kind: 'gang', priority: 2, team: 'blue' }),
+      makeJobSpec(simulation, { ...base, priority: 3, machineTypes: ['small'], estimatedRunSeconds: 300 }),
     );
+    simulation.users.submitJob(makeJobSpec(simulation, { ...base, kind: 'gang', priority: 2, team: 'blue' }));
     simulation.users.submitJob(
       makeJobSpec(simulation, {
-        ...commonFields,
+        ...base,
         kind: 'service',
         priority: 0,
         zoneAntiAffinity: true,
@@ -73,7 +63,7 @@
   simulation.simulator.run(25000);
   for (const machine of [...simulation.workers.keys()].slice(0, 2)) simulation.machines.destroy(machine);
   for (let index = 0; index < 4; index++)
-    simulation.users.submitJob(makeJobSpec(simulation, { ...commonFields, priority: 1, cpus: 4 }));
+    simulation.users.submitJob(makeJobSpec(simulation, { ...base, priority: 1, cpus: 4 }));
   simulation.simulator.run(50000);
   return Object.fromEntries([...fieldsByKind].sort().map(([kind, fields]) => [kind, [...fields].sort()]));
 }
--- a/test/forms/recording-server.ts
+++ b/test/forms/recording-server.ts
@@ -20,7 +20,7 @@
     });
     request.on('end', () => {
       const type = request.headers['content-type'] ?? '';
-      this.requests.push([request.method, request.url, type, body].filter((chunk) => chunk !== '').join(' '));
+      this.requests.push([request.method, request.url, type, body].filter((part) => part !== '').join(' '));
       response.writeHead(this.response.status, { connection: 'close' });
       response.end(this.response.text);
     });
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -350,7 +350,7 @@
     ['batch_tasks = 8.5', '1', '10000'],
     ['parting_s = 9.5', '1', '86400'],
     ['patience_s = 10.5', '0', '3600'],
-  ])('is clamped to the range of each key: %s', (line, min, max) => {
+  ])('clamps each value to its range: %s', (line, min, max) => {
     const name = line.split(' ')[0];
     const evaluate = (value: string) =>
       JSON.stringify(
--- a/test/forms/store-messages.test.ts
+++ b/test/forms/store-messages.test.ts
@@ -15,10 +15,7 @@
 });
 afterAll(() => server.close());
 
-/**
- * Sends a request to the key-value store, which responds as given. Returns the request as it was sent, and
- * the decoded result.
- */
+/** Calls the store, which sends the given response. Returns the request as sent and the decoded result. */
 async function call(
   status: number,
   text: string,
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -99,10 +99,7 @@
   };
 }
 
-/**
- * Sends a request to the API on the given stored records. Returns its response and the transactions that it
- * has sent.
- */
+/** Calls the API on the given stored records. Returns its answer and the transactions that it has sent. */
 function callApi(
   records: Record<string, string>,
   request: (api: JobApi, callback: (answer: ApiAnswer) => void) => void,
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -36,10 +36,7 @@
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 const clock = { now: () => 0, wallTime: () => 1700000000000 } as Clock;
 
-/**
- * Sends a request to a controller whose API returns `answer`. Returns the HTTP response and the calls of the
- * API.
- */
+/** Sends a request to a controller whose API gives `answer`. Returns the HTTP response and the API calls. */
 async function sendRequest(
   method: string,
   path: string,
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -53,7 +53,7 @@
   harness.grant('wk-000003', MAX_TASKS);
   harness.runFor(3000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000003': MAX_TASKS });
-  harness.executeDelayed();
+  harness.executeDelayedTransactions();
   expect(harness.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
 
@@ -115,7 +115,7 @@
   harness.grant('wk-000001', 5);
   harness.runFor(4000);
   expect(harness.findLogLines('indeterminate write resolved').length).toBe(1);
-  expect(harness.executeDelayed()).toBe(0);
+  expect(harness.executeDelayedTransactions()).toBe(0);
   harness.grant('wk-000001', MAX_TASKS);
   harness.runFor(1000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': MAX_TASKS });
@@ -127,9 +127,9 @@
     harness.lostResponses.push('carried out late', 'carried out late');
     harness.grant('wk-000001', 5);
     harness.runFor(2000);
-    if (early) expect(harness.executeDelayed()).toBe(2);
+    if (early) expect(harness.executeDelayedTransactions()).toBe(2);
     harness.runFor(3000);
-    expect(harness.executeDelayed()).toBe(0);
+    expect(harness.executeDelayedTransactions()).toBe(0);
     expect(harness.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
     expect(harness.owner.stats().placed).toBe(early ? 5 : 0);
   }
--- a/test/simulation/cluster-config.ts
+++ b/test/simulation/cluster-config.ts
@@ -6,13 +6,18 @@
 
 /** Settings of the controllers of a simulated cluster, and the capacity of its cloud. */
 export interface ClusterConfig {
+  /** One controller runs on each node. */
   nodeNames: string[];
+  /** Interval of the heartbeats of workers. */
   heartbeatIntervalSeconds: number;
+  /** A worker whose lease was not renewed for this time ends its tasks. */
   leaseSeconds: number;
+  /** Time after the confirmed cancellation of a job within which its tasks must have ended. */
   cancellationSeconds: number;
   maxTransactionOperations: number;
   maxValueKb: number;
   writesPerSecond: number;
+  /** Time to live of the leases of controllers in the key-value store. */
   leaseTtlMs: number;
   machineTypes: MachineType[];
   teams: Team[];
@@ -44,10 +49,7 @@
   maxGpus: 0,
 });
 
-/**
- * The default: three controllers, two machine types in two zones and three teams, one of them without a
- * quota.
- */
+/** The default: three controllers, two machine types in two zones and three teams, one without a quota. */
 export const CLUSTER_CONFIG: ClusterConfig = {
   nodeNames: ['c0', 'c1', 'c2'],
   heartbeatIntervalSeconds: 2,
--- a/test/simulation/cluster-queries.ts
+++ b/test/simulation/cluster-queries.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * Advances simulated time in steps of `stepMs` until the condition holds or `timeoutMs` have passed. Returns
- * whether the condition holds.
+ * Advances simulated time in steps of `stepMs` until the condition holds or `timeoutMs` have passed, and
+ * returns whether the condition holds.
  */
 export function runUntil(
   { simulator }: ClusterSimulation,
@@ -39,7 +39,7 @@
   return condition();
 }
 
-/** Advances simulated time. */
+/** Advances simulated time by `durationMs`. */
 export function runFor({ simulator }: ClusterSimulation, durationMs: number): void {
   simulator.run(simulator.now + durationMs);
 }
--- a/test/simulation/cluster-simulation.ts
+++ b/test/simulation/cluster-simulation.ts
@@ -1,7 +1,4 @@
-/**
- * A whole cluster in simulated time: the real controllers, fakes for everything else, and checks after each
- * event.
- */
+/** A whole cluster in simulated time: real controllers, fakes for all else, and checks after each event. */
 
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
 import { FakeCloud } from './fake-cloud.js';
@@ -13,10 +10,7 @@
 import { SimulatedUsers } from './simulated-users.js';
 import { StarvationChecker } from './starvation-checker.js';
 
-/**
- * A cluster in simulated time. The invariants are checked against the state of the fakes, not that of the
- * controllers.
- */
+/** A cluster in simulated time. Its invariants are checked against the state of the fakes. */
 export class ClusterSimulation extends SimulatedCluster {
   readonly cloud: FakeCloud;
   readonly controllers: SimulatedControllers;
@@ -50,10 +44,7 @@
     new StarvationChecker(this).start();
   }
 
-  /**
-   * Groups of jobs of which too few were served. Jobs that fail everywhere or that users cancelled don't
-   * count.
-   */
+  /** Groups of jobs of which too few were served; failing and cancelled jobs don't count. */
   underservedGroups(): string[] {
     return this.serviceLevel.underservedGroups(
       (id) => this.failingJobs.has(id) || this.jobs.get(id)?.cancelRequested === true,
--- a/test/simulation/controller-ports.ts
+++ b/test/simulation/controller-ports.ts
@@ -14,10 +14,7 @@
 const WATCH_GRACE_MS = 3000;
 const ITEMS_PER_PAGE = 50;
 
-/**
- * Runs a handler in a controller process: immediately, when its pause ends, or never if the process has
- * crashed.
- */
+/** Runs a handler in a controller process: at once, when its pause ends, or never if it has crashed. */
 export type Deliver = (handle: () => void) => void;
 
 interface StoreResponse<T> {
@@ -38,7 +35,7 @@
 export function storePort(options: StorePortOptions): KeyValueStore {
   const { cluster, nodeName, deliver } = options;
   const { store, simulator, network } = cluster;
-  const callStore = <T>(
+  const call = <T>(
     serve: (reply: (response: StoreResponse<T>) => void) => void,
     callback: ResultCallback<T>,
     deadlineMs = CALL_DEADLINE_MS,
@@ -51,9 +48,9 @@
       onResult: (result) => deliver(() => callback(toResult(result))),
     });
   return {
-    get: (key, _urgency, callback) => callStore((reply) => reply(store.get(nodeName, key)), callback),
+    get: (key, _urgency, callback) => call((reply) => reply(store.get(nodeName, key)), callback),
     list: ({ prefix, startAfter }, callback) =>
-      callStore((reply) => {
+      call((reply) => {
         const serve = () => reply(store.list(nodeName, { prefix, startAfter, pageSize: ITEMS_PER_PAGE }));
         if (cluster.maxReadDelayMs > 0)
           simulator.scheduleAfter(simulator.between(0, cluster.maxReadDelayMs), serve);
@@ -74,15 +71,14 @@
         network.send({ from: nodeName, to: 'state', deliver: execute });
         return failAfterDeadline();
       }
-      callStore((reply) => reply(execute()), callback);
+      call((reply) => reply(execute()), callback);
     },
-    grantLease: (ttlMs, callback) => callStore((reply) => reply(store.grantLease(nodeName, ttlMs)), callback),
+    grantLease: (ttlMs, callback) => call((reply) => reply(store.grantLease(nodeName, ttlMs)), callback),
     keepLeaseAlive: (lease, callback) =>
-      callStore((reply) => reply(store.keepLeaseAlive(nodeName, lease)), callback),
-    revokeLease: (lease, callback) =>
-      callStore((reply) => reply(store.revokeLease(nodeName, lease)), callback),
+      call((reply) => reply(store.keepLeaseAlive(nodeName, lease)), callback),
+    revokeLease: (lease, callback) => call((reply) => reply(store.revokeLease(nodeName, lease)), callback),
     watch: ({ prefix, sinceRevision, waitMs }, callback) =>
-      callStore(
+      call(
         (reply) => store.watch(nodeName, { prefix, sinceRevision, waitMs }, reply),
         callback,
         waitMs + WATCH_GRACE_MS,
@@ -90,10 +86,7 @@
   };
 }
 
-/**
- * Copies a transaction and returns a function that executes the copy and checks the result against the
- * quotas.
- */
+/** Copies a transaction. Returns a function that executes the copy and checks it against the quotas. */
 function prepareTransaction({ cluster, quotaChecker, nodeName }: StorePortOptions, transaction: Transaction) {
   const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
   return () =>
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -28,17 +28,17 @@
   simulator: Simulator;
   network: SimulatedNetwork;
   config: ClusterConfig;
-  /** A machine has booted. */
+  /** Called when a machine has booted. */
   onMachineStarted(machine: ListedMachine): void;
-  /** A machine was deleted, along with the tasks on it. */
+  /** Called when a machine is deleted, along with the tasks on it. */
   onMachineDeleted(name: string): void;
-  /** Every task on this machine will fail. */
+  /** Called when a rented machine is chosen to be faulty: every task on it will fail. */
   onFaultyMachine(name: string): void;
 }
 
 /**
- * Implements the protocol of the cloud: rents machines, which take time to boot, deletes them and lists them
- * with a delay.
+ * Implements the cloud's protocol: rents machines, which take time to boot, deletes them, and lists them
+ * late.
  */
 export class FakeCloud {
   /** While true, every request is refused. */
@@ -59,7 +59,7 @@
     return `vm-${String(++this.lastMachineNumber).padStart(6, '0')}`;
   }
 
-  /** Removes a deleted machine, so that later snapshots do not list it. */
+  /** Removes a deleted or reclaimed machine, so that later snapshots do not list it. */
   removeMachine(name: string): void {
     this.rentedMachines.delete(name);
   }
@@ -67,7 +67,7 @@
   /** Returns the cloud as one controller reaches it over the network. */
   port(nodeName: string, deliver: (handle: () => void) => void): CloudProvider {
     const { network, config } = this.environment;
-    const callCloud = <T>(serve: () => Result<T>, callback: ResultCallback<T>) =>
+    const call = <T>(serve: () => Result<T>, callback: ResultCallback<T>) =>
       network.call<Result<T>>({
         from: nodeName,
         to: 'cloud',
@@ -83,15 +83,15 @@
           ),
       });
     return {
-      listMachineTypes: (callback) => callCloud(() => ({ ok: true, value: config.machineTypes }), callback),
+      listMachineTypes: (callback) => call(() => ({ ok: true, value: config.machineTypes }), callback),
       rentMachines: ({ claim, count, machineType, zone, isSpot }, callback) =>
-        callCloud(() => this.rentMachines(claim, count, { machineType, zone, isSpot }), callback),
+        call(() => this.rentMachines(claim, count, { machineType, zone, isSpot }), callback),
       deleteMachines: (names, callback) =>
-        callCloud(() => {
+        call(() => {
           for (const name of names) this.environment.onMachineDeleted(name);
           return { ok: true, value: null };
         }, callback),
-      listMachines: (since, callback) => callCloud(() => ({ ok: true, value: this.list(since) }), callback),
+      listMachines: (since, callback) => call(() => ({ ok: true, value: this.list(since) }), callback),
     };
   }
 
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -40,10 +40,7 @@
 
 /** Interval at which expired leases are removed. */
 const LEASE_EXPIRY_INTERVAL_MS = 50;
-/**
- * A watch that ends while its node is refused is completed once the refusal is over, which is checked at this
- * interval.
- */
+/** Interval at which a watch that should end is retried while its node is refused. */
 const REFUSED_WATCH_RETRY_MS = 500;
 /** When the event log exceeds `MAX_EVENTS`, it is trimmed to the latest `EVENTS_AFTER_TRIM`. */
 const MAX_EVENTS = 20_000;
@@ -238,8 +235,7 @@
   private notifyWatches(): void {
     for (const watch of [...this.pendingWatches]) {
       if (this.refuses(watch.nodeName)) continue;
-      // A response must contain every change, so a watch that was blocked while the history was discarded
-      // fails.
+      // A response must contain every change, so a watch that missed discarded events fails.
       if (watch.sinceRevision < this.oldestRevision) {
         this.pendingWatches.splice(this.pendingWatches.indexOf(watch), 1);
         watch.reply({ status: 410 });
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -75,10 +75,7 @@
     this.poll();
   }
 
-  /**
-   * Whether a task occupies the machine in the sense of the invariants: its image is fetched, and it has not
-   * exited.
-   */
+  /** Whether a task occupies the machine, for the invariants: its image is fetched, and it has not exited. */
   occupies(task: FakeTask): boolean {
     return this.isAlive && task.phase !== 'fetching' && task.phase !== 'exited';
   }
@@ -195,8 +192,7 @@
   }
 
   /**
-   * Handles direct commands from a leader. Refuses them if their token is outdated or they are for another
-   * epoch.
+   * Handles direct commands from a leader; refuses them if their token is outdated or their epoch differs.
    */
   handleCommands(request: CommandRequest, respond: (response: CommandResponse) => void): void {
     if (!this.isAlive) return;
@@ -267,8 +263,7 @@
 
   private onImageFetched(task: FakeTask, spec: JobSpec): void {
     this.cachedImages.add(spec.image);
-    // The worker protocol: a completed task that is started again exits with `done` as soon as its image is
-    // fetched.
+    // Worker protocol: a completed task that is started again exits with `done` once its image is fetched.
     if (this.environment.isComplete(task.jobId, task.taskIndex)) this.exit(task, 'done');
     else if (spec.kind === 'gang') {
       task.phase = 'waiting';
@@ -311,19 +306,19 @@
   private finish(task: FakeTask): void {
     const spec = this.environment.jobSpec(task.jobId);
     if (spec?.kind !== 'gang') {
-      this.environment.markComplete(task.jobId, task.taskIndex);
+      this.environment.recordCompletion(task.jobId, task.taskIndex);
       this.exit(task, 'done');
       return;
     }
-    for (let index = 0; index < spec.taskCount; index++) this.environment.markComplete(task.jobId, index);
+    for (let index = 0; index < spec.taskCount; index++) this.environment.recordCompletion(task.jobId, index);
     for (const other of this.environment.gangTasks(task.jobId, task.attempt))
       if (other.phase === 'running') Object.assign(other, { phase: 'exited', exitReason: 'done' });
     this.hasUnreportedChanges = true;
   }
 
   /**
-   * Starts a waiting task of a gang once all other tasks are waiting or running, and ends it when one of them
-   * is lost.
+   * Starts a waiting task of a gang once all other tasks are waiting or running. Ends it if they are not
+   * ready in time or, after it has started, when one of them is lost.
    */
   private awaitGang(task: FakeTask, spec: JobSpec): void {
     const gangTasks = () => this.environment.gangTasks(task.jobId, task.attempt);
@@ -369,7 +364,7 @@
     this.hasUnreportedChanges = true;
   }
 
-  /** Ends a running task whose gang is being stopped, as it was not stopped in time itself. */
+  /** Ends a running task whose gang is being stopped, because it was not told to stop in time itself. */
   exitOnGangStop(task: FakeTask): void {
     if (this.isAlive && this.tasks.includes(task) && task.phase === 'running')
       this.exit(task, 'gangMemberLost');
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -73,10 +73,7 @@
   });
 };
 
-/**
- * Crashes a controller that restarts within 200 ms, then crashes it and a random one while a leader is
- * elected.
- */
+/** Crashes a controller that restarts within 200 ms, then it and a random one while a leader is elected. */
 const crashDuringElection: FaultInjector = ({
   simulation: { controllers, simulator, nodeNames },
   nodeName,
@@ -117,8 +114,8 @@
 };
 
 /**
- * Partitions the network: one controller and the machines of zone a on one side, everything else on the
- * other.
+ * Cuts one controller and the machines of zone a from the other controllers, the machines of zone b, the
+ * store, the cloud and the users.
  */
 const partitionZone: FaultInjector = (fault) => {
   const workers = [...fault.simulation.workers.values()];
@@ -298,10 +295,7 @@
   overloadTeam,
 ];
 
-/**
- * Injects a random fault; faults may overlap. `until`, in simulated milliseconds, limits
- * `RandomFault.durationMs`.
- */
+/** Injects a random fault; faults may overlap. `until`, a simulated time, limits `RandomFault.durationMs`. */
 export function injectFault(simulation: ClusterSimulation, until: number): void {
   const fault = new RandomFault(simulation, until);
   const inject = FAULT_INJECTORS[Math.floor(simulation.simulator.random() * FAULT_INJECTORS.length)]!;
--- a/test/simulation/invariant-checker.ts
+++ b/test/simulation/invariant-checker.ts
@@ -74,12 +74,12 @@
 
   private checkZones(zone: string, spec: JobSpec): void {
     let tasksInZone = 0;
-    let tasksElsewhere = 0;
+    let tasksInOtherZones = 0;
     for (const worker of this.cluster.workers.values())
       for (const task of worker.tasks)
         if (task.jobId === spec.id && worker.occupies(task))
-          worker.zone === zone ? tasksInZone++ : tasksElsewhere++;
-    if (spec.zoneAffinity && tasksElsewhere > 0)
+          worker.zone === zone ? tasksInZone++ : tasksInOtherZones++;
+    if (spec.zoneAffinity && tasksInOtherZones > 0)
       this.cluster.reportViolation(`wrong_place: ${spec.id} in two zones`);
     if (spec.zoneAntiAffinity && tasksInZone > Math.ceil(spec.taskCount / 2))
       this.cluster.reportViolation(`wrong_place: ${spec.id} not spread`);
--- a/test/simulation/job-spec.ts
+++ b/test/simulation/job-spec.ts
@@ -28,8 +28,7 @@
 };
 
 /**
- * Returns an array job of three tasks, whose id follows the number of jobs submitted so far. Each field can
- * be overridden.
+ * Returns an array job of three tasks, numbered by the jobs submitted so far; each field can be overridden.
  */
 export function makeJobSpec(
   { jobs }: { jobs: ReadonlyMap<string, unknown> },
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -1,7 +1,4 @@
-/**
- * Seeded scenarios on a whole cluster: jobs, cancellations and faults, then a fault-free period in which all
- * work must finish.
- */
+/** Seeded scenarios on a whole cluster: jobs, cancellations and faults, then time for all work to finish. */
 
 import type { JobSpec } from '../../src/model/job.js';
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
@@ -36,8 +33,8 @@
 }
 
 /**
- * Runs random jobs, cancellations and the given number of faults, then a fault-free period in which accepted
- * work must finish.
+ * Runs random jobs and cancellations with `faultCount` random faults, then a fault-free period in which all
+ * accepted work must finish.
  */
 export function runScenario(
   seed: number,
@@ -62,7 +59,7 @@
       injectFault(simulation, activityEndsAt + 5000),
     );
   simulation.faultsEndAt = activityEndsAt + 5000;
-  simulator.scheduleAt(1000, () => users.queryUnknownJob());
+  simulator.scheduleAt(1000, () => users.pollUnknownJob());
   simulator.run(activityEndsAt + FAULT_FREE_MS);
   return simulation;
 }
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -30,8 +30,7 @@
 };
 
 /**
- * A scheduler whose heartbeats and shard messages come from the test, which also answers its direct commands
- * to workers.
+ * A scheduler that gets heartbeats and shard messages from the test, which also answers its direct commands.
  */
 export class SchedulerHarness {
   readonly scheduler: Scheduler;
@@ -147,8 +146,7 @@
   }
 
   /**
-   * Sends a heartbeat of machine `m`; the test can override fields. Returns null if its lease must not be
-   * renewed now.
+   * Sends a heartbeat of machine `m`; fields can be overridden. Returns null if the lease is not renewed now.
    */
   sendHeartbeat(tasks: TaskStatus[], fencingToken = this.fencingToken, overrides: Partial<Heartbeat> = {}) {
     this.acknowledgeTimestamps();
--- a/test/simulation/service-level-checker.ts
+++ b/test/simulation/service-level-checker.ts
@@ -24,10 +24,7 @@
  * served, or fewer than half of the largest jobs of a class within four minutes.
  */
 export class ServiceLevelChecker {
-  /**
-   * Number of tasks that started, by commands in flight, after the cancellation of their job had been
-   * confirmed.
-   */
+  /** Number of tasks started by commands in flight after the cancellation of their job was confirmed. */
   startsAfterCancellation = 0;
   private readonly jobs = new Map<string, TrackedJob>();
 
@@ -72,9 +69,9 @@
   }
 
   private requiredTasks(spec: JobSpec): number {
-    const limit = this.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
-    if (limit <= 0 || spec.cpus <= 0) return spec.taskCount;
-    return Math.min(spec.taskCount, Math.floor(limit / spec.cpus + 1e-9));
+    const maxCpus = this.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
+    if (maxCpus <= 0 || spec.cpus <= 0) return spec.taskCount;
+    return Math.min(spec.taskCount, Math.floor(maxCpus / spec.cpus + 1e-9));
   }
 }
 
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -16,10 +16,7 @@
 const NODE_NAME = 'o';
 const CALL_DEADLINE_MS = 1500;
 
-/**
- * Options of an owner whose messages, log and wake-ups are dropped and that has no store; each can be
- * overridden.
- */
+/** Options of an owner without a store, whose messages and log are dropped; each can be overridden. */
 export function shardOwnerOptions(overrides: Partial<ShardOwnerOptions>): ShardOwnerOptions {
   return {
     nodeName: NODE_NAME,
@@ -47,8 +44,7 @@
 export type LostResponse = 'carried out at once' | 'carried out late';
 
 /**
- * The shard owner of one team with the fake key-value store. Tests can lose responses of transactions and
- * delay reads.
+ * The shard owner of one team with a fake store. Tests can lose responses to transactions and delay reads.
  */
 export class ShardOwnerHarness {
   readonly simulator = new Simulator(1);
@@ -99,7 +95,7 @@
     this.runFor(100);
   }
 
-  /** Advances simulated time. */
+  /** Advances simulated time by `durationMs`. */
   runFor(durationMs: number): void {
     this.simulator.run(this.simulator.now + durationMs);
   }
@@ -121,7 +117,7 @@
   }
 
   /** Executes the delayed transactions. Returns the number of those that succeeded. */
-  executeDelayed(): number {
+  executeDelayedTransactions(): number {
     const executed = this.delayedTransactions
       .splice(0)
       .filter((transaction) => this.store.compareAndSwap(NODE_NAME, transaction, LIMITS).status === 200);
@@ -132,18 +128,18 @@
   storedPlacementCounts(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const [key, { value }] of this.store.records) {
-      const [kind, job] = key.split('/');
-      if (kind !== 'place' || !job) continue;
+      const [kind, jobId] = key.split('/');
+      if (kind !== 'place' || !jobId) continue;
       const tasks = Object.values((JSON.parse(value) as { t: Record<string, unknown[]> }).t).filter(
         (task) => task.length === 4,
       );
-      counts[job] = (counts[job] ?? 0) + tasks.length;
+      counts[jobId] = (counts[jobId] ?? 0) + tasks.length;
     }
     return counts;
   }
 
   /** Total CPUs of the tasks that have a machine in the stored placements. */
-  storedCpus(cpusOf: (job: string) => number): number {
+  storedCpus(cpusOf: (jobId: string) => number): number {
     return Object.entries(this.storedPlacementCounts()).reduce(
       (sum, [job, count]) => sum + count * cpusOf(job),
       0,
--- a/test/simulation/simulated-cluster.ts
+++ b/test/simulation/simulated-cluster.ts
@@ -46,10 +46,7 @@
   readonly faultyMachines = new Set<string>();
   /** Jobs that fail on every machine. */
   readonly failingJobs = new Set<string>();
-  /**
-   * Whether some heartbeats and commands are delivered a second time, 0.5 s to two and a half worker leases
-   * later.
-   */
+  /** Whether some heartbeats and commands are delivered again, 0.5 s to 2.5 worker leases later. */
   duplicatesMessages = false;
   /** Share of transactions that get no response and are executed 2 to 12 s later. */
   delayedWriteShare = 0;
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -9,18 +9,13 @@
 import type { SimulatedControllers } from './simulated-controllers.js';
 import type { FakeTask, WorkerEnvironment } from './worker-environment.js';
 
-/**
- * `gang_peer_s` of the protocol: after the first task of a gang is told to stop, all others must be within
- * this time.
- */
+/** `gang_peer_s` of the protocol: once a task of a gang is told to stop, all must be within this time. */
 const GANG_STOP_WINDOW_MS = 6000;
 /** Share of heartbeats that are duplicated while `SimulatedCluster.duplicatesMessages` is set. */
 const DUPLICATED_HEARTBEAT_SHARE = 0.3;
-/**
- * While `SimulatedCluster.cancelsAtCompletion` is set: share of completed tasks whose job is cancelled, and
- * the maximum delay.
- */
+/** With `SimulatedCluster.cancelsAtCompletion`: share of completed tasks whose job is then cancelled. */
 const CANCELLED_AT_COMPLETION_SHARE = 0.3;
+/** Maximum delay of such a cancellation. */
 const MAX_CANCELLATION_DELAY_MS = 30;
 
 /** The other parts of the cluster that the machines use. */
@@ -37,10 +32,7 @@
   readonly refusals = { attemptListed: 0, noCapacity: 0 };
   /** Attempts of incomplete tasks that were started a second time, which must never happen. */
   readonly restartedAttempts: string[] = [];
-  /**
-   * Number of running gang tasks that were told to stop, and of those that were not within
-   * `GANG_STOP_WINDOW_MS`.
-   */
+  /** Number of running gang tasks that were told to stop, and of those that were not told in time. */
   readonly gangStops = { signalled: 0, late: 0 };
   private readonly stoppingGangs = new Set<string>();
   private readonly startedAttempts = new Set<string>();
@@ -96,7 +88,7 @@
       onStart: (jobId, taskIndex, attempt) => this.onStart(jobId, taskIndex, attempt),
       onRefusal: (reason) => void this.refusals[reason]++,
       isComplete: (jobId, taskIndex) => cluster.completedTasks.has(`${jobId}/${taskIndex}`),
-      markComplete: (jobId, taskIndex) => this.complete(jobId, taskIndex),
+      recordCompletion: (jobId, taskIndex) => this.recordCompletion(jobId, taskIndex),
     };
   }
 
@@ -144,7 +136,7 @@
     this.startedAttempts.add(key);
   }
 
-  private complete(jobId: string, taskIndex: number): void {
+  private recordCompletion(jobId: string, taskIndex: number): void {
     const { cluster } = this;
     cluster.completedTasks.add(`${jobId}/${taskIndex}`);
     if (cluster.cancelsAtCompletion && cluster.simulator.chance(CANCELLED_AT_COMPLETION_SHARE))
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -27,19 +27,16 @@
 
 interface CutLink {
   mode: CutMode;
-  heldMessages: (() => void)[];
+  queuedMessages: (() => void)[];
 }
 
-/**
- * The links between nodes, with small delays. Links can be cut, nodes blocked in one direction or slowed
- * down.
- */
+/** The links between nodes, with small delays. Links can be cut; nodes can be slowed down or unreachable. */
 export class SimulatedNetwork {
   /** Nodes that no message reaches, although the messages that they send arrive. */
   readonly unreachableInbound = new Set<string>();
   /** Nodes that can't open connections, although others can reach them. */
   readonly unreachableOutbound = new Set<string>();
-  /** Factor by which messages from a node are delayed. */
+  /** Factor that multiplies the delay of messages from a node. */
   readonly slowdowns = new Map<string, number>();
   private readonly cutLinks = new Map<string, CutLink>();
   /** Arrival time of the last message in each direction of a link: later messages must not overtake it. */
@@ -50,7 +47,7 @@
   /** Cuts the link between two nodes, in both directions. */
   cut(node: string, other: string, mode: CutMode): void {
     const key = linkKey(node, other);
-    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, heldMessages: [] });
+    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, queuedMessages: [] });
   }
 
   /** Restores a link and sends the messages that it held back. */
@@ -58,7 +55,7 @@
     const key = linkKey(node, other);
     const link = this.cutLinks.get(key);
     this.cutLinks.delete(key);
-    for (const resend of link?.heldMessages ?? []) resend();
+    for (const resend of link?.queuedMessages ?? []) resend();
   }
 
   /** Returns how the link between two nodes is cut; null if it is not. */
@@ -76,7 +73,7 @@
       return;
     }
     if (link) {
-      link.heldMessages.push(() => this.send(message));
+      link.queuedMessages.push(() => this.send(message));
       return;
     }
     const direction = `${from}>${to}`;
@@ -104,7 +101,7 @@
       return;
     }
     const cutMode = this.cutModeOf(from, to);
-    // During a `hold` cut, half of the calls use a kept-alive connection and are held back; the others never
+    // During a `hold` cut, half of the calls use an open connection and are held back; the others never
     // connect.
     if (cutMode === 'hold' && simulator.chance(0.5)) {
       simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -1,7 +1,4 @@
-/**
- * The users of a simulated cluster: they submit, poll and cancel jobs, and check that the responses are
- * consistent.
- */
+/** The users of a simulated cluster: they submit, poll and cancel jobs, and check the responses. */
 
 import type { Controller } from '../../src/controller/controller.js';
 import type { JobSpec } from '../../src/model/job.js';
@@ -27,10 +24,7 @@
 
 const isFinal = (state: JobState | null) => state === 'done' || state === 'cancelled';
 
-/**
- * Sends users' requests to random controllers. Responses that contradict one another are reported as
- * violations.
- */
+/** Sends users' requests to random controllers; responses that contradict one another are violations. */
 export class SimulatedUsers {
   private oversizedJobCount = 0;
 
@@ -55,14 +49,14 @@
     serviceLevel.recordSubmission(spec, simulator.now);
     this.sendSubmission(job, MAX_RETRIES);
     const poll = () => {
-      this.queryJob(job);
+      this.pollJob(job);
       simulator.scheduleAfter(simulator.between(3000, 7000), poll);
     };
     simulator.scheduleAfter(2000, poll);
   }
 
   /** Polls a job that nobody has submitted. */
-  queryUnknownJob(): void {
+  pollUnknownJob(): void {
     this.sendRequest(
       (controller, reply) => controller.api.getJob('wk-nobody', reply),
       (response) => {
@@ -79,21 +73,15 @@
     this.sendCancellation(job, MAX_RETRIES);
   }
 
-  /**
-   * Polls and resubmits a job at once, through random controllers, with a cancellation in between if `cancel`
-   * is set.
-   */
-  queryAndResubmit(id: string, cancel: boolean): void {
+  /** Polls and resubmits a job through random controllers; with `cancel`, cancels it in between. */
+  pollAndResubmit(id: string, cancel: boolean): void {
     const job = this.cluster.jobs.get(id)!;
-    this.queryJob(job);
+    this.pollJob(job);
     if (cancel) this.cancelJob(id);
     this.resubmit(job, job.spec);
   }
 
-  /**
-   * Cancels up to `count` running jobs within 200 ms. The first machine of each hangs for `hangMs`, unless
-   * that is 0.
-   */
+  /** Cancels up to `count` running jobs within 200 ms; the first machine of each hangs for `hangMs`. */
   cancelRunningJobs(count: number, hangMs: number): void {
     const { simulator, workers } = this.cluster;
     const workersByJob = new Map<string, FakeWorker[]>();
@@ -180,7 +168,7 @@
     );
   }
 
-  private queryJob(job: UserJob): void {
+  private pollJob(job: UserJob): void {
     const { id } = job.spec;
     const wasAccepted = job.accepted;
     const requestedAt = this.cluster.simulator.now;
--- a/test/simulation/starvation-checker.ts
+++ b/test/simulation/starvation-checker.ts
@@ -4,10 +4,7 @@
 import type { FakeWorker } from './fake-worker.js';
 import type { SimulatedCluster, UserJob } from './simulated-cluster.js';
 
-/**
- * Maximum time that a job may wait, once the faults are over, while machines and the quota of its team have
- * room for it.
- */
+/** Maximum time, once the faults are over, that a job may wait while machines and its quota have room. */
 const MAX_WAIT_MS = 90_000;
 const CHECK_INTERVAL_MS = 1000;
 /** Sums of decimal amounts are compared with this tolerance. */
@@ -83,10 +80,7 @@
     return waiting;
   }
 
-  /**
-   * Whether the job has tasks to place, within the quota of its team, for which machines have room; a gang
-   * needs room for all.
-   */
+  /** Whether a task of the job, or all tasks of a gang, could start now within quota and free capacity. */
   private couldRun(job: UserJob, waitingTasks: number, usage: MachineUsage): boolean {
     const { spec } = job;
     const isFinal = job.reportedState === 'done' || job.reportedState === 'cancelled';
@@ -94,9 +88,9 @@
       return false;
     const neededTasks = spec.kind === 'gang' ? spec.taskCount : 1;
     if (waitingTasks < neededTasks) return false;
-    const limit = this.cluster.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
+    const maxCpus = this.cluster.config.teams.find((team) => team.name === spec.team)?.maxCpus ?? 0;
     const usedCpus = (usage.cpusByTeam.get(spec.team) ?? 0) + spec.cpus * neededTasks;
-    if (limit !== 0 && usedCpus > limit + EPSILON) return false;
+    if (maxCpus !== 0 && usedCpus > maxCpus + EPSILON) return false;
     return this.freeSlots(spec, usage.tasksByZone.get(spec.id)) >= neededTasks;
   }
 
--- a/test/simulation/worker-environment.ts
+++ b/test/simulation/worker-environment.ts
@@ -14,10 +14,7 @@
   phase: TaskPhase;
   exitReason: ExitReason | null;
   checkpointSaved: boolean;
-  /**
-   * Number of the worker's process that runs the task: timers that an earlier process set for it have no
-   * effect.
-   */
+  /** Number of the worker's process that runs the task; timers set by an earlier process have no effect. */
   incarnation: number;
 }
 
@@ -43,7 +40,7 @@
   /** Called when a start is refused. */
   onRefusal(reason: RefusalReason): void;
   isComplete(jobId: string, taskIndex: number): boolean;
-  markComplete(jobId: string, taskIndex: number): void;
+  recordCompletion(jobId: string, taskIndex: number): void;
 }
 
 /** Why a worker refuses a start: it lists another attempt of the task, or lacks capacity. */
