--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -36,10 +36,7 @@
   onFaultyMachine(name: string): void;
 }
 
-/**
- * Implements the cloud's protocol: rents machines, which take time to boot, deletes them, and lists them
- * late.
- */
+/** Implements the cloud's protocol: rents machines, which take time to boot, deletes and lists them. */
 export class FakeCloud {
   /** While true, every request is refused. */
   isDown = false;
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -101,8 +101,7 @@
       return;
     }
     const cutMode = this.cutModeOf(from, to);
-    // During a `hold` cut, half of the calls use an open connection and are held back; the others never
-    // connect.
+    // During a `hold` cut, half of the calls use an open connection and are held back; others cannot connect.
     if (cutMode === 'hold' && simulator.chance(0.5)) {
       simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
       return;
