--- a/test/simulation/cluster-simulation.ts
+++ b/test/simulation/cluster-simulation.ts
@@ -1,4 +1,4 @@
-/** A whole cluster in simulated time: controllers as written, fakes for everything else, and checks after each step. */
+/** A whole cluster in simulated time: real controllers, fakes for all else, and checks after each event. */
 
 import { CLUSTER_CONFIG, type ClusterConfig } from './cluster-config.js';
 import { FakeCloud } from './fake-cloud.js';
@@ -10,7 +10,7 @@
 import { SimulatedUsers } from './simulated-users.js';
 import { StarvationChecker } from './starvation-checker.js';
 
-/** A deployment in simulated time; the invariants are checked on what the fakes saw. */
+/** A cluster in simulated time. Its invariants are checked against the state of the fakes. */
 export class ClusterSimulation extends SimulatedCluster {
   readonly cloud: FakeCloud;
   readonly controllers: SimulatedControllers;
@@ -44,14 +44,14 @@
     new StarvationChecker(this).start();
   }
 
-  /** Groups of jobs too few of which were served; jobs that fail everywhere or were cancelled don't count. */
-  underServed(): string[] {
-    return this.serviceLevel.underServed(
+  /** Groups of jobs of which too few were served; failing and cancelled jobs don't count. */
+  underservedGroups(): string[] {
+    return this.serviceLevel.underservedGroups(
       (id) => this.failingJobs.has(id) || this.jobs.get(id)?.cancelRequested === true,
     );
   }
 
-  /** Accepted work that should be over by now. */
+  /** Ids of the jobs that users have not seen end, except services and jobs that fail on every machine. */
   unfinishedJobs(): string[] {
     return [...this.jobs.values()]
       .filter(
