--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -1,4 +1,4 @@
-/** Cancelled jobs stop in time, whatever happens to leaders, shard owners and the state service. */
+/** Cancelled jobs stop in time despite faults of leaders, shard owners and the state service. */
 
 import { expect, test } from 'vitest';
 import { CancellationLog } from '../src/controller/cancellation-log.js';
@@ -13,7 +13,7 @@
 import { SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
-/** A cluster with one long array of each team running on machines that stay. */
+/** Starts a cluster in which each team runs an array of long tasks on on-demand machines. */
 function startRunningJobs(seed: number): { simulation: ClusterSimulation; ids: string[] } {
   const simulation = new ClusterSimulation(seed);
   simulation.runDurationMs = () => 1e9;
@@ -27,7 +27,7 @@
   return { simulation, ids };
 }
 
-/** Cancels through one controller; the answer counts as the confirmation. */
+/** Cancels a job through one controller and records when the response confirmed it. */
 function cancelAt(simulation: ClusterSimulation, nodeName: string, id: string): void {
   const job = simulation.jobs.get(id)!;
   job.cancelRequested = true;
@@ -37,18 +37,19 @@
 }
 
 test.each([1, 2, 3, 4])(
-  'cancellations confirmed by others stop tasks when the leader alone is refused before an outage for all (%i)',
+  'tasks of jobs cancelled through another controller stop when the state service refuses the leader and then goes down (%i)',
   (seed) => {
     const { simulation, ids } = startRunningJobs(seed);
     for (let round = 0; round < 2; round++) {
       const leader = leaderOf(simulation);
-      const other = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
+      const otherNode = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
       simulation.store.refusedNodes.add(leader);
-      // Neither announcements of its peers nor stops of the owner reach the leader: only the bound on renewals is left.
+      // The leader receives neither cancellation announcements of its peers nor stops from shard owners: only
+      // the limit on lease renewals can end the tasks.
       for (const nodeName of simulation.nodeNames)
         if (nodeName !== leader) simulation.network.cut(nodeName, leader, 'hold');
       runFor(simulation, 200);
-      cancelAt(simulation, other, ids[round]!);
+      cancelAt(simulation, otherNode, ids[round]!);
       runFor(simulation, 300);
       expect(simulation.jobs.get(ids[round]!)!.cancelledAt).not.toBeNull();
       simulation.store.setDown(true);
@@ -64,7 +65,7 @@
   },
 );
 
-test('a cancellation announced by a peer stops tasks at once, without the state service', () => {
+test('a cancellation announced by a peer stops tasks at once while the state service is down', () => {
   const { simulation, ids } = startRunningJobs(5);
   const leader = leaderOf(simulation);
   simulation.store.refusedNodes.add(leader);
@@ -78,10 +79,10 @@
 });
 
 test.each([1, 2])(
-  'an outage of any length stops no task but cancelled ones while all controllers are connected (%i)',
+  'a state service outage of any length stops only cancelled tasks while all controllers are connected (%i)',
   (seed) => {
     const { simulation, ids } = startRunningJobs(seed);
-    const before = ids
+    const tasksBefore = ids
       .slice(1)
       .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`));
     const leader = leaderOf(simulation);
@@ -95,8 +96,8 @@
       ids
         .slice(1)
         .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`)),
-    ).toEqual(before);
-    // A controller that ends may have confirmed a cancellation to a user last of all, and to nobody else.
+    ).toEqual(tasksBefore);
+    // A crashed controller may have confirmed a cancellation that no other knows of: all tasks must stop.
     simulation.controllers.crash(simulation.nodeNames.find((nodeName) => nodeName !== leader)!, 500);
     runFor(simulation, simulation.config.cancellationSeconds * 1000);
     expect(ids.flatMap((id) => workersWith(simulation, id))).toEqual([]);
@@ -107,21 +108,21 @@
 );
 
 test.each([1, 2, 3])(
-  'a leader elected as an outage begins, before any full sync, keeps running tasks and stops cancelled ones (%i)',
+  'a leader elected just before a state service outage keeps tasks running without a full sync and stops cancelled ones (%i)',
   (seed) => {
     const { simulation, ids } = startRunningJobs(seed);
-    const before = ids
+    const tasksBefore = ids
       .slice(1)
       .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`));
-    const old = leaderOf(simulation);
-    simulation.store.refusedNodes.add(old);
-    const next = () =>
-      simulation.nodeNames.find((nodeName) => nodeName !== old && isLeader(simulation, nodeName));
-    while (!next()) runFor(simulation, 1);
+    const previousLeader = leaderOf(simulation);
+    simulation.store.refusedNodes.add(previousLeader);
+    const newLeader = () =>
+      simulation.nodeNames.find((nodeName) => nodeName !== previousLeader && isLeader(simulation, nodeName));
+    while (!newLeader()) runFor(simulation, 1);
     simulation.store.setDown(true);
-    // Confirmed to its user just before, by a controller that had it stored.
+    // Stands for a cancellation that this controller stored and confirmed to its user just before the outage.
     const controller = simulation.controllers.get(
-      simulation.nodeNames.find((nodeName) => nodeName !== old && nodeName !== next())!,
+      simulation.nodeNames.find((nodeName) => nodeName !== previousLeader && nodeName !== newLeader())!,
     )!.controller as unknown as {
       parts: { coordinator: { announce(jobId: string): void } };
     };
@@ -132,27 +133,27 @@
       ids
         .slice(1)
         .flatMap((id) => workersWith(simulation, id).map((worker) => `${worker.name}/${worker.workerEpoch}`)),
-    ).toEqual(before);
-    simulation.store.readmit(old);
+    ).toEqual(tasksBefore);
+    simulation.store.readmit(previousLeader);
     simulation.store.setDown(false);
     runFor(simulation, 20000);
     expect(simulation.violations).toEqual([]);
   },
 );
 
-test('a task of a cancelled job is stopped when a heartbeat lists it, also before the full sync of its owner', () => {
+test('a task of a cancelled job is stopped when a heartbeat lists it, even before the full sync of its shard owner', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([]);
   harness.scheduler.requestSync('o');
-  const other = { ...taskStatus('running'), jobId: 'wk-2' };
-  harness.heartbeat([taskStatus('running'), other]);
+  const otherTask = { ...taskStatus('running'), jobId: 'wk-2' };
+  harness.heartbeat([taskStatus('running'), otherTask]);
   harness.cancelledJobs.add('wk-1');
-  expect(harness.heartbeat([taskStatus('running'), other])).toEqual([
+  expect(harness.heartbeat([taskStatus('running'), otherTask])).toEqual([
     { type: 'stop', jobId: 'wk-1', taskIndex: 0, attempt: 1, gracePeriodSeconds: 0 },
   ]);
 });
 
-test('a shard owner that is unreachable inbound loses its shards', () => {
+test('a shard owner that the leader cannot reach loses its shards, and a job of its team still finishes', () => {
   const simulation = new ClusterSimulation(12);
   simulation.simulator.run(8000);
   const leader = leaderOf(simulation);
@@ -175,7 +176,7 @@
   expect([simulation.jobs.get(spec.id)!.reportedState, simulation.violations]).toEqual(['done', []]);
 });
 
-test('announcements of peers count from when none is missing, and only up to the timestamp they acknowledged', () => {
+test('the cancellation log is complete from when no announcement is missing up to the last timestamp acknowledged by all peers', () => {
   const log = new CancellationLog(['b', 'c']);
   expect(log.completeInterval(100).until).toBe(Number.NEGATIVE_INFINITY);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
@@ -187,7 +188,7 @@
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
   expect([log.has('wk-1'), log.completeInterval(220)]).toEqual([true, { since: 110, until: 212 }]);
-  // The sixth was lost: from the seventh on nothing is missing again.
+  // Announcement 6 was lost: the log is complete again only from announcement 7 on.
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-3', cancellationNumber: 7 }, 230);
   expect(log.completeInterval(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
@@ -196,42 +197,44 @@
   expect([log.recordOwn('wk-9'), log.recordOwn('wk-9'), log.announcedCount]).toEqual([true, false, 1]);
 });
 
-test('a controller cut off with its zone does not renew a worker that lost the leader long before and runs cancelled tasks', () => {
+test('a partitioned controller does not renew the lease of a worker that lost the leader before a cancellation', () => {
   const { simulation, ids } = startRunningJobs(7);
   const leader = leaderOf(simulation);
-  const inside = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
+  const isolatedNode = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
   const worker = workersWith(simulation, ids[0]!)[0]!;
   simulation.cloud.isDown = true;
-  // Its last renewal; from here on it reaches the controller inside alone, which sends it to the leader.
+  // The worker's last lease renewal: from here on it reaches only the controller that will be partitioned,
+  // which redirects it to the leader.
   for (const nodeName of simulation.nodeNames)
-    if (nodeName !== inside) simulation.network.cut(worker.name, nodeName, 'reset');
+    if (nodeName !== isolatedNode) simulation.network.cut(worker.name, nodeName, 'reset');
   runFor(simulation, 1000);
   cancelAt(simulation, leader, ids[0]!);
   runFor(simulation, 9000);
   expect([worker.isAlive, worker.workerEpoch]).toEqual([true, 1]);
   for (const node of [
-    ...simulation.nodeNames.filter((nodeName) => nodeName !== inside),
+    ...simulation.nodeNames.filter((nodeName) => nodeName !== isolatedNode),
     'state',
     'cloud',
     'users',
   ])
-    simulation.network.cut(inside, node, 'hold');
+    simulation.network.cut(isolatedNode, node, 'hold');
   runFor(simulation, simulation.config.cancellationSeconds * 1500);
   expect(simulation.violations).toEqual([]);
 });
 
-test('leaders in quick succession renew leases no longer than one leader would', () => {
+test('leader terms in quick succession renew leases no longer than a single term would', () => {
   const { simulation, ids } = startRunningJobs(9);
   const leader = leaderOf(simulation);
   const owner = simulation.nodeNames.find((nodeName) => nodeName !== leader)!;
   const team = (simulation.controllers.get(owner)!.controller.status().teams as string[])[0]!;
   const id = ids[['red', 'blue', 'free'].indexOf(team)]!;
-  // The owner is out of touch with the leaders: none of them gets a full sync, nor leads long enough to move its shard.
+  // The controllers are disconnected from each other, so no leader term gets a full sync from the shard owner
+  // or lasts long enough to reassign its shard.
   for (const node of simulation.nodeNames)
     for (const other of simulation.nodeNames) if (node < other) simulation.network.cut(node, other, 'hold');
   runFor(simulation, 100);
   cancelAt(simulation, owner, id);
-  const raise = () => {
+  const raiseToken = () => {
     const controller = simulation.controllers.get(leader)!.controller as unknown as {
       parts: {
         leadership: { leaderTerm: number };
@@ -241,9 +244,9 @@
     const { leadership, election } = controller.parts;
     election.nextTokenRaiseAt = 0;
     election.raiseFencingToken(leadership.leaderTerm, 'a test');
-    simulation.simulator.scheduleAfter(1500, raise);
+    simulation.simulator.scheduleAfter(1500, raiseToken);
   };
-  raise();
+  raiseToken();
   runFor(simulation, simulation.config.cancellationSeconds * 1200);
   expect(isLeader(simulation, leader)).toBe(true);
   expect(workersWith(simulation, id)).toEqual([]);
@@ -252,11 +255,11 @@
 
 test('a cancellation takes effect while its job is being reloaded, and the reload does not revert it', () => {
   const sent: ShardMessage[] = [];
-  const lists: { prefix: string; callback: Parameters<KeyValueStore['list']>[1] }[] = [];
+  const pendingLists: { prefix: string; callback: Parameters<KeyValueStore['list']>[1] }[] = [];
   let now = 0;
-  const state: Partial<KeyValueStore> = {
+  const store: Partial<KeyValueStore> = {
     get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
-    list: ({ prefix }, callback) => lists.push({ prefix, callback }),
+    list: ({ prefix }, callback) => pendingLists.push({ prefix, callback }),
     compareAndSwap: () => {},
   };
   const owner = new ShardOwner(
@@ -264,29 +267,29 @@
       teams: new Map([
         ['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }],
       ]),
-      store: state as KeyValueStore,
+      store: store as KeyValueStore,
       clock: { now: () => now, wallTime: () => now, after: () => () => {}, defer: () => {}, random: () => 0 },
       openJobsFreshAsOf: () => now,
       send: (message) => sent.push(message),
     }),
   );
   const spec = makeJobSpec(new ClusterSimulation(1), { id: 'wk-1' });
-  const read = (prefix: string, items: { key: string; value: unknown; modRevision: number }[]) => {
-    const read = lists.shift()!;
-    expect(read.prefix.startsWith(prefix)).toBe(true);
-    read.callback({ ok: true, value: { items, hasMore: false, storeRevision: 9 } });
+  const answerList = (prefix: string, items: { key: string; value: unknown; modRevision: number }[]) => {
+    const listRequest = pendingLists.shift()!;
+    expect(listRequest.prefix.startsWith(prefix)).toBe(true);
+    listRequest.callback({ ok: true, value: { items, hasMore: false, storeRevision: 9 } });
   };
-  const stored = { key: 'open/wk-1/a', value: jobRecord.encode({ spec }), modRevision: 3 };
-  const placed = { key: 'place/wk-1/0', value: { t: { 0: [1, 'm', 1, 'a'] } }, modRevision: 4 };
+  const jobItem = { key: 'open/wk-1/a', value: jobRecord.encode({ spec }), modRevision: 3 };
+  const placementItem = { key: 'place/wk-1/0', value: { t: { 0: [1, 'm', 1, 'a'] } }, modRevision: 4 };
   owner.setLeader(5);
   owner.setShards(new Map([['red', 1]]));
   owner.flush();
-  read('open/', [stored]);
-  read('place/', [placed]);
+  answerList('open/', [jobItem]);
+  answerList('place/', [placementItem]);
   owner.flush();
   owner.onLeaderMessage({ type: 'syncAccepted', fencingToken: 5 });
   owner.onOpenJobChanged({ key: 'open/wk-1/n', value: { n: 1, r: 0, b: '1.1' }, modRevision: 6 });
-  expect(lists.length).toBe(1);
+  expect(pendingLists.length).toBe(1);
   const cancelled = jobRecord.encode({ spec, acceptedRevision: 3, cancelled: true });
   owner.onOpenJobChanged({ key: 'open/wk-1/a', value: cancelled, modRevision: 7 });
   owner.onLeaderMessage({ type: 'timestamp', fencingToken: 5, leaderTimestamp: 1 });
@@ -296,17 +299,17 @@
     .flatMap((message) => (message.type === 'placements' ? message.placements : []))
     .map((placement) => placement.desiredState);
   expect(stops).toEqual(['stop']);
-  // The cover comes after the stop that it speaks of.
+  // The coverage message follows the placement message with the stop that it acknowledges.
   const kinds = sent.map((message) => message.type);
   expect(kinds.indexOf('cancellationCoverage')).toBeGreaterThan(kinds.indexOf('placements'));
-  read('open/wk-1/', [stored]);
-  read('place/wk-1/', [placed]);
+  answerList('open/wk-1/', [jobItem]);
+  answerList('place/wk-1/', [placementItem]);
   owner.flush();
   const sync = sent.filter((message) => message.type === 'fullSync').at(-1)!;
   expect([sync.placements.map((placement) => placement.desiredState), sync.requests]).toEqual([['stop'], []]);
 });
 
-test('a lease is renewed only while the owners of its tasks have acknowledged recent cancellations', () => {
+test('a lease is renewed only while the shard owners of its tasks have acknowledged recent cancellations', () => {
   const harness = new SchedulerHarness(5);
   const windowMs = renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 });
   harness.heartbeat([]);
@@ -317,7 +320,7 @@
   expect(harness.heartbeat([taskStatus('running')])).not.toBeNull();
   harness.advance(200);
   expect(harness.heartbeat([taskStatus('running')])).toBeNull();
-  // Nothing starts by placements received before.
+  // A placement does not start its task while its shard owner acknowledges no timestamps.
   harness.sendPlacement({ ...harness.placementSpec('run'), taskIndex: 1, machine: 'n' });
   harness.heartbeat([], 5, { machine: 'n', address: 'n' });
   expect(harness.hasFinalized()).toBe(false);
@@ -326,7 +329,7 @@
       .flatMap((call) => call.commands)
       .some((command) => command.type === 'start' && command.taskIndex === 1),
   ).toBe(false);
-  // The answer that renews again carries the stop.
+  // The heartbeat response that renews the lease again also carries the stop command.
   harness.sendDesiredState('stop');
   harness.owner.acknowledgesTimestamps = true;
   expect(harness.heartbeat([taskStatus('running')])?.map((command) => command.type)).toEqual(['stop']);
@@ -337,22 +340,22 @@
   harness.heartbeat([]);
   harness.sendDesiredState('run');
   harness.heartbeat([taskStatus('running')]);
-  // The owner counts one more message than came.
+  // The shard owner's count is one higher than the number of messages that arrived.
   harness.owner.placementMessages++;
   harness.advance(renewalWindowMs({ leaseSeconds: 20, cancellationSeconds: 40 }) + 100);
   expect(harness.heartbeat([taskStatus('running')])).toBeNull();
   expect(harness.sentMessages.some((message) => message.type === 'syncRequested')).toBe(true);
 });
 
-test('a timestamp received after a read was sent is not covered by it, and coverage ends with its window', () => {
-  const machine = new PeerTimestamps();
-  machine.add(100, 1000);
-  machine.add(600, 1500);
+test('a timestamp received after a read was sent is not covered by it, and coverage expires with the renewal window', () => {
+  const timestamps = new PeerTimestamps();
+  timestamps.add(100, 1000);
+  timestamps.add(600, 1500);
   expect([
-    machine.latestReceivedBy(999),
-    machine.latestReceivedBy(1000),
-    machine.latestReceivedBy(1499),
-    machine.latestReceivedBy(1500),
+    timestamps.latestReceivedBy(999),
+    timestamps.latestReceivedBy(1000),
+    timestamps.latestReceivedBy(1499),
+    timestamps.latestReceivedBy(1500),
   ]).toEqual([null, 100, 100, 600]);
   const coverage = { completeUntil: 1000, pendingMachines: new Set(['m']) };
   expect([
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages that come late, more than once or not at all. */
+/** Delayed, duplicated and lost messages. */
 
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
@@ -16,7 +16,7 @@
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   harness.heartbeat([]);
   for (let i = 0; i < 8; i++) {
-    // The report that follows the answer with the start does not list it: the answer never arrived.
+    // The heartbeat after the response with the start command does not list the task: the response was lost.
     harness.heartbeat([]);
     harness.advance(1000);
     for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
@@ -38,7 +38,7 @@
   expect(secondHarness.deletedMachines).toEqual([]);
 });
 
-test('late duplicates of heartbeats prove no liveness, revert nothing and finalize nothing', () => {
+test('late duplicates of heartbeats do not prove liveness and do not revert or finalize a task', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([]);
   harness.heartbeat([]);
@@ -47,12 +47,12 @@
   harness.heartbeat([], 5, { sequence: 10 });
   harness.heartbeat([taskStatus('running')], 5, { sequence: 11 });
   harness.sendDesiredState('stop');
-  // With the current token, from before the start: it does not list the task, which runs.
+  // A late heartbeat with the current fencing token, sent before the start: it lacks the running task.
   expect(harness.heartbeat([], 5, { sequence: 9 })).toEqual([]);
   expect(harness.hasFinalized()).toBe(false);
   harness.heartbeat([], 5, { workerEpoch: 2, sequence: 12 });
   expect(harness.heartbeat([taskStatus('running')], 5, { workerEpoch: 1, sequence: 20 })).toEqual([]);
-  // Nothing but copies is heard from here on.
+  // Only duplicates arrive from here on.
   for (let i = 0; i < 80; i++) {
     harness.heartbeat([], 5, { workerEpoch: 1, sequence: 9 });
     harness.advance(1000);
@@ -61,7 +61,7 @@
   expect(harness.deletedMachines).toEqual(['m']);
 });
 
-test('a new leader places no work on a heartbeat from before its election', () => {
+test('a new leader places no work on a machine whose heartbeat dates from before its election', () => {
   const harness = new SchedulerHarness(5);
   harness.sendRequests([makeResourceRequest('wk-2')]);
   harness.heartbeat([], 4);
@@ -71,7 +71,7 @@
   expect(harness.grantedJobs()).toEqual(['wk-2']);
 });
 
-test('one linearizable read answers all queries that waited for it, and none that came after it was sent', () => {
+test('one linearizable read answers all queries that waited for it, but none that arrived after it was sent', () => {
   let now = 0;
   const timers: { at: number; run: () => void }[] = [];
   const reads: {
@@ -83,70 +83,71 @@
     now: () => now,
     after: (ms: number, callback: () => void) => timers.push({ at: now + ms, run: callback }),
   };
-  const state = {
+  const store = {
     list: (_request: unknown, callback: ResultCallback<unknown>) =>
       callback({ ok: true, value: { items: [], hasMore: false, storeRevision: 5 } }),
     watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>) =>
       reads.push({ since: sinceRevision, wait: waitMs, callback }),
   };
-  const gone: string[] = [];
+  const deletedKeys: string[] = [];
   const cache = new WatchCache({
     prefix: 'open/',
-    store: state as unknown as KeyValueStore,
+    store: store as unknown as KeyValueStore,
     clock: clock as unknown as Clock,
     watchWaitMs: 10000,
     minWatchIntervalMs: 0,
     isWatchEnabled: true,
-    onChange: (key, value) => value === undefined && gone.push(key),
+    onChange: (key, value) => value === undefined && deletedKeys.push(key),
   });
   cache.start();
   const answers: string[] = [];
-  const run = (ms: number) => {
+  const advance = (ms: number) => {
     now += ms;
     for (const timer of timers.splice(0)) timer.at <= now ? timer.run() : timers.push(timer);
   };
-  const ask = (name: string) =>
+  const query = (name: string) =>
     cache.linearizableRead((ok) => answers.push(`${name} ${ok} ${cache.items.size}`));
-  const long = reads.shift()!;
-  ask('a');
-  ask('b');
+  const longWatch = reads.shift()!;
+  query('a');
+  query('b');
   expect(reads.map((read) => read.wait)).toEqual([0]);
-  ask('c');
+  query('c');
   const put = (key: string, modRevision: number) => ({ type: 'put' as const, key, modRevision, value: {} });
   reads
     .shift()!
     .callback({ ok: true, value: { storeRevision: 7, events: [put('open/x/a', 6), put('open/y/a', 7)] } });
-  // c came after the read was sent: it waits for the next, though the copy is newer than before.
+  // Query c arrived after the read was sent: it waits for the next read although the cache is newer now.
   expect(answers).toEqual(['a true 2']);
-  run(200);
-  const next = reads.find((read) => read.wait === 0)!;
-  next.callback({
+  advance(200);
+  const nextRead = reads.find((read) => read.wait === 0)!;
+  nextRead.callback({
     ok: true,
     value: {
       storeRevision: 8,
       events: [{ type: 'delete', key: 'open/x/a', modRevision: 8 }],
     },
   });
-  // The long watch, sent before all this, tells of what has been dropped since: it must not come back.
-  long.callback({ ok: true, value: { storeRevision: 6, events: [put('open/x/a', 6)] } });
-  expect([cache.items.has('open/x/a'), gone]).toEqual([false, ['open/x/a']]);
-  ask('d');
-  run(200);
+  // The long watch was sent before the reads, and its response puts a key that has since been deleted: the
+  // key must not reappear.
+  longWatch.callback({ ok: true, value: { storeRevision: 6, events: [put('open/x/a', 6)] } });
+  expect([cache.items.has('open/x/a'), deletedKeys]).toEqual([false, ['open/x/a']]);
+  query('d');
+  advance(200);
   reads
     .filter((read) => read.wait === 0)
     .pop()!
     .callback({ ok: false, kind: 'refused' });
   expect(answers.at(-1)).toBe('d false 1');
-  // After a failure nobody waits: the next question is answered at once, and a probe goes out for it.
-  ask('e');
+  // After a failed read, queries do not wait: the next query fails at once, and a read is sent as a probe.
+  query('e');
   expect(answers.at(-1)).toBe('e false 1');
-  run(200);
+  advance(200);
   reads
     .filter((read) => read.wait === 0)
     .pop()!
     .callback({ ok: true, value: { storeRevision: 9, events: [] } });
-  ask('f');
-  run(200);
+  query('f');
+  advance(200);
   reads
     .filter((read) => read.wait === 0)
     .pop()!
@@ -154,11 +155,11 @@
   expect(answers.at(-1)).toBe('f true 1');
 });
 
-test('a lost resignation does not keep another leader from being elected', () => {
+test('a resignation that does not reach the state service does not prevent the next election', () => {
   const simulation = new ClusterSimulation(5);
   simulation.simulator.run(5000);
-  const leads = (node: string) => isLeader(simulation, node);
-  const nodeName = simulation.nodeNames.find(leads)!;
+  const isLeading = (node: string) => isLeader(simulation, node);
+  const nodeName = simulation.nodeNames.find(isLeading)!;
   const controller = simulation.controllers.get(nodeName)!.controller as unknown as {
     parts: {
       leadership: { leaderTerm: number };
@@ -170,9 +171,9 @@
   election.resign(leadership.leaderTerm, 'a test');
   runFor(simulation, 300);
   simulation.store.readmit(nodeName);
-  expect(simulation.nodeNames.some(leads)).toBe(false);
+  expect(simulation.nodeNames.some(isLeading)).toBe(false);
   runFor(simulation, 10000);
-  expect(simulation.nodeNames.filter(leads).length).toBe(1);
+  expect(simulation.nodeNames.filter(isLeading).length).toBe(1);
 });
 
 test('a full sync with a lost chunk is not accepted as complete, and is requested again', () => {
@@ -182,28 +183,28 @@
   for (const placement of running) harness.sendPlacement(placement);
   harness.heartbeat(tasks);
   const shardEpochs = { red: 1, blue: 1, free: 1 };
-  const part = (count: number, placement: (typeof running)[number]) =>
+  const sendChunk = (chunkIndex: number, placement: (typeof running)[number]) =>
     harness.scheduler.onShardMessage({
       type: 'fullSync',
       fencingToken: 5,
       instanceId: 'o',
       syncNumber: 2,
       chunkCount: 3,
-      chunkIndex: count,
+      chunkIndex,
       shardEpochs,
       placements: [placement],
       requests: [],
     });
-  part(0, running[0]!);
+  sendChunk(0, running[0]!);
   harness.sentMessages.length = 0;
-  part(2, running[2]!);
+  sendChunk(2, running[2]!);
   expect(harness.sentMessages).toContainEqual({ type: 'syncRequested', fencingToken: 5 });
   expect(harness.sentMessages.some((message) => message.type === 'syncAccepted')).toBe(false);
   harness.advance(5000);
   expect(harness.heartbeat(tasks)?.filter((command) => command.type === 'stop')).toEqual([]);
 });
 
-test('an attempt that ended and was removed is not started again when its owner claims it late', () => {
+test('an attempt that ended and was removed is not started again when its shard owner claims it late', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([taskStatus('exited')]);
   harness.sendDesiredState('run');
--- a/test/dependency-counter.test.ts
+++ b/test/dependency-counter.test.ts
@@ -1,4 +1,4 @@
-/** The dependency counter of a job, its record, and the release of its inputs. */
+/** The dependency counter of a job, its stored record, and the order in which inputs are released. */
 
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
@@ -7,53 +7,53 @@
 import { releaseWindow } from '../src/store/record-sizes.js';
 import { makeCounterRecord } from '../src/store/stored-job.js';
 
-test('a counter counts each input once, and its record brings it back', () => {
+test('a counter counts each input once and is restored from its record', () => {
   fc.assert(
-    fc.property(fc.integer({ min: 1, max: 400 }), fc.array(fc.nat(450)), (size, adds) => {
+    fc.property(fc.integer({ min: 1, max: 400 }), fc.array(fc.nat(450)), (size, inputs) => {
       const counter = new DependencyCounter(size);
-      const seen = new Set<number>();
-      for (const i of adds) {
-        expect(counter.add(i)).toBe(i < size && !seen.has(i));
-        if (i < size) seen.add(i);
+      const addedInputs = new Set<number>();
+      for (const input of inputs) {
+        expect(counter.add(input)).toBe(input < size && !addedInputs.has(input));
+        if (input < size) addedInputs.add(input);
       }
-      expect(counter.count).toBe(seen.size);
-      expect(counter.isComplete).toBe(seen.size === size);
-      const back = new DependencyCounter(size);
-      decodeCompletionBitmap(back, makeCounterRecord(counter, 0).finishedBitmap);
-      expect([...back.bits]).toEqual([...counter.bits]);
+      expect(counter.count).toBe(addedInputs.size);
+      expect(counter.isComplete).toBe(addedInputs.size === size);
+      const decoded = new DependencyCounter(size);
+      decodeCompletionBitmap(decoded, makeCounterRecord(counter, 0).finishedBitmap);
+      expect([...decoded.bits]).toEqual([...counter.bits]);
     }),
   );
 });
 
-test('the counter record of 100,000 tasks fits a value of 8 KiB whatever order they end in', () => {
+test('the counter record of 100,000 tasks fits in a value of 8 KiB in whatever order the tasks finish', () => {
   const window = releaseWindow(8);
   const counter = new DependencyCounter(100000);
-  const fan = new FanOut(100000, window);
-  // The worst case: every second task of the window never ends.
+  const fanOut = new FanOut(100000, window);
+  // The worst case: every second task of the release window never finishes.
   for (;;) {
-    const i = fan.takeNext(
+    const input = fanOut.takeNext(
       () => false,
-      (k) => counter.has(k),
+      (input) => counter.has(input),
     );
-    if (i < 0) break;
-    if (i % 2 === 1) counter.add(i);
+    if (input < 0) break;
+    if (input % 2 === 1) counter.add(input);
   }
   expect(counter.count).toBeGreaterThan(window / 2 - 2);
   expect(JSON.stringify(makeCounterRecord(counter, 99999)).length).toBeLessThan(8 * 1024);
 });
 
-test('release goes in order, returned inputs first, none twice', () => {
-  const fan = new FanOut(6, 100);
-  const counted = new Set<number>();
-  const take = () =>
-    fan.takeNext(
-      (i) => counted.has(i),
-      (i) => counted.has(i),
+test('inputs are released in order, returned inputs first, and none twice', () => {
+  const fanOut = new FanOut(6, 100);
+  const finished = new Set<number>();
+  const takeNext = () =>
+    fanOut.takeNext(
+      (input) => finished.has(input),
+      (input) => finished.has(input),
     );
-  expect([take(), take(), take()]).toEqual([0, 1, 2]);
-  fan.putBack(1);
-  fan.putBack(1);
-  expect([take(), take()]).toEqual([1, 3]);
-  counted.add(4);
-  expect([take(), take()]).toEqual([5, -1]);
+  expect([takeNext(), takeNext(), takeNext()]).toEqual([0, 1, 2]);
+  fanOut.putBack(1);
+  fanOut.putBack(1);
+  expect([takeNext(), takeNext()]).toEqual([1, 3]);
+  finished.add(4);
+  expect([takeNext(), takeNext()]).toEqual([5, -1]);
 });
--- a/test/fault-interactions.test.ts
+++ b/test/fault-interactions.test.ts
@@ -1,4 +1,7 @@
-/** Faults that coincide, one test for each combination in docs/fault-interactions.md; the invariants are checked after each step. */
+/**
+ * Combinations of faults, one test for each in docs/fault-interactions.md. The simulation checks the
+ * invariants after each step.
+ */
 
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
@@ -6,21 +9,21 @@
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeJobSpec } from './simulation/job-spec.js';
 
-const others = (simulation: ClusterSimulation, nodeName: string) =>
+const otherNodes = (simulation: ClusterSimulation, nodeName: string) =>
   simulation.nodeNames.filter((other) => other !== nodeName);
 
-function until(simulation: ClusterSimulation, withinMs: number, holds: () => boolean): void {
-  expect(runUntil(simulation, { withinMs, stepMs: 200 }, holds)).toBe(true);
+function expectEventually(simulation: ClusterSimulation, withinMs: number, condition: () => boolean): void {
+  expect(runUntil(simulation, { withinMs, stepMs: 200 }, condition)).toBe(true);
 }
 
-/** A cluster that runs jobs, each task for as long as a test says. */
+/** Starts a cluster that runs jobs. Tasks run for `runSeconds`, those of services until they are stopped. */
 function startJobs(
   seed: number,
   runSeconds: (taskIndex: number) => number,
   specs: Partial<JobSpec>[],
 ): { simulation: ClusterSimulation; ids: string[] } {
   const simulation = new ClusterSimulation(seed);
-  // Starts are counted, and a task that fails starts again.
+  // A faulty machine fails its tasks, and their retries would distort the count of task starts.
   simulation.bootsFaultyMachines = false;
   simulation.runDurationMs = (id, taskIndex) =>
     simulation.jobs.get(id)?.spec.kind === 'service'
@@ -31,86 +34,90 @@
     simulation.users.submitJob(spec);
     return spec.id;
   });
-  until(simulation, 90000, () => ids.every((id) => workersWith(simulation, id).length > 0));
+  expectEventually(simulation, 90000, () => ids.every((id) => workersWith(simulation, id).length > 0));
   return { simulation, ids };
 }
 
-function finish(simulation: ClusterSimulation, ms = 200000): void {
+function expectCompletion(simulation: ClusterSimulation, durationMs = 200000): void {
   simulation.faultsEndAt = simulation.simulator.now;
-  runFor(simulation, ms);
+  runFor(simulation, durationMs);
   expect(simulation.violations).toEqual([]);
   expect(simulation.unfinishedJobs()).toEqual([]);
 }
 
 const seeds = [1, 2, 3];
 
-test.each(seeds)('tasks that end far apart across leader changes do not run again (%i)', (seed) => {
-  const { simulation, ids } = startJobs(seed, (taskIndex) => 4 + taskIndex * 20, [
-    { taskCount: 3 },
-    { team: 'blue', taskCount: 2 },
-  ]);
-  for (let i = 0; i < 3; i++) {
-    runFor(simulation, 11000);
-    simulation.controllers.crash(leaderOf(simulation), i === 1 ? 300 : 4000);
-  }
-  finish(simulation, 90000);
-  expect(ids.map((id) => simulation.jobs.get(id)!.reportedState)).toEqual(['done', 'done']);
-  expect(simulation.taskStarts).toBe(5);
-});
+test.each(seeds)(
+  'tasks that finish at different times across leader changes do not run again (%i)',
+  (seed) => {
+    const { simulation, ids } = startJobs(seed, (taskIndex) => 4 + taskIndex * 20, [
+      { taskCount: 3 },
+      { team: 'blue', taskCount: 2 },
+    ]);
+    for (let i = 0; i < 3; i++) {
+      runFor(simulation, 11000);
+      simulation.controllers.crash(leaderOf(simulation), i === 1 ? 300 : 4000);
+    }
+    expectCompletion(simulation, 90000);
+    expect(ids.map((id) => simulation.jobs.get(id)!.reportedState)).toEqual(['done', 'done']);
+    expect(simulation.taskStarts).toBe(5);
+  },
+);
 
 test.each(seeds)(
-  'cancellations, queries and repeated submissions at the end of the last task get consistent answers (%i)',
+  'cancellations, queries and repeated submissions at the end of the last task get consistent responses (%i)',
   (seed) => {
     const simulation = new ClusterSimulation(seed);
     simulation.runDurationMs = () => 3000;
     const specs = Array.from({ length: 24 }, (_, index) =>
       makeJobSpec(simulation, { id: `wk-e${index}`, taskCount: 1 + (index % 2) }),
     );
-    // So that a read and the write that rests on it lie apart.
+    // The slow link to the state service puts time between a read and the write that depends on it.
     simulation.network.slowdowns.set('state', 60);
     for (const spec of specs) simulation.users.submitJob(spec);
-    const ended = new Map<string, number>();
-    const watch = () => {
+    const endedAt = new Map<string, number>();
+    const checkCompletions = () => {
       for (const [index, spec] of specs.entries()) {
-        if (ended.has(spec.id) || !simulation.completedTasks.has(`${spec.id}/${spec.taskCount - 1}`))
+        if (endedAt.has(spec.id) || !simulation.completedTasks.has(`${spec.id}/${spec.taskCount - 1}`))
           continue;
-        ended.set(spec.id, simulation.simulator.now);
-        // From the end of the task until its heartbeat, its count and its final record have been written.
+        endedAt.set(spec.id, simulation.simulator.now);
+        // Spread over the time from the end of the task until its heartbeat has arrived and the job's counter
+        // and final record have been written.
         for (let query = 0; query < 6; query++)
           simulation.simulator.scheduleAfter(simulation.simulator.between(0, 2500), () =>
             simulation.users.queryAndResubmit(spec.id, index % 3 !== 0),
           );
       }
-      simulation.simulator.scheduleAfter(5, watch);
+      simulation.simulator.scheduleAfter(5, checkCompletions);
     };
-    watch();
+    checkCompletions();
     simulation.simulator.run(120000);
-    expect(ended.size).toBe(specs.length);
+    expect(endedAt.size).toBe(specs.length);
     const states = specs.map((spec) => simulation.jobs.get(spec.id)!.reportedState);
-    expect(states.every((t) => t === 'done' || t === 'cancelled')).toBe(true);
-    finish(simulation, 20000);
+    expect(states.every((state) => state === 'done' || state === 'cancelled')).toBe(true);
+    expectCompletion(simulation, 20000);
   },
 );
 
 test.each(seeds)('long tasks survive a leader change while their machines are unreachable (%i)', (seed) => {
   const { simulation, ids } = startJobs(seed, () => 60, [{ taskCount: 4 }, { team: 'blue', taskCount: 4 }]);
   const worker = workersWith(simulation, ids[0]!)[0]!;
-  const otherWorker = workersWith(simulation, ids[1]!).find((x) => x !== worker);
+  const otherWorker = workersWith(simulation, ids[1]!).find((candidate) => candidate !== worker);
   for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
   if (otherWorker) simulation.network.unreachableInbound.add(otherWorker.name);
-  const before = simulation.taskStarts;
+  const startsBefore = simulation.taskStarts;
   simulation.controllers.crash(leaderOf(simulation), 3000);
   runFor(simulation, 9000);
   for (const nodeName of simulation.nodeNames) simulation.network.heal(worker.name, nodeName);
   if (otherWorker) simulation.network.unreachableInbound.delete(otherWorker.name);
   runFor(simulation, 20000);
-  // Their leases had not run out: what they run was left to them.
-  expect([worker.workerEpoch, simulation.taskStarts]).toEqual([1, before]);
-  finish(simulation);
+  // Their leases had not expired, so their tasks kept running.
+  expect([worker.workerEpoch, simulation.taskStarts]).toEqual([1, startsBefore]);
+  expectCompletion(simulation);
 });
 
 test.each(seeds)(
-  'all work finishes after ten leaders in two minutes, some of them within an outage (%i)',
+  'all work finishes after ten controller crashes in two minutes, some of them during a state service outage (%i)',
   (seed) => {
     const { simulation } = startJobs(seed, (taskIndex) => 20 + taskIndex * 15, [
       { taskCount: 4 },
@@ -127,12 +134,12 @@
         for (const nodeName of simulation.nodeNames)
           simulation.controllers.crash(nodeName, simulation.simulator.between(50, 3000));
     }
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'workers end their tasks when all controllers are down for longer than a lease, and the work finishes later (%i)',
+  'workers stop their tasks when all controllers are down for longer than a lease, and the work finishes later (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 30, [{ taskCount: 4 }, { team: 'blue', taskCount: 2 }]);
     simulation.users.cancelJob(ids[1]!);
@@ -141,12 +148,12 @@
       simulation.controllers.crash(nodeName, simulation.config.leaseSeconds * 1300);
     runFor(simulation, simulation.config.leaseSeconds * 1200);
     expect(ids.flatMap((id) => workersWith(simulation, id))).toEqual([]);
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'all work finishes despite heartbeats held back until a new leader has acted, and late duplicates (%i)',
+  'all work finishes although heartbeats are delayed until a new leader has acted and messages are duplicated (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 25, [{ taskCount: 6 }, { team: 'blue', taskCount: 4 }]);
     simulation.duplicatesMessages = true;
@@ -159,12 +166,12 @@
     for (const machine of simulation.workers.keys()) simulation.network.heal(machine, leaderName);
     runFor(simulation, simulation.config.leaseSeconds * 3000);
     simulation.duplicatesMessages = false;
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'all work finishes after machines hang with commands and answers on their way (%i)',
+  'all work finishes after machines hang while commands and responses are in flight (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 15, [{ taskCount: 6 }, { team: 'blue', taskCount: 6 }]);
     for (let i = 0; i < 6; i++) {
@@ -179,12 +186,12 @@
       if (i === 3) simulation.users.cancelJob(ids[1]!);
       runFor(simulation, 8000);
     }
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'all work finishes after rolling restarts, a crash of all controllers and a quick return of one (%i)',
+  'all work finishes after rolling restarts, a crash of all controllers and a quick restart of one (%i)',
   (seed) => {
     const { simulation } = startJobs(seed, () => 25, [{ taskCount: 5 }, { team: 'blue', taskCount: 3 }]);
     for (const nodeName of simulation.nodeNames) {
@@ -197,12 +204,12 @@
     simulation.controllers.crash(simulation.nodeNames[1]!, 100);
     runFor(simulation, 8000);
     expect(leaderOf(simulation)).not.toBe('');
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'all work finishes while transactions are carried out after newer ones and leaders change (%i)',
+  'all work finishes although some transactions are carried out after newer ones and leaders change (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, (taskIndex) => 8 + taskIndex * 3, [
       { taskCount: 6 },
@@ -217,39 +224,39 @@
       simulation.controllers.crash(leaderOf(simulation) || simulation.nodeNames[0]!, 300);
     }
     simulation.lateWriteShare = 0;
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
-test('a membership record that is written late does not bring back an older lease', () => {
+test('a membership record that is written late does not replace a newer lease by an older one', () => {
   const simulation = new ClusterSimulation(6);
   simulation.simulator.run(4000);
-  const nodeName = others(simulation, leaderOf(simulation))[0]!;
+  const nodeName = otherNodes(simulation, leaderOf(simulation))[0]!;
   const key = `sys/node/${nodeName}`;
-  const late: (() => void)[] = [];
-  const txn = simulation.store.compareAndSwap.bind(simulation.store);
+  const delayedWrites: (() => void)[] = [];
+  const compareAndSwap = simulation.store.compareAndSwap.bind(simulation.store);
   simulation.store.compareAndSwap = (node, transaction, limits) => {
     const copy = JSON.parse(JSON.stringify(transaction));
     if (
       node === nodeName &&
-      late.length === 0 &&
-      transaction.operations.some((o) => o.type === 'put' && o.key === key)
+      delayedWrites.length === 0 &&
+      transaction.operations.some((operation) => operation.type === 'put' && operation.key === key)
     ) {
-      late.push(() => txn(node, copy, limits));
+      delayedWrites.push(() => compareAndSwap(node, copy, limits));
       return { status: 500 };
     }
-    return txn(node, transaction, limits);
+    return compareAndSwap(node, transaction, limits);
   };
   simulation.controllers.crash(nodeName, 50);
   runFor(simulation, 3000);
   const lease = JSON.parse(simulation.store.records.get(key)!.value).lease;
-  for (const callback of late) callback();
-  expect(late.length).toBe(1);
+  for (const callback of delayedWrites) callback();
+  expect(delayedWrites.length).toBe(1);
   expect(JSON.parse(simulation.store.records.get(key)!.value).lease).toBe(lease);
 });
 
 test.each(seeds)(
-  'a job cancelled through the next leader stops on workers that reach only the isolated one (%i)',
+  'a job cancelled through the next leader stops on workers that reach only the isolated previous leader (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 1e6, [
       { taskCount: 4 },
@@ -257,13 +264,13 @@
     ]);
     const leaderName = leaderOf(simulation);
     simulation.cloud.isDown = true;
-    for (const node of [...others(simulation, leaderName), 'state'])
+    for (const node of [...otherNodes(simulation, leaderName), 'state'])
       simulation.network.cut(leaderName, node, 'hold');
-    // What the next leader says reaches no worker: they stay with the old one.
+    // The next leader reaches no worker: all of them stay with the isolated one.
     for (const machine of simulation.workers.keys())
-      for (const nodeName of others(simulation, leaderName))
+      for (const nodeName of otherNodes(simulation, leaderName))
         simulation.network.cut(machine, nodeName, 'hold');
-    until(simulation, 10000, () =>
+    expectEventually(simulation, 10000, () =>
       simulation.nodeNames.some((node) => node !== leaderName && isLeader(simulation, node)),
     );
     const job = simulation.jobs.get(ids[0]!)!;
@@ -282,7 +289,7 @@
 );
 
 test.each(seeds)(
-  'all work of all priorities finishes with more demand than capacity over slow links (%i)',
+  'work of all priorities finishes although demand exceeds capacity and links are slow (%i)',
   (seed) => {
     const simulation = new ClusterSimulation(seed);
     simulation.cloud.capacity = 3;
@@ -298,21 +305,21 @@
       );
     simulation.simulator.run(60000);
     for (const nodeName of [...simulation.nodeNames, 'state']) simulation.network.slowdowns.delete(nodeName);
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'the quota of a cancelled job is used again across a leader change with unreachable machines (%i)',
+  'the quota of a cancelled job is reused after a leader change although some of its machines are unreachable (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 40, [{ taskCount: 10, cpus: 4 }]);
-    until(
+    expectEventually(
       simulation,
       60000,
       () => workersWith(simulation, ids[0]!).length === 10 || simulation.simulator.now > 60000,
     );
-    const cut = workersWith(simulation, ids[0]!).slice(0, 2);
-    for (const worker of cut)
+    const isolatedWorkers = workersWith(simulation, ids[0]!).slice(0, 2);
+    for (const worker of isolatedWorkers)
       for (const nodeName of simulation.nodeNames) simulation.network.cut(worker.name, nodeName, 'hold');
     simulation.controllers.crash(leaderOf(simulation), 2000);
     simulation.users.submitJob(
@@ -321,16 +328,17 @@
     runFor(simulation, 3000);
     simulation.users.cancelJob(ids[0]!);
     runFor(simulation, 12000);
-    // What could be asked is stopped, and its part of the limit is used again; the rest counts until it is settled.
+    // Tasks on reachable machines are stopped and their share of the quota is reused; the other tasks count
+    // until their end is known.
     expect(workersWith(simulation, 'wk-next').length).toBeGreaterThan(0);
-    for (const worker of cut)
+    for (const worker of isolatedWorkers)
       for (const nodeName of simulation.nodeNames) simulation.network.heal(worker.name, nodeName);
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'jobs bound to one zone finish after that zone lost its machines and its capacity for a while (%i)',
+  'jobs restricted to one zone finish after it loses its machines and, for a while, its capacity (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, () => 20, [
       { taskCount: 5, zone: 'b' },
@@ -342,12 +350,12 @@
     runFor(simulation, 30000);
     simulation.config.zonesWithoutCapacity.pop();
     expect(ids.map((id) => simulation.jobs.get(id)!.reportedState)).not.toContain('done');
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each(seeds)(
-  'jobs cancelled on hanging machines during a leader change are gone in time (%i)',
+  'jobs cancelled while their machines hang stop in time across a leader change (%i)',
   (seed) => {
     const { simulation } = startJobs(seed, () => 1e6, [
       { taskCount: 4 },
@@ -368,7 +376,7 @@
 );
 
 test.each(seeds)(
-  'all work finishes after a leader and a shard owner pause while their clocks run on (%i)',
+  'all work finishes after leaders and other controllers pause while their clocks run on (%i)',
   (seed) => {
     const { simulation, ids } = startJobs(seed, (taskIndex) => 15 + taskIndex * 5, [
       { taskCount: 5 },
@@ -378,10 +386,10 @@
       simulation.controllers.pause(leaderOf(simulation), ms);
       simulation.users.submitJob(makeJobSpec(simulation, { taskCount: 3 }));
       runFor(simulation, ms + 4000);
-      simulation.controllers.pause(others(simulation, leaderOf(simulation))[0]!, ms);
+      simulation.controllers.pause(otherNodes(simulation, leaderOf(simulation))[0]!, ms);
       runFor(simulation, ms);
     }
     simulation.users.cancelJob(ids[1]!);
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,4 +1,4 @@
-/** How the leader judges its fleet: slow, unresponsive, unreachable, empty and restarted machines. */
+/** How the leader handles slow, unresponsive, unreachable, idle and restarted machines. */
 
 import { expect, test } from 'vitest';
 import type { ClusterState } from '../src/scheduler/cluster-state.js';
@@ -6,67 +6,69 @@
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
-/** Every machine of `names` reports, one second passes, and what was asked directly is not answered. */
-function second(
+/** Each machine in `names` sends a heartbeat, one second passes, and all direct calls are refused. */
+function runOneSecond(
   harness: SchedulerHarness,
   names: string[],
-  over: (name: string) => object = () => ({}),
+  overrides: (name: string) => object = () => ({}),
 ): void {
-  for (const machine of names) harness.heartbeat([], 5, { machine, address: machine, ...over(machine) });
+  for (const machine of names) harness.heartbeat([], 5, { machine, address: machine, ...overrides(machine) });
   harness.advance(1000);
   harness.scheduler.flush();
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
 }
-const names = (count: number, from = 0) => Array.from({ length: count }, (_, index) => `vm-${from + index}`);
+const machineNames = (count: number, from = 0) =>
+  Array.from({ length: count }, (_, index) => `vm-${from + index}`);
 
-test('a new leader does not quarantine machines because it saw others half way through their tasks', () => {
+test('a new leader does not quarantine machines because it first saw the tasks of others halfway through', () => {
   const harness = new SchedulerHarness(5);
-  const all = names(30);
-  const done = (id: string) => [{ ...taskStatus('exited'), jobId: id }];
-  // Each runs a task that began before this scheduler led: first seen running, ended a moment later.
+  const allMachines = machineNames(30);
+  const exitedTask = (id: string) => [{ ...taskStatus('exited'), jobId: id }];
+  // Each machine runs a task that started before this leader's term: it is first seen running and ends soon
+  // after, on 20 machines 3 s earlier than on the other 10.
   for (let round = 0; round < 5; round++) {
-    for (const machine of all)
+    for (const machine of allMachines)
       harness.sendPlacement({
         ...harness.placementSpec('run'),
         jobId: `wk-${machine}-${round}`,
-        machine: machine,
+        machine,
       });
-    for (const machine of all)
+    for (const machine of allMachines)
       harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}-${round}` }], 5, {
-        machine: machine,
+        machine,
         address: machine,
       });
     harness.advance(100);
-    for (const machine of all.slice(0, 20))
-      harness.heartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
+    for (const machine of allMachines.slice(0, 20))
+      harness.heartbeat(exitedTask(`wk-${machine}-${round}`), 5, { machine, address: machine });
     harness.advance(3000);
-    for (const machine of all.slice(20))
-      harness.heartbeat(done(`wk-${machine}-${round}`), 5, { machine: machine, address: machine });
+    for (const machine of allMachines.slice(20))
+      harness.heartbeat(exitedTask(`wk-${machine}-${round}`), 5, { machine, address: machine });
   }
-  for (let i = 0; i < 5; i++) second(harness, all);
+  for (let i = 0; i < 5; i++) runOneSecond(harness, allMachines);
   const machines = [...(harness.scheduler as unknown as { state: ClusterState }).state.machines.values()];
   expect(machines.filter(({ isQuarantined }) => isQuarantined)).toEqual([]);
 });
 
-test('a leader whose workers reach only its peers resigns and deletes nothing', () => {
+test('a leader whose workers reach only its peers resigns and deletes no machines', () => {
   const harness = new SchedulerHarness(5, {
     unresponsiveSeconds: 6,
     maxUnresponsiveShare: 0.4,
     maxIdleSeconds: 1e6,
   });
   harness.peers.count = 2;
-  const all = names(20);
-  for (let i = 0; i < 30; i++) second(harness, all);
+  const allMachines = machineNames(20);
+  for (let i = 0; i < 30; i++) runOneSecond(harness, allMachines);
   for (let i = 0; i < 20 && harness.resignationReasons.length === 0; i++) {
-    second(harness, []);
-    // What peers report of them, some seconds after the first report went unanswered.
-    if (i >= 4) harness.scheduler.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
+    runOneSecond(harness, []);
+    // From some seconds after the last heartbeat, peers report that they redirected these machines.
+    if (i >= 4) harness.scheduler.onMachinesRedirected(allMachines.slice(0, 4 * (i - 3)));
   }
   expect(harness.resignationReasons).toEqual(['workers reach siblings only']);
   expect(harness.deletedMachines).toEqual([]);
 });
 
-test('an unresponsive half of the fleet is deleted when peers confirm it, and kept when nobody does', () => {
+test('a large unresponsive part of the fleet is deleted when there are peers to confirm it, and kept when there are none', () => {
   for (const peerCount of [2, 0]) {
     const harness = new SchedulerHarness(5, {
       unresponsiveSeconds: 6,
@@ -75,9 +77,10 @@
     });
     harness.peers.count = peerCount;
     harness.rentals.isAnswered = true;
-    for (let i = 0; i < 30; i++) second(harness, names(20));
-    // Fall silent one after the other, as their reports are due.
-    for (let i = 0; i < 14; i++) second(harness, names(6).concat(names(Math.max(0, 14 - 4 * i), 6)));
+    for (let i = 0; i < 30; i++) runOneSecond(harness, machineNames(20));
+    // The machines become unresponsive one after the other, as their heartbeats come due.
+    for (let i = 0; i < 14; i++)
+      runOneSecond(harness, machineNames(6).concat(machineNames(Math.max(0, 14 - 4 * i), 6)));
     expect(harness.deletedMachines.length).toBe(peerCount > 0 ? 14 : 0);
     expect(harness.resignationReasons).toEqual([]);
   }
@@ -89,9 +92,9 @@
   harness.sendDesiredState('run');
   for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
   harness.heartbeat([taskStatus('running')]);
-  // Answers direct commands and sends heartbeats to nobody.
-  let count = 100;
-  const answer = () => {
+  // The machine answers direct calls, but its heartbeats reach no controller.
+  let sequence = 100;
+  const answerCalls = () => {
     for (const call of harness.directCalls.splice(0))
       call.callback({
         ok: true,
@@ -102,7 +105,7 @@
           zone: 'a',
           isSpot: false,
           workerEpoch: 1,
-          sequence: ++count,
+          sequence: ++sequence,
           fencingToken: 5,
           evictionNoticeSeconds: null,
           tasks: [taskStatus('running')],
@@ -111,27 +114,27 @@
   };
   for (let i = 0; i < 20; i++) {
     harness.advance(1000);
-    answer();
+    answerCalls();
   }
   harness.sendRequests([makeResourceRequest('wk-2')]);
   expect(harness.grantedJobs()).toEqual([]);
   expect(harness.deletedMachines).toEqual([]);
   for (let i = 0; i < 10; i++) {
     harness.advance(1000);
-    answer();
+    answerCalls();
   }
   expect(harness.deletedMachines).toEqual(['m']);
   expect(harness.resignationReasons).toEqual([]);
 });
 
-test('a zone that is cut off is waited for while its replicas may live, and nothing is rented there', () => {
+test('machines of a partitioned zone are deleted only once their replicas can no longer run', () => {
   const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, maxIdleSeconds: 1e6 });
   harness.peers.count = 1;
   harness.rentals.isAnswered = true;
-  const reachable = names(8);
-  const cutOff = names(4, 8);
-  const at = (machine: string) => ({ zone: cutOff.includes(machine) ? 'b' : 'a' });
-  for (let i = 0; i < 30; i++) second(harness, [...reachable, ...cutOff], at);
+  const reachable = machineNames(8);
+  const cutOff = machineNames(4, 8);
+  const zoneOverride = (machine: string) => ({ zone: cutOff.includes(machine) ? 'b' : 'a' });
+  for (let i = 0; i < 30; i++) runOneSecond(harness, [...reachable, ...cutOff], zoneOverride);
   for (const machine of cutOff.slice(1))
     harness.sendPlacement({
       ...harness.placementSpec('run'),
@@ -146,41 +149,41 @@
       address: machine,
       zone: 'b',
     });
-  for (let i = 0; i < 35; i++) second(harness, reachable, at);
-  // Only the one without replicas; the others until `cancel_s` (40 s here) has passed.
+  for (let i = 0; i < 35; i++) runOneSecond(harness, reachable, zoneOverride);
+  // Only the machine without replicas is deleted; the others are kept for `cancel_s` (40 s here).
   expect(harness.deletedMachines).toEqual([cutOff[0]]);
-  for (let i = 0; i < 10; i++) second(harness, reachable, at);
+  for (let i = 0; i < 10; i++) runOneSecond(harness, reachable, zoneOverride);
   expect(harness.deletedMachines.sort()).toEqual([...cutOff].sort());
 });
 
-test('a controller cut off with its zone keeps leases for the last leader, for a bounded time', () => {
+test('a controller partitioned with its zone renews leases on behalf of the last leader for a bounded time', () => {
   const simulation = new ClusterSimulation(21);
   simulation.simulator.run(25000);
-  const leads = (node: string) => isLeader(simulation, node);
-  const nodeName = simulation.nodeNames.find((node) => !leads(node))!;
+  const isLeading = (node: string) => isLeader(simulation, node);
+  const nodeName = simulation.nodeNames.find((node) => !isLeading(node))!;
   const worker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: false });
   simulation.cloud.isDown = true;
   runFor(simulation, 8000);
   expect(worker.fencingToken).toBeGreaterThan(0);
-  for (const inside of [nodeName, worker.name])
-    for (const outside of [
+  for (const insideNode of [nodeName, worker.name])
+    for (const outsideNode of [
       ...simulation.nodeNames.filter((node) => node !== nodeName),
       'state',
       'cloud',
       'users',
     ])
-      simulation.network.cut(inside, outside, 'hold');
-  const cut = simulation.simulator.now;
-  simulation.simulator.run(cut + 28000);
-  // Its lease (20 s) is over by now but for the controller inside.
+      simulation.network.cut(insideNode, outsideNode, 'hold');
+  const cutAt = simulation.simulator.now;
+  simulation.simulator.run(cutAt + 28000);
+  // Without the controller in its zone, the worker's lease (20 s) would have expired by now.
   expect([worker.isAlive, worker.workerEpoch]).toEqual([true, 1]);
-  // `cancel_s` (40 s) after the cut nothing may run any more that was cancelled outside meanwhile.
-  simulation.simulator.run(cut + 39900);
+  // By `cancel_s` (40 s) after the cut, no task that was cancelled outside meanwhile may still run.
+  simulation.simulator.run(cutAt + 39900);
   expect(worker.workerEpoch).toBeGreaterThan(1);
 });
 
-test('what was started directly and then stopped stays listed: a late repeat of the command must not run it again', () => {
-  const run = (reason: 'stopped' | 'done') => {
+test('a task started by a direct command and then stopped stays listed, so that a late duplicate cannot restart it', () => {
+  const commandTypesAfter = (reason: 'stopped' | 'done') => {
     const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
     harness.heartbeat([]);
     harness.sendDesiredState('run');
@@ -190,20 +193,22 @@
     const ended = [{ ...taskStatus('exited'), exitReason: reason }];
     harness.heartbeat(ended);
     harness.sendDesiredState('forget');
-    const ops = [];
+    const commandTypes = [];
     for (let i = 0; i < 40; i++) {
-      ops.push(...(harness.heartbeat(ended) ?? []).map((command) => command.type));
+      commandTypes.push(...(harness.heartbeat(ended) ?? []).map((command) => command.type));
       harness.advance(1000);
-      ops.push(...harness.directCalls.flatMap((call) => call.commands.map((x) => x.type)));
+      commandTypes.push(
+        ...harness.directCalls.flatMap((call) => call.commands.map((command) => command.type)),
+      );
       for (const call of harness.directCalls.splice(0)) call.callback({ ok: false, kind: 'refused' });
     }
-    return ops;
+    return commandTypes;
   };
-  expect(run('stopped')).toEqual([]);
-  expect(run('done')).toContain('forget');
+  expect(commandTypesAfter('stopped')).toEqual([]);
+  expect(commandTypesAfter('done')).toContain('forget');
 });
 
-test('a machine that lists nothing but what has ended is empty', () => {
+test('a machine that lists only ended tasks counts as idle and is deleted', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 10 });
   harness.heartbeat([]);
   harness.sendDesiredState('run');
@@ -220,7 +225,7 @@
   expect(harness.deletedMachines).toEqual(['m']);
 });
 
-test('a machine that is back at once with a worker that knows nothing is deleted, not believed', () => {
+test('a machine whose worker restarts without its tasks is deleted, and their absence finalizes nothing', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   for (let i = 0; i < 10; i++) harness.heartbeat([]);
   harness.sendDesiredState('run');
@@ -247,33 +252,34 @@
   expect(harness.hasFinalized()).toBe(false);
 });
 
-test('a placement pass looks at each machine once for equal requests, and a heartbeat at its own machine only', () => {
+test('a placement pass checks each machine once for equal requests, and a heartbeat updates only its own machine', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  const all = names(1900);
-  for (const machine of all) {
-    harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${machine}`, machine: machine });
+  const allMachines = machineNames(1900);
+  for (const machine of allMachines) {
+    harness.sendPlacement({ ...harness.placementSpec('run'), jobId: `wk-${machine}`, machine });
     harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
-      machine: machine,
+      machine,
       address: machine,
     });
   }
   harness.advance(1000);
   harness.scheduler.flush();
-  const inside = harness.scheduler as unknown as {
+  const internals = harness.scheduler as unknown as {
     placement: { context: { preemption: { candidates: { candidateOn: (...args: unknown[]) => unknown } } } };
     state: {
       fleetTotals: { changedMachines: Set<unknown> };
       capacities: { capacityOf: (...args: unknown[]) => unknown };
     };
   };
-  let calls = 0;
-  const candidateFinder = inside.placement.context.preemption.candidates;
+  let candidateChecks = 0;
+  const candidateFinder = internals.placement.context.preemption.candidates;
   const candidateOn = candidateFinder.candidateOn.bind(candidateFinder);
   candidateFinder.candidateOn = (...args) => {
-    calls++;
+    candidateChecks++;
     return candidateOn(...args);
   };
-  // Three hundred replicas that no machine here may run: each used to look at all 1,900 machines.
+  // 300 equal requests that none of the machines here can serve. Checking all 1,900 machines for each request
+  // would make a pass 300 times as expensive.
   const replica = {
     isService: true,
     priority: 0 as const,
@@ -284,72 +290,72 @@
   harness.sendRequests(Array.from({ length: 300 }, (_, i) => makeResourceRequest(`wk-s${i}`, replica)));
   harness.advance(1000);
   harness.scheduler.flush();
-  expect(calls).toBeGreaterThan(0);
-  expect(calls).toBeLessThanOrEqual(2 * all.length);
-  // A second before the next pass: nothing but the machine that reported is looked at again.
-  inside.state.fleetTotals.changedMachines.clear();
-  let capacities = 0;
-  const machineCapacities = inside.state.capacities;
+  expect(candidateChecks).toBeGreaterThan(0);
+  expect(candidateChecks).toBeLessThanOrEqual(2 * allMachines.length);
+  // The next pass is due in a second: until then a heartbeat only marks its own machine as changed.
+  internals.state.fleetTotals.changedMachines.clear();
+  let capacityChecks = 0;
+  const machineCapacities = internals.state.capacities;
   const capacityOf = machineCapacities.capacityOf.bind(machineCapacities);
   machineCapacities.capacityOf = (...args) => {
-    capacities++;
+    capacityChecks++;
     return capacityOf(...args);
   };
-  const machine = all[7] as string;
+  const machine = allMachines[7] as string;
   harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${machine}` }], 5, {
-    machine: machine,
+    machine,
     address: machine,
   });
-  expect([inside.state.fleetTotals.changedMachines.size, capacities]).toEqual([1, 0]);
+  expect([internals.state.fleetTotals.changedMachines.size, capacityChecks]).toEqual([1, 0]);
   expect(harness.directCalls.splice(0).length).toBe(0);
 });
 
 test('a search for preemptible tasks that found none is not repeated by each placement pass', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  const all = names(100);
-  for (const machine of all) {
+  const allMachines = machineNames(100);
+  for (const machine of allMachines) {
     harness.sendPlacement({
       ...harness.placementSpec('run'),
       jobId: `wk-${machine}`,
-      machine: machine,
+      machine,
       cpus: 3,
       memoryGb: 1,
     });
     harness.heartbeat([{ ...taskStatus('running'), jobId: `wk-${machine}` }], 5, {
-      machine: machine,
+      machine,
       address: machine,
     });
   }
   harness.advance(1000);
   harness.scheduler.flush();
-  const inside = harness.scheduler as unknown as {
+  const internals = harness.scheduler as unknown as {
     placement: { context: { preemption: { candidates: { candidateOn: (...args: unknown[]) => unknown } } } };
   };
-  let calls = 0;
-  const candidateFinder = inside.placement.context.preemption.candidates;
+  let candidateChecks = 0;
+  const candidateFinder = internals.placement.context.preemption.candidates;
   const candidateOn = candidateFinder.candidateOn.bind(candidateFinder);
   candidateFinder.candidateOn = (...args) => {
-    calls++;
+    candidateChecks++;
     return candidateOn(...args);
   };
-  // Within blue's guarantee, each of a size of its own, and on no machine that is there.
-  const request = (i: number) =>
-    makeResourceRequest(`wk-b${i}`, {
+  // Requests within blue's guarantee, each of a different size, for a machine type that is not present.
+  const request = (index: number) =>
+    makeResourceRequest(`wk-b${index}`, {
       team: 'blue',
-      cpus: 3 + i / 100,
+      cpus: 3 + index / 100,
       machineTypes: ['big'],
       spotAllowed: false,
     });
   const requests = Array.from({ length: 20 }, (_, i) => request(i));
   const pass = (ms: number) => {
-    calls = 0;
+    candidateChecks = 0;
     harness.sendRequests(requests);
     harness.advance(ms);
     harness.scheduler.flush();
-    return calls;
+    return candidateChecks;
   };
-  const looks = Array.from({ length: 8 }, () => pass(600));
-  expect(Math.max(...looks)).toBe(20 * all.length);
-  // Every second pass at most, one second after the last look.
-  expect(looks.some((count, i) => count > 0 && (looks[i + 1] ?? 0) > 0)).toBe(false);
+  const checksPerPass = Array.from({ length: 8 }, () => pass(600));
+  expect(Math.max(...checksPerPass)).toBe(20 * allMachines.length);
+  // A search is repeated after one second at the earliest, hence in every second pass at most.
+  expect(checksPerPass.some((count, i) => count > 0 && (checksPerPass[i + 1] ?? 0) > 0)).toBe(false);
 });
--- a/test/gang-faults.test.ts
+++ b/test/gang-faults.test.ts
@@ -1,4 +1,4 @@
-/** Gangs in whole clusters with faults; the invariants are checked after each step. */
+/** Gangs in simulated clusters with faults. The simulation checks the invariants after each step. */
 
 import { expect, test } from 'vitest';
 import type { Team } from '../src/model/team.js';
@@ -11,17 +11,17 @@
 
 function createSimulation(seed: number, overrides: Partial<ClusterConfig>): ClusterSimulation {
   const simulation = new ClusterSimulation(seed, { ...CLUSTER_CONFIG, ...overrides });
-  // No machine on which everything fails, unless a test says so.
+  // No machine fails all of its tasks unless a test adds one.
   simulation.bootsFaultyMachines = false;
   return simulation;
 }
 
-/** Runs in small steps, so that a fault strikes at the moment that a test waits for. */
-function until(simulation: ClusterSimulation, withinMs: number, holds: () => boolean): void {
-  expect(runUntil(simulation, { withinMs, stepMs: 1 }, holds)).toBe(true);
+/** Runs in steps of 1 ms, so that a fault can be injected at exactly the moment that a test waits for. */
+function expectEventually(simulation: ClusterSimulation, withinMs: number, condition: () => boolean): void {
+  expect(runUntil(simulation, { withinMs, stepMs: 1 }, condition)).toBe(true);
 }
 
-function finish(simulation: ClusterSimulation, durationMs = 200_000): void {
+function expectCompletion(simulation: ClusterSimulation, durationMs = 200_000): void {
   simulation.faultsEndAt = simulation.simulator.now;
   runFor(simulation, durationMs);
   expect(simulation.violations).toEqual([]);
@@ -29,12 +29,12 @@
   expect(simulation.serviceLevel.startsAfterCancellation).toBe(0);
 }
 
-const onMachines = (simulation: ClusterSimulation, id: string) =>
+const tasksOnMachines = (simulation: ClusterSimulation, id: string) =>
   [...simulation.workers.values()].flatMap((worker) =>
     worker.tasks.filter((task) => task.jobId === id && worker.occupies(task)),
   );
-const running = (simulation: ClusterSimulation, id: string) =>
-  onMachines(simulation, id).filter((task) => task.phase === 'running').length;
+const runningTaskCount = (simulation: ClusterSimulation, id: string) =>
+  tasksOnMachines(simulation, id).filter((task) => task.phase === 'running').length;
 const ownerOf = (simulation: ClusterSimulation, team: string) =>
   simulation.nodeNames.find((nodeName) => teamsOwnedBy(simulation, nodeName).includes(team)) ?? '';
 
@@ -51,9 +51,9 @@
 };
 
 test.each(Object.keys(FAULTS).flatMap((name) => [1, 2, 3].map((seed) => [name, seed] as const)))(
-  'a gang stored in more than one transaction is completed or ended when %s between two of them (%i)',
-  (name, seed) => {
-    // Five records of 16 tasks each, where a transaction takes four changes.
+  'a gang stored in several transactions is completed or ended when %s between two of them (%i)',
+  (fault, seed) => {
+    // The gang takes five records of 16 tasks each, and a transaction holds four operations.
     const config = {
       maxTransactionOperations: 4,
       maxValueKb: 1,
@@ -69,27 +69,27 @@
       spotAllowed: false,
     });
     simulation.users.submitJob(gang);
-    const stored = () =>
+    const storedRecordCount = () =>
       [...simulation.store.records.keys()].filter((key) => key.startsWith(`place/${gang.id}/`)).length;
-    until(simulation, 90_000, () => stored() > 0);
-    expect(stored()).toBeLessThan(5);
-    FAULTS[name]!(simulation);
-    finish(simulation);
+    expectEventually(simulation, 90_000, () => storedRecordCount() > 0);
+    expect(storedRecordCount()).toBeLessThan(5);
+    FAULTS[fault]!(simulation);
+    expectCompletion(simulation);
   },
 );
 
 test.each([1, 2, 3, 4])(
-  'a gang in one zone never begins in the other while its last attempt is unsettled (%i)',
+  'a gang with zone affinity does not start in another zone while the end of its last attempt is not known (%i)',
   (seed) => {
     const simulation = createSimulation(seed, {
       machineCapacity: 16,
       machineTypes: [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 3 }],
     });
     simulation.runDurationMs = () => 40_000;
-    const gangs = [4, 3].map((tasks) => {
+    const gangs = [4, 3].map((taskCount) => {
       const gang = makeJobSpec(simulation, {
         kind: 'gang',
-        taskCount: tasks,
+        taskCount,
         cpus: 4,
         memoryGb: 1,
         spotAllowed: false,
@@ -98,27 +98,29 @@
       simulation.users.submitJob(gang);
       return gang.id;
     });
-    until(simulation, 90_000, () => gangs.every((id) => running(simulation, id) > 0));
-    // The zone of the first gang is cut off from everything else, and the leader changes meanwhile.
+    expectEventually(simulation, 90_000, () => gangs.every((id) => runningTaskCount(simulation, id) > 0));
+    // The zone of the first gang is partitioned from everything else, and the leader changes meanwhile.
     const zone = [...simulation.workers.values()].find((worker) =>
       worker.tasks.some((task) => task.jobId === gangs[0]),
     )!.zone;
-    const inside = [...simulation.workers.values()]
+    const insideMachines = [...simulation.workers.values()]
       .filter((worker) => worker.zone === zone)
       .map((worker) => worker.name);
-    const outside = [...simulation.nodeNames, 'state', 'cloud'];
-    for (const machine of inside)
-      for (const node of outside) simulation.network.cut(machine, node, seed % 2 === 0 ? 'hold' : 'reset');
+    const outsideNodes = [...simulation.nodeNames, 'state', 'cloud'];
+    for (const machine of insideMachines)
+      for (const node of outsideNodes)
+        simulation.network.cut(machine, node, seed % 2 === 0 ? 'hold' : 'reset');
     runFor(simulation, 5000);
     simulation.controllers.crash(leaderOf(simulation), 3000);
     runFor(simulation, 30_000);
-    for (const machine of inside) for (const node of outside) simulation.network.heal(machine, node);
-    finish(simulation, 300_000);
+    for (const machine of insideMachines)
+      for (const node of outsideNodes) simulation.network.heal(machine, node);
+    expectCompletion(simulation, 300_000);
   },
 );
 
 test.each([1, 2, 3])(
-  'a task of a running gang disappears or its machine hangs: the next attempt completes it (%i)',
+  'a running gang that loses a machine, or a machine of which hangs, finishes with its next attempt (%i)',
   (seed) => {
     const simulation = createSimulation(seed, { machineCapacity: 20 });
     const gang = makeJobSpec(simulation, {
@@ -132,7 +134,7 @@
     });
     simulation.users.submitJob(gang);
     simulation.runDurationMs = () => 20_000;
-    until(simulation, 90_000, () => running(simulation, gang.id) === 5);
+    expectEventually(simulation, 90_000, () => runningTaskCount(simulation, gang.id) === 5);
     const machine = [...simulation.workers.values()].find((worker) =>
       worker.tasks.some((task) => task.jobId === gang.id),
     )!;
@@ -141,11 +143,11 @@
     simulation.simulator.scheduleAfter(15_000, () => {
       machine.isHung = false;
     });
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
-test.each([1, 2, 3])('a gang that loses a task before it has begun is not held up for good (%i)', (seed) => {
+test.each([1, 2, 3])('a gang that loses a task before it has fully started still finishes (%i)', (seed) => {
   const simulation = createSimulation(seed, { machineCapacity: 20 });
   const gang = makeJobSpec(simulation, {
     kind: 'gang',
@@ -156,11 +158,11 @@
     imageGb: 8,
   });
   simulation.users.submitJob(gang);
-  const fetching = () =>
+  const assignedWorkers = () =>
     [...simulation.workers.values()].filter((worker) => worker.tasks.some((task) => task.jobId === gang.id));
-  until(simulation, 90_000, () => fetching().length === 5);
-  simulation.machines.destroy(fetching()[seed]!.name);
-  finish(simulation);
+  expectEventually(simulation, 90_000, () => assignedWorkers().length === 5);
+  simulation.machines.destroy(assignedWorkers()[seed]!.name);
+  expectCompletion(simulation);
 });
 
 test.each([1, 2, 3])(
@@ -182,20 +184,20 @@
     });
     simulation.runDurationMs = (id) => (id === gang.id ? 60_000 : 5000);
     simulation.users.submitJob(gang);
-    until(simulation, 90_000, () => running(simulation, gang.id) === 4);
+    expectEventually(simulation, 90_000, () => runningTaskCount(simulation, gang.id) === 4);
     simulation.users.submitJob(
       makeJobSpec(simulation, { priority: 1, taskCount: 8, cpus: 4, memoryGb: 1, spotAllowed: false }),
     );
-    until(simulation, 60_000, () => simulation.machines.gangStops.signalled > 0);
-    expect(onMachines(simulation, gang.id).some((task) => task.phase === 'saving')).toBe(true);
+    expectEventually(simulation, 60_000, () => simulation.machines.gangStops.signalled > 0);
+    expect(tasksOnMachines(simulation, gang.id).some((task) => task.phase === 'saving')).toBe(true);
     runFor(simulation, 10_000);
     expect(simulation.machines.gangStops.late).toBe(0);
-    finish(simulation, 300_000);
+    expectCompletion(simulation, 300_000);
   },
 );
 
 test.each([1, 2, 3])(
-  'a cancelled gang is gone in time although a machine of it can not be reached (%i)',
+  'a cancelled gang stops in time although one of its machines is unreachable (%i)',
   (seed) => {
     const simulation = createSimulation(seed, { machineCapacity: 20 });
     const gang = makeJobSpec(simulation, {
@@ -208,29 +210,29 @@
     });
     simulation.users.submitJob(gang);
     simulation.runDurationMs = () => 100_000;
-    until(simulation, 90_000, () => running(simulation, gang.id) === 5);
+    expectEventually(simulation, 90_000, () => runningTaskCount(simulation, gang.id) === 5);
     const machine = [...simulation.workers.values()].find((worker) =>
       worker.tasks.some((task) => task.jobId === gang.id),
     )!;
     for (const nodeName of simulation.nodeNames) simulation.network.cut(machine.name, nodeName, 'hold');
     simulation.users.cancelJob(gang.id);
     runFor(simulation, CLUSTER_CONFIG.cancellationSeconds * 1000 + 5000);
-    expect(onMachines(simulation, gang.id)).toEqual([]);
+    expect(tasksOnMachines(simulation, gang.id)).toEqual([]);
     for (const nodeName of simulation.nodeNames) simulation.network.heal(machine.name, nodeName);
-    finish(simulation);
+    expectCompletion(simulation);
   },
 );
 
-test.each([1, 2, 3])('a gang gets round a machine on which every task fails (%i)', (seed) => {
+test.each([1, 2, 3])('a gang avoids a machine on which every task fails (%i)', (seed) => {
   const simulation = createSimulation(seed, {
     machineCapacity: 12,
     machineTypes: [{ ...CLUSTER_CONFIG.machineTypes[0]!, bootSeconds: 3 }],
   });
-  const gangs = [4, 3].map((tasks) =>
+  const gangs = [4, 3].map((taskCount) =>
     makeJobSpec(simulation, {
-      id: `wk-gang-${tasks}`,
+      id: `wk-gang-${taskCount}`,
       kind: 'gang',
-      taskCount: tasks,
+      taskCount,
       cpus: 4,
       memoryGb: 1,
       spotAllowed: false,
@@ -239,11 +241,11 @@
   );
   simulation.runDurationMs = () => 10_000;
   simulation.users.submitJob(gangs[0]!);
-  until(simulation, 90_000, () => onMachines(simulation, gangs[0]!.id).length > 0);
-  const faulty = [...simulation.workers.values()].find((worker) =>
+  expectEventually(simulation, 90_000, () => tasksOnMachines(simulation, gangs[0]!.id).length > 0);
+  const faultyWorker = [...simulation.workers.values()].find((worker) =>
     worker.tasks.some((task) => task.jobId === gangs[0]!.id),
   )!;
-  simulation.faultyMachines.add(faulty.name);
+  simulation.faultyMachines.add(faultyWorker.name);
   simulation.users.submitJob(gangs[1]!);
-  finish(simulation);
+  expectCompletion(simulation);
 });
--- a/test/gang-quotas.test.ts
+++ b/test/gang-quotas.test.ts
@@ -1,4 +1,4 @@
-/** How a shard owner counts gangs against the quota of their team and takes grants for them. */
+/** How a shard owner counts gangs against the quota of their team and accepts grants for them. */
 
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
@@ -17,54 +17,54 @@
 
 const TEAM: Team = { name: 'red', guaranteedCpus: 0, maxCpus: 40, guaranteedGpus: 0, maxGpus: 0 };
 
-function queued(over: Partial<JobSpec>, placed = 0): QueuedJob {
+function queuedJob(overrides: Partial<JobSpec>, placedTasks = 0): QueuedJob {
   return {
-    spec: makeJobSpec(new ClusterSimulation(1), { acceptedAtMs: 0, ...over }),
+    spec: makeJobSpec(new ClusterSimulation(1), { acceptedAtMs: 0, ...overrides }),
     acceptedRevision: 1,
     finishedTasks: 0,
-    placedTasks: placed,
+    placedTasks,
     failures: 0,
   };
 }
 
 test('a gang that has waited reserves the quota of its team, and lower-priority work keeps its share', () => {
   const usage = new TeamUsage(new Map([['red', TEAM]]));
-  const gang = queued({ kind: 'gang', taskCount: 8, cpus: 4 });
-  const small = queued({ kind: 'gang', taskCount: 2, cpus: 4 });
-  const low = queued({ priority: 3, taskCount: 50, cpus: 1 });
-  const running = queued({ priority: 2, taskCount: 5, cpus: 4 }, 5);
+  const gang = queuedJob({ kind: 'gang', taskCount: 8, cpus: 4 });
+  const small = queuedJob({ kind: 'gang', taskCount: 2, cpus: 4 });
+  const lowPriority = queuedJob({ priority: 3, taskCount: 50, cpus: 1 });
+  const running = queuedJob({ priority: 2, taskCount: 5, cpus: 4 }, 5);
   usage.add(running.spec, 'granted', 5);
-  const budget = (wallMs: number) => {
-    const of = TeamBudget.forTeam('red', usage, [gang, small, low, running])!;
-    expect(of.tasksThatFit(gang.spec)).toBe(5);
-    of.reserveForGang(gang, wallMs);
-    return of;
+  const budgetAt = (wallMs: number) => {
+    const teamBudget = TeamBudget.forTeam('red', usage, [gang, small, lowPriority, running])!;
+    expect(teamBudget.tasksThatFit(gang.spec)).toBe(5);
+    teamBudget.reserveForGang(gang, wallMs);
+    return teamBudget;
   };
-  expect(budget(89_000).tasksThatFit(small.spec)).toBe(5);
-  const later = budget(91_000);
-  expect(later.tasksThatFit(small.spec)).toBeLessThanOrEqual(0);
-  expect(later.tasksThatFit(low.spec)).toBe(10);
-  later.consume(low.spec, 10);
-  expect(later.tasksThatFit(low.spec)).toBe(0);
+  expect(budgetAt(89_000).tasksThatFit(small.spec)).toBe(5);
+  const budgetAfterWait = budgetAt(91_000);
+  expect(budgetAfterWait.tasksThatFit(small.spec)).toBeLessThanOrEqual(0);
+  expect(budgetAfterWait.tasksThatFit(lowPriority.spec)).toBe(10);
+  budgetAfterWait.consume(lowPriority.spec, 10);
+  expect(budgetAfterWait.tasksThatFit(lowPriority.spec)).toBe(0);
 });
 
 test('a gang larger than the quota of its team reserves nothing', () => {
   const usage = new TeamUsage(new Map([['red', TEAM]]));
-  const gang = queued({ kind: 'gang', taskCount: 11, cpus: 4 });
+  const gang = queuedJob({ kind: 'gang', taskCount: 11, cpus: 4 });
   const budget = TeamBudget.forTeam('red', usage, [gang])!;
   budget.reserveForGang(gang, 100_000);
-  expect(budget.tasksThatFit(queued({ taskCount: 2, cpus: 4 }).spec)).toBe(10);
+  expect(budget.tasksThatFit(queuedJob({ taskCount: 2, cpus: 4 }).spec)).toBe(10);
 });
 
-/** An owner of team red that has loaded these jobs, with a state service that never answers a write. */
-function ownerOf(specs: JobSpec[]): { owner: ShardOwner; sentMessages: ShardMessage[] } {
+/** Creates the shard owner of team red with these jobs loaded. Its state service never answers a write. */
+function createOwner(specs: JobSpec[]): { owner: ShardOwner; sentMessages: ShardMessage[] } {
   const sentMessages: ShardMessage[] = [];
   const items = specs.map((spec, index) => ({
     key: `open/${spec.id}/a`,
     value: jobRecord.encode({ spec }),
     modRevision: index + 1,
   }));
-  const state = {
+  const store = {
     get: (_key, _urgency, callback) => callback({ ok: true, value: null }),
     list: ({ prefix }, callback) =>
       callback({
@@ -75,7 +75,7 @@
   } as Partial<KeyValueStore> as KeyValueStore;
   const options = {
     teams: new Map([['red', TEAM]]),
-    store: state,
+    store,
     send: (message: ShardMessage) => sentMessages.push(message),
   };
   const owner = new ShardOwner(shardOwnerOptions(options));
@@ -86,7 +86,7 @@
   return { owner, sentMessages };
 }
 
-test('an owner accepts all grants of a gang or none: at its quota, from two zones, or too few', () => {
+test('a shard owner accepts all grants of a gang or none: none at the quota, from two zones or if too few', () => {
   const gang = makeJobSpec(new ClusterSimulation(1), {
     id: 'wk-gang',
     kind: 'gang',
@@ -95,7 +95,7 @@
     zoneAffinity: true,
   });
   const other = makeJobSpec(new ClusterSimulation(1), { id: 'wk-other', taskCount: 7, cpus: 4 });
-  const grants = (
+  const makeGrants = (
     jobId: string,
     count: number,
     { zoneOf = () => 'a', firstId = 1 }: { zoneOf?: (index: number) => string; firstId?: number } = {},
@@ -108,24 +108,29 @@
       zone: zoneOf(index),
       workerEpoch: 1,
     }));
-  const cases: { name: string; taken: Grant[]; gang: Grant[]; placed: number }[] = [
-    { name: 'room', taken: [], gang: grants('wk-gang', 4), placed: 4 },
-    { name: 'too few', taken: [], gang: grants('wk-gang', 3), placed: 0 },
+  const cases: { name: string; earlierGrants: Grant[]; gangGrants: Grant[]; expectedPlaced: number }[] = [
+    { name: 'within quota', earlierGrants: [], gangGrants: makeGrants('wk-gang', 4), expectedPlaced: 4 },
+    { name: 'too few', earlierGrants: [], gangGrants: makeGrants('wk-gang', 3), expectedPlaced: 0 },
     {
       name: 'two zones',
-      taken: [],
-      gang: grants('wk-gang', 4, { zoneOf: (index) => (index < 2 ? 'a' : 'b') }),
-      placed: 0,
+      earlierGrants: [],
+      gangGrants: makeGrants('wk-gang', 4, { zoneOf: (index) => (index < 2 ? 'a' : 'b') }),
+      expectedPlaced: 0,
+    },
+    {
+      name: 'at quota',
+      earlierGrants: makeGrants('wk-other', 7, { firstId: 10 }),
+      gangGrants: makeGrants('wk-gang', 4),
+      expectedPlaced: 7,
     },
-    { name: 'limit', taken: grants('wk-other', 7, { firstId: 10 }), gang: grants('wk-gang', 4), placed: 7 },
   ];
-  for (const { name, taken, gang: offered, placed } of cases) {
-    const { owner, sentMessages } = ownerOf([gang, other]);
-    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: taken });
-    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: offered });
-    expect([name, owner.stats().placed]).toEqual([name, placed]);
+  for (const { name, earlierGrants, gangGrants, expectedPlaced } of cases) {
+    const { owner, sentMessages } = createOwner([gang, other]);
+    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: earlierGrants });
+    owner.onLeaderMessage({ type: 'grants', fencingToken: 1, grants: gangGrants });
+    expect([name, owner.stats().placed]).toEqual([name, expectedPlaced]);
     owner.flush();
-    const dropped = sentMessages.flatMap((message) => (message.type === 'release' ? message.grants : []));
-    expect([name, dropped.length]).toEqual([name, name === 'room' ? 0 : offered.length]);
+    const released = sentMessages.flatMap((message) => (message.type === 'release' ? message.grants : []));
+    expect([name, released.length]).toEqual([name, name === 'within quota' ? 0 : gangGrants.length]);
   }
 });
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -1,4 +1,4 @@
-/** Users' requests and workers' heartbeats over HTTP, with the statuses of the protocol. */
+/** User requests and worker heartbeats over HTTP, with the status codes of the protocol. */
 
 import { beforeAll, expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
@@ -31,18 +31,21 @@
   connection: string | null;
 }
 
-/** Sends a request to the controller and lets simulated time run until it is answered, for 8 s at most. */
-async function ask(method: string, path: string, body?: unknown): Promise<Reply> {
-  const text = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
+/** Sends a request to the controller and advances simulated time until the response, by 8 s at most. */
+async function sendRequest(method: string, path: string, body?: unknown): Promise<Reply> {
+  const encodedBody = typeof body === 'string' ? body : body === undefined ? '' : JSON.stringify(body);
   let response: HttpResponse | undefined;
-  handle({ method, path, status: 0, rawHeaders: [], body: text, keepAlive: true }, (given) => {
-    response = given;
-  });
+  handle(
+    { method, path, status: 0, rawHeaders: [], body: encodedBody, keepAlive: true },
+    (handlerResponse) => {
+      response = handlerResponse;
+    },
+  );
   for (let i = 0; i < 400 && !response; i++) {
     await new Promise((resolve) => setImmediate(resolve));
     runFor(simulation, 20);
   }
-  if (!response) throw new Error('no answer');
+  if (!response) throw new Error('no response within 8 s');
   return {
     status: response.status,
     json: JSON.parse(response.body) as Record<string, unknown>,
@@ -51,10 +54,10 @@
   };
 }
 
-const submit = (job: unknown) => ask('POST', '/v2/runs', job);
-const poll = (id: string) => ask('GET', `/v2/runs/${id}`);
-const cancel = (id: string) => ask('POST', `/v2/runs/${id}/abort`);
-const checkReadiness = () => ask('GET', '/ready');
+const submit = (job: unknown) => sendRequest('POST', '/v2/runs', job);
+const poll = (id: string) => sendRequest('GET', `/v2/runs/${id}`);
+const cancel = (id: string) => sendRequest('POST', `/v2/runs/${id}/abort`);
+const checkReadiness = () => sendRequest('GET', '/ready');
 const advance = (ms: number) => runFor(simulation, ms);
 
 const JOB = {
@@ -80,7 +83,7 @@
   frost_s: null,
 };
 
-test('a submission is accepted once, and a repeat is known whatever it holds', async () => {
+test('a submission is accepted once, and a repetition is recognized by its job id whatever else it contains', async () => {
   const first = await submit(JOB);
   expect([first.status, first.json.phase]).toEqual([201, 'pending']);
 
@@ -97,16 +100,16 @@
   ['no job id', { ...JOB, name_id: 'x' }, 400],
   ['too large', `{"a":"${'x'.repeat(70000)}"}`, 400],
   ['unknown team', { ...JOB, name_id: 'wk-000501', crew: 'nobody' }, 422],
-  ['no machine holds a task', { ...JOB, name_id: 'wk-000502', vcpus: 1000.0 }, 422],
-  ['more than the team limit', { ...JOB, name_id: 'wk-000503', shape: 'standing', saplings: 50 }, 422],
-])('refused at once: %s', async (_name, body, status) => {
+  ['no machine type fits a task', { ...JOB, name_id: 'wk-000502', vcpus: 1000.0 }, 422],
+  ['more than the team quota', { ...JOB, name_id: 'wk-000503', shape: 'standing', saplings: 50 }, 422],
+])('a submission is rejected at once: %s', async (_name, body, status) => {
   const reply = await submit(body);
   expect([reply.status, typeof reply.json.error]).toEqual([status, 'string']);
 });
 
-test('cancelled stays cancelled, and unknown jobs are not invented', async () => {
-  const job = { ...JOB, name_id: 'wk-000600', shape: 'standing' };
-  expect((await submit(job)).status).toBe(201);
+test('a cancelled job stays cancelled, and unknown jobs and paths are not found', async () => {
+  const service = { ...JOB, name_id: 'wk-000600', shape: 'standing' };
+  expect((await submit(service)).status).toBe(201);
 
   expect((await cancel('wk-000600')).json.phase).toBe('withdrawn');
   advance(5000);
@@ -114,16 +117,16 @@
 
   expect((await poll('wk-999999')).status).toBe(404);
   expect((await cancel('wk-999999')).status).toBe(404);
-  expect((await ask('GET', '/nowhere')).status).toBe(404);
+  expect((await sendRequest('GET', '/nowhere')).status).toBe(404);
 });
 
-test('in an outage users are told when to come back, and workers of a node that does not lead are sent on', async () => {
+test('users get Retry-After in an outage, and a controller that does not lead redirects workers', async () => {
   simulation.store.setDown(true);
   const reply = await submit({ ...JOB, name_id: 'wk-000700' });
   expect([reply.status, reply.retryAfter]).toEqual([503, expect.stringMatching(/^[123]$/)]);
   simulation.store.setDown(false);
 
-  expect((await ask('POST', '/hello', { trunk: 'vm-1' })).status).toBe(400);
+  expect((await sendRequest('POST', '/hello', { trunk: 'vm-1' })).status).toBe(400);
   const heartbeat = {
     trunk: 'vm-1',
     address: 'vm-1',
@@ -136,11 +139,11 @@
     felling_s: null,
     saplings: [],
   };
-  // A token higher than any known here: whoever led before must not answer as the leader.
-  expect((await ask('POST', '/hello', heartbeat)).status).toBe(421);
+  // The fencing token is higher than any known here: a former leader must not answer as the leader.
+  expect((await sendRequest('POST', '/hello', heartbeat)).status).toBe(421);
 });
 
-test('a controller that alone is refused by the state service is not ready and lets its users go; in an outage for all it is', async () => {
+test('a controller that alone is refused by the state service is not ready and closes user connections; in an outage for all it stays ready', async () => {
   advance(10000);
   expect((await checkReadiness()).status).toBe(200);
 
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -1,9 +1,9 @@
 import net from 'node:net';
 import { expect, test } from 'vitest';
-import { startHttpServer } from './listening.js';
+import { startHttpServer } from './test-servers.js';
 
-/** Writes the parts 5 ms apart on a new connection; all that came back until 60 ms after the last one. */
-function converse(port: number, parts: string[]): Promise<string> {
+/** Writes the parts 5 ms apart on a new connection; returns all data received within 60 ms of the last. */
+function exchange(port: number, parts: string[]): Promise<string> {
   return new Promise((resolve) => {
     const socket = net.connect(port, '127.0.0.1');
     let received = '';
@@ -22,26 +22,26 @@
   });
 }
 
-test('requests are read in pieces, with chunked bodies, one after the other, and nonsense is refused', async () => {
+test('requests are read from fragments, with chunked bodies and pipelined, and malformed or oversized ones are rejected', async () => {
   const { port } = await startHttpServer(40, (request, respond) => {
     if (request.path === '/throws') throw new Error('a defect');
     const body = JSON.stringify([request.method, request.path, request.body]);
     setTimeout(() => respond({ status: 200, body }), 5);
   });
-  const talk = (parts: string[]) => converse(port, parts);
+  const send = (parts: string[]) => exchange(port, parts);
 
   const chunked = 'Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n';
-  expect(await talk(['POST /a HT', `TP/1.1\r\nHost: x\r\n${chunked}`])).toContain('["POST","/a","hello"]');
+  expect(await send(['POST /a HT', `TP/1.1\r\nHost: x\r\n${chunked}`])).toContain('["POST","/a","hello"]');
 
-  const two = await talk(['GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n']);
-  expect(two.indexOf('/a')).toBeLessThan(two.indexOf('/b'));
+  const pipelined = await send(['GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n']);
+  expect(pipelined.indexOf('/a')).toBeLessThan(pipelined.indexOf('/b'));
 
-  expect(await talk(['\x00\x01\x02 nonsense\r\n\r\n'])).toContain('HTTP/1.1 400 ');
-  expect(await talk([`GET /x HTTP/1.1\r\nA: ${'y'.repeat(20000)}`, 'z'.repeat(20000)])).toContain(' 400 ');
-  expect(await talk(['GET /throws HTTP/1.1\r\nHost: x\r\n\r\n'])).toContain('HTTP/1.1 500 ');
+  expect(await send(['\x00\x01\x02 nonsense\r\n\r\n'])).toContain('HTTP/1.1 400 ');
+  expect(await send([`GET /x HTTP/1.1\r\nA: ${'y'.repeat(20000)}`, 'z'.repeat(20000)])).toContain(' 400 ');
+  expect(await send(['GET /throws HTTP/1.1\r\nHost: x\r\n\r\n'])).toContain('HTTP/1.1 500 ');
 
   const large = `POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n${'x'.repeat(70000)}`;
-  expect(await talk([large])).toContain('HTTP/1.1 400 ');
+  expect(await send([large])).toContain('HTTP/1.1 400 ');
 
-  expect(await talk(['GET /a HTTP/1.0\r\n\r\n'])).toContain('Connection: close');
+  expect(await send(['GET /a HTTP/1.0\r\n\r\n'])).toContain('Connection: close');
 });
--- a/test/inbound-connections.test.ts
+++ b/test/inbound-connections.test.ts
@@ -1,12 +1,12 @@
 import net from 'node:net';
 import { expect, test } from 'vitest';
-import { afterTest, startHttpServer } from './listening.js';
+import { closeAfterTest, startHttpServer } from './test-servers.js';
 
-/** Sends a request on a connection of its own, which stays open; whether anything was answered. */
-function ask(port: number, path: string): Promise<boolean> {
+/** Sends a request on a new connection that stays open; returns whether any response data arrived. */
+function sendRequest(port: number, path: string): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = net.connect(port, '127.0.0.1');
-    afterTest(() => socket.destroy());
+    closeAfterTest(() => socket.destroy());
     socket.on('connect', () => socket.write(`GET ${path} HTTP/1.1\r\nHost: x\r\n\r\n`));
     socket.once('data', () => resolve(true));
     socket.once('error', () => resolve(false));
@@ -18,13 +18,13 @@
   const { connections, port } = await startHttpServer(40, (_request, respond) =>
     respond({ status: 200, body: '{}' }),
   );
-  for (let i = 0; i < 38; i++) await ask(port, '/v2/runs/wk-1');
+  for (let i = 0; i < 38; i++) await sendRequest(port, '/v2/runs/wk-1');
   await new Promise((resolve) => setTimeout(resolve, 1100));
 
   const answered: boolean[] = [];
-  for (let i = 0; i < 25; i++) answered.push(await ask(port, '/hello'));
-  answered.push(await ask(port, '/ready'));
+  for (let i = 0; i < 25; i++) answered.push(await sendRequest(port, '/hello'));
+  answered.push(await sendRequest(port, '/ready'));
 
-  expect(answered.every((given) => given)).toBe(true);
+  expect(answered.every((wasAnswered) => wasAnswered)).toBe(true);
   expect(connections.size).toBeLessThanOrEqual(40);
 });
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -1,4 +1,4 @@
-/** Transactions of a shard owner that get no answer: they may have been carried out, or may yet be. */
+/** Transactions of a shard owner without a response: they may have been carried out, or may still be. */
 
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
@@ -10,8 +10,8 @@
 import { runIndeterminateWritesScenario } from './simulation/scenario.js';
 import { ShardOwnerHarness } from './simulation/shard-owner-harness.js';
 
-const from = Number(process.env.FROM ?? 1);
-const seeds = Number(process.env.SEEDS ?? 24);
+const firstSeed = Number(process.env.FROM ?? 1);
+const seedCount = Number(process.env.SEEDS ?? 24);
 
 const CPUS = 4;
 const MAX_TASKS = 10;
@@ -26,7 +26,7 @@
 const specs = ['wk-000001', 'wk-000002', 'wk-000003'].map((id) =>
   makeJobSpec(simulation, { id, taskCount: MAX_TASKS, cpus: CPUS }),
 );
-const cpus = () => CPUS;
+const cpusPerTask = () => CPUS;
 
 test('placements of an indeterminate write count against the quota while other jobs of that write are reloaded', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
@@ -34,7 +34,7 @@
   harness.grant('wk-000001', 5);
   harness.grant('wk-000002', 5);
   harness.delayedReadPrefix = 'open/wk-000002';
-  // The first job has been read again, which makes the owner send a full sync; the second has not.
+  // The first job has been reloaded, which makes the shard owner send a full sync; the second has not.
   harness.run(3000);
   expect(harness.sentMessages.filter((message) => message.type === 'fullSync').length).toBeGreaterThan(1);
   harness.grant('wk-000003', 5);
@@ -54,30 +54,31 @@
   harness.run(3000);
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000003': MAX_TASKS });
   harness.carryOutLate();
-  expect(harness.storedCpus(cpus)).toBeLessThanOrEqual(TEAM.maxCpus);
+  expect(harness.storedCpus(cpusPerTask)).toBeLessThanOrEqual(TEAM.maxCpus);
 });
 
-// At a full sync the leader takes what it is sent instead of the grants that it had promised. If placements in flight or
-// indeterminate were left out of it, their capacity would be granted again, both tasks stored, and the worker would refuse one.
-// These seeds found that.
+// A full sync replaces the leader's outstanding grants. If it left out placements that are in flight or
+// indeterminate, their capacity would be granted again, both tasks would be stored, and the worker would
+// refuse one of them. These seeds exposed that fault.
 test('no capacity is granted twice at a full sync while placements are in flight or indeterminate', () => {
   for (const seed of [1, 2, 19])
     expect([seed, runIndeterminateWritesScenario(seed).machines.refusals.noCapacity]).toEqual([seed, 0]);
 });
 
-// If a full sync left the attempt out, nobody would claim it and the leader would have it removed. Should the transaction turn out
-// not to have been carried out, the job is reloaded with the attempt as stored, and a leader that no longer knows that it has
-// ended would start it again. Seed 19 of the scenarios found that.
+// If a full sync left the attempt out, no shard owner would claim it and the leader would have the worker
+// forget it. If the transaction then turned out not to have been carried out, the job would be reloaded with
+// the stored attempt, and the leader, which no longer knows that the attempt has ended, would start it again.
+// Seed 19 of the scenarios exposed that fault.
 test('a full sync keeps an ended attempt while the write of its outcome is in flight or indeterminate', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
   harness.grant('wk-000001', 1);
   harness.run(100);
-  const ended = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
+  const attemptKey = { jobId: 'wk-000001', taskIndex: 0, attempt: 1, machine: 'm1' };
   harness.lostAnswers.push('carried out late');
   harness.owner.onLeaderMessage({
     type: 'allocationEvents',
     fencingToken: 1,
-    events: [{ type: 'phase', ...ended, phase: 'exited', exitReason: 'done', checkpointSaved: false }],
+    events: [{ type: 'phase', ...attemptKey, phase: 'exited', exitReason: 'done', checkpointSaved: false }],
   });
   const syncedStates: (string | undefined)[] = [];
   for (let i = 0; i < 6; i++) {
@@ -97,7 +98,7 @@
   expect(syncedStates).not.toContain(undefined);
 });
 
-test.each(Array.from({ length: seeds }, (_, i) => from + i))(
+test.each(Array.from({ length: seedCount }, (_, i) => firstSeed + i))(
   'seed %i: invariants hold and all work finishes with teams at their quotas and indeterminate writes',
   (seed) => {
     const simulation = runIndeterminateWritesScenario(seed);
@@ -109,7 +110,7 @@
   120000,
 );
 
-test('a write fence is known to have moved although the answer to its own write is lost', () => {
+test('a write fence is known to have moved although the response to its own write is lost', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
   harness.lostAnswers.push('carried out late', 'carried out at once');
   harness.grant('wk-000001', 5);
@@ -121,25 +122,25 @@
   expect(harness.storedPlacementCounts()).toEqual({ 'wk-000001': MAX_TASKS });
 });
 
-test('a late write is found if it was carried out before its late fence, and never carried out after it', () => {
-  for (const early of [true, false]) {
+test('a late write is found if it was carried out before its fence, and is never carried out after a late fence', () => {
+  for (const carriedOutBeforeFence of [true, false]) {
     const harness = new ShardOwnerHarness(TEAM, specs);
     harness.lostAnswers.push('carried out late', 'carried out late');
     harness.grant('wk-000001', 5);
     harness.run(2000);
-    if (early) expect(harness.carryOutLate()).toBe(2);
+    if (carriedOutBeforeFence) expect(harness.carryOutLate()).toBe(2);
     harness.run(3000);
     expect(harness.carryOutLate()).toBe(0);
-    expect(harness.storedPlacementCounts()).toEqual(early ? { 'wk-000001': 5 } : {});
-    expect(harness.owner.stats().placed).toBe(early ? 5 : 0);
+    expect(harness.storedPlacementCounts()).toEqual(carriedOutBeforeFence ? { 'wk-000001': 5 } : {});
+    expect(harness.owner.stats().placed).toBe(carriedOutBeforeFence ? 5 : 0);
   }
 });
 
-test('a write that fails by its fence alone is sent again without reloading its jobs', () => {
+test('a write that fails only because of its fence is retried without reloading its jobs', () => {
   const harness = new ShardOwnerHarness(TEAM, specs);
   harness.grant('wk-000001', 1);
   harness.run(100);
-  // A write of an earlier process on the same node, carried out late.
+  // A late fence write of an earlier process on the same node.
   harness.writeRecord('fence/o', { inst: 'earlier' });
   harness.grant('wk-000002', 5);
   harness.run(1000);
@@ -167,15 +168,15 @@
   expect(harness.logLines('team over quota')).toEqual([]);
 });
 
-test('a repeated log line is rate-limited, and says how many were suppressed', () => {
+test('a repeated log line is rate-limited and reports how many lines were suppressed', () => {
   let now = 0;
   const lines: LogFields[] = [];
-  const take = (fields: LogFields) => lines.push(fields);
+  const record = (fields: LogFields) => lines.push(fields);
   const clock = { now: () => now } as Clock;
-  const limited = new RateLimitedLog({ debug: take, info: take, error: take }, clock);
-  for (let i = 0; i < 500; i++) limited.info({ i }, 'indeterminate write');
+  const rateLimitedLog = new RateLimitedLog({ debug: record, info: record, error: record }, clock);
+  for (let i = 0; i < 500; i++) rateLimitedLog.info({ i }, 'indeterminate write');
   expect(lines.length).toBe(20);
   now = 10_000;
-  limited.info({ i: 500 }, 'indeterminate write');
+  rateLimitedLog.info({ i: 500 }, 'indeterminate write');
   expect(lines.at(-1)).toEqual({ i: 500, suppressed: 480 });
 });
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -14,7 +14,7 @@
 import { decodeSubmission } from '../src/wire/user-messages.js';
 import { decodeHeartbeat } from '../src/wire/worker-messages.js';
 
-const REPORT = JSON.stringify({
+const HEARTBEAT = JSON.stringify({
   trunk: 'vm-1',
   address: '10.0.0.1:1',
   bark: 'g',
@@ -27,8 +27,8 @@
   saplings: [{ sapling: 'wk-000001/3', sprout: 2, phase: 'ended', blight: 'done' }],
 });
 
-test('nothing read from outside throws, random or truncated', () => {
-  const readers = [
+test('no decoder of external input throws on random or truncated input', () => {
+  const decoders = [
     decodeHeartbeat,
     decodeMachineTypes,
     decodeMachinePage,
@@ -40,7 +40,7 @@
     decodeLeaseId,
     decodePeerMessage,
   ];
-  const known = fc.dictionary(
+  const objectsWithKnownKeys = fc.dictionary(
     fc.constantFrom(
       'trunk',
       'saplings',
@@ -60,24 +60,24 @@
     fc.jsonValue(),
   );
   fc.assert(
-    fc.property(fc.oneof(fc.jsonValue(), known), (value) => {
-      for (const read of readers) read(value);
+    fc.property(fc.oneof(fc.jsonValue(), objectsWithKnownKeys), (value) => {
+      for (const decode of decoders) decode(value);
       decodeSubmission(value, 0);
     }),
     { numRuns: 500 },
   );
 
-  for (let length = 0; length < REPORT.length; length++)
-    expect(decodeHeartbeat(parseJson(REPORT.slice(0, length)))).toBe(null);
-  expect(decodeHeartbeat(parseJson(REPORT))?.tasks[0]?.exitReason).toBe('done');
+  for (let length = 0; length < HEARTBEAT.length; length++)
+    expect(decodeHeartbeat(parseJson(HEARTBEAT.slice(0, length)))).toBe(null);
+  expect(decodeHeartbeat(parseJson(HEARTBEAT))?.tasks[0]?.exitReason).toBe('done');
 });
 
-test('a report with one task that cannot be read proves nothing', () => {
-  // Read as a shorter list it would settle a task that still runs.
-  expect(decodeHeartbeat(parseJson(REPORT.replace('"sprout":2', '"sprout":null')))).toBe(null);
+test('a heartbeat with one malformed task is rejected as a whole', () => {
+  // Accepted as a shorter list, it would finalize a task that is still running.
+  expect(decodeHeartbeat(parseJson(HEARTBEAT.replace('"sprout":2', '"sprout":null')))).toBe(null);
 });
 
-test('a message between controllers that lacks a part is dropped', () => {
+test('a peer message that lacks a required field is dropped', () => {
   const heartbeat = {
     k: 'ping',
     leader: 'stand-2',
@@ -92,8 +92,8 @@
   const fromOwner = (message: object) => ({ k: 'owner', to: 'stand-2.9f', m: { token: 7, ...message } });
   const fromLeader = (message: object) => ({ k: 'scheduler', to: 'stand-2.9f', m: { token: 7, ...message } });
   const decode = (body: object) => decodePeerMessage({ host: 'stand-1', inst: 'stand-1.0a', seq: 1, body });
-  const without = (body: object, part: string) =>
-    JSON.parse(JSON.stringify(body, (key, value) => (key === part ? undefined : value)));
+  const without = (body: object, field: string) =>
+    JSON.parse(JSON.stringify(body, (key, value) => (key === field ? undefined : value)));
 
   const bodies: [body: object, parts: string[]][] = [
     [
@@ -112,28 +112,28 @@
     [fromLeader({ k: 'seen', seen: [] }), ['seen']],
     [fromLeader({ k: 'evict', tasks: [], why: 'x' }), ['tasks']],
   ];
-  for (const [body, parts] of bodies) {
+  for (const [body, requiredFields] of bodies) {
     expect(decode(body)).not.toBe(null);
-    for (const part of parts) expect([part, decode(without(body, part))]).toEqual([part, null]);
+    for (const field of requiredFields) expect([field, decode(without(body, field))]).toEqual([field, null]);
   }
 });
 
-test('the limit on requests in progress shrinks when answers slow down and grows back', () => {
+test('the concurrency limit shrinks when responses slow down and grows back when they are fast again', () => {
   const limit = new ConcurrencyLimit({ initialLimit: 50, minLimit: 4, maxLimit: 100, fastThresholdMs: 100 });
   let now = 0;
-  /** Fills the limit with requests that all take so long. */
-  const fill = (tookMs: number) => {
-    let entered = 0;
-    while (limit.tryAcquire()) entered++;
-    now += tookMs;
-    for (let i = 0; i < entered; i++) limit.release(now, tookMs);
+  /** Runs as many requests as the limit admits, each of which takes `durationMs`. */
+  const runRequests = (durationMs: number) => {
+    let acquired = 0;
+    while (limit.tryAcquire()) acquired++;
+    now += durationMs;
+    for (let i = 0; i < acquired; i++) limit.release(now, durationMs);
   };
 
-  fill(20);
-  for (let i = 0; i < 20; i++) fill(1000);
-  const shrunk = limit.currentLimit;
-  expect(shrunk).toBeLessThan(25);
+  runRequests(20);
+  for (let i = 0; i < 20; i++) runRequests(1000);
+  const reducedLimit = limit.currentLimit;
+  expect(reducedLimit).toBeLessThan(25);
 
-  for (let i = 0; i < 200; i++) fill(20);
-  expect(limit.currentLimit).toBeGreaterThan(shrunk * 2);
+  for (let i = 0; i < 200; i++) runRequests(20);
+  expect(limit.currentLimit).toBeGreaterThan(reducedLimit * 2);
 });
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,4 +1,4 @@
-/** The checkers of the simulation see violations, and the leader keeps to the invariants that they check. */
+/** The simulation's checkers report violations, and the leader upholds the invariants that they check. */
 
 import { expect, test } from 'vitest';
 import type { ResourceRequest } from '../src/model/placement.js';
@@ -11,9 +11,9 @@
 test('the invariant checker reports each kind of violation', () => {
   const simulation = new ClusterSimulation(3);
   simulation.simulator.run(2000);
-  // No controller knows of these: the fakes are made to do directly what the invariants forbid.
+  // All controllers are down: the simulated workers are made to violate the invariants directly.
   for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
-  const put = (spec: ReturnType<typeof makeJobSpec>) =>
+  const addJob = (spec: ReturnType<typeof makeJobSpec>) =>
     simulation.jobs.set(spec.id, {
       spec,
       accepted: true,
@@ -25,7 +25,7 @@
     });
   const spotWorker = simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
   const bigWorker = simulation.machines.add({ machineType: 'big', zone: 'a', isSpot: false });
-  const run = (worker: typeof spotWorker, id: string, taskIndex: number) =>
+  const startTask = (worker: typeof spotWorker, id: string, taskIndex: number) =>
     worker.handleCommands(
       {
         fencingToken: 99,
@@ -34,41 +34,41 @@
       },
       () => {},
     );
-  const twice = makeJobSpec(simulation, { kind: 'service' });
-  put(twice);
-  run(spotWorker, twice.id, 0);
-  run(bigWorker, twice.id, 0);
-  const placed = makeJobSpec(simulation, {
+  const runsTwice = makeJobSpec(simulation, { kind: 'service' });
+  addJob(runsTwice);
+  startTask(spotWorker, runsTwice.id, 0);
+  startTask(bigWorker, runsTwice.id, 0);
+  const misplaced = makeJobSpec(simulation, {
     kind: 'service',
     spotAllowed: false,
     machineTypes: ['big'],
     zone: 'b',
   });
-  put(placed);
-  run(spotWorker, placed.id, 0);
-  const large = makeJobSpec(simulation, { team: 'blue', cpus: 2, taskCount: 20, memoryGb: 0.5 });
-  put({ ...large, kind: 'service', cpus: 25, memoryGb: 0.1 });
+  addJob(misplaced);
+  startTask(spotWorker, misplaced.id, 0);
+  const exceedsQuota = makeJobSpec(simulation, { team: 'blue', cpus: 2, taskCount: 20, memoryGb: 0.5 });
+  addJob({ ...exceedsQuota, kind: 'service', cpus: 25, memoryGb: 0.1 });
   bigWorker.size.cpus = 1000;
-  run(bigWorker, large.id, 0);
-  const gone = makeJobSpec(simulation, { kind: 'service' });
-  put(gone);
-  simulation.jobs.get(gone.id)!.cancelledAt = -100000;
-  run(bigWorker, gone.id, 0);
+  startTask(bigWorker, exceedsQuota.id, 0);
+  const cancelledLongAgo = makeJobSpec(simulation, { kind: 'service' });
+  addJob(cancelledLongAgo);
+  simulation.jobs.get(cancelledLongAgo.id)!.cancelledAt = -100000;
+  startTask(bigWorker, cancelledLongAgo.id, 0);
   simulation.faultsEndAt = 0;
   runFor(simulation, 4000);
-  expect(simulation.violations.some((t) => t.includes('forgotten'))).toBe(false);
+  expect(simulation.violations.some((violation) => violation.includes('forgotten'))).toBe(false);
   runFor(simulation, 76000);
   expect(simulation.serviceLevel.startsAfterCancellation).toBe(1);
-  const kinds = new Set(simulation.violations.map((t) => t.split(' ')[1]));
+  const kinds = new Set(simulation.violations.map((violation) => violation.split(' ')[1]));
   bigWorker.size.cpus = 16;
   expect([...kinds].sort()).toEqual(['forgotten:', 'quota:', 'ran_cancelled:', 'ran_twice:', 'wrong_place:']);
 });
 
-test('the starvation checker reports a job left waiting beside free capacity, and none beyond the quota of its team', () => {
+test('the starvation checker reports a job left waiting despite free capacity, but none that exceeds the quota of its team', () => {
   const simulation = new ClusterSimulation(4);
   simulation.simulator.run(2000);
   for (const nodeName of simulation.nodeNames) simulation.controllers.crash(nodeName, 1e9);
-  const put = (spec: ReturnType<typeof makeJobSpec>) =>
+  const addJob = (spec: ReturnType<typeof makeJobSpec>) =>
     simulation.jobs.set(spec.id, {
       spec,
       accepted: true,
@@ -79,19 +79,19 @@
       finalStateAt: 0,
     });
   simulation.machines.add({ machineType: 'small', zone: 'a', isSpot: true });
-  put(makeJobSpec(simulation, { team: 'red' }));
-  put(makeJobSpec(simulation, { team: 'blue', kind: 'gang', taskCount: 30 }));
-  put(makeJobSpec(simulation, { team: 'free', zone: 'b' }));
+  addJob(makeJobSpec(simulation, { team: 'red' }));
+  addJob(makeJobSpec(simulation, { team: 'blue', kind: 'gang', taskCount: 30 }));
+  addJob(makeJobSpec(simulation, { team: 'free', zone: 'b' }));
   simulation.faultsEndAt = simulation.simulator.now;
   runFor(simulation, 89000);
   expect(simulation.violations).toEqual([]);
   runFor(simulation, 3000);
-  expect(simulation.violations.map((t) => t.split(' ').slice(1, 4).join(' '))).toEqual([
+  expect(simulation.violations.map((violation) => violation.split(' ').slice(1, 4).join(' '))).toEqual([
     'left waiting: wk-000001',
   ]);
 });
 
-test('an unanswered direct start is neither finalized by absence nor reaped; a higher fencing token is requested', () => {
+test('a direct start without a response is neither finalized by absence nor forgotten; a higher fencing token is requested', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([]);
   harness.sendDesiredState('run');
@@ -108,7 +108,7 @@
   expect(harness.heartbeat([taskStatus('exited')])).toEqual([]);
 });
 
-test('absence finalizes only once the worker has seen this token and has handled the answer with the start', () => {
+test('absence from a heartbeat finalizes a task only once the worker has seen the current fencing token', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([], 4);
   harness.sendDesiredState('stop');
@@ -119,7 +119,7 @@
   expect(harness.hasFinalized()).toBe(true);
 });
 
-test('a start sent in a heartbeat answer is awaited until a later heartbeat', () => {
+test('a task started in a heartbeat response is finalized by absence only from a later heartbeat', () => {
   const harness = new SchedulerHarness(5);
   harness.heartbeat([]);
   harness.sendDesiredState('run');
@@ -133,12 +133,12 @@
   expect(harness.hasFinalized()).toBe(true);
 });
 
-test('a new leader gives up machines that do not boot, but not those that ran before it led and are not heard yet', () => {
+test('a new leader deletes machines that do not finish booting, but not running ones that it has not heard from yet', () => {
   const harness = new SchedulerHarness(5);
-  const old = { address: '', machineType: 'small', zone: 'a', isSpot: false, ageSeconds: 500 };
+  const listedMachine = { address: '', machineType: 'small', zone: 'a', isSpot: false, ageSeconds: 500 };
   harness.listedMachines.push(
-    { name: 'vm-1', phase: 'booting', ...old },
-    { name: 'vm-2', phase: 'running', ...old },
+    { name: 'vm-1', phase: 'booting', ...listedMachine },
+    { name: 'vm-2', phase: 'running', ...listedMachine },
   );
   for (let i = 0; i < 15; i++) {
     harness.advance(1000);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** One leader and one shard owner with 4,000 machines: counts of work and bounds on memory, not times. */
+/** One leader and one shard owner with 4,000 machines: limits on operation counts and memory, not on time. */
 
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -17,16 +17,16 @@
 import { shardOwnerOptions } from './simulation/shard-owner-harness.js';
 
 const MACHINES = 4000;
-const HEAP_BOUND = 60 * 1024 * 1024;
+const MAX_HEAP_GROWTH_BYTES = 60 * 1024 * 1024;
 
-interface Inside {
+interface SchedulerInternals {
   state: {
     fleetTotals: { changedMachines: Set<unknown> };
     machines: Map<string, { isUp: boolean }>;
     capacities: { capacityOf: (...args: unknown[]) => unknown };
   };
 }
-const insideOf = (harness: SchedulerHarness) => harness.scheduler as unknown as Inside;
+const internalsOf = (harness: SchedulerHarness) => harness.scheduler as unknown as SchedulerInternals;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
@@ -35,8 +35,8 @@
   return process.memoryUsage().heapUsed;
 }
 
-/** A state service that carries out every write at once and holds these jobs. */
-function stateWith(specs: JobSpec[]): KeyValueStore {
+/** Creates a state service that holds these jobs and carries out every write at once. */
+function createStore(specs: JobSpec[]): KeyValueStore {
   let revision = 10;
   const items = specs.map((spec, index) => ({
     key: `open/${spec.id}/a`,
@@ -54,7 +54,7 @@
   } as Partial<KeyValueStore> as KeyValueStore;
 }
 
-function ownerWith(specs: JobSpec[], send: (message: ShardMessage) => void): ShardOwner {
+function createOwner(specs: JobSpec[], send: (message: ShardMessage) => void): ShardOwner {
   let now = 0;
   const clock = {
     now: () => (now += 400),
@@ -69,7 +69,7 @@
       maxValueKb: 16,
       maxTransactionOperations: 32,
       maxTasksPerRequest: MACHINES,
-      store: stateWith(specs),
+      store: createStore(specs),
       clock,
       send,
     }),
@@ -78,7 +78,7 @@
   return owner;
 }
 
-/** A leader, the owner of all teams, and workers that run what they are given for ever. */
+/** A leader, the shard owner of all teams, and workers whose tasks never end by themselves. */
 class Fleet {
   readonly names = Array.from({ length: MACHINES }, (_, i) => `vm-${String(i).padStart(6, '0')}`);
   readonly tasks = new Map<string, Map<string, TaskStatus>>(this.names.map((name) => [name, new Map()]));
@@ -92,7 +92,7 @@
   private deliveredMessages = 0;
 
   constructor(specs: JobSpec[]) {
-    this.owner = ownerWith(specs, (message) => {
+    this.owner = createOwner(specs, (message) => {
       this.messages++;
       this.leader.owner.placementMessages += message.type === 'placements' ? 1 : 0;
       this.leader.scheduler.onShardMessage(JSON.parse(JSON.stringify(message)));
@@ -106,8 +106,8 @@
 
   sendHeartbeat(name: string, token: number): void {
     const tasks = this.tasks.get(name)!;
-    const over = { machine: name, address: name, zone: this.zoneOf(name) };
-    const commands = this.leader.heartbeat([...tasks.values()], token, over) ?? [];
+    const heartbeatOverrides = { machine: name, address: name, zone: this.zoneOf(name) };
+    const commands = this.leader.heartbeat([...tasks.values()], token, heartbeatOverrides) ?? [];
     for (const command of commands) this.execute(name, command);
   }
 
@@ -125,8 +125,8 @@
     else tasks.delete(id + taskIndex);
   }
 
-  /** All machines, or those of some zones, send a heartbeat, and messages go back and forth. */
-  round(token: number, zones: string[] = ['a', 'b']): void {
+  /** Runs one second: machines in `zones` send heartbeats, leader and shard owner exchange messages. */
+  runRound(token: number, zones: string[] = ['a', 'b']): void {
     for (const name of this.names) if (zones.includes(this.zoneOf(name))) this.sendHeartbeat(name, token);
     this.leader.advance(1000);
     this.leader.scheduler.flush();
@@ -137,7 +137,7 @@
     this.owner.flush();
   }
 
-  elect(token: number): void {
+  electLeader(token: number): void {
     this.leader = new SchedulerHarness(token, {
       maxIdleSeconds: 1e6,
       unresponsiveSeconds: 6,
@@ -148,15 +148,15 @@
     this.owner.flush();
   }
 
-  running(): number {
-    let running = 0;
-    for (const tasks of this.tasks.values()) running += tasks.size;
-    return running;
+  runningTaskCount(): number {
+    let count = 0;
+    for (const tasks of this.tasks.values()) count += tasks.size;
+    return count;
   }
 }
 
-test('4,000 machines register, get work, see an election and the loss of a zone', () => {
-  const array = makeJobSpec(new ClusterSimulation(1), {
+test('a fleet of 4,000 machines registers, gets work and keeps it through an election and the loss of a zone', () => {
+  const arrayJob = makeJobSpec(new ClusterSimulation(1), {
     team: 'free',
     taskCount: MACHINES,
     cpus: 4,
@@ -164,48 +164,48 @@
     estimatedRunSeconds: 1000,
     spotAllowed: false,
   });
-  const before = heapUsed();
-  const fleet = new Fleet([array]);
-  for (let i = 0; i < 8; i++) fleet.round(5);
-  expect(insideOf(fleet.leader).state.machines.size).toBe(MACHINES);
-  expect(fleet.running()).toBe(MACHINES);
-  expect(heapUsed() - before).toBeLessThan(HEAP_BOUND);
+  const heapBefore = heapUsed();
+  const fleet = new Fleet([arrayJob]);
+  for (let i = 0; i < 8; i++) fleet.runRound(5);
+  expect(internalsOf(fleet.leader).state.machines.size).toBe(MACHINES);
+  expect(fleet.runningTaskCount()).toBe(MACHINES);
+  expect(heapUsed() - heapBefore).toBeLessThan(MAX_HEAP_GROWTH_BYTES);
 
-  // A heartbeat costs by its own machine only, a pass by the machines with room: there are none.
-  const { state } = insideOf(fleet.leader);
+  // A heartbeat updates its own machine only, a placement pass checks only machines with capacity: none here.
+  const { state } = internalsOf(fleet.leader);
   state.fleetTotals.changedMachines.clear();
   fleet.sendHeartbeat(fleet.names[7]!, 5);
   expect(state.fleetTotals.changedMachines.size).toBeLessThanOrEqual(1);
-  let capacities = 0;
+  let capacityChecks = 0;
   const capacityOf = state.capacities.capacityOf.bind(state.capacities);
   state.capacities.capacityOf = (...args) => {
-    capacities++;
+    capacityChecks++;
     return capacityOf(...args);
   };
   fleet.leader.advance(1000);
   fleet.leader.scheduler.flush();
-  expect(capacities).toBeLessThanOrEqual(MACHINES);
+  expect(capacityChecks).toBeLessThanOrEqual(MACHINES);
 
-  // An election: the owner sends a full sync in chunks of a bounded size, and nothing is stopped or started again.
+  // After an election the shard owner sends a full sync in bounded chunks; no task is stopped or restarted.
   fleet.messages = 0;
-  fleet.elect(6);
+  fleet.electLeader(6);
   expect(fleet.messages).toBeLessThanOrEqual(12);
-  for (let i = 0; i < 6; i++) fleet.round(6);
-  expect(fleet.running()).toBe(MACHINES);
+  for (let i = 0; i < 6; i++) fleet.runRound(6);
+  expect(fleet.runningTaskCount()).toBe(MACHINES);
   expect(fleet.leader.scheduler.stats().entries).toBe(MACHINES);
 
-  // A zone with most machines becomes unresponsive, and no peer confirms that they are dead: none is deleted.
-  for (let i = 0; i < 12; i++) fleet.round(6, ['a']);
+  // The zone with most machines is unresponsive, and no peer confirms that they are lost: none is deleted.
+  for (let i = 0; i < 12; i++) fleet.runRound(6, ['a']);
   expect(fleet.leader.deletedMachines).toEqual([]);
-  for (let i = 0; i < 3; i++) fleet.round(6);
-  expect(fleet.running()).toBe(MACHINES);
-  expect(heapUsed() - before).toBeLessThan(1.5 * HEAP_BOUND);
+  for (let i = 0; i < 3; i++) fleet.runRound(6);
+  expect(fleet.runningTaskCount()).toBe(MACHINES);
+  expect(heapUsed() - heapBefore).toBeLessThan(1.5 * MAX_HEAP_GROWTH_BYTES);
 }, 60_000);
 
-test('a controller names all of 4,000 machines that asked it to the leader', () => {
-  const sent: number[] = [];
-  const never = () => {};
-  const port = new Proxy({}, { get: () => never });
+test('a controller reports all of the 4,000 machines that it redirected to the leader', () => {
+  const redirectedCounts: number[] = [];
+  const noop = () => {};
+  const stub = new Proxy({}, { get: () => noop });
   const controller = new Controller({
     nodeName: 'c0',
     instanceId: 'c0.1',
@@ -221,20 +221,21 @@
     clock: {
       now: () => 1e7,
       wallTime: () => 1e7,
-      after: () => never,
+      after: () => noop,
       defer: (callback) => callback(),
       random: () => 0,
     },
-    log: { debug: never, info: never, error: never },
-    store: port as KeyValueStore,
-    cloud: port as ConstructorParameters<typeof Controller>[0]['cloud'],
-    workers: port as ConstructorParameters<typeof Controller>[0]['workers'],
+    log: { debug: noop, info: noop, error: noop },
+    store: stub as KeyValueStore,
+    cloud: stub as ConstructorParameters<typeof Controller>[0]['cloud'],
+    workers: stub as ConstructorParameters<typeof Controller>[0]['workers'],
     peers: {
-      send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
+      send: (_host, { body }) =>
+        body.type === 'heartbeat' && redirectedCounts.push(body.redirectedMachines.length),
     },
   });
-  const inside = controller as unknown as { parts: { leadership: { knownLeader: object } } };
-  inside.parts.leadership.knownLeader = {
+  const internals = controller as unknown as { parts: { leadership: { knownLeader: object } } };
+  internals.parts.leadership.knownLeader = {
     instanceId: 'c1.1',
     nodeName: 'c1',
     fencingToken: 1,
@@ -253,5 +254,5 @@
       tasks: [],
     });
   controller.push({ type: 'tick' });
-  expect(sent).toEqual([MACHINES]);
+  expect(redirectedCounts).toEqual([MACHINES]);
 });
--- a/test/layering.test.ts
+++ b/test/layering.test.ts
@@ -1,4 +1,7 @@
-/** Which parts of the program may know which: read from the imports of all files under `src/`, type-only imports included. */
+/**
+ * The allowed dependencies between the layers of the program, checked against the imports of all files under
+ * `src/`, including type-only imports.
+ */
 
 import { readdirSync, readFileSync } from 'node:fs';
 import { join, posix, sep } from 'node:path';
@@ -6,16 +9,16 @@
 import ts from 'typescript';
 import { expect, test } from 'vitest';
 
-/** In a list of `Layer`: no limit. */
+/** In a list of a `Layer`: no restriction. */
 const ANY = '*';
 
-/** What the files under one path may import. A file belongs to the layer with the longest path that holds it. */
+/** Which imports the files under a path may have. A file belongs to the layer with the longest path to it. */
 interface Layer {
   /** A folder or a file, relative to `src/`. */
   path: string;
-  /** Other folders and files under `src/`, with all that is in them; its own path is always allowed. */
+  /** Other files and folders (with all contents) under `src/`; the layer's own path is always allowed. */
   imports: readonly string[];
-  /** Node's modules and packages, each as it is written in the import. All that do I/O are among them, so most layers have none. */
+  /** Node.js modules and packages, as written in the import. All I/O needs one, so most layers have none. */
   modules: readonly string[];
 }
 
@@ -33,10 +36,13 @@
   { path: 'transport', imports: ['model', 'wire'], modules: [ANY] },
 ];
 
-/** Cycles that are known and about to go, each as its files in alphabetical order. One that is gone must leave this list. */
+/**
+ * Known import cycles that are to be removed, each as its files in alphabetical order. A cycle that no longer
+ * exists must be removed from this list.
+ */
 const KNOWN_CYCLES: readonly string[][] = [];
 
-/** Text of each file by its path relative to `src/`, with `/` on every system. */
+/** Text of each file by its path relative to `src/`, with `/` as the separator on every platform. */
 type SourceTree = ReadonlyMap<string, string>;
 
 function readSourceTree(): SourceTree {
@@ -49,18 +55,18 @@
   );
 }
 
-/** The node that names the imported module, if `node` is an import or a re-export of any kind. */
+/** Returns the node that names the imported module, if `node` is an import or a re-export of any kind. */
 function moduleNameOf(node: ts.Node): ts.Node | undefined {
   if (ts.isImportDeclaration(node) || ts.isExportDeclaration(node)) return node.moduleSpecifier;
   if (ts.isExternalModuleReference(node)) return node.expression;
   if (ts.isImportTypeNode(node)) return ts.isLiteralTypeNode(node.argument) ? node.argument.literal : node;
   if (!ts.isCallExpression(node)) return undefined;
-  const called = node.expression;
-  const imports = called.kind === ts.SyntaxKind.ImportKeyword || called.getText() === 'require';
-  return imports ? (node.arguments[0] ?? node) : undefined;
+  const callee = node.expression;
+  const isImportCall = callee.kind === ts.SyntaxKind.ImportKeyword || callee.getText() === 'require';
+  return isImportCall ? (node.arguments[0] ?? node) : undefined;
 }
 
-/** All modules that a file imports, as written; one that is computed is given as its expression. */
+/** Returns all modules that a file imports, as written; for a computed module name, its expression. */
 function importedModules(path: string, text: string): string[] {
   const names: string[] = [];
   const visit = (node: ts.Node): void => {
@@ -74,7 +80,7 @@
 
 const isRelative = (moduleName: string) => moduleName.startsWith('.');
 
-/** The source file that a relative import names. */
+/** Returns the path of the source file that a relative import refers to. */
 function resolveImport(importer: string, moduleName: string): string {
   return posix.join(posix.dirname(importer), moduleName).replace(/\.js$/, '.ts');
 }
@@ -92,11 +98,11 @@
     );
 }
 
-/** What is wrong with one import of a file in `layer`, as a sentence; undefined if the layers allow it. */
-function faultOfImport(
+/** Describes how one import of a file violates the layers; undefined if they allow it. */
+function importViolation(
   importer: { path: string; layer: Layer },
   moduleName: string,
-  program: { tree: SourceTree; layers: readonly Layer[] },
+  context: { tree: SourceTree; layers: readonly Layer[] },
 ): string | undefined {
   const { path, layer } = importer;
   if (!isRelative(moduleName)) {
@@ -104,24 +110,25 @@
     return allowed ? undefined : `${path} may not import ${moduleName}`;
   }
   const imported = resolveImport(path, moduleName);
-  if (!program.tree.has(imported)) return `${path} imports ${imported}, which is not there`;
+  if (!context.tree.has(imported)) return `${path} imports ${imported}, which does not exist`;
   const allowed =
-    layerOf(imported, program.layers) === layer || layer.imports.some((each) => isWithin(imported, each));
+    layerOf(imported, context.layers) === layer ||
+    layer.imports.some((allowedPath) => isWithin(imported, allowedPath));
   return allowed ? undefined : `${path} may not import ${imported}`;
 }
 
-/** What the layers don't allow in the whole program. */
-function layeringFaults(tree: SourceTree, layers: readonly Layer[]): string[] {
+/** Describes all imports that the layers do not allow, and all files without a layer. */
+function layeringViolations(tree: SourceTree, layers: readonly Layer[]): string[] {
   return [...tree].flatMap(([path, text]) => {
     const layer = layerOf(path, layers);
     if (!layer) return [`${path} belongs to no layer`];
     return importedModules(path, text)
-      .map((moduleName) => faultOfImport({ path, layer }, moduleName, { tree, layers }))
-      .filter((fault) => fault !== undefined);
+      .map((moduleName) => importViolation({ path, layer }, moduleName, { tree, layers }))
+      .filter((violation) => violation !== undefined);
   });
 }
 
-/** All files that a file imports, directly or through others; itself only if it is part of a cycle. */
+/** Returns all files that a file imports directly or transitively; itself only if it is part of a cycle. */
 function reachableFrom(start: string, importsOf: ReadonlyMap<string, string[]>): Set<string> {
   const reached = new Set<string>();
   const pending = [...(importsOf.get(start) ?? [])];
@@ -133,7 +140,7 @@
   return reached;
 }
 
-/** Groups of files of which each imports all others, directly or not; each group in alphabetical order. */
+/** Returns groups of files that all import each other, directly or transitively; each group is sorted. */
 function importCycles(tree: SourceTree): string[][] {
   const importsOf = new Map(
     [...tree].map(([path, text]) => [
@@ -152,19 +159,19 @@
   return [...cycles.values()];
 }
 
-test('each part of the program imports only what its layer allows', () => {
+test('each source file imports only what its layer allows', () => {
   const tree = readSourceTree();
   expect(tree.has('main.ts')).toBe(true);
-  expect(layeringFaults(tree, LAYERS)).toEqual([]);
+  expect(layeringViolations(tree, LAYERS)).toEqual([]);
 });
 
-test('each layer is there', () => {
+test('each layer contains at least one file', () => {
   const paths = [...readSourceTree().keys()];
   const empty = LAYERS.filter((layer) => !paths.some((path) => layerOf(path, LAYERS) === layer));
   expect(empty.map((layer) => layer.path)).toEqual([]);
 });
 
-test('no files import each other in a cycle, but those that are known', () => {
+test('there are no import cycles other than the known ones', () => {
   expect(importCycles(readSourceTree())).toEqual(KNOWN_CYCLES);
 });
 
@@ -180,8 +187,8 @@
   ["import type { Hono } from 'hono';", 'a/file.ts may not import hono'],
   ["const net = require('net');", 'a/file.ts may not import net'],
   ["const net = await import('node:' + name);", "a/file.ts may not import 'node:' + name"],
-  ["import { gone } from './gone.js';", 'a/file.ts imports a/gone.ts, which is not there'],
-])('a fault of layering is found: %s', (text, fault) => {
+  ["import { gone } from './gone.js';", 'a/file.ts imports a/gone.ts, which does not exist'],
+])('a layering violation is found: %s', (text, violation) => {
   const tree = new Map([
     ['a/file.ts', text],
     ['b/on.ts', ''],
@@ -190,10 +197,10 @@
     { path: 'a', imports: [], modules: [] },
     { path: 'b', imports: [], modules: [] },
   ];
-  expect(layeringFaults(tree, layers)).toEqual([fault]);
+  expect(layeringViolations(tree, layers)).toEqual([violation]);
 });
 
-test('what the layer allows is no fault, and a file without a layer is one', () => {
+test('an import that the layer allows is no violation, and a file without a layer is one', () => {
   const tree = new Map([
     ['a/file.ts', "import '../b/on.js'; import './other.js'; import 'node:net';"],
     ['a/other.ts', "import '../c/inner/off.js';"],
@@ -208,13 +215,13 @@
     { path: 'b', imports: [], modules: [] },
     { path: 'c', imports: [], modules: [] },
   ];
-  expect(layeringFaults(tree, layers)).toEqual([
+  expect(layeringViolations(tree, layers)).toEqual([
     'a/inner/deep.ts may not import a/other.ts',
     'd.ts belongs to no layer',
   ]);
 });
 
-test('cycles are found: of two, of three by types alone, and of a file with itself', () => {
+test('import cycles are found: of two files, of three through types only, and of one file with itself', () => {
   const tree = new Map([
     ['a.ts', "import './b.js';"],
     ['b.ts', "import './a.js'; import './c.js';"],
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,4 +1,4 @@
-/** What is served when there is more work than capacity. */
+/** Which jobs are served when demand exceeds capacity. */
 
 import { expect, test } from 'vitest';
 import type { JobSpec } from '../src/model/job.js';
@@ -7,8 +7,8 @@
 import { makeJobSpec } from './simulation/job-spec.js';
 import { ServiceLevelChecker } from './simulation/service-level-checker.js';
 
-/** A team that may use eight CPUs, and machines enough for all of them. */
-const LIMITED: ClusterConfig = {
+/** A cluster in which team red may use eight CPUs and there are enough machines for all of them. */
+const QUOTA_CONFIG: ClusterConfig = {
   ...CLUSTER_CONFIG,
   teams: [
     { name: 'red', guaranteedCpus: 8, maxCpus: 8, guaranteedGpus: 0, maxGpus: 0 },
@@ -17,16 +17,16 @@
 };
 const RUN_MS = 600_000;
 
-function submitAt(simulation: ClusterSimulation, ms: number, over: Partial<JobSpec>): void {
+function submitAt(simulation: ClusterSimulation, ms: number, overrides: Partial<JobSpec>): void {
   simulation.simulator.scheduleAt(ms, () =>
-    simulation.users.submitJob(makeJobSpec(simulation, { acceptedAtMs: ms, ...over })),
+    simulation.users.submitJob(makeJobSpec(simulation, { acceptedAtMs: ms, ...overrides })),
   );
 }
 
-test('under overload an old large array does not hold up the jobs behind it', () => {
-  const simulation = new ClusterSimulation(21, LIMITED);
+test('under overload an old large array does not delay the jobs queued behind it', () => {
+  const simulation = new ClusterSimulation(21, QUOTA_CONFIG);
   simulation.runDurationMs = (id) => (simulation.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * 1000;
-  // 60 tasks of 60 s take all eight places for 450 s; behind it comes twice what those places can do.
+  // 60 tasks of 60 s fill all eight slots for 450 s; behind them comes twice the work that these can do.
   submitAt(simulation, 1000, { taskCount: 60, estimatedRunSeconds: 60 });
   for (let i = 0; i < 40; i++)
     submitAt(simulation, 5000 + i * 10_000, { taskCount: 3 + (i % 3), estimatedRunSeconds: 25 });
@@ -35,16 +35,16 @@
   expect(simulation.underServed()).toEqual([]);
 });
 
-test('under overload at least half of the largest jobs of a class begin within four minutes', () => {
+test('under overload at least half of the largest jobs of a class start within four minutes', () => {
   const teams = [{ name: 'red', guaranteedCpus: 24, maxCpus: 24, guaranteedGpus: 0, maxGpus: 0 }];
-  const simulation = new ClusterSimulation(25, { ...LIMITED, teams });
-  simulation.runDurationMs = (id, index) =>
-    (simulation.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * (600 + ((index * 7919) % 900));
-  // Sizes and run times spread as those of real classes are: a few jobs have most of the work.
+  const simulation = new ClusterSimulation(25, { ...QUOTA_CONFIG, teams });
+  simulation.runDurationMs = (id, taskIndex) =>
+    (simulation.jobs.get(id)?.spec.estimatedRunSeconds ?? 1) * (600 + ((taskIndex * 7919) % 900));
+  // Sizes and run times are heavy-tailed as in real job classes: a few jobs have most of the work.
   for (let i = 0; i < 30; i++) {
-    const tasks = Math.min(90, Math.round(12 / (1 - simulation.simulator.random()) ** 0.9));
+    const taskCount = Math.min(90, Math.round(12 / (1 - simulation.simulator.random()) ** 0.9));
     submitAt(simulation, 1000 + i * 14_000, {
-      taskCount: tasks,
+      taskCount,
       estimatedRunSeconds: 12 / (1 - simulation.simulator.random()) ** 0.6,
     });
   }
@@ -53,8 +53,8 @@
   expect(simulation.underServed()).toEqual([]);
 });
 
-test('the many small jobs of a team begin beside its one huge array', () => {
-  const simulation = new ClusterSimulation(23, { ...LIMITED, machineCapacity: 2 });
+test('many small jobs of a team start while it also runs one huge array', () => {
+  const simulation = new ClusterSimulation(23, { ...QUOTA_CONFIG, machineCapacity: 2 });
   simulation.runDurationMs = () => 4000;
   submitAt(simulation, 1000, {
     team: 'free',
@@ -73,32 +73,32 @@
     });
   simulation.simulator.run(250_000);
   expect(simulation.violations).toEqual([]);
-  const small = simulation.underServed().filter((text) => text.includes('small'));
-  expect(small).toEqual([]);
+  const underServedSmall = simulation.underServed().filter((text) => text.includes('small'));
+  expect(underServedSmall).toEqual([]);
 });
 
-test('the service-level checker reports a class, a team and the largest jobs of a class of which under half is served', () => {
-  const teams = LIMITED.teams;
-  const level = new ServiceLevelChecker(teams);
-  const simulation = new ClusterSimulation(24, LIMITED);
-  const add = (id: string, over: Partial<JobSpec>) =>
-    level.submitted(makeJobSpec(simulation, { id, ...over }), 0);
-  add('a', { jobClass: 'half', taskCount: 1 });
-  add('b', { jobClass: 'half', taskCount: 1 });
-  add('c', { jobClass: 'none', taskCount: 2, team: 'free' });
-  level.started('a', 0, 1000);
-  level.started('c', 0, 1000);
-  const all = () => level.underServed(() => false);
-  expect(all()).toEqual([
+test('the service-level checker reports a class, a team or the largest jobs of a class if under half of them is served', () => {
+  const teams = QUOTA_CONFIG.teams;
+  const checker = new ServiceLevelChecker(teams);
+  const simulation = new ClusterSimulation(24, QUOTA_CONFIG);
+  const submitJob = (id: string, overrides: Partial<JobSpec>) =>
+    checker.submitted(makeJobSpec(simulation, { id, ...overrides }), 0);
+  submitJob('a', { jobClass: 'half', taskCount: 1 });
+  submitJob('b', { jobClass: 'half', taskCount: 1 });
+  submitJob('c', { jobClass: 'none', taskCount: 2, team: 'free' });
+  checker.started('a', 0, 1000);
+  checker.started('c', 0, 1000);
+  const underServed = () => checker.underServed(() => false);
+  expect(underServed()).toEqual([
     'team free: 0 of 1 served',
     'class none: 0 of 1 served',
     'largest of none: 0 of 1 served',
   ]);
-  level.started('c', 1, 250_000);
-  expect(all()).toEqual(['largest of none: 0 of 1 served']);
-  expect(level.underServed((id) => id === 'c')).toEqual([]);
-  // More tasks than the limit of the team admits at a time need not all have begun.
-  add('d', { jobClass: 'wide', taskCount: 30 });
-  for (let i = 0; i < 8; i++) level.started('d', i, 5000);
-  expect(all()).toEqual(['largest of none: 0 of 1 served']);
+  checker.started('c', 1, 250_000);
+  expect(underServed()).toEqual(['largest of none: 0 of 1 served']);
+  expect(checker.underServed((id) => id === 'c')).toEqual([]);
+  // A job with more tasks than its team's quota admits at a time is served before all of them start.
+  submitJob('d', { jobClass: 'wide', taskCount: 30 });
+  for (let i = 0; i < 8; i++) checker.started('d', i, 5000);
+  expect(underServed()).toEqual(['largest of none: 0 of 1 served']);
 });
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -2,7 +2,7 @@
 import { expect, test, vi } from 'vitest';
 import type { PeerMessage } from '../src/model/peer-message.js';
 import { PeerConnections } from '../src/transport/peer-connections.js';
-import { afterTest } from './listening.js';
+import { closeAfterTest } from './test-servers.js';
 
 const log = { debug: () => {}, info: () => {}, error: () => {} };
 
@@ -13,7 +13,7 @@
   body: { type: 'cancelled', jobId: 'wk-1', cancellationNumber: sequence },
 });
 
-/** A port on 127.0.0.1 where nothing listens. */
+/** Returns a port on 127.0.0.1 on which nothing listens. */
 async function freePort(): Promise<number> {
   const server = net.createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
@@ -22,7 +22,7 @@
   return port;
 }
 
-test('a connection is made as soon as its peer listens, and made again when it is lost', async () => {
+test('a connection is established as soon as its peer listens, and re-established when it is lost', async () => {
   const port = await freePort();
   const changes: string[] = [];
   const received: number[] = [];
@@ -43,11 +43,11 @@
     sockets.push(socket);
     socket.on('data', (data) => received.push(data.length));
   });
-  afterTest(() => server.close());
+  closeAfterTest(() => server.close());
   server.listen(port, '127.0.0.1');
   await vi.waitFor(() => expect(changes).toEqual(['stand-2 up']), 3000);
   connections.send('stand-2', message(3));
-  // What was sent before was lost: this is the first message.
+  // Messages sent before the connection was established were dropped: this is the first to arrive.
   await vi.waitFor(() => expect(received.length).toBe(1), 3000);
 
   sockets[0]?.destroy();
@@ -56,9 +56,9 @@
   await vi.waitFor(() => expect(received.length).toBe(2), 3000);
 });
 
-test('a connection that takes nothing more is closed once 4 MiB wait on it', async () => {
+test('a connection whose peer stops reading is closed once 4 MiB are waiting on it', async () => {
   const server = net.createServer((socket) => void socket.pause());
-  afterTest(() => server.close());
+  closeAfterTest(() => server.close());
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const changes: boolean[] = [];
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,4 @@
-/** What is placed where, and what is rented for it. */
+/** Where tasks are placed, and which machines are rented for them. */
 
 import { expect, test } from 'vitest';
 import { RentalBackoff } from '../src/scheduler/fleet/rental-backoff.js';
@@ -10,22 +10,29 @@
 import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness, taskStatus } from './simulation/scheduler-harness.js';
 
-test('a guaranteed share claims no more than what another team uses beyond its own', () => {
+test('a guaranteed share preempts no more than what another team uses beyond its own guarantee', () => {
   const harness = new SchedulerHarness(5);
-  // Blue (8 guaranteed) runs 9 CPUs: only one of them may be stopped, and one is not enough.
+  // Blue (8 CPUs guaranteed) runs 9 CPUs: only one of them may be preempted, which is not enough.
   harness.heartbeat([], 5, { machine: 'n', address: 'n', machineType: 'big', isSpot: true });
   harness.heartbeat([]);
-  const blue = {
+  const bluePlacement = {
     ...harness.placementSpec('run'),
     team: 'blue',
     priority: 3 as const,
     cpus: 1,
     memoryGb: 0.5,
   };
-  for (let i = 0; i < 4; i++) harness.sendPlacement({ ...blue, jobId: `wk-b${i}` });
-  harness.sendPlacement({ ...blue, jobId: 'wk-b9', machine: 'n', cpus: 5, priority: 0, isService: true });
+  for (let i = 0; i < 4; i++) harness.sendPlacement({ ...bluePlacement, jobId: `wk-b${i}` });
   harness.sendPlacement({
-    ...blue,
+    ...bluePlacement,
+    jobId: 'wk-b9',
+    machine: 'n',
+    cpus: 5,
+    priority: 0,
+    isService: true,
+  });
+  harness.sendPlacement({
+    ...bluePlacement,
     jobId: 'wk-f',
     team: 'red',
     machine: 'n',
@@ -43,11 +50,11 @@
   expect(harness.sentMessages.filter((message) => message.type === 'evict')).toEqual([]);
 });
 
-test('machines for spread replicas are not rented again and again where they may not go', () => {
-  const capacity = new RentalBackoff(5000, 15000);
+test('no more machines are rented for spread replicas than their zone may take', () => {
+  const rentalBackoff = new RentalBackoff(5000, 15000);
   for (const zone of ['a', 'b'])
     for (const type of ['small', 'big'])
-      if (zone === 'b') capacity.onRefused({ machineType: type, zone, isSpot: false }, 0);
+      if (zone === 'b') rentalBackoff.onRefused({ machineType: type, zone, isSpot: false }, 0);
   const request = makeResourceRequest('wk-1', {
     isService: true,
     priority: 0,
@@ -58,7 +65,7 @@
   });
   const input = {
     machineTypes: CLUSTER_CONFIG.machineTypes,
-    rentalBackoff: capacity,
+    rentalBackoff,
     now: 0,
     amortizationSeconds: 60,
     serviceAmortizationSeconds: 60,
@@ -75,9 +82,11 @@
     0,
   );
   expect(slots).toBe(4);
-  const coming = first.flatMap((rental) =>
+  const expectedCapacities = first.flatMap((rental) =>
     Array.from({ length: rental.count }, () => {
-      const machineType = CLUSTER_CONFIG.machineTypes.find((x) => x.name === rental.machineType)!;
+      const machineType = CLUSTER_CONFIG.machineTypes.find(
+        (candidate) => candidate.name === rental.machineType,
+      )!;
       return {
         machineName: '',
         machineType: machineType.name,
@@ -95,53 +104,56 @@
       };
     }),
   );
-  expect(planRentals({ ...input, unplaced: [{ request, count: 8 }], expectedCapacities: coming })).toEqual(
-    [],
-  );
+  expect(planRentals({ ...input, unplaced: [{ request, count: 8 }], expectedCapacities })).toEqual([]);
 });
 
-test('a large array begins within its bound while small ones keep coming', () => {
+test('a large array starts within its time limit while small arrays keep arriving', () => {
   const simulation = new ClusterSimulation(11);
   simulation.cloud.capacity = 2;
-  let count = 0;
-  const small = () => {
+  let submittedCount = 0;
+  const submitSmallArray = () => {
     simulation.users.submitJob(
-      makeJobSpec(simulation, { id: `wk-s${++count}`, taskCount: 2, cpus: 4, estimatedRunSeconds: 6 }),
+      makeJobSpec(simulation, {
+        id: `wk-s${++submittedCount}`,
+        taskCount: 2,
+        cpus: 4,
+        estimatedRunSeconds: 6,
+      }),
     );
-    simulation.simulator.scheduleAfter(1500, small);
+    simulation.simulator.scheduleAfter(1500, submitSmallArray);
   };
-  small();
+  submitSmallArray();
   simulation.simulator.run(20000);
   const large = makeJobSpec(simulation, { id: 'wk-large', taskCount: 60, cpus: 4, estimatedRunSeconds: 30 });
   simulation.users.submitJob(large);
-  const at = simulation.simulator.now;
-  const begun = () =>
+  const submittedAt = simulation.simulator.now;
+  const hasStarted = () =>
     [...simulation.workers.values()].some((worker) => worker.tasks.some((task) => task.jobId === large.id)) ||
     simulation.completedTasks.has('wk-large/0');
-  while (!begun() && simulation.simulator.now < at + 240000) runFor(simulation, 500);
-  expect((simulation.simulator.now - at) / 1000).toBeLessThan(180);
+  while (!hasStarted() && simulation.simulator.now < submittedAt + 240000) runFor(simulation, 500);
+  expect((simulation.simulator.now - submittedAt) / 1000).toBeLessThan(180);
   expect(simulation.violations).toEqual([]);
 }, 60000);
 
-test('work does not wait for machines that are overdue', () => {
+test('more machines are rented for waiting work when those on order are overdue', () => {
   const harness = new SchedulerHarness(5);
   harness.rentals.isAnswered = true;
   harness.sendRequests([
     makeResourceRequest('wk-1', { isService: true, priority: 0, spotAllowed: false, cpus: 4, taskCount: 1 }),
   ]);
-  const run = (seconds: number) => {
+  const runSeconds = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
       harness.advance(1000);
       harness.scheduler.flush();
     }
   };
-  run(7);
+  runSeconds(7);
   expect(harness.rentals.count).toBe(1);
-  run(13);
+  runSeconds(13);
   expect(harness.rentals.count).toBeGreaterThan(1);
 });
 
-test('image locations learnt by one leader are known to the next', () => {
+test('image locations learned by one leader are passed on to the next', () => {
   const locations = new ImageLocations();
   locations.add('m', 'i', 1);
   locations.add('m', 'i', 1);
@@ -158,17 +170,17 @@
   ]);
 });
 
-test('a machine kept for the image of a service is the reserve as well', () => {
+test('a machine kept for the image of a service also counts as reserve', () => {
   const harness = new SchedulerHarness(5, { reserveReplicas: 1, maxIdleSeconds: 10 });
-  const onOther = { machine: 'n', address: 'n' };
+  const otherMachine = { machine: 'n', address: 'n' };
   const replica = { ...harness.placementSpec('run'), priority: 0 as const, isService: true, machine: 'n' };
-  harness.heartbeat([], 5, onOther);
+  harness.heartbeat([], 5, otherMachine);
   harness.sendPlacement(replica);
-  harness.heartbeat([taskStatus('running')], 5, onOther);
-  harness.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, onOther);
+  harness.heartbeat([taskStatus('running')], 5, otherMachine);
+  harness.heartbeat([{ ...taskStatus('exited'), exitReason: 'stopped' }], 5, otherMachine);
   harness.sendPlacement({ ...replica, desiredState: 'forget' });
   for (let i = 0; i < 30; i++) {
-    harness.heartbeat([], 5, onOther);
+    harness.heartbeat([], 5, otherMachine);
     harness.heartbeat([]);
     harness.advance(1000);
     harness.scheduler.flush();
@@ -177,15 +189,15 @@
   expect(harness.deletedMachines).toEqual(['m']);
 });
 
-test('room kept for urgent work is given to lower work that found none for long', () => {
+test('capacity reserved for urgent work is given to lower-priority work that has waited long', () => {
   const harness = new SchedulerHarness(5, { reserveBatchJobs: 4, maxIdleSeconds: 1e6 }, [
     { kind: 'wait', jobClass: 'u', withinSeconds: 1 },
   ]);
   harness.heartbeat([]);
   harness.sendRequests([makeResourceRequest('wk-u', { jobClass: 'u', priority: 1, cpus: 4 })]);
   harness.grantedJobs();
-  const low = makeResourceRequest('wk-low', { priority: 3, cpus: 4 });
-  harness.sendRequests([low]);
+  const lowPriority = makeResourceRequest('wk-low', { priority: 3, cpus: 4 });
+  harness.sendRequests([lowPriority]);
   harness.scheduler.onShardMessage({
     type: 'release',
     fencingToken: 5,
@@ -193,28 +205,28 @@
     tasks: [],
     grants: [1],
   });
-  const run = (seconds: number) => {
+  const runSeconds = (seconds: number) => {
     for (let i = 0; i < seconds; i++) {
       harness.heartbeat([]);
       harness.advance(1000);
       harness.scheduler.flush();
     }
   };
-  run(40);
+  runSeconds(40);
   expect(harness.grantedJobs()).toEqual(['wk-u']);
-  run(20);
+  runSeconds(20);
   expect(harness.grantedJobs()).toEqual(['wk-u', 'wk-low']);
 });
 
-test('a machine that refused an attempt of a job for another is not given the next; a higher token is taken if only such are left', () => {
+test('a machine that refused an attempt of a job as listed gets no further one; a higher fencing token is requested if only such are left', () => {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
   harness.heartbeat([]);
-  const ended = { ...taskStatus('exited'), exitReason: 'attemptListed' as const };
-  harness.heartbeat([ended]);
+  const endedTask = { ...taskStatus('exited'), exitReason: 'attemptListed' as const };
+  harness.heartbeat([endedTask]);
   harness.sendRequests([makeResourceRequest('wk-1'), makeResourceRequest('wk-2')]);
   expect(harness.grantedJobs()).toEqual(['wk-2']);
   for (let i = 0; i < 20; i++) {
-    harness.heartbeat([ended]);
+    harness.heartbeat([endedTask]);
     harness.advance(1000);
     harness.scheduler.flush();
   }
--- a/test/rate-limiter.test.ts
+++ b/test/rate-limiter.test.ts
@@ -4,7 +4,7 @@
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** A limiter of one controller, and the results of its requests in the order in which they came, as `NAME RESULT`. */
+/** Creates the limiter of a single controller and records its results in order, as `NAME RESULT`. */
 function createLimiter() {
   const limiter = new RateLimiter({ requestsPerSecond: 100, writesPerSecond: 20, controllerCount: 1 });
   const results: string[] = [];
@@ -13,11 +13,11 @@
   return { acquire, results };
 }
 
-test('what would wait longer than its sender does is refused at once, and the urgent never waits', async () => {
+test('a request that would wait longer than its sender does is refused at once, and lease requests never wait', async () => {
   const { acquire, results } = createLimiter();
 
   acquire(URGENCY.placement, 12, 'first');
-  // Sixteen changes a second: a second's worth waits, five seconds' worth would not be served in time.
+  // At 16 writes per second, one second's worth waits; five seconds' worth would not be sent in time.
   acquire(URGENCY.placement, 16, 'waits');
   acquire(URGENCY.placement, 80, 'too much');
   acquire(URGENCY.lease, 5, 'lease');
@@ -27,7 +27,7 @@
   expect(results.slice(3)).toEqual(['waits true']);
 });
 
-test('submissions and reads for users do not wait behind the placements that use up the budget of writes', async () => {
+test('submissions and reads of users do not wait behind placements that exhaust the write limit', async () => {
   const { acquire, results } = createLimiter();
 
   acquire(URGENCY.placement, 14, 'placements');
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -1,4 +1,7 @@
-/** Which machines would refuse which tasks, and what is placed where; gang-attempts.test.ts tests it on whole clusters. */
+/**
+ * Placement around machines that would refuse a task because they list an ended attempt of it;
+ * gang-attempts.test.ts tests this on simulated clusters.
+ */
 
 import fc from 'fast-check';
 import { expect, test, vi } from 'vitest';
@@ -17,36 +20,36 @@
 import { makeJobSpec } from './simulation/job-spec.js';
 import { makeResourceRequest, SchedulerHarness } from './simulation/scheduler-harness.js';
 
-const ended = (id: string, taskIndex: number, over: Partial<TaskStatus> = {}): TaskStatus => ({
+const endedTask = (id: string, taskIndex: number, overrides: Partial<TaskStatus> = {}): TaskStatus => ({
   jobId: id,
   taskIndex,
   attempt: 1,
   phase: 'exited',
   exitReason: 'stopped',
   checkpointSaved: false,
-  ...over,
+  ...overrides,
 });
 const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
-const isGranted = (harness: SchedulerHarness, id: string) =>
+const grantCount = (harness: SchedulerHarness, id: string) =>
   harness.grantedJobs().filter((job) => job === id).length;
 
 // ---- matching ----------------------------------------------------------------------------------------
 
-/** Whether places can be matched to tasks one by one, by trying all ways. */
-function canMatch(refused: Set<number>[], tasks: number[]): boolean {
-  const [first, ...rest] = refused;
+/** Whether each slot can get a task of its own that it does not refuse, by exhaustive search. */
+function hasPerfectMatching(refusedTasks: Set<number>[], tasks: number[]): boolean {
+  const [first, ...rest] = refusedTasks;
   if (!first) return true;
   return tasks.some(
     (task) =>
       !first.has(task) &&
-      canMatch(
+      hasPerfectMatching(
         rest,
         tasks.filter((other) => other !== task),
       ),
   );
 }
 
-test('tasks are matched to grants wherever any matching exists', () => {
+test('tasks are matched to grants whenever a matching exists', () => {
   const cases = fc.integer({ min: 1, max: 6 }).chain((count) =>
     fc.array(fc.uniqueArray(fc.integer({ min: 0, max: count - 1 })), {
       minLength: count,
@@ -54,15 +57,15 @@
     }),
   );
   fc.assert(
-    fc.property(cases, (lists) => {
-      const refused = lists.map((list) => new Set(list));
-      const tasks = lists.map((_, task) => task);
-      const { tasks: given, unassignedSlots: without } = assignTasks(tasks, refused);
-      const taken = given.filter((task) => task !== undefined);
-      expect(new Set(taken).size).toBe(taken.length);
-      for (const [place, task] of given.entries())
-        if (task !== undefined) expect(refused[place]!.has(task)).toBe(false);
-      expect(without.length === 0).toBe(canMatch(refused, tasks));
+    fc.property(cases, (refusedLists) => {
+      const refusedTasks = refusedLists.map((list) => new Set(list));
+      const tasks = refusedLists.map((_, task) => task);
+      const { tasks: assigned, unassignedSlots } = assignTasks(tasks, refusedTasks);
+      const assignedTasks = assigned.filter((task) => task !== undefined);
+      expect(new Set(assignedTasks).size).toBe(assignedTasks.length);
+      for (const [slot, task] of assigned.entries())
+        if (task !== undefined) expect(refusedTasks[slot]!.has(task)).toBe(false);
+      expect(unassignedSlots.length === 0).toBe(hasPerfectMatching(refusedTasks, tasks));
     }),
     { seed: 7, numRuns: 500 },
   );
@@ -70,93 +73,108 @@
 
 // ---- index -------------------------------------------------------------------------------------------
 
-test('the index follows each list of a machine, and leaves out what runs or is done', () => {
+test('the index of ended attempts follows the task list of a machine and leaves out running and completed tasks', () => {
   const index = new EndedAttempts();
   const machine = createMachine('m', 0);
   index.update(machine, [
-    ended('wk-1', 0),
-    ended('wk-1', 3, { exitReason: 'attemptListed' }),
-    ended('wk-2', 0, { phase: 'running', exitReason: null }),
-    ended('wk-3', 0, { exitReason: 'done' }),
+    endedTask('wk-1', 0),
+    endedTask('wk-1', 3, { exitReason: 'attemptListed' }),
+    endedTask('wk-2', 0, { phase: 'running', exitReason: null }),
+    endedTask('wk-3', 0, { exitReason: 'done' }),
   ]);
   expect(machineNames(index, 'wk-1')).toEqual(['m']);
   expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
   expect([index.has('wk-2'), index.has('wk-3')]).toEqual([false, false]);
-  index.update(machine, [ended('wk-2', 0)]);
+  index.update(machine, [endedTask('wk-2', 0)]);
   expect([index.has('wk-1'), index.has('wk-2')]).toEqual([false, true]);
   index.update(machine, []);
   expect(index.has('wk-2')).toBe(false);
 });
 
-// ---- the leader --------------------------------------------------------------------------------------
+// ---- leader ------------------------------------------------------------------------------------------
 
-const gang = (over: object = {}) =>
+const gangRequest = (overrides: object = {}) =>
   makeResourceRequest('wk-gang', {
     isGang: true,
     spotAllowed: false,
     cpus: 4,
     memoryGb: 1,
     taskCount: 2,
-    ...over,
+    ...overrides,
   });
 
-function fleet(lists: Record<string, TaskStatus[]>): { harness: SchedulerHarness; second: () => void } {
+function createFleet(tasksByMachine: Record<string, TaskStatus[]>): {
+  harness: SchedulerHarness;
+  runOneSecond: () => void;
+} {
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  const second = () => {
-    for (const [machine, tasks] of Object.entries(lists))
+  const runOneSecond = () => {
+    for (const [machine, tasks] of Object.entries(tasksByMachine))
       harness.heartbeat(tasks, 5, { machine, address: machine });
     harness.advance(1000);
     harness.scheduler.flush();
   };
-  second();
-  return { harness, second };
+  runOneSecond();
+  return { harness, runOneSecond };
 }
 
-test('a gang begins on machines that list its ended attempts if its tasks can be given out otherwise', () => {
-  const { harness, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 1)] });
-  harness.sendRequests([gang()]);
-  second();
-  expect(isGranted(harness, 'wk-gang')).toBe(2);
+test('a gang starts on machines that list its ended attempts if its tasks can be assigned differently', () => {
+  const { harness, runOneSecond } = createFleet({
+    a: [endedTask('wk-gang', 0)],
+    b: [endedTask('wk-gang', 1)],
+  });
+  harness.sendRequests([gangRequest()]);
+  runOneSecond();
+  expect(grantCount(harness, 'wk-gang')).toBe(2);
   expect(harness.tokenRaiseReasons).toEqual([]);
 });
 
-test('a machine is passed over for a gang if no task can be given to it, and others are chosen', () => {
-  // Whatever a and b get, task 0 is left; c takes it.
-  const { harness, second } = fleet({ a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)], c: [] });
-  harness.sendRequests([gang()]);
-  second();
-  expect(isGranted(harness, 'wk-gang')).toBe(2);
+test('a machine to which no task of a gang can be assigned is skipped, and another is chosen', () => {
+  // Both a and b refuse task 0: only one of them is used, and c takes task 0.
+  const { harness, runOneSecond } = createFleet({
+    a: [endedTask('wk-gang', 0)],
+    b: [endedTask('wk-gang', 0)],
+    c: [],
+  });
+  harness.sendRequests([gangRequest()]);
+  runOneSecond();
+  expect(grantCount(harness, 'wk-gang')).toBe(2);
   const machines = harness.sentMessages.flatMap((message) =>
     message.type === 'grants' ? message.grants.map((grant) => grant.machine) : [],
   );
   expect(machines).toContain('c');
 });
 
-test('a higher fencing token is requested only if ended attempts alone keep the gang from beginning, and after 15 s of that', () => {
-  const blocked = { a: [ended('wk-gang', 0)], b: [ended('wk-gang', 0)] };
-  const alone = fleet(blocked);
-  alone.harness.sendRequests([gang()]);
-  for (let i = 0; i < 14; i++) alone.second();
-  expect([isGranted(alone.harness, 'wk-gang'), alone.harness.tokenRaiseReasons.length]).toEqual([0, 0]);
-  for (let i = 0; i < 4; i++) alone.second();
-  expect(alone.harness.tokenRaiseReasons[0]).toContain('ended attempts of wk-gang');
-  // A third task has no machine at all: no token would help.
-  const short = fleet(blocked);
-  short.harness.sendRequests([gang({ taskCount: 3 })]);
-  for (let i = 0; i < 20; i++) short.second();
-  expect(short.harness.tokenRaiseReasons).toEqual([]);
+test('a higher fencing token is requested only after ended attempts alone have kept a gang from starting for 15 s', () => {
+  const blocked = { a: [endedTask('wk-gang', 0)], b: [endedTask('wk-gang', 0)] };
+  const blockedFleet = createFleet(blocked);
+  blockedFleet.harness.sendRequests([gangRequest()]);
+  for (let i = 0; i < 14; i++) blockedFleet.runOneSecond();
+  expect([
+    grantCount(blockedFleet.harness, 'wk-gang'),
+    blockedFleet.harness.tokenRaiseReasons.length,
+  ]).toEqual([0, 0]);
+  for (let i = 0; i < 4; i++) blockedFleet.runOneSecond();
+  expect(blockedFleet.harness.tokenRaiseReasons[0]).toContain('ended attempts of wk-gang');
+  // The third task has no machine at all: a higher fencing token would not help.
+  const undersizedFleet = createFleet(blocked);
+  undersizedFleet.harness.sendRequests([gangRequest({ taskCount: 3 })]);
+  for (let i = 0; i < 20; i++) undersizedFleet.runOneSecond();
+  expect(undersizedFleet.harness.tokenRaiseReasons).toEqual([]);
 });
 
-test('an array or service passes a machine over that lists all tasks it has left, and no other', () => {
-  for (const service of [false, true]) {
-    const over = { cpus: 4, spotAllowed: false, isService: service };
-    const { harness, second } = fleet({ a: [ended('wk-1', 0), ended('wk-1', 2)] });
-    harness.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 1, remainingTasks: [0] })]);
-    second();
-    expect(isGranted(harness, 'wk-1')).toBe(0);
-    harness.sendRequests([makeResourceRequest('wk-1', { ...over, taskCount: 2, remainingTasks: [0, 1] })]);
-    second();
-    expect(isGranted(harness, 'wk-1')).toBe(1);
+test('a machine is skipped for an array or a service only if it lists all of the remaining tasks', () => {
+  for (const isService of [false, true]) {
+    const overrides = { cpus: 4, spotAllowed: false, isService };
+    const { harness, runOneSecond } = createFleet({ a: [endedTask('wk-1', 0), endedTask('wk-1', 2)] });
+    harness.sendRequests([makeResourceRequest('wk-1', { ...overrides, taskCount: 1, remainingTasks: [0] })]);
+    runOneSecond();
+    expect(grantCount(harness, 'wk-1')).toBe(0);
+    harness.sendRequests([
+      makeResourceRequest('wk-1', { ...overrides, taskCount: 2, remainingTasks: [0, 1] }),
+    ]);
+    runOneSecond();
+    expect(grantCount(harness, 'wk-1')).toBe(1);
     const [grant] = harness.sentMessages.flatMap((message) =>
       message.type === 'grants' ? message.grants : [],
     );
@@ -164,56 +182,56 @@
   }
 });
 
-test('ended attempts that alone keep work waiting are removed at once, others together or after 20 s', () => {
-  const lists = { a: [ended('wk-1', 0)] };
-  const { harness, second } = fleet(lists);
-  const reaps = () => {
-    const answer = harness.heartbeat(lists.a, 5, { machine: 'a', address: 'a' }) ?? [];
+test('ended attempts that alone keep work waiting are forgotten at once, others in batches or after 20 s', () => {
+  const tasksByMachine = { a: [endedTask('wk-1', 0)] };
+  const { harness, runOneSecond } = createFleet(tasksByMachine);
+  const removalCount = () => {
+    const answer = harness.heartbeat(tasksByMachine.a, 5, { machine: 'a', address: 'a' }) ?? [];
     return answer.filter((command) => command.type === 'forget').length;
   };
   harness.sendPlacement({ ...harness.placementSpec('forget'), jobId: 'wk-1', machine: 'a' });
-  second();
-  expect(reaps()).toBe(0);
+  runOneSecond();
+  expect(removalCount()).toBe(0);
   harness.sendRequests([makeResourceRequest('wk-1', { cpus: 4, spotAllowed: false, remainingTasks: [0] })]);
-  second();
-  expect(reaps()).toBe(1);
+  runOneSecond();
+  expect(removalCount()).toBe(1);
 });
 
-test('a pass looks at the machines of a job that list its ended attempts, and not at all machines for each job', () => {
+test('a placement pass checks only the machines that list ended attempts of a job, not all machines for each job', () => {
   const machineCount = 4000;
   const jobCount = 200;
   const harness = new SchedulerHarness(5, { maxIdleSeconds: 1e6 });
-  const sendHeartbeat = (index: number, over: Partial<Heartbeat> = {}) =>
-    harness.heartbeat([ended(`wk-${index}`, 0), ended(`wk-${index + 1}`, 1)], 5, {
+  const sendHeartbeat = (index: number, overrides: Partial<Heartbeat> = {}) =>
+    harness.heartbeat([endedTask(`wk-${index}`, 0), endedTask(`wk-${index + 1}`, 1)], 5, {
       machine: `m${index}`,
       address: `m${index}`,
-      ...over,
+      ...overrides,
     });
   for (let index = 0; index < machineCount; index++) sendHeartbeat(index);
-  const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
-  const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
+  const machineLookups = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
+  const conflictChecks = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
   harness.sendRequests(
-    Array.from({ length: jobCount }, (_, i) =>
-      makeResourceRequest(`wk-${i + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
+    Array.from({ length: jobCount }, (_, index) =>
+      makeResourceRequest(`wk-${index + 10}`, { remainingTasks: [0], cpus: 64, spotAllowed: false }),
     ),
   );
   harness.advance(1000);
   harness.scheduler.flush();
-  const machinesLookedAt = looks.mock.results.reduce(
+  const visitedMachines = machineLookups.mock.results.reduce(
     (sum, { value }) => sum + [...(value as Iterable<unknown>)].length,
     0,
   );
-  const passes = machinesFor.mock.calls.length / jobCount;
+  const passes = conflictChecks.mock.calls.length / jobCount;
   vi.restoreAllMocks();
   expect(passes).toBeGreaterThanOrEqual(1);
-  // Two machines list each job.
-  expect(machinesLookedAt).toBeLessThanOrEqual(2 * jobCount * passes);
+  // Each job is listed by two machines.
+  expect(visitedMachines).toBeLessThanOrEqual(2 * jobCount * passes);
 });
 
-// ---- the owner ---------------------------------------------------------------------------------------
+// ---- shard owner -------------------------------------------------------------------------------------
 
-function owned(over: Partial<JobSpec>): OwnedJob {
-  const spec = makeJobSpec(new ClusterSimulation(1), { cpus: 1, ...over });
+function createJob(overrides: Partial<JobSpec>): OwnedJob {
+  const spec = makeJobSpec(new ClusterSimulation(1), { cpus: 1, ...overrides });
   const stored = {
     spec,
     acceptedRevision: 1,
@@ -239,12 +257,12 @@
   ...(endedTasks && { endedTasks }),
 });
 
-function placed(of: OwnedJob, grants: Grant[]): [number, number][] {
+function assignTo(job: OwnedJob, grants: Grant[]): [number, number][] {
   const usage = new TeamUsage(
     new Map([['red', { name: 'red', guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 }]]),
   );
   const tasks: [number, number][] = [];
-  assignGrants(of, grants, {
+  assignGrants(job, grants, {
     usage,
     nowMs: 0,
     place: (grant, taskIndex) => tasks.push([grant.id, taskIndex]),
@@ -252,28 +270,28 @@
   return tasks;
 }
 
-test('an owner gives no task to a machine that lists an ended attempt of it', () => {
-  const gangOfThree = owned({ kind: 'gang', taskCount: 3 });
-  const tasks = placed(gangOfThree, [grantOn(1, [0, 1]), grantOn(2, [0]), grantOn(3)]);
+test('a shard owner assigns no task to a machine that lists an ended attempt of it', () => {
+  const gangOfThree = createJob({ kind: 'gang', taskCount: 3 });
+  const tasks = assignTo(gangOfThree, [grantOn(1, [0, 1]), grantOn(2, [0]), grantOn(3)]);
   expect(tasks.sort()).toEqual([
     [1, 2],
     [2, 1],
     [3, 0],
   ]);
-  expect(placed(owned({ kind: 'gang', taskCount: 2 }), [grantOn(1, [0]), grantOn(2, [0])])).toEqual([]);
-  const array = owned({ taskCount: 3 });
-  expect(placed(array, [grantOn(1, [0, 1])])).toEqual([[1, 2]]);
-  // What was passed over is still there.
-  expect(placed(array, [grantOn(2), grantOn(3)]).map(([, taskIndex]) => taskIndex)).toEqual([0, 1]);
-  const last = owned({ taskCount: 1 });
-  expect(placed(last, [grantOn(1, [0])])).toEqual([]);
-  expect([...last.avoidedMachines.keys()]).toEqual(['m1']);
-  expect(placed(last, [grantOn(2)])).toEqual([[2, 0]]);
+  expect(assignTo(createJob({ kind: 'gang', taskCount: 2 }), [grantOn(1, [0]), grantOn(2, [0])])).toEqual([]);
+  const array = createJob({ taskCount: 3 });
+  expect(assignTo(array, [grantOn(1, [0, 1])])).toEqual([[1, 2]]);
+  // The tasks that were skipped are still available.
+  expect(assignTo(array, [grantOn(2), grantOn(3)]).map(([, taskIndex]) => taskIndex)).toEqual([0, 1]);
+  const lastTask = createJob({ taskCount: 1 });
+  expect(assignTo(lastTask, [grantOn(1, [0])])).toEqual([]);
+  expect([...lastTask.avoidedMachines.keys()]).toEqual(['m1']);
+  expect(assignTo(lastTask, [grantOn(2)])).toEqual([[2, 0]]);
 });
 
-// ---- reports that nobody expects ------------------------------------------------------------------------
+// ---- unexpected heartbeats ---------------------------------------------------------------------------
 
-test('lists of unknown, ended and future attempts, in two phases at once, late or twice hold no gang up for good', () => {
+test('unknown, ended, future and contradictory attempts in late or duplicate heartbeats do not block a gang for good', () => {
   const simulation = new ClusterSimulation(3, { ...new ClusterSimulation(1).config, machineCapacity: 20 });
   simulation.bootsFaultyMachines = false;
   const spec = makeJobSpec(simulation, {
@@ -284,14 +302,14 @@
     memoryGb: 1,
     spotAllowed: false,
   });
-  const odd = (machine: string): TaskStatus[] => [
-    ...[0, 1, 2, 3].map((taskIndex) => ended('wk-gang', taskIndex, { attempt: 90 + taskIndex })),
-    ended('wk-gang', 0, { attempt: 90, phase: 'saving', exitReason: null }),
-    ended('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
+  const unexpectedTasks = (machine: string): TaskStatus[] => [
+    ...[0, 1, 2, 3].map((taskIndex) => endedTask('wk-gang', taskIndex, { attempt: 90 + taskIndex })),
+    endedTask('wk-gang', 0, { attempt: 90, phase: 'saving', exitReason: null }),
+    endedTask('wk-nobody', Number(machine.slice(3)), { phase: 'exited', exitReason: 'error' }),
   ];
   simulation.duplicatesMessages = true;
   simulation.users.submitJob(spec);
-  for (let second = 0; second < 20; second++) {
+  for (let elapsedSeconds = 0; elapsedSeconds < 20; elapsedSeconds++) {
     runFor(simulation, 1000);
     for (const worker of simulation.workers.values()) {
       const description = {
@@ -310,7 +328,7 @@
         ...description,
         sequence: worker.heartbeatSequence + simulation.simulator.pick([-3, 0, 1]),
         evictionNoticeSeconds: null,
-        tasks: odd(worker.name),
+        tasks: unexpectedTasks(worker.name),
       });
     }
   }
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -7,86 +7,87 @@
 import { makeJobSpec } from './simulation/job-spec.js';
 
 const simulation = new ClusterSimulation(31);
-const load = (runningTasks: number, limit = 20): TeamLoad => ({
+const teamLoad = (runningTasks: number, limit = 20): TeamLoad => ({
   runningTasks,
   maxParallelTasks: () => limit,
   tasksAtQuota: () => limit,
 });
 
-function queued(
+function queuedJob(
   id: string,
   atS: number,
-  over: Partial<JobSpec> = {},
+  overrides: Partial<JobSpec> = {},
   state: Partial<QueuedJob> = {},
 ): QueuedJob {
-  const spec = makeJobSpec(simulation, { id, acceptedAtMs: atS * 1000, ...over });
+  const spec = makeJobSpec(simulation, { id, acceptedAtMs: atS * 1000, ...overrides });
   return { spec, acceptedRevision: atS, finishedTasks: 0, placedTasks: 0, failures: 0, ...state };
 }
 
-function sortedIds(order: ReleaseQueue, jobs: QueuedJob[], nowS: number, running = 20): string[] {
-  for (const { spec } of jobs) order.recordSize(spec);
-  return order.sort(jobs, nowS * 1000, () => load(running)).map((entry) => entry.job.spec.id);
+function sortedIds(queue: ReleaseQueue, jobs: QueuedJob[], nowS: number, runningTasks = 20): string[] {
+  for (const { spec } of jobs) queue.recordSize(spec);
+  return queue.sort(jobs, nowS * 1000, () => teamLoad(runningTasks)).map((entry) => entry.job.spec.id);
 }
 
-test('jobs of a queue that is not overloaded are released by acceptance, those that meet their objective first', () => {
-  const aims = [{ kind: 'finished', jobClass: 'aimed', withinSeconds: 30 }];
-  const order = new ReleaseQueue(aims);
-  const late = queued('late', 0, { jobClass: 'aimed', estimatedRunSeconds: 10 });
-  const young = queued('young', 20, { jobClass: 'aimed', estimatedRunSeconds: 10 });
-  expect(sortedIds(order, [young, late], 25)).toEqual(['young', 'late']);
-  expect(sortedIds(order, [young, late], 21)).toEqual(['young', 'late']);
-  expect(sortedIds(order, [young, late], 19)).toEqual(['late', 'young']);
+test('a queue that is not overloaded is released in order of acceptance, jobs that can still meet their objective first', () => {
+  const objectives = [{ kind: 'finished', jobClass: 'aimed', withinSeconds: 30 }];
+  const queue = new ReleaseQueue(objectives);
+  const late = queuedJob('late', 0, { jobClass: 'aimed', estimatedRunSeconds: 10 });
+  const young = queuedJob('young', 20, { jobClass: 'aimed', estimatedRunSeconds: 10 });
+  expect(sortedIds(queue, [young, late], 25)).toEqual(['young', 'late']);
+  expect(sortedIds(queue, [young, late], 21)).toEqual(['young', 'late']);
+  expect(sortedIds(queue, [young, late], 19)).toEqual(['late', 'young']);
 });
 
-test('an overloaded queue is released by response ratio, and a job that has begun in full yields', () => {
-  const order = new ReleaseQueue([]);
-  const huge = queued('huge', 0, { taskCount: 500, estimatedRunSeconds: 60 }, { placedTasks: 5 });
-  const small = queued('small', 50, { taskCount: 1, estimatedRunSeconds: 5 });
-  expect(sortedIds(order, [huge, small], 55)).toEqual(['huge', 'small']);
-  expect(sortedIds(order, [huge, small], 61)).toEqual(['small', 'huge']);
-  // As many tasks as the limit of the team admits have begun: the rest of it is no reason to call the queue overloaded.
-  const begun = queued(
+test('an overloaded queue is released by response ratio, and a job with as many tasks as the quota admits goes last', () => {
+  const queue = new ReleaseQueue([]);
+  const huge = queuedJob('huge', 0, { taskCount: 500, estimatedRunSeconds: 60 }, { placedTasks: 5 });
+  const small = queuedJob('small', 50, { taskCount: 1, estimatedRunSeconds: 5 });
+  expect(sortedIds(queue, [huge, small], 55)).toEqual(['huge', 'small']);
+  expect(sortedIds(queue, [huge, small], 61)).toEqual(['small', 'huge']);
+  // The first job has started as many tasks as its team's quota admits: its remaining tasks do not make the
+  // queue overloaded.
+  const begun = queuedJob(
     'begun',
     0,
     { taskCount: 500, estimatedRunSeconds: 60 },
     { finishedTasks: 10, placedTasks: 10 },
   );
-  const fresh = queued('fresh', 250, { taskCount: 30, estimatedRunSeconds: 50 });
-  const waiting = queued('waiting', 150, { taskCount: 2, estimatedRunSeconds: 50 });
-  expect(sortedIds(order, [begun, fresh, waiting], 251)).toEqual(['waiting', 'fresh', 'begun']);
+  const fresh = queuedJob('fresh', 250, { taskCount: 30, estimatedRunSeconds: 50 });
+  const waiting = queuedJob('waiting', 150, { taskCount: 2, estimatedRunSeconds: 50 });
+  expect(sortedIds(queue, [begun, fresh, waiting], 251)).toEqual(['waiting', 'fresh', 'begun']);
 });
 
 test('in an overloaded queue large jobs go first until they run their share of its tasks', () => {
-  const order = new ReleaseQueue([]);
+  const queue = new ReleaseQueue([]);
   const small = [1, 2, 3, 4].map((count) =>
-    queued(`small-${count}`, count, { taskCount: 3, estimatedRunSeconds: 20 }),
+    queuedJob(`small-${count}`, count, { taskCount: 3, estimatedRunSeconds: 20 }),
   );
-  const large = queued('large', 10, { taskCount: 40, estimatedRunSeconds: 20 });
-  const running = queued('running', 0, { taskCount: 2, estimatedRunSeconds: 20 }, { placedTasks: 2 });
-  const largeRunning = queued(
+  const large = queuedJob('large', 10, { taskCount: 40, estimatedRunSeconds: 20 });
+  const running = queuedJob('running', 0, { taskCount: 2, estimatedRunSeconds: 20 }, { placedTasks: 2 });
+  const largeRunning = queuedJob(
     'large-running',
     0,
     { taskCount: 40, estimatedRunSeconds: 20 },
     { placedTasks: 40 },
   );
-  expect(sortedIds(order, [...small, large, running], 70)[0]).toBe('large');
-  expect(sortedIds(order, [...small, large, running, largeRunning], 70)[0]).toBe('small-1');
+  expect(sortedIds(queue, [...small, large, running], 70)[0]).toBe('large');
+  expect(sortedIds(queue, [...small, large, running, largeRunning], 70)[0]).toBe('small-1');
 });
 
 test('jobs that fail on every machine do not make their queue overloaded', () => {
-  const order = new ReleaseQueue([]);
-  const failing = queued('failing', 0, { taskCount: 10, estimatedRunSeconds: 60 }, { failures: 5 });
-  const young = queued('young', 100, { taskCount: 1, estimatedRunSeconds: 5 });
-  expect(sortedIds(order, [young, failing], 119)).toEqual(['failing', 'young']);
+  const queue = new ReleaseQueue([]);
+  const failing = queuedJob('failing', 0, { taskCount: 10, estimatedRunSeconds: 60 }, { failures: 5 });
+  const young = queuedJob('young', 100, { taskCount: 1, estimatedRunSeconds: 5 });
+  expect(sortedIds(queue, [young, failing], 119)).toEqual(['failing', 'young']);
 });
 
-test('small gangs begin before large ones of the same age, and large ones precede them once they have waited', () => {
-  const order = new ReleaseQueue([]);
+test('small gangs are released before large ones of the same age until the large ones have waited long', () => {
+  const queue = new ReleaseQueue([]);
   const small = [1, 2, 3, 4].map((count) =>
-    queued(`small-${count}`, 4, { kind: 'gang', taskCount: 3, estimatedRunSeconds: 100 }),
+    queuedJob(`small-${count}`, 4, { kind: 'gang', taskCount: 3, estimatedRunSeconds: 100 }),
   );
-  const large = queued('large', 4, { kind: 'gang', taskCount: 24, estimatedRunSeconds: 100 });
-  expect(sortedIds(order, [large, ...small], 10).at(-1)).toBe('large');
-  expect(sortedIds(order, [large, ...small], 70).at(-1)).toBe('large');
-  expect(sortedIds(order, [large, ...small], 95)[0]).toBe('large');
+  const large = queuedJob('large', 4, { kind: 'gang', taskCount: 24, estimatedRunSeconds: 100 });
+  expect(sortedIds(queue, [large, ...small], 10).at(-1)).toBe('large');
+  expect(sortedIds(queue, [large, ...small], 70).at(-1)).toBe('large');
+  expect(sortedIds(queue, [large, ...small], 95)[0]).toBe('large');
 });
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -1,14 +1,14 @@
-/** Seeded scenarios over a whole cluster; SEEDS and FROM widen the search by hand. */
+/** Seeded scenarios on simulated clusters. SEEDS and FROM set the number of seeds and the first seed. */
 
 import { expect, test } from 'vitest';
 import { drawClusterConfig } from './simulation/cluster-config.js';
 import { runScenario } from './simulation/scenario.js';
 import { Simulator } from './simulation/simulated-time.js';
 
-const from = Number(process.env.FROM ?? 1);
-const seeds = Number(process.env.SEEDS ?? 24);
+const firstSeed = Number(process.env.FROM ?? 1);
+const seedCount = Number(process.env.SEEDS ?? 24);
 
-test.each(Array.from({ length: seeds }, (_, i) => from + i))(
+test.each(Array.from({ length: seedCount }, (_, i) => firstSeed + i))(
   'seed %i: invariants hold and all work finishes',
   (seed) => {
     const simulation = runScenario(seed, seed % 6);
@@ -21,8 +21,8 @@
   120000,
 );
 
-test.each(Array.from({ length: Math.ceil(seeds / 2) }, (_, i) => from + i))(
-  'seed %i: invariants hold and all work finishes on a deployment drawn by the seed',
+test.each(Array.from({ length: Math.ceil(seedCount / 2) }, (_, i) => firstSeed + i))(
+  'seed %i: invariants hold and all work finishes on a cluster generated from the seed',
   (seed) => {
     const simulation = runScenario(seed, seed % 5, drawClusterConfig(new Simulator(seed)));
     expect(simulation.violations.slice(0, 5)).toEqual([]);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,7 +4,7 @@
 import { parseSettings } from '../src/config/settings.js';
 import { SettingsError } from '../src/config/settings-error.js';
 
-const GOOD = `
+const VALID_SETTINGS = `
 host_name = "a-0"
 area = "z1"
 bind = "127.0.0.1:8080"
@@ -42,8 +42,8 @@
 mem_mb = 300.0
 fd_limit = 1000
 `;
-/** The faults that `check` finds; none if it doesn't throw a `SettingsError`. */
-function faultsOf(check: () => unknown): string[] {
+/** Returns the issues of the `SettingsError` that `check` throws; none if it throws no such error. */
+function issuesOf(check: () => unknown): string[] {
   try {
     check();
   } catch (error) {
@@ -52,19 +52,19 @@
   return [];
 }
 
-test('settings: good ones pass, each fault is named with its field', () => {
-  expect(parseSettings(GOOD).params.teams[0]?.name).toBe('t');
+test('settings: valid settings are accepted, and each issue names its field', () => {
+  expect(parseSettings(VALID_SETTINGS).params.teams[0]?.name).toBe('t');
 
-  const bad = GOOD.replace('size = 1', 'size = 0')
+  const invalidText = VALID_SETTINGS.replace('size = 1', 'size = 0')
     .replace('bind = "127.0.0.1:8080"', 'bind = "nowhere"')
     .replace('cpus = 0.0\n', '');
-  const faults = faultsOf(() => parseSettings(bad));
-  expect(faults.map((fault) => fault.split(':')[0])).toEqual(['bind', 'params.size', 'params.teams.0.cpus']);
+  const issues = issuesOf(() => parseSettings(invalidText));
+  expect(issues.map((issue) => issue.split(':')[0])).toEqual(['bind', 'params.size', 'params.teams.0.cpus']);
 });
 
-test('policy: the default works, unknown keys and wrong types are named with their line', () => {
-  const text = readFileSync(new URL('../deploy/policy.toml', import.meta.url), 'utf8');
-  const input = {
+test('policy: the default is valid, and unknown keys and wrong types are reported with their line', () => {
+  const policyText = readFileSync(new URL('../deploy/policy.toml', import.meta.url), 'utf8');
+  const policyInput = {
     services: 100,
     serviceCpus: 200,
     queuedTasks: 3,
@@ -75,23 +75,23 @@
     leaseSeconds: 34,
     bootSeconds: 15,
   };
-  expect(compilePolicy(text)(input).unresponsiveSeconds).toBeGreaterThan(3);
+  expect(compilePolicy(policyText)(policyInput).unresponsiveSeconds).toBeGreaterThan(3);
 
-  const bad = `${text}\nsurprise = 1\n`
+  const invalidText = `${policyText}\nsurprise = 1\n`
     .replace(/^idle_s = .*$/m, 'idle_s = "services > 2.0"')
     .replace(/^silent_s = .*$/m, 'silent_s = "no_such + 1.0"');
-  const faults = faultsOf(() => compilePolicy(bad));
-  expect(faults.length).toBe(3);
-  expect(faults.every((fault) => /^policy\.(surprise|idle_s|silent_s) \(line \d+\): /.test(fault))).toBe(
+  const issues = issuesOf(() => compilePolicy(invalidText));
+  expect(issues.length).toBe(3);
+  expect(issues.every((issue) => /^policy\.(surprise|idle_s|silent_s) \(line \d+\): /.test(issue))).toBe(
     true,
   );
 });
 
-test('settings: a bound on cancellations that leaves no time beside the lease is a fault', () => {
-  const faultsWith = (cancelS: string) =>
-    faultsOf(() => parseSettings(GOOD.replace('cancel_s = 60.0', `cancel_s = ${cancelS}`)));
+test('settings: a cancellation bound that leaves too little time beyond the lease is an issue', () => {
+  const issuesWith = (cancelS: string) =>
+    issuesOf(() => parseSettings(VALID_SETTINGS.replace('cancel_s = 60.0', `cancel_s = ${cancelS}`)));
 
-  expect(faultsWith('32.0')).toEqual([]);
+  expect(issuesWith('32.0')).toEqual([]);
   for (const cancelS of ['31.5', '30.0', '20.0'])
-    expect(faultsWith(cancelS)).toEqual([expect.stringMatching(/^params.workers: cancel_s/)]);
+    expect(issuesWith(cancelS)).toEqual([expect.stringMatching(/^params.workers: cancel_s/)]);
 });
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import { computeSocketBudget } from '../src/transport/socket-budget.js';
 
-test('the budget leaves workers their connections at every size', () => {
+test('the socket budget leaves enough inbound connections for all machines at every size', () => {
   for (const [fdLimit, machines, peers] of [
     [2521, 1858, 4],
     [2021, 893, 2],
--- a/test/sync-assembly.test.ts
+++ b/test/sync-assembly.test.ts
@@ -8,7 +8,7 @@
   jobId,
 });
 
-function chunk(chunkIndex: number, over: Partial<SyncChunk> = {}): SyncChunk {
+function chunk(chunkIndex: number, overrides: Partial<SyncChunk> = {}): SyncChunk {
   return {
     type: 'fullSync',
     fencingToken: 5,
@@ -19,15 +19,15 @@
     shardEpochs: { red: 1 },
     placements: [placement(`wk-${chunkIndex}`)],
     requests: [],
-    ...over,
+    ...overrides,
   };
 }
 
-/** What the chunks bring, one after the other: the jobs of a complete sync, or the kind of the result. */
+/** Adds the chunks in order; returns for each the jobs of the completed sync or the kind of the result. */
 function assemble(...chunks: SyncChunk[]): (string | string[])[] {
   const assembly = new SyncAssembly();
-  return chunks.map((each) => {
-    const result = assembly.add(each);
+  return chunks.map((syncChunk) => {
+    const result = assembly.add(syncChunk);
     return result.kind === 'complete' ? result.placements.map((placement) => placement.jobId) : result.kind;
   });
 }
@@ -36,11 +36,11 @@
   expect(assemble(chunk(0, { chunkCount: 1 }))).toEqual([['wk-0']]);
 });
 
-test('the placements of all chunks come together in their order', () => {
+test('the placements of all chunks are combined in order', () => {
   expect(assemble(chunk(0), chunk(1), chunk(2))).toEqual(['partial', 'partial', ['wk-0', 'wk-1', 'wk-2']]);
 });
 
-test('a lost chunk voids the sync, and what follows of it is not taken either', () => {
+test('a lost chunk invalidates the sync, and its later chunks are rejected', () => {
   expect(assemble(chunk(0), chunk(2))).toEqual(['partial', 'chunkLost']);
   expect(assemble(chunk(1), chunk(2))).toEqual(['chunkLost', 'chunkLost']);
   expect(assemble(chunk(0), chunk(2), chunk(1), chunk(2))).toEqual([
@@ -51,7 +51,7 @@
   ]);
 });
 
-test('chunks of two syncs are not mixed, and a sync begun anew takes the place of the last one', () => {
+test('chunks of two syncs are not mixed, and a new sync replaces the previous one', () => {
   expect(assemble(chunk(0), chunk(1, { syncNumber: 2 }))).toEqual(['partial', 'chunkLost']);
   expect(assemble(chunk(0), chunk(0, { syncNumber: 2, chunkCount: 1 }), chunk(1))).toEqual([
     'partial',
@@ -60,9 +60,9 @@
   ]);
 });
 
-test('the syncs of two owners go on side by side', () => {
-  const other = { instanceId: 'p', chunkCount: 2 };
-  expect(assemble(chunk(0), chunk(0, other), chunk(1), chunk(1, other), chunk(2))).toEqual([
+test('the syncs of two shard owners are assembled independently', () => {
+  const otherOwner = { instanceId: 'p', chunkCount: 2 };
+  expect(assemble(chunk(0), chunk(0, otherOwner), chunk(1), chunk(1, otherOwner), chunk(2))).toEqual([
     'partial',
     'partial',
     'partial',
--- a/test/listening.ts
+++ b/test/test-servers.ts
@@ -1,4 +1,4 @@
-/** Servers on ports of their own, and whatever else a test must close when it ends. */
+/** HTTP servers on free ports, and the closing of resources at the end of a test. */
 
 import http from 'node:http';
 import type { AddressInfo, Server } from 'node:net';
@@ -11,8 +11,8 @@
   for (const close of closers.splice(0)) close();
 });
 
-/** Has `close` called when the present test ends. */
-export function afterTest(close: () => void): void {
+/** Registers `close` to be called when the current test ends. */
+export function closeAfterTest(close: () => void): void {
   closers.push(close);
 }
 
@@ -21,19 +21,22 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Starts a server of Node's own; returns it with its address, `HOST:PORT`. */
+/** Starts an HTTP server of Node.js; returns it with its address, `HOST:PORT`. */
 export async function startNodeServer(
   handle: http.RequestListener,
 ): Promise<{ server: http.Server; address: string }> {
   const server = http.createServer(handle);
-  afterTest(() => {
+  closeAfterTest(() => {
     server.closeAllConnections();
     server.close();
   });
   return { server, address: `127.0.0.1:${await listen(server)}` };
 }
 
-/** Starts the program's server with room for so many connections; returns these and its port on 127.0.0.1. */
+/**
+ * Starts a controller's HTTP server on 127.0.0.1; returns its connections, at most `maxConnections`, and
+ * port.
+ */
 export async function startHttpServer(
   maxConnections: number,
   handle: RequestHandler,
@@ -41,6 +44,6 @@
   const now = () => performance.now();
   const connections = new InboundConnections(maxConnections, now);
   const { server } = new HttpServer({ handleRequest: handle, inboundConnections: connections, now });
-  afterTest(() => server.close());
+  closeAfterTest(() => server.close());
   return { connections, port: await listen(server) };
 }
