--- a/test/worker-client.test.ts
+++ b/test/worker-client.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest';
 import type { WorkerCommand } from '../src/model/worker-messages.js';
 import { WorkerClient } from '../src/transport/worker-client.js';
-import { startNodeServer } from './listening.js';
+import { startNodeServer } from './test-servers.js';
 
 const heartbeat = (name: string) =>
   JSON.stringify({
@@ -19,7 +19,7 @@
 
 const START: WorkerCommand = { type: 'start', jobId: 'wk-1', taskIndex: 1, attempt: 1 };
 
-/** Workers that answer after 15 ms; what they were sent, as `KIND NUMBER`, and how many connections were open at once. */
+/** Starts workers that answer after 15 ms; records their calls, as `KIND NUMBER`, and open connections. */
 async function startWorkers(count: number) {
   const received: string[] = [];
   const connections = { open: 0, max: 0 };
@@ -31,7 +31,7 @@
         body += String(data);
       });
       request.on('end', () => {
-        received.push(`${JSON.parse(body).calls.length > 0 ? 'command' : 'question'} ${i}`);
+        received.push(`${JSON.parse(body).calls.length > 0 ? 'command' : 'query'} ${i}`);
         setTimeout(() => response.end(heartbeat(`vm-${i}`)), 15);
       });
     });
@@ -44,7 +44,7 @@
   return { addresses, received, connections };
 }
 
-test('direct commands reach more workers than there are connections for, those with commands first', async () => {
+test('direct calls reach more workers than there are connections, and calls with commands go first', async () => {
   const { addresses, received, connections } = await startWorkers(12);
   const client = new WorkerClient(3);
 
@@ -61,31 +61,31 @@
   );
 
   expect(results).toEqual(addresses.map(() => true));
-  // A closed connection may be counted a moment after the next one was opened.
+  // A closed connection may still be counted for a moment after the next one has opened.
   expect([connections.max <= 7, client.connectionCount]).toEqual([true, 3]);
   expect(received.slice(3, 7).every((entry) => entry.startsWith('command'))).toBe(true);
 });
 
-test('a call that found no connection in time was surely not sent', async () => {
+test('a call that gets no connection in time is refused without having been sent', async () => {
   let received = 0;
-  const silent = await startNodeServer(() => {});
-  const other = await startNodeServer((_request, response) => {
+  const silentWorker = await startNodeServer(() => {});
+  const otherWorker = await startNodeServer((_request, response) => {
     received++;
     response.end(heartbeat('vm-2'));
   });
   const client = new WorkerClient(1);
-  const call = (address: string) =>
+  const sendEmptyCall = (address: string) =>
     new Promise((resolve) =>
       client.sendCommands(address, { fencingToken: 1, workerEpoch: 1, commands: [] }, (result) =>
         resolve(result.ok ? 'ok' : result.kind),
       ),
     );
 
-  const first = call(silent.address);
-  const waiting = call(other.address);
-  // Holds the only connection until well after the waiting call has run out of time.
+  const first = sendEmptyCall(silentWorker.address);
+  const waiting = sendEmptyCall(otherWorker.address);
+  // The first call holds the only connection until well after the waiting call has timed out.
   await new Promise((resolve) => setTimeout(resolve, 1000));
-  const second = call(silent.address);
+  const second = sendEmptyCall(silentWorker.address);
 
   expect(await waiting).toBe('refused');
   expect(received).toBe(0);
