--- a/test/dependency-counter.test.ts
+++ b/test/dependency-counter.test.ts
@@ -33,7 +33,7 @@
   for (;;) {
     const input = fanOut.takeNext(
       () => false,
-      (input) => counter.has(input),
+      (candidate) => counter.has(candidate),
     );
     if (input < 0) break;
     if (input % 2 === 1) counter.add(input);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -301,10 +301,10 @@
     capacityChecks++;
     return capacityOf(...args);
   };
-  const machine = allMachines[7] as string;
-  harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${machine}` }], 5, {
-    machine,
-    address: machine,
+  const endedMachine = allMachines[7] as string;
+  harness.heartbeat([{ ...taskStatus('exited'), jobId: `wk-${endedMachine}` }], 5, {
+    machine: endedMachine,
+    address: endedMachine,
   });
   expect([internals.state.fleetTotals.changedMachines.size, capacityChecks]).toEqual([1, 0]);
   expect(harness.directCalls.splice(0).length).toBe(0);
--- a/test/indeterminate-writes.test.ts
+++ b/test/indeterminate-writes.test.ts
@@ -22,9 +22,9 @@
   guaranteedGpus: 0,
   maxGpus: 0,
 };
-const simulation = new ClusterSimulation(1);
+const specSimulation = new ClusterSimulation(1);
 const specs = ['wk-000001', 'wk-000002', 'wk-000003'].map((id) =>
-  makeJobSpec(simulation, { id, taskCount: MAX_TASKS, cpus: CPUS }),
+  makeJobSpec(specSimulation, { id, taskCount: MAX_TASKS, cpus: CPUS }),
 );
 const cpusPerTask = () => CPUS;
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -171,7 +171,7 @@
   expect(fleet.runningTaskCount()).toBe(MACHINES);
   expect(heapUsed() - heapBefore).toBeLessThan(MAX_HEAP_GROWTH_BYTES);
 
-  // A heartbeat updates its own machine only, a placement pass checks only machines with capacity: none here.
+  // A heartbeat updates its own machine only; a pass checks only machines with free capacity, here none.
   const { state } = internalsOf(fleet.leader);
   state.fleetTotals.changedMachines.clear();
   fleet.sendHeartbeat(fleet.names[7]!, 5);
--- a/test/layering.test.ts
+++ b/test/layering.test.ts
@@ -12,7 +12,7 @@
 /** In a list of a `Layer`: no restriction. */
 const ANY = '*';
 
-/** Which imports the files under a path may have. A file belongs to the layer with the longest path to it. */
+/** Which imports the files under a path may have. The longest path that contains a file decides. */
 interface Layer {
   /** A folder or a file, relative to `src/`. */
   path: string;
@@ -106,15 +106,15 @@
 ): string | undefined {
   const { path, layer } = importer;
   if (!isRelative(moduleName)) {
-    const allowed = layer.modules.includes(ANY) || layer.modules.includes(moduleName);
-    return allowed ? undefined : `${path} may not import ${moduleName}`;
+    const isModuleAllowed = layer.modules.includes(ANY) || layer.modules.includes(moduleName);
+    return isModuleAllowed ? undefined : `${path} may not import ${moduleName}`;
   }
   const imported = resolveImport(path, moduleName);
   if (!context.tree.has(imported)) return `${path} imports ${imported}, which does not exist`;
-  const allowed =
+  const isFileAllowed =
     layerOf(imported, context.layers) === layer ||
     layer.imports.some((allowedPath) => isWithin(imported, allowedPath));
-  return allowed ? undefined : `${path} may not import ${imported}`;
+  return isFileAllowed ? undefined : `${path} may not import ${imported}`;
 }
 
 /** Describes all imports that the layers do not allow, and all files without a layer. */
--- a/test/sync-assembly.test.ts
+++ b/test/sync-assembly.test.ts
@@ -28,7 +28,7 @@
   const assembly = new SyncAssembly();
   return chunks.map((syncChunk) => {
     const result = assembly.add(syncChunk);
-    return result.kind === 'complete' ? result.placements.map((placement) => placement.jobId) : result.kind;
+    return result.kind === 'complete' ? result.placements.map((spec) => spec.jobId) : result.kind;
   });
 }
 
