--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -25,7 +25,7 @@
   /** Returns the machine types that the cloud offers; empty until they are known. */
   machineTypes(): MachineType[];
   log: Logger;
-  /** Called before a user is told that a job is cancelled. */
+  /** Called before the cancellation of a job is confirmed to a user. */
   onCancelled(jobId: string): void;
 }
 
@@ -60,8 +60,9 @@
 const STATE_CHANGED: ApiResponse = { type: 'unavailable', reason: 'state changed meanwhile' };
 
 /**
- * Answers users on any controller, from the store's contents at the time of the request. Only final records
- * are cached, because they never change. A request without a reliable answer gets `unavailable`, not a guess.
+ * Responds to users on any controller, from the store's contents at the time of the request. Only final
+ * records are cached, because they never change. If the state of a job is not certain, the response is
+ * `unavailable`.
  */
 export class JobApi implements JobService {
   private readonly finalRecords = new Map<string, FinalRecord>();
@@ -74,11 +75,11 @@
     const areMachineTypesKnown = this.options.machineTypes().length > 0;
     const rejection = areMachineTypesKnown || !teams.has(spec.team) ? this.rejectionReason(spec) : null;
     if (rejection !== null) {
-      this.answerExistingJobOr(spec.id, { type: 'rejected', reason: rejection }, callback);
+      this.respondWithExistingJobOr(spec.id, { type: 'rejected', reason: rejection }, callback);
       return;
     }
     if (!areMachineTypesKnown) {
-      this.answerExistingJobOr(spec.id, MACHINE_TYPES_UNKNOWN, callback);
+      this.respondWithExistingJobOr(spec.id, MACHINE_TYPES_UNKNOWN, callback);
       return;
     }
     if (openJobs.isFailing) {
@@ -89,12 +90,12 @@
     this.storeJob(spec, SUBMIT_RETRIES, callback);
   }
 
-  /** Answers with the state of a job. Also used for a malformed submission that contains a job id. */
+  /** Responds with the state of a job. Also used for a malformed submission that contains a job id. */
   getJob(jobId: string, callback: ApiResponseCallback): void {
-    this.lookUp(jobId, URGENCY.read, (lookup) => callback(this.answerFor(jobId, lookup)));
+    this.lookUp(jobId, URGENCY.read, (lookup) => callback(this.responseFor(jobId, lookup)));
   }
 
-  /** Cancels a job unless its state is final, and answers with the resulting state. */
+  /** Cancels a job unless its state is final, and responds with the resulting state. */
   cancelJob(jobId: string, callback: ApiResponseCallback): void {
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
@@ -132,33 +133,37 @@
         } else if (result.kind === 'indeterminate' && retriesLeft > 0) {
           this.storeJob(spec, retriesLeft - 1, callback);
         } else if (result.kind === 'conflict') {
-          this.answerExistingJobOr(spec.id, STATE_CHANGED, callback);
+          this.respondWithExistingJobOr(spec.id, STATE_CHANGED, callback);
         } else callback(STORE_UNREACHABLE);
       },
     );
   }
 
   /**
-   * Answers with the state of the job if it was accepted before, whatever the repeated submission contains,
+   * Responds with the state of the job if it was accepted before, whatever the repeated submission contains,
    * and with `fallback` if it was not.
    */
-  private answerExistingJobOr(jobId: string, fallback: ApiResponse, callback: ApiResponseCallback): void {
+  private respondWithExistingJobOr(
+    jobId: string,
+    fallback: ApiResponse,
+    callback: ApiResponseCallback,
+  ): void {
     this.lookUp(jobId, URGENCY.read, (lookup) =>
-      callback(lookup.type === 'missing' ? fallback : this.answerFor(jobId, lookup)),
+      callback(lookup.type === 'missing' ? fallback : this.responseFor(jobId, lookup)),
     );
   }
 
   private tryCancel(jobId: string, retriesLeft: number, callback: ApiResponseCallback): void {
     this.lookUp(jobId, URGENCY.user, (lookup) => {
-      const answer = this.answerFor(jobId, lookup);
-      if (lookup.type !== 'open' || answer.type !== 'job' || isFinal(answer.state)) {
-        callback(answer);
+      const response = this.responseFor(jobId, lookup);
+      if (lookup.type !== 'open' || response.type !== 'job' || isFinal(response.state)) {
+        callback(response);
         return;
       }
       this.storeCancellation(jobId, lookup, (result) => {
         if (result.ok) {
           this.options.log.debug({ jobId }, 'job cancelled');
-          callback(this.cacheFinalRecord(jobId, { isDone: false, finishedTasks: answer.finishedTasks }));
+          callback(this.cacheFinalRecord(jobId, { isDone: false, finishedTasks: response.finishedTasks }));
         } else if ((result.kind === 'conflict' || result.kind === 'indeterminate') && retriesLeft > 0) {
           this.tryCancel(jobId, retriesLeft - 1, callback);
         } else callback(STORE_UNREACHABLE);
@@ -241,20 +246,20 @@
     });
   }
 
-  private answerFor(jobId: string, lookup: JobLookup): ApiResponse {
+  private responseFor(jobId: string, lookup: JobLookup): ApiResponse {
     switch (lookup.type) {
       case 'storeUnreachable':
         return STORE_UNREACHABLE;
       case 'missing':
         return { type: 'notFound' };
       case 'final':
-        return finalAnswer(lookup.final);
+        return finalResponse(lookup.final);
       case 'open':
-        return this.answerForOpenJob(jobId, lookup);
+        return this.responseForOpenJob(jobId, lookup);
     }
   }
 
-  private answerForOpenJob(jobId: string, { job, counter }: OpenJob): ApiResponse {
+  private responseForOpenJob(jobId: string, { job, counter }: OpenJob): ApiResponse {
     const finishedTasks = counter?.finishedTasks ?? 0;
     if (job.cancelled === true) return this.cacheFinalRecord(jobId, { isDone: false, finishedTasks });
     if (counter && isComplete(job.spec, counter))
@@ -270,7 +275,7 @@
     if (this.finalRecords.size > MAX_CACHED_FINAL_RECORDS)
       for (const oldest of [...this.finalRecords.keys()].slice(0, FINAL_RECORD_EVICTION_COUNT))
         this.finalRecords.delete(oldest);
-    return finalAnswer(final);
+    return finalResponse(final);
   }
 }
 
@@ -298,7 +303,7 @@
   return state === 'done' || state === 'cancelled';
 }
 
-function finalAnswer({ isDone, finishedTasks }: FinalRecord): ApiResponse {
+function finalResponse({ isDone, finishedTasks }: FinalRecord): ApiResponse {
   const state = isDone ? 'done' : 'cancelled';
   return { type: 'job', created: false, state, finishedTasks, runningTasks: 0 };
 }
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -1,7 +1,7 @@
 /**
  * Exchanges job cancellations and cancellation coverage between controllers. A worker's lease is renewed only
- * as far as the coverage allows, so no task runs for longer than `cancellationSeconds` after the user was
- * told that its job is cancelled.
+ * as far as the coverage allows, so no task runs for longer than `cancellationSeconds` after the cancellation
+ * of its job was confirmed to the user.
  */
 
 import type { CancellationCoverage } from '../model/cancellation-coverage.js';
@@ -37,18 +37,18 @@
 /** Sends cancellations and coverage to peers, and stores those received from them. */
 export class CancellationCoordinator {
   private readonly log: CancellationLog;
-  private latestCoverage: CancellationCoverage | null = null;
+  private retainedCoverage: CancellationCoverage | null = null;
 
   constructor(private readonly options: CancellationCoordinatorOptions) {
     this.log = new CancellationLog(options.peerNames);
   }
 
   /**
-   * The newest coverage computed by any leader, in times of this controller's clock; null if there is none.
+   * The latest coverage computed by any leader, in times of this controller's clock; null if there is none.
    * It remains valid after the leader changes.
    */
-  get inheritedCoverage(): CancellationCoverage | null {
-    return this.latestCoverage;
+  get latestCoverage(): CancellationCoverage | null {
+    return this.retainedCoverage;
   }
 
   /** Number of cancellations that this process has announced to its peers. */
@@ -61,9 +61,9 @@
     return this.log.has(jobId);
   }
 
-  /** Returns an interval: every cancellation confirmed to a user within it is known to this controller. */
-  completeInterval(now: number): { since: number; until: number } {
-    return this.log.completeInterval(now);
+  /** Returns a period: every cancellation confirmed to a user within it is known to this controller. */
+  knownCancellationPeriod(now: number): { since: number; until: number } {
+    return this.log.knownCancellationPeriod(now);
   }
 
   /**
@@ -111,7 +111,7 @@
   }
 
   /**
-   * On the leader, sends the current time to every shard owner, which answers with a `cancellationCoverage`
+   * On the leader, sends the current time to every shard owner, which responds with a `cancellationCoverage`
    * message once all cancellations stored before that time have become stops. Also retains the current
    * coverage for use after a change of leader, and returns it; null unless this controller leads and has a
    * watermark for every team.
@@ -157,8 +157,8 @@
   }
 
   private retainIfNewer(coverage: CancellationCoverage): void {
-    if (!this.latestCoverage || coverage.completeUntil >= this.latestCoverage.completeUntil)
-      this.latestCoverage = coverage;
+    if (!this.retainedCoverage || coverage.completeUntil >= this.retainedCoverage.completeUntil)
+      this.retainedCoverage = coverage;
   }
 }
 
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -91,11 +91,10 @@
   }
 
   /**
-   * Returns an interval on this controller's clock: every cancellation that any controller confirmed to a
-   * user within it is known here. While completeness is not established it is empty: `until` lies before
-   * `since`.
+   * Returns a period on this controller's clock: every cancellation that any controller confirmed to a user
+   * within it is known here. While completeness is not established it is empty: `until` lies before `since`.
    */
-  completeInterval(now: number): { since: number; until: number } {
+  knownCancellationPeriod(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
     let until = now;
     for (const nodeName of this.peerNames) {
@@ -112,7 +111,7 @@
     this.peers.set(nodeName, {
       instanceId,
       completeSinceMs: now,
-      receivedCount: receivedCount,
+      receivedCount,
       completeUntilMs: Number.NEGATIVE_INFINITY,
     });
   }
--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-components.ts
@@ -32,8 +32,8 @@
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
 /** Minimum interval between watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
-/** Time that an evicted task gets to save its progress, in addition to its checkpoint save time. */
-const NOTICE_GRACE_SECONDS = 1;
+/** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+const EVICTION_GRACE_MARGIN_SECONDS = 1;
 
 /** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
 const IDLE_CLUSTER: PolicyInput = {
@@ -56,7 +56,7 @@
  * changes it. Components are created after those they depend on; a component that is created later, or that
  * may call back, is passed as a function.
  */
-export class ControllerParts {
+export class ControllerComponents {
   /** Serves users' requests. */
   readonly api: JobApi;
   readonly queue: EventQueue;
@@ -203,10 +203,10 @@
         if (leadership.leadsUnder(fencingToken))
           leadership.stepDown(`higher fencing token ${higherToken} seen`);
       },
-      inheritedCoverage: () => coordinator.inheritedCoverage,
+      latestCoverage: () => coordinator.latestCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      knownCancellationPeriod: (now) => coordinator.completeInterval(now),
-      reachablePeers: () => this.peers.countRecentlyHeard(clock.now()),
+      knownCancellationPeriod: (now) => coordinator.knownCancellationPeriod(now),
+      recentlyHeardPeers: () => this.peers.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
@@ -283,7 +283,7 @@
       maxTransactionOperations: storeLimits.maxTransactionOperations,
       writesPerSecond: storeLimits.writesPerSecond,
       maxTasksPerRequest: Math.max(1, Math.round(options.policy(IDLE_CLUSTER).maxTasksPerRequest)),
-      noticeGraceSeconds: NOTICE_GRACE_SECONDS,
+      evictionGraceMarginSeconds: EVICTION_GRACE_MARGIN_SECONDS,
       objectives: options.objectives,
       openJobItems: () => openJobs.items,
       openJobsFreshAsOf: () => openJobs.freshAsOf,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,12 +1,12 @@
-/** A controller process: dispatches events, runs the periodic work and answers workers' heartbeats. */
+/** A controller process: dispatches events, runs the periodic work and handles workers' heartbeats. */
 
 import type { JobApi } from '../api/job-api.js';
 import type { ControllerService } from '../model/controller-service.js';
 import type { HeartbeatResult } from '../model/heartbeat-result.js';
 import type { LeaderRecord } from '../model/records.js';
 import type { Heartbeat } from '../model/worker-messages.js';
+import { ControllerComponents } from './controller-components.js';
 import type { ControllerOptions } from './controller-options.js';
-import { ControllerParts } from './controller-parts.js';
 import type { ControllerEvent } from './event-queue.js';
 
 /** Snapshot of a controller's state, for tests. */
@@ -34,13 +34,13 @@
 
 /**
  * A controller, composed of components with one responsibility each. All state changes go through the event
- * queue, except for workers' heartbeats, which are answered synchronously.
+ * queue, except for workers' heartbeats, which are handled synchronously.
  */
 export class Controller implements ControllerService {
-  private readonly parts: ControllerParts;
+  private readonly components: ControllerComponents;
 
   constructor(private readonly options: ControllerOptions) {
-    this.parts = new ControllerParts(options, {
+    this.components = new ControllerComponents(options, {
       handleEvent: (event) => this.handleEvent(event),
       onBatchEnd: () => this.flush(),
     });
@@ -48,13 +48,13 @@
 
   /** Serves users' requests. */
   get api(): JobApi {
-    return this.parts.api;
+    return this.components.api;
   }
 
   /** Starts to read the store, and starts the periodic tick. */
   start(): void {
-    this.parts.records.start();
-    this.parts.openJobs.start();
+    this.components.records.start();
+    this.components.openJobs.start();
     const tick = () => {
       this.push({ type: 'tick' });
       this.options.clock.after(TICK_INTERVAL_MS, tick);
@@ -64,12 +64,12 @@
 
   /** Queues an event for the next batch. */
   push(event: ControllerEvent): void {
-    this.parts.queue.push(event);
+    this.components.queue.push(event);
   }
 
-  /** Answers a worker's heartbeat synchronously. */
+  /** Handles a worker's heartbeat synchronously. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
-    return this.parts.workerHeartbeats.handle(heartbeat);
+    return this.components.workerHeartbeats.handle(heartbeat);
   }
 
   /**
@@ -77,7 +77,7 @@
    * contact with the store.
    */
   isReady(): boolean {
-    if (!this.parts.records.isReady || !this.parts.openJobs.isReady) return false;
+    if (!this.components.records.isReady || !this.components.openJobs.isReady) return false;
     // In an outage that affects all controllers their last contacts differ little, so none becomes unready.
     return !this.lagsBehindPeers(this.options.leaseTtlMs * READINESS_LAG_SHARE);
   }
@@ -92,7 +92,7 @@
 
   /** Returns a snapshot of the state, for tests. */
   status(): ControllerStatus {
-    const { leadership, shardOwner, machineTypes } = this.parts;
+    const { leadership, shardOwner, machineTypes } = this.components;
     return {
       leader: leadership.leader,
       scheduler: leadership.scheduler?.stats() ?? null,
@@ -111,23 +111,23 @@
         this.tick();
         break;
       case 'peerMessage':
-        this.parts.peerMessages.onMessage(event.message);
+        this.components.peerMessages.onMessage(event.message);
         break;
       case 'peerConnection':
-        if (event.isUp) this.parts.peerMessages.onConnected(event.nodeName);
+        if (event.isUp) this.components.peerMessages.onConnected(event.nodeName);
         break;
     }
   }
 
   private flush(): void {
-    this.parts.shardOwner.flush();
-    this.parts.leadership.scheduler?.flush();
+    this.components.shardOwner.flush();
+    this.components.leadership.scheduler?.flush();
   }
 
   private tick(): void {
     const now = this.options.clock.now();
-    const { lease, election, assignment, machineTypes, leadership } = this.parts;
-    const { coordinator, images, peerHeartbeats } = this.parts;
+    const { lease, election, assignment, machineTypes, leadership } = this.components;
+    const { coordinator, images, peerHeartbeats } = this.components;
     lease.renew(now);
     election.campaignIfVacant(now);
     election.deleteStaleRecord(now);
@@ -143,7 +143,7 @@
    * Returns whether a recently heard peer's last store contact is over `lagMs` newer than this controller's.
    */
   private lagsBehindPeers(lagMs: number): boolean {
-    const { peers, storeContact } = this.parts;
+    const { peers, storeContact } = this.components;
     return peers.hasPeerWithStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
   }
 }
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -14,7 +14,7 @@
 const MIN_CAMPAIGN_INTERVAL_MS = 300;
 const CAMPAIGN_JITTER_MS = 300;
 /**
- * Once the leader record is gone, each controller waits for a random time below the first value before it
+ * Once the leader record is deleted, each controller waits for a random time below the first value before it
  * campaigns, and checks after the second whether to campaign.
  */
 const FIRST_CAMPAIGN_JITTER_MS = 100;
@@ -69,7 +69,7 @@
     const { records, lease, leadership, instanceId } = this.options;
     const current = records.leader();
     if (!current) {
-      this.onLeaderGone();
+      this.onLeaderRecordDeleted();
       return;
     }
     const { record, modRevision } = current;
@@ -133,7 +133,7 @@
     this.campaign(leadership.leaderRecordRevision, reason);
   }
 
-  private onLeaderGone(): void {
+  private onLeaderRecordDeleted(): void {
     const { leadership, clock, queue } = this.options;
     leadership.stepDown('leader record gone');
     // Randomized so that the controllers do not all campaign at the same time.
@@ -169,14 +169,14 @@
     );
   }
 
-  private deleteLeaderRecord(modRevision: number, onAnswered: () => void): void {
+  private deleteLeaderRecord(modRevision: number, onFinished: () => void): void {
     this.options.store.compareAndSwap(
       {
         preconditions: [{ key: LEADER_KEY, modRevision }],
         operations: [{ type: 'delete', key: LEADER_KEY }],
       },
       URGENCY.lease,
-      onAnswered,
+      onFinished,
     );
   }
 }
--- a/src/controller/queued-ports.ts
+++ b/src/controller/queued-ports.ts
@@ -10,7 +10,7 @@
     listMachineTypes: (callback) => cloud.listMachineTypes(queue.asEvent(callback)),
     rentMachines: (request, callback) => cloud.rentMachines(request, queue.asEvent(callback)),
     deleteMachines: (names, callback) => cloud.deleteMachines(names, queue.asEvent(callback)),
-    listMachines: (since, callback) => cloud.listMachines(since, queue.asEvent(callback)),
+    listMachines: (afterName, callback) => cloud.listMachines(afterName, queue.asEvent(callback)),
   };
 }
 
--- a/src/controller/store-contact.ts
+++ b/src/controller/store-contact.ts
@@ -1,4 +1,4 @@
-/** Tracks the last contact with the key-value store: when the latest request that it answered was sent. */
+/** Tracks the last contact with the key-value store: when the latest request with a response was sent. */
 
 import type { Clock } from '../model/clock.js';
 import type { KeyValueStore } from '../model/key-value-store.js';
@@ -22,7 +22,7 @@
     this.lastContactAtMs = clock.now() - INITIAL_CONTACT_AGE_MS;
   }
 
-  /** When the latest request that the store has answered was sent, on this controller's clock. */
+  /** When the latest request to which the store has responded was sent, on this controller's clock. */
   get lastContactAt(): number {
     return this.lastContactAtMs;
   }
@@ -42,7 +42,8 @@
       grantLease: (ttlMs, callback) => store.grantLease(ttlMs, this.recordingContact(callback)),
       keepLeaseAlive: (leaseId, callback) => store.keepLeaseAlive(leaseId, this.recordingContact(callback)),
       revokeLease: (leaseId, callback) => store.revokeLease(leaseId, this.recordingContact(callback)),
-      // A watch that waits may be answered long after it was sent, which does not prove recent contact.
+      // The response to a watch that waits may arrive long after the watch was sent, which does not prove
+      // recent contact.
       watch: (request, callback) =>
         store.watch(
           request,
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Answers to workers' heartbeats: from the scheduler on the leader, a redirect to the leader elsewhere. */
+/** Responses to workers' heartbeats: from the scheduler on the leader, a redirect to the leader elsewhere. */
 
 import { allowsLeaseRenewal, renewalWindowMs } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
@@ -24,20 +24,20 @@
   coordinator: CancellationCoordinator;
 }
 
-/** Answers workers, and records which machines were redirected to the leader. */
+/** Responds to workers, and records which machines were redirected to the leader. */
 export class WorkerHeartbeats {
   private readonly redirectedMachines = new Set<string>();
 
   constructor(private readonly options: WorkerHeartbeatsOptions) {}
 
-  /** Handles a heartbeat synchronously, because the answer contains the worker's commands. */
+  /** Handles a heartbeat synchronously, because the response contains the worker's commands. */
   handle(heartbeat: Heartbeat): HeartbeatResult {
     const { scheduler } = this.options.leadership;
-    if (!scheduler) return this.answerAsFollower(heartbeat);
+    if (!scheduler) return this.respondAsFollower(heartbeat);
     const commands = scheduler.handleHeartbeat(heartbeat);
     // The heartbeat contained a higher fencing token, so this controller has stepped down.
     if (commands === null) return this.handle(heartbeat);
-    if (commands === 'later') return { type: 'unavailable' };
+    if (commands === 'unavailable') return { type: 'unavailable' };
     return { type: 'accepted', fencingToken: scheduler.fencingToken, commands };
   }
 
@@ -48,7 +48,7 @@
     return machines;
   }
 
-  private answerAsFollower(heartbeat: Heartbeat): HeartbeatResult {
+  private respondAsFollower(heartbeat: Heartbeat): HeartbeatResult {
     const { leadership, peers, nodeName, clock } = this.options;
     const { leader } = leadership;
     if (this.mayRenewWhileIsolated(heartbeat, clock.now()))
@@ -72,7 +72,7 @@
   private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, coordinator, workerTiming } = this.options;
     if (heartbeat.fencingToken > leadership.leader.fencingToken || !this.isIsolated(now)) return false;
-    return allowsLeaseRenewal(coordinator.inheritedCoverage, {
+    return allowsLeaseRenewal(coordinator.latestCoverage, {
       machine: heartbeat.machine,
       now,
       windowMs: renewalWindowMs(workerTiming),
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -71,7 +71,7 @@
 }
 
 /** A lease renewal to be checked. `windowMs` is the maximum age of the coverage. */
-export interface LeaseRenewal {
+export interface LeaseRenewalCheck {
   machine: string;
   now: number;
   windowMs: number;
@@ -80,7 +80,7 @@
 /** Returns whether the coverage allows renewing the machine's lease without sending it any stop command. */
 export function allowsLeaseRenewal(
   coverage: CancellationCoverage | null,
-  { machine, now, windowMs }: LeaseRenewal,
+  { machine, now, windowMs }: LeaseRenewalCheck,
 ): boolean {
   return (
     coverage !== null &&
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -61,7 +61,7 @@
 }
 
 /** All matching changes up to a store revision. */
-export interface WatchReply {
+export interface WatchResponse {
   storeRevision: number;
   events: WatchEvent[];
 }
@@ -95,5 +95,5 @@
    * Waits for changes. Fails as `notFound` if the store no longer keeps all changes since that revision; the
    * keys must then be listed again.
    */
-  watch(request: WatchRequest, callback: ResultCallback<WatchReply>): void;
+  watch(request: WatchRequest, callback: ResultCallback<WatchResponse>): void;
 }
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -12,7 +12,9 @@
   key: string;
   /** `hold`: granted, but its owner has not yet reported a stored placement. */
   desiredState: PlacementSpec['desiredState'] | 'hold';
-  /** Sequence of the heartbeat whose answer carried its start, until a later heartbeat arrives; -1: none. */
+  /**
+   * Sequence of the heartbeat whose response carried its start, until a later heartbeat arrives; -1: none.
+   */
   startHeartbeatSequence: number;
   /** Whether a direct command that starts it is in flight. */
   isDirectStartInFlight: boolean;
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -298,7 +298,7 @@
       services: this.totals.services,
       serviceCpus: this.totals.serviceCpus,
       queuedTasks: queued,
-      queuedCpus: queuedCpus,
+      queuedCpus,
       runningBatchTasks: this.totals.batchTasks,
       machines: this.machines.size,
       heartbeatIntervalSeconds: this.options.workerTiming.heartbeatIntervalSeconds,
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Detects failed machines, and distinguishes them from machines that are only unreachable. Missing heartbeats
- * alone are no proof of a failure: whether peers hear of a machine, whether its whole zone is silent, and how
- * many machines are unresponsive at once decide if a machine is deleted, if it is kept until its lease
+ * alone are no proof of a failure: whether peers hear from a machine, whether its whole zone is silent, and
+ * how many machines are unresponsive at once decide if a machine is deleted, if it is kept until its lease
  * expires, or if this controller is the one that is partitioned.
  */
 
@@ -15,8 +15,10 @@
 const PROBE_MARGIN_MS = 1000;
 /** Minimum interval between two probes of a machine. */
 const PROBE_INTERVAL_MS = 2000;
-/** Consecutive missed answers from which a machine counts as unresponsive although its heartbeats arrive. */
-const MISSED_ANSWERS_THRESHOLD = 2;
+/**
+ * Consecutive missed responses from which a machine counts as unresponsive although its heartbeats arrive.
+ */
+const MISSED_RESPONSES_THRESHOLD = 2;
 /** Time after a lease expires in which the worker may still be ending its tasks. */
 const LEASE_EXPIRY_GRACE_MS = 5000;
 /** Tolerance for a redirect by a peer just before the machine reached this controller. */
@@ -35,16 +37,16 @@
 /** Share of the unresponsive machines that peers may have redirected if the machines are at fault. */
 const MAX_REDIRECTED_SHARE = 0.1;
 
-/** Actions of the failure detector, which other parts of the scheduler implement. */
+/** Actions of the failure detector, which other components of the scheduler implement. */
 export interface FailureActions {
-  /** Sends a direct command to a worker, whose answer shows that it can be reached. */
+  /** Sends a direct command to a worker, whose response shows that it can be reached. */
   probe(machine: Machine): void;
-  remove(machine: Machine, reason: string): void;
+  deleteMachine(machine: Machine, reason: string): void;
   /**
    * Whether an unreachable machine is kept for now, because its replicas would find no capacity elsewhere or
    * its zone is partitioned.
    */
-  keepsUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean;
+  shouldKeepUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean;
 }
 
 /** Machines of one zone. */
@@ -58,7 +60,7 @@
 interface LivenessSummary {
   readonly now: number;
   machines: number;
-  /** Machines with a recent heartbeat, except those that do not receive the answers. */
+  /** Machines with a recent heartbeat, except those that do not receive the responses. */
   live: number;
   /** Machines without a recent heartbeat that answer direct commands. */
   answering: number;
@@ -100,7 +102,7 @@
 
   /**
    * Probes unresponsive machines and later deletes them, unless this controller may be at fault or
-   * {@link FailureActions.keepsUnreachable} keeps them.
+   * {@link FailureActions.shouldKeepUnreachable} applies to them.
    */
   check(now: number): void {
     const summary: LivenessSummary = {
@@ -125,7 +127,7 @@
     // Only heartbeats renew leases: a machine that only answers direct commands loses its lease.
     const lastRenewalAt = lastPossibleLeaseRenewalAt(machine);
     const unresponsiveMs = this.unresponsiveMs(machine, lastRenewalAt, now);
-    if (machine.missedAnswers.count === 1) this.probe(machine, now);
+    if (machine.missedResponses.count === 1) this.probe(machine, now);
     if (unresponsiveMs < this.probeAfterMs) {
       summary.live++;
       return;
@@ -148,10 +150,10 @@
   }
 
   private unresponsiveMs(machine: Machine, lastRenewalAt: number, now: number): number {
-    // A machine that does not receive answers counts as unresponsive from the first missed answer on.
+    // A machine that does not receive responses counts as unresponsive from the first missed response on.
     const lastAliveAt =
-      machine.missedAnswers.count >= MISSED_ANSWERS_THRESHOLD
-        ? Math.min(lastRenewalAt, machine.missedAnswers.since)
+      machine.missedResponses.count >= MISSED_RESPONSES_THRESHOLD
+        ? Math.min(lastRenewalAt, machine.missedResponses.since)
         : lastRenewalAt;
     // Workers need some time to find a new leader.
     return now - Math.max(lastAliveAt, this.state.startedAt + this.heartbeatIntervalMs);
@@ -184,7 +186,7 @@
       this.selfSuspectedSince = 0;
       return;
     }
-    if (this.areMachinesAtFault(summary)) this.removeUnlessKept(expired, now);
+    if (this.areMachinesAtFault(summary)) this.deleteUnlessKept(expired, now);
     else this.suspectSelf(summary);
   }
 
@@ -194,16 +196,16 @@
       overdue > Math.max(MAX_INDEPENDENT_FAILURES, machines * this.state.policy.maxUnresponsiveShare) &&
       live < overdue;
     if (!isMany) return true;
-    // This controller still receives heartbeats, and reachable peers have redirected hardly any of the
+    // This controller still receives heartbeats, and recently heard peers have redirected hardly any of the
     // unresponsive machines, so the machines are at fault.
-    return live > 0 && this.options.reachablePeers() > 0 && redirected < overdue * MAX_REDIRECTED_SHARE;
+    return live > 0 && this.options.recentlyHeardPeers() > 0 && redirected < overdue * MAX_REDIRECTED_SHARE;
   }
 
-  private removeUnlessKept(machines: readonly Machine[], now: number): void {
+  private deleteUnlessKept(machines: readonly Machine[], now: number): void {
     const capacities = this.state.preemptibleCapacities(now);
     for (const machine of machines)
-      if (!this.actions.keepsUnreachable(machine, capacities, now))
-        this.actions.remove(machine, 'unresponsive');
+      if (!this.actions.shouldKeepUnreachable(machine, capacities, now))
+        this.actions.deleteMachine(machine, 'unresponsive');
   }
 
   private suspectSelf({ now, machines, live, answering, redirected, expired }: LivenessSummary): void {
@@ -222,11 +224,11 @@
       this.options.resign('no heartbeats from any machine');
       return;
     }
-    // Machines whose lease has expired are removed all the same: their tasks have ended in any case.
+    // Machines whose lease has expired are deleted all the same: their tasks have ended in any case.
     for (const machine of expired) {
       const lastAliveAt = Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
       if (now - lastAliveAt > this.leaseMs + LEASE_EXPIRY_GRACE_MS)
-        this.actions.remove(machine, 'unresponsive past its lease');
+        this.actions.deleteMachine(machine, 'unresponsive past its lease');
     }
   }
 
--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -11,7 +11,7 @@
   batchCpus: number;
 }
 
-/** Groups the machines by `type/zone`, and by `type/zone/spot` for spot instances. */
+/** Groups the machines by `type/zone`, and by `type/zone/spot` for spot machines. */
 export function fleetComposition(state: ClusterState): Record<string, FleetComposition> {
   const byKind: Record<string, FleetComposition> = {};
   for (const machine of state.machines.values()) {
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -73,10 +73,10 @@
   }
 
   /**
-   * Whether an unreachable machine is kept for its replicas; subtracts what they would use elsewhere from the
+   * Whether to keep an unreachable machine for its replicas; subtracts what they would use elsewhere from the
    * capacities.
    */
-  keepsUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
+  shouldKeepUnreachable(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
     return this.unreachableMachines.shouldKeep(machine, capacities, now);
   }
 
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -36,7 +36,7 @@
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    private readonly parts: { reserve: ServiceReserve; deleteMachine: DeleteMachine },
+    private readonly components: { reserve: ServiceReserve; deleteMachine: DeleteMachine },
   ) {}
 
   /** Returns idle machines that neither unplaced work nor the service reserve needs. */
@@ -47,7 +47,7 @@
     if (idle.size === 0) return;
     this.keepForUnplaced(idle, unplaced);
     this.keepForReserve(idle, now);
-    for (const machine of idle.values()) this.parts.deleteMachine(machine, 'idle');
+    for (const machine of idle.values()) this.components.deleteMachine(machine, 'idle');
   }
 
   /**
@@ -62,7 +62,7 @@
       if (!machine.isUp) this.deleteIfBootFailed(machine, now);
       else if (!isEmpty(machine)) continue;
       else if (machine.isQuarantined || machine.isDraining || machine.evictionDeadline !== null)
-        this.parts.deleteMachine(machine, 'empty and no longer usable');
+        this.components.deleteMachine(machine, 'empty and no longer usable');
       else if (this.isIdleLongEnough(machine, maxIdleMs, now)) idle.set(machine.name, machine);
     }
     return idle;
@@ -78,7 +78,7 @@
     const input = this.state.policyInput();
     const maxIdleMs = new Map<string, number>();
     for (const { name, bootSeconds } of this.state.machineTypes.values())
-      maxIdleMs.set(name, this.options.policy({ ...input, bootSeconds: bootSeconds }).maxIdleSeconds * 1000);
+      maxIdleMs.set(name, this.options.policy({ ...input, bootSeconds }).maxIdleSeconds * 1000);
     return maxIdleMs;
   }
 
@@ -98,7 +98,7 @@
       machine.allocations.size === 0 &&
       now - machine.lastHeardAt > RECENTLY_HEARD_MS
     )
-      this.parts.deleteMachine(machine, 'did not come up in time');
+      this.components.deleteMachine(machine, 'did not come up in time');
   }
 
   private keepForUnplaced(idle: Map<string, Machine>, unplaced: readonly CapacityDemand[]): void {
@@ -117,13 +117,13 @@
     for (const capacity of capacities)
       if (idle.has(capacity.machineName)) capacity.penaltySeconds += IDLE_PENALTY_SECONDS;
     const unreserved = copyCapacities(capacities);
-    for (const demand of this.parts.reserve.warmDemand(now)) keepWarm(idle, unreserved, demand);
-    // Machines kept for their images count towards the reserve as well.
+    for (const demand of this.components.reserve.warmDemand(now)) keepWarm(idle, unreserved, demand);
+    // Machines kept for their images count toward the reserve as well.
     for (const capacity of capacities)
       if (capacity.penaltySeconds >= IDLE_PENALTY_SECONDS && !idle.has(capacity.machineName))
         capacity.penaltySeconds -= IDLE_PENALTY_SECONDS;
     const { scarceZone } = this.state;
-    for (const demand of this.parts.reserve.demand())
+    for (const demand of this.components.reserve.demand())
       fill(capacities, demand, { scarceZone, onPlaced: ({ machineName }) => idle.delete(machineName) });
   }
 }
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -1,4 +1,4 @@
-/** Requests machines from the cloud, and retries requests without an answer. */
+/** Requests machines from the cloud, and retries requests without a response. */
 
 import type { RentalRequest } from '../../model/cloud-provider.js';
 import type { Result } from '../../model/result.js';
@@ -8,12 +8,12 @@
 import type { Rental } from './rental-planner.js';
 
 /**
- * Maximum attempts for a rental without an answer, and the step by which the delay before each retry grows.
+ * Maximum attempts for a rental without a response, and the step by which the delay before each retry grows.
  */
 const MAX_ATTEMPTS = 6;
 const RETRY_DELAY_STEP_MS = 1000;
 
-/** Rents machines, and tracks the rentals that are still without an answer. */
+/** Rents machines, and tracks the rentals that are still without a response. */
 export class MachineRenter {
   private readonly inFlight = new Map<string, Rental>();
   private claimCount = 0;
@@ -30,7 +30,7 @@
     this.call({ claim, ...rental }, 1);
   }
 
-  /** Returns the capacities that rentals without an answer may add. */
+  /** Returns the capacities that rentals without a response may add. */
   requestedCapacities(): FreeCapacity[] {
     const capacities: FreeCapacity[] = [];
     for (const { machineType, zone, isSpot, count } of this.inFlight.values()) {
@@ -44,13 +44,13 @@
 
   private call(request: RentalRequest, attempt: number): void {
     this.options.cloud.rentMachines(request, (result) => {
-      this.onAnswer(request, result, attempt);
+      this.onResult(request, result, attempt);
       this.state.isDirty = true;
       this.options.wake();
     });
   }
 
-  private onAnswer(request: RentalRequest, result: Result<string[]>, attempt: number): void {
+  private onResult(request: RentalRequest, result: Result<string[]>, attempt: number): void {
     const { claim } = request;
     if (result.ok) {
       this.inFlight.delete(claim);
@@ -69,7 +69,7 @@
     for (const name of names) {
       if (this.state.deletedMachines.has(name)) continue;
       const machine = this.state.getOrCreateMachine(name);
-      // The worker's first heartbeat or the cloud's list arrived before this answer.
+      // The worker's first heartbeat or the cloud's list arrived before this response.
       if (machine.machineType !== '') continue;
       machine.machineType = machineType;
       machine.zone = zone;
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -93,7 +93,7 @@
 }
 
 /**
- * Values of `isSpot` to consider. Spot instances come first, so that they win over on-demand machines of
+ * Values of `isSpot` to consider. Spot machines come first, so that they win over on-demand machines of
  * equal cost.
  */
 function spotChoices(request: ResourceRequest): readonly boolean[] {
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -55,8 +55,8 @@
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
     const demands: CapacityDemand[] = [];
-    for (const { request, recordedAt: at } of this.state.serviceProfiles.values()) {
-      if (now - at > MAX_PROFILE_AGE_MS) continue;
+    for (const { request, recordedAt } of this.state.serviceProfiles.values()) {
+      if (now - recordedAt > MAX_PROFILE_AGE_MS) continue;
       const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.services);
       const count = Math.max(1, Math.ceil(this.state.policy.reserveReplicas * share));
       demands.push({ request, count });
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -1,11 +1,11 @@
-/** Requests spot instances to replace on-demand machines that run batch work. */
+/** Requests spot machines to replace on-demand machines that run batch work. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { CapacityDemand } from '../placement/free-capacity.js';
 
 /**
- * Demand for spot instances in place of the on-demand machines that run only batch work. Once spot instances
+ * Demand for spot machines in place of the on-demand machines that run only batch work. Once spot machines
  * are available, the work moves to them task by task and the on-demand machines become idle.
  */
 export function spotReplacementDemand(state: ClusterState, now: number): CapacityDemand[] {
@@ -25,7 +25,7 @@
 }
 
 /**
- * CPUs of batch work on the on-demand machines that could be replaced, less what is free on spot instances.
+ * CPUs of batch work on the on-demand machines that could be replaced, less what is free on spot machines.
  */
 function replaceableCpus(state: ClusterState, now: number): number {
   let cpus = 0;
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -32,13 +32,13 @@
   shouldKeep(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
     this.replicasToReplace.delete(machine.name);
     const { leaseSeconds, cancellationSeconds } = this.options.workerTiming;
-    const silentMs = now - Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
+    const unresponsiveMs = now - Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
     // In a partitioned zone a controller inside the zone may keep replicas alive, and they could not be
     // placed elsewhere. Until `cancellationSeconds` are over and they are dead in any case, deleting their
     // machine would only end them.
     if (!machine.isSpot && machine.totals.replicas > 0 && this.state.partitionedZones.has(machine.zone))
-      return silentMs <= cancellationSeconds * 1000;
-    if (machine.isSpot || silentMs > leaseSeconds * 1000) return false;
+      return unresponsiveMs <= cancellationSeconds * 1000;
+    if (machine.isSpot || unresponsiveMs > leaseSeconds * 1000) return false;
     const unplaced = this.replicasOn(machine).filter(
       (demand) => fill(capacities, demand, { scarceZone: null }) > 0,
     );
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -125,7 +125,7 @@
   const offer = cheapestOffer(pricing, request, count);
   const offerStartupSeconds = offer ? startupSeconds(offer.type, request) : 0;
   const margin = (request.objectiveSeconds ?? 0) * OBJECTIVE_MARGIN_SHARE;
-  // An on-demand machine costs several times as much as a spot instance: it is rented only when the objective
+  // An on-demand machine costs several times as much as a spot machine: it is rented only when the objective
   // itself is at risk. In both cases there must be time left to rent if waiting fails.
   const spareSeconds =
     offer && !offer.isSpot && request.slackSeconds !== null
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -1,17 +1,17 @@
-/** A rented machine as the leader knows it: its worker's reports, its allocations, and its commands. */
+/** A rented machine as the leader knows it: its worker's heartbeats, its allocations, and its commands. */
 
 import type { Heartbeat, TaskStatus } from '../model/worker-messages.js';
 import type { Allocation } from './allocation.js';
 import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
 import { emptyTotals, type MachineTotals } from './machine-totals.js';
 
-/** State of the commands sent to a worker directly instead of in the answer to a heartbeat. Times in ms. */
+/** State of the commands sent to a worker directly instead of in the response to a heartbeat. Times in ms. */
 export interface DirectCommandState {
   inFlight: boolean;
   lastSentAt: number;
-  /** Consecutive calls without an answer. */
+  /** Consecutive calls without a response. */
   failures: number;
-  /** Starts that were not answered and may still arrive: the token they were sent under, by task key. */
+  /** Starts that got no response and may still arrive: the token they were sent under, by task key. */
   indeterminateStarts: Map<string, number>;
   /** When the first of the present `indeterminateStarts` was added. */
   indeterminateSince: number;
@@ -19,8 +19,8 @@
   startedAttempts: Set<string>;
 }
 
-/** Consecutive heartbeats that show that the answers to earlier ones did not arrive. Time in ms. */
-export interface MissedAnswers {
+/** Consecutive heartbeats that show that the responses to earlier ones did not arrive. Time in ms. */
+export interface MissedResponses {
   count: number;
   since: number;
 }
@@ -40,29 +40,29 @@
   zone: string;
   isSpot: boolean;
   workerEpoch: number;
-  /** Sequence of the newest message: a heartbeat, or the answer to a direct command. */
+  /** Sequence of the newest message: a heartbeat, or the response to a direct command. */
   sequence: number;
-  /** Sequence of the newest heartbeat, without answers to direct commands. */
+  /** Sequence of the newest heartbeat, without responses to direct commands. */
   heartbeatSequence: number;
   /** The highest fencing token that its worker has reported. */
   fencingToken: number;
-  /** When the last heartbeat or answer to a direct command arrived. */
+  /** When the last heartbeat or response to a direct command arrived. */
   lastHeardAt: number;
   lastHeartbeatAt: number;
   /** When this leader first saw the machine up. */
   upSince: number;
-  /** Whether the answer to its last heartbeat renewed its lease. */
+  /** Whether the response to its last heartbeat renewed its lease. */
   wasLeaseRenewed: boolean;
   /** When a peer last reported that it had redirected this machine. */
   redirectedAt: number;
   isUp: boolean;
   /** Whether its worker has reported this leader's token, so that its state is not from a late copy. */
   hasCurrentToken: boolean;
-  missedAnswers: MissedAnswers;
+  missedResponses: MissedResponses;
   rentedAt: number;
   /** Whether the cloud lists it as running, even if its worker has not reported yet. */
   isListedAsRunning: boolean;
-  /** When the cloud takes the machine away; null: it has given no notice. */
+  /** When the cloud reclaims the machine; null: no eviction notice. */
   evictionDeadline: number | null;
   /** Allocations by key, grants included. */
   allocations: Map<string, Allocation>;
@@ -110,7 +110,7 @@
     redirectedAt: Number.NEGATIVE_INFINITY,
     isUp: false,
     hasCurrentToken: false,
-    missedAnswers: { count: 0, since: 0 },
+    missedResponses: { count: 0, since: 0 },
     rentedAt: now,
     isListedAsRunning: false,
     evictionDeadline: null,
--- a/src/scheduler/owners/placement-intake.ts
+++ b/src/scheduler/owners/placement-handler.ts
@@ -10,7 +10,7 @@
 import type { AllocationEvents } from './allocation-events.js';
 
 /** Creates and updates the allocations of reported placements. */
-export class PlacementIntake {
+export class PlacementHandler {
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
@@ -86,7 +86,7 @@
   }
 }
 
-/** Whether an attempt to be forgotten is gone: its worker does not list it, and no start is in flight. */
+/** Whether a worker has forgotten an attempt: it does not list the attempt, and no start is in flight. */
 function isForgotten(machine: Machine, allocation: Allocation): boolean {
   return (
     allocation.desiredState === 'forget' &&
--- a/src/scheduler/owners/shard-owner-intake.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -7,28 +7,28 @@
 import type { PlacementEngine } from '../placement/placement-engine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { AllocationEvents } from './allocation-events.js';
-import type { PlacementIntake } from './placement-intake.js';
+import type { PlacementHandler } from './placement-handler.js';
 import { SyncAssembly, type SyncChunk } from './sync-assembly.js';
 
 /** Interval at which missing full syncs are requested again. */
 const SYNC_REQUEST_INTERVAL_MS = 1500;
-/** Pause without grants for a job whose owner released one unused: its request is about to change. */
+/** How long a job gets no grants after its owner declined one: its request is about to change. */
 const DECLINED_PAUSE_MS = 300;
 
 type CoverageMessage = Extract<ShardMessage, { type: 'cancellationCoverage' }>;
 type ReleaseMessage = Extract<ShardMessage, { type: 'release' }>;
 
 /** Applies shard owners' messages to the cluster state, and requests a full sync if messages were lost. */
-export class ShardOwnerIntake {
+export class ShardOwnerHandler {
   private readonly syncAssembly = new SyncAssembly();
   private nextSyncRequestAt = 0;
 
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    private readonly parts: {
+    private readonly components: {
       readonly events: AllocationEvents;
-      readonly placements: PlacementIntake;
+      readonly placementHandler: PlacementHandler;
       readonly engine: PlacementEngine;
     },
   ) {}
@@ -91,13 +91,13 @@
       case 'fullSync':
         return this.handleSyncChunk(message);
       case 'resourceRequests':
-        this.parts.engine.setRequests(message.instanceId, message.requests);
+        this.components.engine.setRequests(message.instanceId, message.requests);
         return true;
       case 'placements':
         this.state.leaseRenewal.watermarks.onPlacementMessage(message.instanceId);
         for (const placement of message.placements)
           if (this.state.isCurrentOwner(message.instanceId, placement.team))
-            this.parts.placements.apply(placement);
+            this.components.placementHandler.apply(placement);
         return true;
       case 'release':
         this.release(message);
@@ -120,7 +120,7 @@
       case 'complete':
         this.state.leaseRenewal.watermarks.onFullSyncApplied(instanceId, syncNumber);
         this.applyFullSync(chunk, result.placements);
-        this.parts.engine.setRequests(instanceId, chunk.requests);
+        this.components.engine.setRequests(instanceId, chunk.requests);
         return true;
     }
   }
@@ -136,7 +136,7 @@
     this.removeUnlisted(teams, placements);
     for (const placement of placements) {
       if (!teams.has(placement.team)) continue;
-      const allocation = this.parts.placements.apply(placement);
+      const allocation = this.components.placementHandler.apply(placement);
       if (allocation) allocation.lastSentStatusKey = '';
     }
     const { fencingToken } = this.state;
@@ -148,7 +148,7 @@
     });
     for (const machine of this.state.machines.values())
       for (const allocation of machine.allocations.values())
-        if (teams.has(allocation.team)) this.parts.events.emitStatus(machine, allocation);
+        if (teams.has(allocation.team)) this.components.events.emitStatus(machine, allocation);
   }
 
   /** Marks the teams that the sender owns under the epochs it names as synced, and returns them. */
@@ -209,7 +209,7 @@
     const until = this.options.clock.now() + DECLINED_PAUSE_MS;
     for (const id of grants) {
       const allocation = this.state.allocationOfGrant(id);
-      if (allocation) this.parts.engine.declinedUntil.set(allocation.jobId, until);
+      if (allocation) this.components.engine.declinedUntil.set(allocation.jobId, until);
     }
     this.state.removeGrants(grants);
   }
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -39,7 +39,8 @@
 
   /** Drops the entries of jobs that no longer wait, and publishes the blocking machines to `ClusterState`. */
   endPass(waitingJobs: ReadonlySet<string>): void {
-    for (const job of this.blockedSince.keys()) if (!waitingJobs.has(job)) this.blockedSince.delete(job);
+    for (const jobId of this.blockedSince.keys())
+      if (!waitingJobs.has(jobId)) this.blockedSince.delete(jobId);
     this.state.blockingMachines = this.blockingMachines;
   }
 
@@ -63,12 +64,12 @@
     for (let round = 0; round < MAX_MATCHING_ROUNDS; round++) {
       const chosen = choose();
       if (!chosen) return null;
-      const { unassignedSlots: without } = assignTasks(
+      const { unassignedSlots: unassigned } = assignTasks(
         taskIndices(count),
         this.refusedTasks(chosen, request.jobId),
       );
-      if (without.length === 0) return chosen;
-      const unassignedSlots = new Set(without);
+      if (unassigned.length === 0) return chosen;
+      const unassignedSlots = new Set(unassigned);
       chosen.forEach(({ machineName }, slot) => {
         if (unassignedSlots.has(slot)) excludedMachines.add(machineName);
       });
@@ -79,9 +80,9 @@
   }
 
   /** For each capacity, the tasks of the job that its machine would refuse. */
-  private refusedTasks(capacities: FreeCapacity[], job: string): (ReadonlySet<number> | undefined)[] {
+  private refusedTasks(capacities: FreeCapacity[], jobId: string): (ReadonlySet<number> | undefined)[] {
     return capacities.map(
-      (capacity) => this.state.machines.get(capacity.machineName)?.endedTasks.get(job)?.tasks,
+      (capacity) => this.state.machines.get(capacity.machineName)?.endedTasks.get(jobId)?.tasks,
     );
   }
 
@@ -106,8 +107,8 @@
   }
 
   /** Handles the placement of at least one task of a job: ended attempts no longer block it. */
-  onPlaced(job: string): void {
-    this.blockedSince.delete(job);
+  onPlaced(jobId: string): void {
+    this.blockedSince.delete(jobId);
   }
 
   private findBlockingMachines({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -31,7 +31,7 @@
 }
 
 /**
- * Whether a machine meets the request's constraints on spot instances, machine types and zones, whatever is
+ * Whether a machine meets the request's constraints on spot machines, machine types and zones, whatever is
  * free on it.
  */
 export function isAllowed(offer: MachineOffer, request: ResourceRequest): boolean {
@@ -54,7 +54,7 @@
   return request.avoidedMachines.length > 0 || request.refusingMachines !== undefined;
 }
 
-/** Whether a request is batch work that may use spot instances and has time to wait for one. */
+/** Whether a request is batch work that may use spot machines and has time to wait for one. */
 export function canWaitForSpot(request: ResourceRequest): boolean {
   return request.spotAllowed && !request.isService && (request.maxWaitSeconds ?? 0) > 0;
 }
@@ -86,7 +86,7 @@
     request.zone === null
   )
     return true;
-  // Work that can wait for spot instances stays off surplus machines, so that they become empty and can be
+  // Work that can wait for spot machines stays off surplus machines, so that they become empty and can be
   // returned.
   return capacity.isSurplus && canWaitForSpot(request);
 }
--- a/src/scheduler/placement/capacity-score.ts
+++ b/src/scheduler/placement/capacity-score.ts
@@ -12,7 +12,7 @@
 const CACHED_IMAGE_PENALTY_SECONDS = 0.1;
 /** Bonus for the machine on which a task of the job last finished. */
 const PREFERRED_MACHINE_BONUS_SECONDS = 1;
-/** Penalty for an on-demand machine if the request may use spot instances. */
+/** Penalty for an on-demand machine if the request may use spot machines. */
 const ON_DEMAND_PENALTY_SECONDS = 4;
 /** Penalty for an on-demand machine of the scarce zone if the job need not be spread over zones. */
 const SCARCE_ZONE_PENALTY_SECONDS = 6;
@@ -27,7 +27,7 @@
   // Replicas leave machines that hold many images to later requests.
   if (request.isService && capacity.images) seconds += CACHED_IMAGE_PENALTY_SECONDS * capacity.images.size;
   if (request.preferredMachine === capacity.machineName) seconds -= PREFERRED_MACHINE_BONUS_SECONDS;
-  // Work that may use spot instances leaves the on-demand machines to work that may not.
+  // Work that may use spot machines leaves the on-demand machines to work that may not.
   if (request.spotAllowed && !capacity.isSpot) seconds += ON_DEMAND_PENALTY_SECONDS;
   if (scarceZone === capacity.zone && !capacity.isSpot && !request.zoneAllowance)
     seconds += SCARCE_ZONE_PENALTY_SECONDS;
--- a/src/scheduler/placement/fill-tasks.ts
+++ b/src/scheduler/placement/fill-tasks.ts
@@ -62,7 +62,7 @@
   /**
    * Limits on the tasks per machine, tried in turn. Replicas of a job are spread over several machines: fewer
    * are lost with a machine, and more machines hold the image for the next replicas. The service reserve,
-   * which has no job ID, is not spread.
+   * which has no job id, is not spread.
    */
   private limitsPerMachine(): number[] {
     if (!this.request.isService || this.request.jobId === '') return [this.count];
--- a/src/scheduler/placement/free-capacity.ts
+++ b/src/scheduler/placement/free-capacity.ts
@@ -29,7 +29,7 @@
   reservation: { jobId: string; priority: number } | null;
   /**
    * An on-demand machine without service replicas and outside the service reserve, while there is no shortage
-   * of capacity: work that can wait for spot instances stays off it, so that it can be returned.
+   * of capacity: work that can wait for spot machines stays off it, so that it can be returned.
    */
   isSurplus: boolean;
 }
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -45,7 +45,7 @@
    * `ClusterState`, so that they are not returned as idle.
    */
   endPass(waitingJobs: ReadonlySet<string>): void {
-    for (const job of this.zoneChoices.keys()) if (!waitingJobs.has(job)) this.zoneChoices.delete(job);
+    for (const jobId of this.zoneChoices.keys()) if (!waitingJobs.has(jobId)) this.zoneChoices.delete(jobId);
     this.state.machinesReservedForGangs = new Set(this.machinesForGangs);
   }
 
--- a/src/scheduler/placement/job-condition-times.ts
+++ b/src/scheduler/placement/job-condition-times.ts
@@ -1,6 +1,6 @@
 /** Start times of a condition, by job. */
 
-/** Records since when a condition has held for each job, in milliseconds of the clock. */
+/** Records since when a condition has held for each job, in monotonic ms. */
 export class JobConditionTimes {
   private readonly since = new Map<string, number>();
 
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -23,7 +23,7 @@
 
 /** Runs placement passes and keeps the state that they share. */
 export class PlacementEngine {
-  /** Until when jobs whose shard owner has declined grants get no new ones, in milliseconds of the clock. */
+  /** Until when jobs whose shard owner has declined grants get no new ones, in monotonic ms. */
   readonly declinedUntil = new Map<string, number>();
   private readonly context: PlacementContext;
   private readonly batchProfiles: BatchProfiles;
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -60,7 +60,8 @@
 
   /** Drops the failed searches of jobs that no longer wait. */
   endPass(waitingJobs: ReadonlySet<string>): void {
-    for (const job of this.lastFailedAt.keys()) if (!waitingJobs.has(job)) this.lastFailedAt.delete(job);
+    for (const jobId of this.lastFailedAt.keys())
+      if (!waitingJobs.has(jobId)) this.lastFailedAt.delete(jobId);
   }
 
   /** Preempts tasks so that up to `count` tasks of a request find capacity. Returns how many of them will. */
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -35,19 +35,19 @@
   holdsLeadership(): boolean;
   /** Sends a message to a shard owner. */
   send(instanceId: string, message: LeaderMessage): void;
-  /** Requests a `flush` of the scheduler. */
+  /** Schedules a call of the scheduler's `flush`. */
   wake(): void;
   /** A worker has reported a higher fencing token, so there is a newer leader. */
   onHigherToken(token: number): void;
-  /** The number of peers heard from recently. */
-  reachablePeers(): number;
-  /** The newest cancellation coverage of any leader; null: none is known. */
-  inheritedCoverage(): CancellationCoverage | null;
+  /** The number of recently heard peers. */
+  recentlyHeardPeers(): number;
+  /** The latest cancellation coverage computed by any leader; null: none is known. */
+  latestCoverage(): CancellationCoverage | null;
   /** Whether a job is known to be stored as cancelled, even if its shard owner has not read that yet. */
   isCancelled(jobId: string): boolean;
   /**
-   * The period in which every cancellation confirmed to a user by any controller is known here; empty if `at`
-   * is before `since`.
+   * The period in which every cancellation confirmed to a user by any controller is known here; empty if
+   * `until` is before `since`.
    */
   knownCancellationPeriod(now: number): { since: number; until: number };
   /** Gives up leadership, because this controller's own network seems to be at fault. */
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -14,12 +14,12 @@
 import { MachineDraining } from './machines/machine-draining.js';
 import { MachineList } from './machines/machine-list.js';
 import { AllocationEvents } from './owners/allocation-events.js';
-import { PlacementIntake } from './owners/placement-intake.js';
-import { ShardOwnerIntake } from './owners/shard-owner-intake.js';
+import { PlacementHandler } from './owners/placement-handler.js';
+import { ShardOwnerHandler } from './owners/shard-owner-handler.js';
 import { PlacementEngine } from './placement/placement-engine.js';
 import type { SchedulerOptions } from './scheduler-options.js';
 import { DirectCommands } from './workers/direct-commands.js';
-import { type HeartbeatAnswer, HeartbeatIntake } from './workers/heartbeat-intake.js';
+import { HeartbeatHandler, type HeartbeatResponse } from './workers/heartbeat-handler.js';
 import { Reconciler } from './workers/reconciler.js';
 import { WorkerCommands } from './workers/worker-commands.js';
 
@@ -41,8 +41,8 @@
   private readonly fleet: FleetManager;
   private readonly failureDetector: FailureDetector;
   private readonly events: AllocationEvents;
-  private readonly owners: ShardOwnerIntake;
-  private readonly heartbeats: HeartbeatIntake;
+  private readonly shardOwnerHandler: ShardOwnerHandler;
+  private readonly heartbeatHandler: HeartbeatHandler;
   private readonly directCommands: DirectCommands;
   private readonly deletion: MachineDeletion;
   private readonly machineList: MachineList;
@@ -56,14 +56,14 @@
     this.state = state;
     this.placement = new PlacementEngine(options, state);
     this.events = new AllocationEvents(options, state);
-    this.owners = new ShardOwnerIntake(options, state, {
+    this.shardOwnerHandler = new ShardOwnerHandler(options, state, {
       events: this.events,
-      placements: new PlacementIntake(options, state, this.events),
+      placementHandler: new PlacementHandler(options, state, this.events),
       engine: this.placement,
     });
     const reconciler = new Reconciler(options, state, this.events);
     const commands = new WorkerCommands(options, state);
-    this.heartbeats = new HeartbeatIntake(options, state, { reconciler, commands });
+    this.heartbeatHandler = new HeartbeatHandler(options, state, { reconciler, commands });
     const deletion = new MachineDeletion(options, state, this.events);
     this.deletion = deletion;
     const directCommands = new DirectCommands(options, state, { commands, reconciler, deletion });
@@ -76,8 +76,9 @@
     });
     this.failureDetector = new FailureDetector(options, state, {
       probe: (machine) => directCommands.probe(machine),
-      remove: (machine, reason) => deletion.delete(machine, reason),
-      keepsUnreachable: (machine, capacities, now) => fleet.keepsUnreachable(machine, capacities, now),
+      deleteMachine: (machine, reason) => deletion.delete(machine, reason),
+      shouldKeepUnreachable: (machine, capacities, now) =>
+        fleet.shouldKeepUnreachable(machine, capacities, now),
     });
     this.draining = new MachineDraining(state);
   }
@@ -101,22 +102,22 @@
 
   /** Updates which instance owns which team, from the stored records. */
   setOwners(records: Map<string, { instanceId: string; shardEpoch: number }>): void {
-    this.owners.setOwners(records);
+    this.shardOwnerHandler.setOwners(records);
   }
 
   /** Ignores a team's present owner from now on, because the team's ownership record is about to change. */
   suspendOwner(team: string): void {
-    this.owners.suspendOwner(team);
+    this.shardOwnerHandler.suspendOwner(team);
   }
 
   /** Requests a full sync from an instance. */
   requestSync(instanceId: string): void {
-    this.owners.requestSync(instanceId);
+    this.shardOwnerHandler.requestSync(instanceId);
   }
 
   /** Handles a message of a shard owner. Messages that were meant for another leader are ignored. */
   onShardMessage(message: ShardMessage): void {
-    if (!this.owners.handle(message)) return;
+    if (!this.shardOwnerHandler.handle(message)) return;
     this.state.isDirty = true;
     this.options.wake();
   }
@@ -125,7 +126,7 @@
    * The age, in ms, of a team's cancellation watermark, or the time since its owner became known if shorter.
    */
   coverageAgeMs(team: string, now: number): number {
-    return this.owners.coverageAgeMs(team, now);
+    return this.shardOwnerHandler.coverageAgeMs(team, now);
   }
 
   // ---- cancellations --------------------------------------------------------------------------------
@@ -147,11 +148,11 @@
   // ---- workers --------------------------------------------------------------------------------------
 
   /**
-   * Handles a worker's heartbeat. Returns null if another leader is active, and `later` if the worker's lease
-   * must not be renewed.
+   * Handles a worker's heartbeat. Returns null if this controller no longer leads, and `unavailable` if the
+   * worker's lease must not be renewed now.
    */
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
-    return this.heartbeats.handle(heartbeat);
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
+    return this.heartbeatHandler.handle(heartbeat);
   }
 
   /** Handles a peer's report of machines that it has redirected. */
@@ -209,7 +210,7 @@
     this.failureDetector.check(now);
     this.directCommands.checkIndeterminateStarts(now);
     this.draining.expireEvictions(now);
-    this.owners.requestMissingSyncs(now);
+    this.shardOwnerHandler.requestMissingSyncs(now);
     this.draining.drain(now);
     this.fleet.consolidate(now);
     this.deletion.flush(now);
--- a/src/scheduler/state/lease-renewal.ts
+++ b/src/scheduler/state/lease-renewal.ts
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Whether this machine's lease may be renewed. The renewing answer also carries the stops of all
+   * Whether this machine's lease may be renewed. The response that renews it also carries the stops of all
    * cancellations before the effective watermarks of the teams with tasks on the machine. Tasks cancelled
    * later end when this lease expires, at the latest, which is within `cancellationSeconds` because the
    * watermarks are recent.
@@ -76,7 +76,7 @@
    * watermark, because the tasks on a machine are not all known until then.
    */
   private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
-    const coverage = this.options.inheritedCoverage();
+    const coverage = this.options.latestCoverage();
     const knownPeriod = this.options.knownCancellationPeriod(now);
     // The jobs cancelled within the known period are known by id: their tasks are stopped when a heartbeat
     // lists them.
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -50,7 +50,7 @@
       machine.directCommands.failures > 0
     )
       return false;
-    if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
+    if (!machine.hasCurrentToken || machine.missedResponses.count > 0) return false;
     // A machine that only answers direct commands is not usable: tasks on it would end with its lease.
     return (
       now - lastPossibleLeaseRenewalAt(machine) <= this.overdueAfterMs * UNUSABLE_AFTER_OVERDUE_PERIODS &&
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -29,7 +29,7 @@
   constructor(
     private readonly options: SchedulerOptions,
     private readonly state: ClusterState,
-    private readonly parts: {
+    private readonly components: {
       readonly commands: WorkerCommands;
       readonly reconciler: Reconciler;
       readonly deletion: MachineDeletion;
@@ -43,15 +43,15 @@
   }
 
   /**
-   * Sends pending commands, unless the last call failed: then the answer to the next heartbeat or a probe
+   * Sends pending commands, unless the last call failed: then the response to the next heartbeat or a probe
    * carries them.
    */
   private send(machine: Machine): void {
     if (!canCall(machine) || machine.directCommands.failures > 0) return;
-    let commands = machine.isUp ? this.parts.commands.commandsFor(machine, null) : [];
+    let commands = machine.isUp ? this.components.commands.commandsFor(machine, null) : [];
     // A stop is safe without leadership: a worker that has seen a later fencing token drops it.
     if (!this.options.holdsLeadership()) commands = commands.filter((command) => command.type === 'stop');
-    // Exited tasks use no capacity: their removal can wait for the next answer or command.
+    // Exited attempts use no capacity: they can be forgotten with the next response or command.
     if (commands.every((command) => command.type === 'forget')) return;
     this.call(machine, commands);
   }
@@ -59,7 +59,7 @@
   /** Calls the worker even if no commands are pending: the call shows whether the worker can be reached. */
   probe(machine: Machine): void {
     if (!canCall(machine) || !this.options.holdsLeadership()) return;
-    this.call(machine, machine.isUp ? this.parts.commands.commandsFor(machine, null) : []);
+    this.call(machine, machine.isUp ? this.components.commands.commandsFor(machine, null) : []);
   }
 
   private call(machine: Machine, commands: WorkerCommand[]): void {
@@ -87,7 +87,7 @@
       this.options.onHigherToken(heartbeat.fencingToken);
       return;
     }
-    if (heartbeat) this.onAnswer(call, heartbeat);
+    if (heartbeat) this.onResponse(call, heartbeat);
     else {
       machine.directCommands.failures++;
       if (call.startKeys.length > 0 && !result.ok)
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Clears the in-flight flags of a call's starts. `isIndeterminate`: the call brought no answer, so its
+   * Clears the in-flight flags of a call's starts. `isIndeterminate`: the call brought no response, so its
    * starts may have been executed or may still arrive, and are recorded as indeterminate.
    */
   private recordStartOutcomes(
@@ -120,20 +120,21 @@
     }
   }
 
-  private onAnswer({ machine, workerEpoch, sequence }: DirectCall, heartbeat: Heartbeat): void {
+  private onResponse({ machine, workerEpoch, sequence }: DirectCall, heartbeat: Heartbeat): void {
     machine.directCommands.failures = 0;
-    machine.missedAnswers.count = 0;
+    machine.missedResponses.count = 0;
     machine.lastHeardAt = this.options.clock.now();
     if (heartbeat.machine !== machine.name) return;
-    // The answer to a call is newer than every status received before the call, unless the worker has lost
+    // The response to a call is newer than every status received before the call, unless the worker has lost
     // its state. Such a worker knows nothing of the tasks placed on it, and its heartbeats would be dropped
     // as stale until its sequence has caught up.
     if (
       heartbeat.workerEpoch < workerEpoch ||
       (heartbeat.workerEpoch === workerEpoch && heartbeat.sequence <= sequence)
     )
-      this.parts.deletion.delete(machine, 'worker lost its state');
-    else if (isNewer(machine, heartbeat)) this.parts.reconciler.reconcileDirectAnswer(machine, heartbeat);
+      this.components.deletion.delete(machine, 'worker lost its state');
+    else if (isNewer(machine, heartbeat))
+      this.components.reconciler.reconcileDirectResponse(machine, heartbeat);
   }
 
   /**
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -22,21 +22,22 @@
     this.taskPhaseTracker = new TaskPhaseTracker(options, state);
   }
 
-  /** Applies a heartbeat. Its worker waits for the answer to it, and for none to an earlier heartbeat. */
+  /** Applies a heartbeat. Its worker waits for the response to it, and for none to an earlier heartbeat. */
   reconcileHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     this.reconcile(machine, heartbeat, heartbeat.sequence);
   }
 
   /**
-   * Applies the status in the answer to a direct command: answers to earlier heartbeats may still be in
+   * Applies the status in the response to a direct command: responses to earlier heartbeats may still be in
    * flight.
    */
-  reconcileDirectAnswer(machine: Machine, status: Heartbeat): void {
+  reconcileDirectResponse(machine: Machine, status: Heartbeat): void {
     this.reconcile(machine, status, -1);
   }
 
   /**
-   * Commands in the answers to heartbeats before `heartbeatSequence` were executed or dropped; -1: not known.
+   * Commands in the responses to heartbeats before `heartbeatSequence` were executed or dropped; -1: not
+   * known.
    */
   private reconcile(machine: Machine, heartbeat: Heartbeat, heartbeatSequence: number): void {
     this.updateMachine(machine, heartbeat);
@@ -97,7 +98,7 @@
     if (allocation.desiredState === 'stop' || (allocation.desiredState === 'run' && !status))
       this.state.machinesToContact.add(machine);
     if (status) {
-      clearAnsweredStart(allocation, heartbeatSequence);
+      clearHandledStart(allocation, heartbeatSequence);
       this.applyStatus(machine, allocation, status);
     } else if (!this.reconcileUnlistedAllocation(machine, allocation, heartbeatSequence)) return;
     this.events.emitStatus(machine, allocation);
@@ -118,7 +119,7 @@
     heartbeatSequence: number,
   ): boolean {
     const isFromEarlierEpoch = machine.workerEpoch > allocation.workerEpoch;
-    if (!isFromEarlierEpoch) clearAnsweredStart(allocation, heartbeatSequence);
+    if (!isFromEarlierEpoch) clearHandledStart(allocation, heartbeatSequence);
     const isStartInFlight = allocation.isDirectStartInFlight || allocation.startHeartbeatSequence >= 0;
     if (allocation.desiredState === 'forget' && (isFromEarlierEpoch || !isStartInFlight)) {
       this.state.removeAllocation(machine, allocation);
@@ -134,9 +135,9 @@
   }
 
   private updateUnknownTasks(machine: Machine): void {
-    const { startedAttempts: started } = machine.directCommands;
-    for (const key of started)
-      if (!machine.tasks.has(key) && !machine.allocations.has(key)) started.delete(key);
+    const { startedAttempts } = machine.directCommands;
+    for (const key of startedAttempts)
+      if (!machine.tasks.has(key) && !machine.allocations.has(key)) startedAttempts.delete(key);
     for (const key of machine.unknownTasks.keys())
       if (!machine.tasks.has(key)) machine.unknownTasks.delete(key);
     const now = this.options.clock.now();
@@ -145,7 +146,7 @@
   }
 }
 
-/** Forgets that an answer carried the allocation's start, once that answer was handled or dropped. */
-function clearAnsweredStart(allocation: Allocation, heartbeatSequence: number): void {
+/** Clears the record of the response that carried the allocation's start, once it was handled or dropped. */
+function clearHandledStart(allocation: Allocation, heartbeatSequence: number): void {
   if (heartbeatSequence > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
 }
--- a/src/scheduler/workers/answer-loss-detector.ts
+++ b/src/scheduler/workers/response-loss-detector.ts
@@ -1,4 +1,4 @@
-/** Detects machines whose heartbeats arrive but that do not receive the answers. */
+/** Detects machines whose heartbeats arrive but that do not receive the responses. */
 
 import type { Heartbeat } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
@@ -6,31 +6,31 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 /**
- * A worker whose lease expires within this share of its length after an answered heartbeat did not receive
- * the renewals that were sent.
+ * A worker whose lease expires within this share of its length after a response to a heartbeat did not
+ * receive the renewals that were sent.
  */
 const EARLY_RESTART_LEASE_SHARE = 0.5;
 /**
- * Missed answers in a row from which the machine counts as unreachable; a single one may have other causes.
+ * Missed responses in a row from which the machine counts as unreachable; a single one may have other causes.
  */
-const MISSED_ANSWERS_TO_LOG = 2;
+const MISSED_RESPONSES_TO_LOG = 2;
 
 /**
  * Detects machines with one-way connectivity. A machine whose heartbeats arrive looks alive even if nothing
- * that is sent to it arrives. An answer counts as missed if a later heartbeat lacks its fencing token or its
- * starts, or if the lease expired although the answer renewed it.
+ * that is sent to it arrives. A response counts as missed if a later heartbeat lacks its fencing token or its
+ * starts, or if the lease expired although the response renewed it.
  */
-export class AnswerLossDetector {
+export class ResponseLossDetector {
   constructor(private readonly options: Pick<SchedulerOptions, 'workerTiming' | 'log' | 'fencingToken'>) {}
 
-  /** Checks a heartbeat that follows one that was answered with a lease renewal. */
+  /** Checks a heartbeat that follows one whose response renewed the lease. */
   check(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.heartbeatSequence < 0) return;
     const evidence = this.deliveryEvidence(machine, heartbeat, now);
-    const { missedAnswers } = machine;
+    const { missedResponses } = machine;
     if (evidence === 'missed') {
-      if (missedAnswers.count++ === 0) missedAnswers.since = now;
-      if (missedAnswers.count === MISSED_ANSWERS_TO_LOG)
+      if (missedResponses.count++ === 0) missedResponses.since = now;
+      if (missedResponses.count === MISSED_RESPONSES_TO_LOG)
         this.options.log.info(
           { machine: machine.name },
           'machine unreachable inbound: it is heard but seems not to hear',
@@ -40,7 +40,7 @@
       (heartbeat.fencingToken === this.options.fencingToken &&
         machine.fencingToken < this.options.fencingToken)
     )
-      missedAnswers.count = 0;
+      missedResponses.count = 0;
   }
 
   private deliveryEvidence(
@@ -58,7 +58,7 @@
 }
 
 /**
- * Checks whether the worker lists the attempts whose starts were sent in answers to its earlier heartbeats.
+ * Checks whether the worker lists the attempts whose starts were sent in responses to its earlier heartbeats.
  */
 function startDeliveryEvidence(machine: Machine, heartbeat: Heartbeat): 'missed' | 'arrived' | 'none' {
   let evidence: 'arrived' | 'none' = 'none';
--- a/src/scheduler/workers/slow-machine-detector.ts
+++ b/src/scheduler/workers/slow-machine-detector.ts
@@ -8,7 +8,7 @@
 const NEWEST_RUN_WEIGHT = 0.3;
 const EARLIER_RUNS_WEIGHT = 0.7;
 /**
- * Runs from which a machine's mean counts towards the median, and from which the machine can be quarantined.
+ * Runs from which a machine's mean counts toward the median, and from which the machine can be quarantined.
  */
 const MIN_RUNS_FOR_MEDIAN = 3;
 const MIN_RUNS_TO_QUARANTINE = 4;
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Determines the commands for a machine's worker: starts, stops, and removal of exited attempts. */
+/** Determines the commands for a machine's worker: starts and stops, and forgets of exited attempts. */
 
 import type { TaskStatus, WorkerCommand } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
@@ -7,12 +7,12 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 const MAX_COMMANDS_PER_MESSAGE = 200;
-/** Exited tasks of a machine that are removed together, and how long one waits for others. */
+/** Exited attempts of a machine that are forgotten together, and how long one waits for others. */
 const FORGET_BATCH_SIZE = 4;
 const MAX_FORGET_DELAY_MS = 20_000;
 /**
- * Listed tasks above which the fencing token is raised, so that exited ones can be removed: a heartbeat holds
- * about 600 tasks.
+ * Listed attempts above which the fencing token is raised, so that exited ones can be forgotten: a heartbeat
+ * holds about 600 attempts.
  */
 const MAX_EXITED_TASKS_LISTED = 300;
 /**
@@ -21,7 +21,7 @@
  */
 const UNKNOWN_TASK_GRACE_MS = 3000;
 
-/** Chooses the commands that the answer to a heartbeat or a direct call carries. */
+/** Chooses the commands that the response to a heartbeat or a direct call carries. */
 export class WorkerCommands {
   constructor(
     private readonly options: SchedulerOptions,
@@ -30,11 +30,11 @@
 
   /**
    * Returns the commands for a machine, and marks their starts as sent. `heartbeatSequence`: of the heartbeat
-   * that is answered; null: for a direct call.
+   * that is responded to; null: for a direct call.
    */
   commandsFor(machine: Machine, heartbeatSequence: number | null): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    // Stops come first and without a limit: an answer that renews a lease must carry all pending stops.
+    // Stops come first and without a limit: a response that renews a lease must carry all pending stops.
     addStops(machine, commands);
     this.addStartsAndForgets(machine, heartbeatSequence, commands);
     if (machine.unknownTasks.size > 0) this.addCommandsForUnknownTasks(machine, commands);
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Whether exited tasks should be removed now. Every change to a machine's task list triggers another
-   * report, so removals are batched or sent with other commands.
+   * Whether exited attempts should be forgotten now. Every change to a machine's task list triggers another
+   * heartbeat, so `forget` commands are batched or sent with other commands.
    */
   private areForgetsDue(machine: Machine, count: number, longestWaitMs: number): boolean {
     return (
@@ -161,11 +161,11 @@
    * An attempt that is done exits at once when it is started again.
    */
   private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
-    const { indeterminateStarts, startedAttempts: started } = machine.directCommands;
+    const { indeterminateStarts, startedAttempts } = machine.directCommands;
     if (indeterminateStarts.has(key)) return false;
-    if (status.exitReason === 'done' || !started.has(key)) return true;
-    // Heartbeats are limited in size. Under a higher token duplicates are dropped, and all exited tasks can
-    // be removed.
+    if (status.exitReason === 'done' || !startedAttempts.has(key)) return true;
+    // Heartbeats are limited in size. Under a higher token duplicates are dropped, and all exited
+    // attempts can be forgotten.
     if (machine.tasks.size > MAX_EXITED_TASKS_LISTED)
       this.options.raiseFencingToken(`${machine.name} keeps ${machine.tasks.size} ended tasks`);
     return false;
--- a/src/shard/allocation-events.ts
+++ b/src/shard/allocation-event-handler.ts
@@ -23,7 +23,7 @@
 
 type PhaseEvent = Extract<AllocationEvent, { type: 'phase' }>;
 
-/** Settings and collaborators of an `AllocationEventHandler`. */
+/** Settings and dependencies of an `AllocationEventHandler`. */
 export interface AllocationEventHandlerOptions {
   jobs: OwnedJobs;
   transactions: JobTransactions;
@@ -33,7 +33,7 @@
   log: Logger;
   /** Tasks per placement record. */
   tasksPerChunk: number;
-  /** Has the owner flushed soon. */
+  /** Schedules a flush of the shard owner. */
   wake(): void;
 }
 
--- a/src/shard/cancellation-progress.ts
+++ b/src/shard/cancellation-progress.ts
@@ -3,7 +3,7 @@
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 
 /**
- * Matches the leader's timestamps with later reads of the unfinished jobs. A read that was sent after a
+ * Matches the leader's timestamps with later reads of the open jobs. A read that was sent after a
  * timestamp had arrived shows every cancellation that was stored before that timestamp was made.
  */
 export class CancellationProgress {
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -11,7 +11,7 @@
 /** Inputs of an assignment, and the callback that carries it out. */
 export interface GrantAssignmentOptions {
   usage: TeamUsage;
-  /** Monotonic time. */
+  /** Monotonic time in ms. */
   nowMs: number;
   /** Places a task on the granted machine. The placement must count toward the team's usage at once. */
   place(grant: Grant, taskIndex: number): void;
--- a/src/shard/grant-intake.ts
+++ b/src/shard/grant-handler.ts
@@ -9,8 +9,8 @@
 import type { OwnedJobs } from './owned-jobs.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Settings and collaborators of a `GrantIntake`. */
-export interface GrantIntakeOptions {
+/** Settings and dependencies of a `GrantHandler`. */
+export interface GrantHandlerOptions {
   jobs: OwnedJobs;
   usage: TeamUsage;
   transactions: JobTransactions;
@@ -21,8 +21,8 @@
 }
 
 /** Turns grants into placements. Each placement is stored before its task is started. */
-export class GrantIntake {
-  constructor(private readonly options: GrantIntakeOptions) {}
+export class GrantHandler {
+  constructor(private readonly options: GrantHandlerOptions) {}
 
   /** Uses each grant for a task of its job, or returns it to the leader. */
   processGrants(grants: readonly Grant[]): void {
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -42,7 +42,7 @@
   usageLog: UsageLog;
   /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
   releaseWindow: number;
-  /** Returns the cached records of unfinished jobs. */
+  /** Returns the cached records of the open jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
   wake(): void;
 }
@@ -102,7 +102,7 @@
     updates.invalidateRequests();
   }
 
-  /** Handles a put of a record of an unfinished job, as reported by a watch or a listing. */
+  /** Handles a put of a record of an open job, as reported by a watch or a listing. */
   onOpenJobChanged(item: StoredItem): void {
     const key = parseJobRecordKey(item.key);
     if (!key) return;
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -7,15 +7,15 @@
 import { hasUnconfirmedWrite, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
-/** Settings and collaborators of `JobStops`. */
+/** Settings and dependencies of `JobStops`. */
 export interface JobStopsOptions {
   jobs: OwnedJobs;
   transactions: JobTransactions;
   updates: LeaderUpdates;
   log: Logger;
-  /** Added to the time that an evicted task needs to save its progress. */
-  noticeGraceSeconds: number;
-  /** Has the owner flushed soon. */
+  /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+  evictionGraceMarginSeconds: number;
+  /** Schedules a flush of the shard owner. */
   wake(): void;
 }
 
@@ -58,7 +58,7 @@
     this.options.log.debug({ jobId, taskIndex, machine: placement.machine, reason }, 'task evicted');
     const { checkpointIntervalSeconds, checkpointSaveSeconds } = job.spec;
     const graceSeconds =
-      checkpointIntervalSeconds > 0 ? checkpointSaveSeconds + this.options.noticeGraceSeconds : 0;
+      checkpointIntervalSeconds > 0 ? checkpointSaveSeconds + this.options.evictionGraceMarginSeconds : 0;
     if (job.spec.kind === 'gang') this.stopGang(job, graceSeconds);
     else this.stop(job, placement, graceSeconds);
   }
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -148,10 +148,10 @@
     const placement = job.placements.get(taskIndex);
     const attempt = job.latestAttempts.get(taskIndex);
     if (placement) {
-      const { machine, workerEpoch: agentEpoch, zone } = placement;
+      const { machine, workerEpoch, zone } = placement;
       tasks.set(taskIndex, {
         attempt: placement.attempt,
-        location: { machine, workerEpoch: agentEpoch, zone },
+        location: { machine, workerEpoch, zone },
       });
       if (!placement.isStored) newPlacements.push(placement);
     } else if (attempt && !job.counter.has(taskIndex)) tasks.set(taskIndex, { attempt, location: null });
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -24,7 +24,7 @@
   shards: OwnedShards;
   clock: Clock;
   wakeTimer: WakeTimer;
-  /** Send time of the latest read of unfinished jobs whose changes have been delivered to this owner. */
+  /** Send time of the latest read of the open jobs whose changes have been delivered to this owner. */
   openJobsFreshAsOf(): number;
   /**
    * Builds the requests of all jobs. `lastProcessedGrantId`: the newest grant that they take into account.
@@ -35,7 +35,7 @@
   send(message: ShardMessage): void;
 }
 
-/** Collects changes and sends them to the leader at the end of each batch of commands. */
+/** Collects changes and sends them to the leader at the end of each batch of events. */
 export class LeaderUpdates {
   /** Fencing token of the current leader; 0: no leader is known. */
   fencingToken = 0;
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -23,7 +23,7 @@
 /** A finalized placement whose outcome must be stored. */
 export interface FinalizedPlacement {
   placement: Placement;
-  /** Whether its worker still lists it, and so is told to remove it once the outcome is stored. */
+  /** Whether its worker still lists it, and so is told to forget it once the outcome is stored. */
   isListed: boolean;
 }
 
@@ -47,17 +47,17 @@
   /** Chunks whose placements have changed since they were written, and whether the counter has. */
   dirtyChunks: Set<number>;
   isCounterDirty: boolean;
-  /** When to write the changes, in milliseconds of the monotonic clock; Infinity if no write is scheduled. */
+  /** When to write the changes, in monotonic ms; Infinity if no write is scheduled. */
   writeDueAt: number;
   /** Whether the job is part of a transaction in flight. */
   isWriteInFlight: boolean;
   /** Whether the records are being read again. The job gets no writes, placements or requests meanwhile. */
   isReloading: boolean;
-  /** End of the backoff after a failure, in monotonic milliseconds. Until then no capacity is requested. */
+  /** End of the backoff after a failure, in monotonic ms. Until then no capacity is requested. */
   backoffUntil: number;
   /** Number of failed attempts since a task last finished. */
   failures: number;
-  /** Machines that get no task of the job, each with the end of that time in monotonic milliseconds. */
+  /** Machines that get no task of the job, each with the end of that time in monotonic ms. */
   avoidedMachines: Map<string, number>;
   /** Machine on which the last finished task ran, preferred for the next one; empty if there is none. */
   preferredMachine: string;
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -21,9 +21,9 @@
   usage: TeamUsage;
   /** The most tasks that one request asks for, which limits the pace of a large fan-out. */
   maxTasksPerRequest: number;
-  /** Monotonic time. */
+  /** Monotonic time in ms. */
   nowMs: number;
-  /** Wall-clock time. */
+  /** Wall-clock time in ms. */
   wallMs: number;
   /** The newest grant of the current leader that has been processed. */
   lastProcessedGrantId: number;
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -14,8 +14,8 @@
 import { fenceKey } from '../store/keyspace.js';
 import type { CachedItem } from '../store/prefix-copy.js';
 import { releaseWindow, tasksPerChunk } from '../store/record-sizes.js';
-import { AllocationEventHandler } from './allocation-events.js';
-import { GrantIntake } from './grant-intake.js';
+import { AllocationEventHandler } from './allocation-event-handler.js';
+import { GrantHandler } from './grant-handler.js';
 import { JobLoader } from './job-loader.js';
 import { JobStops } from './job-stops.js';
 import { JobTransactions } from './job-transactions.js';
@@ -44,19 +44,19 @@
   /** Maximum number of tasks in one resource request of a job. It limits how fast a large job is released. */
   maxTasksPerRequest: number;
   /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
-  noticeGraceSeconds: number;
+  evictionGraceMarginSeconds: number;
   objectives: ServiceLevelObjective[];
   store: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Returns the cached records of unfinished jobs. */
+  /** Returns the cached records of the open jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
   /**
-   * Returns when the latest read of the unfinished jobs was sent whose changes have already been delivered to
+   * Returns when the latest read of the open jobs was sent whose changes have already been delivered to
    * `onOpenJobChanged`.
    */
   openJobsFreshAsOf(): number;
-  /** Reads the unfinished jobs again if the last read is old enough. */
+  /** Reads the open jobs again if the last read is old enough. */
   refreshOpenJobs(): void;
   /** Sends a message to the leader. */
   send(message: ShardMessage): void;
@@ -75,8 +75,8 @@
   private readonly updates: LeaderUpdates;
   private readonly loader: JobLoader;
   private readonly stops: JobStops;
-  private readonly grantIntake: GrantIntake;
-  private readonly allocationEvents: AllocationEventHandler;
+  private readonly grantHandler: GrantHandler;
+  private readonly allocationEventHandler: AllocationEventHandler;
 
   constructor(private readonly options: ShardOwnerOptions) {
     const { clock, log } = options;
@@ -100,9 +100,12 @@
       updates: this.updates,
       tasksPerChunk: tasksPerChunk(options.maxValueKb),
     };
-    this.stops = new JobStops({ ...sharedOptions, noticeGraceSeconds: options.noticeGraceSeconds });
-    this.grantIntake = new GrantIntake(sharedOptions);
-    this.allocationEvents = new AllocationEventHandler({ ...sharedOptions, stops: this.stops });
+    this.stops = new JobStops({
+      ...sharedOptions,
+      evictionGraceMarginSeconds: options.evictionGraceMarginSeconds,
+    });
+    this.grantHandler = new GrantHandler(sharedOptions);
+    this.allocationEventHandler = new AllocationEventHandler({ ...sharedOptions, stops: this.stops });
     this.loader = new JobLoader({
       ...sharedOptions,
       store: options.store,
@@ -153,7 +156,7 @@
     this.options.wake();
   }
 
-  /** Handles a put of a record of an unfinished job, as reported by the watch. */
+  /** Handles a put of a record of an open job, as reported by the watch. */
   onOpenJobChanged(item: StoredItem): void {
     this.loader.onOpenJobChanged(item);
   }
@@ -169,10 +172,10 @@
         this.resync();
         break;
       case 'grants':
-        this.grantIntake.processGrants(message.grants);
+        this.grantHandler.processGrants(message.grants);
         break;
       case 'allocationEvents':
-        for (const event of message.events) this.allocationEvents.handle(event);
+        for (const event of message.events) this.allocationEventHandler.handle(event);
         break;
       case 'timestamp':
         this.updates.onTimestamp(message.leaderTimestamp);
@@ -185,7 +188,7 @@
     this.options.wake();
   }
 
-  /** Sends the reads, writes and messages that are due. Called after each batch of commands. */
+  /** Sends the reads, writes and messages that are due. Called after each batch of events. */
   flush(): void {
     this.loader.loadShards();
     this.transactions.sendDueWrites();
@@ -214,7 +217,7 @@
       wakeTimer,
       openJobsFreshAsOf: () => this.options.openJobsFreshAsOf(),
       listRequests: (lastProcessedGrantId) => this.listRequests(lastProcessedGrantId),
-      discardUnsentPlacements: () => this.grantIntake.discardUnsentPlacements(),
+      discardUnsentPlacements: () => this.grantHandler.discardUnsentPlacements(),
       send: (message) => this.options.send(message),
     });
   }
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -28,7 +28,7 @@
     this.rateLimitedLog = new RateLimitedLog(log, clock);
   }
 
-  /** Logs changes and the summary when they are due; called after each batch of commands. */
+  /** Logs changes and the summary when they are due; called after each batch of events. */
   logIfDue(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
     const now = this.clock.now();
     if (now - this.lastChangesAt >= CHANGES_INTERVAL_MS) {
--- a/src/shard/wake-timer.ts
+++ b/src/shard/wake-timer.ts
@@ -14,7 +14,7 @@
   /**
    * Requests a wake-up.
    *
-   * @param at - Time in milliseconds of the monotonic clock; ignored if it is not finite
+   * @param at - Time in monotonic ms; ignored if it is not finite
    */
   wakeAt(at: number): void {
     const now = this.clock.now();
--- a/src/store/prefix-copy.ts
+++ b/src/store/prefix-copy.ts
@@ -1,6 +1,6 @@
 /** A local copy of all keys under one prefix, built from listings and watches. */
 
-import type { StoredItem, WatchEvent, WatchReply } from '../model/key-value-store.js';
+import type { StoredItem, WatchEvent, WatchResponse } from '../model/key-value-store.js';
 
 /** A key's latest known value. */
 export interface CachedItem {
@@ -32,11 +32,11 @@
   }
 
   /**
-   * Applies the changes of a watch. Two watches may be in flight at once: changes that an earlier reply
+   * Applies the changes of a watch. Two watches may be in flight at once: changes that an earlier response
    * already brought are skipped, because otherwise a key deleted since would reappear. Of several changes to
    * one key, only the last is applied.
    */
-  apply({ storeRevision, events }: WatchReply): void {
+  apply({ storeRevision, events }: WatchResponse): void {
     if (storeRevision <= this.storeRevision) return;
     const latest = new Map<string, WatchEvent>();
     for (const event of events) if (event.modRevision > this.storeRevision) latest.set(event.key, event);
--- a/src/store/prefix-listing.ts
+++ b/src/store/prefix-listing.ts
@@ -20,7 +20,7 @@
 /** Lists the keys; at most one listing runs at a time. */
 export class PrefixListing {
   isRunning = false;
-  /** Number of listings started. A reply to a watch sent before a listing is not applied after it. */
+  /** Number of listings started. A response to a watch sent before a listing is not applied after it. */
   epoch = 0;
 
   constructor(private readonly options: PrefixListingOptions) {}
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -118,7 +118,7 @@
         this.watchAgainAfter(Math.max(0, sentAt + minWatchIntervalMs - clock.now()));
       } else if (result.kind === 'refused') this.watchAgainAfter(WATCH_RETRY_MS);
       else {
-        // The store no longer has the changes, or the reply was lost: the keys are listed again.
+        // The store no longer has the changes, or the response was lost: the keys are listed again.
         this.isWatching = false;
         if (result.kind === 'notFound') this.listing.start();
         else clock.after(WATCH_RETRY_MS, () => this.listing.start());
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -97,8 +97,8 @@
   }
 
   /** Lists one page of machines in name order, starting after the name `since`. Fails as `refused`. */
-  listMachines(since: string, callback: ResultCallback<MachinePage>): void {
-    const start = since === '' ? '' : `since=${encodeURIComponent(since)}&`;
+  listMachines(afterName: string, callback: ResultCallback<MachinePage>): void {
+    const start = afterName === '' ? '' : `since=${encodeURIComponent(afterName)}&`;
     this.enqueue({
       priority: CALL_PRIORITY.machineList,
       method: 'GET',
--- a/src/transport/concurrency-limit.ts
+++ b/src/transport/concurrency-limit.ts
@@ -58,7 +58,7 @@
     return true;
   }
 
-  /** Ends a request that was answered at `now` after `latencyMs`, and adjusts the limit; monotonic ms. */
+  /** Ends a request that got its response at `now` after `latencyMs`, and adjusts the limit; monotonic ms. */
   release(now: number, latencyMs: number): void {
     const inFlightBefore = this.inFlight;
     this.inFlight--;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 server built on `node:net`. A controller answers hundreds of heartbeats per second, and the
- * overhead of `node:http` is several times the cost of parsing and answering a heartbeat.
+ * HTTP/1.1 server built on `node:net`. A controller handles hundreds of heartbeats per second, and the
+ * overhead of `node:http` is several times the cost of parsing and handling a heartbeat.
  */
 
 import net from 'node:net';
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -74,7 +74,7 @@
     connection.isServing = true;
   }
 
-  /** Must be called when the request of a connection has been answered. */
+  /** Must be called when the request of a connection has been handled. */
   requestFinished(socket: Socket): void {
     const connection = this.openConnections.get(socket);
     if (!connection) return;
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -18,7 +18,7 @@
 const RECEIVE_TIMEOUT_MS = 15_000;
 
 /** Another controller. */
-export interface Peer {
+export interface PeerAddress {
   nodeName: string;
   /** `HOST:PORT`. */
   address: string;
@@ -28,7 +28,7 @@
 export interface PeerConnectionsOptions {
   /** Address to listen on for other controllers, `HOST:PORT`. */
   bind: string;
-  peers: readonly Peer[];
+  peers: readonly PeerAddress[];
   log: Logger;
   /** Called for each message received, from any peer. */
   onMessage: (message: PeerMessage) => void;
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -8,8 +8,8 @@
   type Transaction,
   URGENCY,
   type Urgency,
-  type WatchReply,
   type WatchRequest,
+  type WatchResponse,
 } from '../model/key-value-store.js';
 import type { Failure, Result, ResultCallback } from '../model/result.js';
 import { parseJson } from '../wire/json.js';
@@ -19,14 +19,14 @@
   decodeListPage,
   decodeStoredItem,
   decodeStoreRevision,
-  decodeWatchReply,
+  decodeWatchResponse,
   encodeTransaction,
 } from '../wire/store-messages.js';
 import { type HttpCall, HttpClient, type HttpReply } from './http-client.js';
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
 const MAX_REQUEST_CONNECTIONS = 16;
-/** Separate limit: a watch occupies its connection until it is answered. */
+/** Separate limit: a watch occupies its connection until its response. */
 const MAX_WATCH_CONNECTIONS = 8;
 const CALL_TIMEOUT_MS = 1500;
 /** Added to the wait time of a watch to allow for the transfer of its response. */
@@ -125,7 +125,7 @@
   }
 
   /** Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. */
-  watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>): void {
+  watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchResponse>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
     this.rateLimiter.acquire(URGENCY.user, 0, (acquired) => {
@@ -135,7 +135,7 @@
       }
       this.watchClient.call({ method: 'GET', path, timeoutMs }, (reply) => {
         if (reply.status === 429) this.rateLimiter.onThrottled();
-        callback(toResult(reply, decodeWatchReply));
+        callback(toResult(reply, decodeWatchResponse));
       });
     });
   }
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -80,18 +80,18 @@
     if (submission.ok) {
       const { spec } = submission;
       return new Promise((resolve) =>
-        api.submitJob(spec, (answer) => resolve(this.respond(context, spec.id, answer))),
+        api.submitJob(spec, (response) => resolve(this.respond(context, spec.id, response))),
       );
     }
     const { id, reason } = submission;
     if (id === null) return context.json({ error: reason }, 400);
     // A repeated submission of a known job gets the state of that job, even if the repeat is malformed.
     return new Promise((resolve) =>
-      api.getJob(id, (answer) =>
+      api.getJob(id, (response) =>
         resolve(
-          answer.type === 'notFound'
+          response.type === 'notFound'
             ? context.json({ error: reason }, 400)
-            : this.respond(context, id, answer),
+            : this.respond(context, id, response),
         ),
       ),
     );
@@ -100,34 +100,34 @@
   async getStatus(context: Context, id: string): Promise<Response> {
     if (!isJobId(id)) return respondNotFound(context);
     return new Promise((resolve) =>
-      this.controller.api.getJob(id, (answer) => resolve(this.respond(context, id, answer))),
+      this.controller.api.getJob(id, (response) => resolve(this.respond(context, id, response))),
     );
   }
 
   async cancel(context: Context, id: string): Promise<Response> {
     if (!isJobId(id)) return respondNotFound(context);
     return new Promise((resolve) =>
-      this.controller.api.cancelJob(id, (answer) => resolve(this.respond(context, id, answer))),
+      this.controller.api.cancelJob(id, (response) => resolve(this.respond(context, id, response))),
     );
   }
 
-  private respond(context: Context, id: string, answer: ApiResponse): Response {
-    switch (answer.type) {
+  private respond(context: Context, id: string, response: ApiResponse): Response {
+    switch (response.type) {
       case 'job':
-        return context.json(encodeJobStatus(id, answer), answer.created ? 201 : 200);
+        return context.json(encodeJobStatus(id, response), response.created ? 201 : 200);
       case 'notFound':
         return respondNotFound(context);
       case 'rejected':
-        return context.json({ error: answer.reason }, 422);
+        return context.json({ error: response.reason }, 422);
       case 'unavailable':
         // Makes the user reconnect, so that the next connection can reach a controller that can serve it.
         if (this.controller.shouldRedirectUsers()) context.header('Connection', 'close');
-        return respondUnavailable(context, answer.reason);
+        return respondUnavailable(context, response.reason);
     }
   }
 }
 
-/** Creates the routes for users and health checks. Unexpected errors are logged and answered with 503. */
+/** Creates the routes for users and health checks. Unexpected errors are logged, and the response is 503. */
 export function createUserApi(options: UserApiOptions): Hono {
   const { controller, clock, log } = options;
   const app = new Hono();
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -9,7 +9,7 @@
   StoreOperation,
   Transaction,
   WatchEvent,
-  WatchReply,
+  WatchResponse,
 } from '../model/key-value-store.js';
 import { asCount, asNonEmptyString, isJsonObject } from './json.js';
 
@@ -53,7 +53,7 @@
 }
 
 /** Decodes the changes in a response. Returns null if any change is malformed, because none may be missed. */
-export function decodeWatchReply(encoded: unknown): WatchReply | null {
+export function decodeWatchResponse(encoded: unknown): WatchResponse | null {
   if (!isJsonObject(encoded)) return null;
   const storeRevision = asCount(encoded.ring);
   if (storeRevision === null || !Array.isArray(encoded.log)) return null;
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -123,9 +123,9 @@
     const controller = simulation.controllers.get(
       simulation.nodeNames.find((nodeName) => nodeName !== old && nodeName !== next())!,
     )!.controller as unknown as {
-      parts: { coordinator: { announce(jobId: string): void } };
+      components: { coordinator: { announce(jobId: string): void } };
     };
-    controller.parts.coordinator.announce(ids[0]!);
+    controller.components.coordinator.announce(ids[0]!);
     runFor(simulation, simulation.config.cancellationSeconds * 2500);
     expect(workersWith(simulation, ids[0]!)).toEqual([]);
     expect(
@@ -177,22 +177,22 @@
 
 test('announcements of peers count from when none is missing, and only up to the timestamp they acknowledged', () => {
   const log = new CancellationLog(['b', 'c']);
-  expect(log.completeInterval(100).until).toBe(Number.NEGATIVE_INFINITY);
+  expect(log.knownCancellationPeriod(100).until).toBe(Number.NEGATIVE_INFINITY);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: null }, 110);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 200 }, 205);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 180 }, 206);
-  expect(log.completeInterval(210)).toEqual({ since: 110, until: 180 });
+  expect(log.knownCancellationPeriod(210)).toEqual({ since: 110, until: 180 });
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-1', cancellationNumber: 5 }, 215);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
-  expect([log.has('wk-1'), log.completeInterval(220)]).toEqual([true, { since: 110, until: 212 }]);
+  expect([log.has('wk-1'), log.knownCancellationPeriod(220)]).toEqual([true, { since: 110, until: 212 }]);
   // The sixth was lost: from the seventh on nothing is missing again.
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-3', cancellationNumber: 7 }, 230);
-  expect(log.completeInterval(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
+  expect(log.knownCancellationPeriod(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c2' }, { announced: 0, latestTimestamp: 234 }, 235);
-  expect(log.completeInterval(236)).toEqual({ since: 235, until: Number.NEGATIVE_INFINITY });
+  expect(log.knownCancellationPeriod(236)).toEqual({ since: 235, until: Number.NEGATIVE_INFINITY });
   expect([log.recordOwn('wk-9'), log.recordOwn('wk-9'), log.announcedCount]).toEqual([true, false, 1]);
 });
 
@@ -233,12 +233,12 @@
   cancelAt(simulation, owner, id);
   const raise = () => {
     const controller = simulation.controllers.get(leader)!.controller as unknown as {
-      parts: {
+      components: {
         leadership: { leaderTerm: number };
         election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
       };
     };
-    const { leadership, election } = controller.parts;
+    const { leadership, election } = controller.components;
     election.nextTokenRaiseAt = 0;
     election.raiseFencingToken(leadership.leaderTerm, 'a test');
     simulation.simulator.scheduleAfter(1500, raise);
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -2,7 +2,7 @@
 
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
-import type { KeyValueStore, WatchReply, WatchRequest } from '../src/model/key-value-store.js';
+import type { KeyValueStore, WatchRequest, WatchResponse } from '../src/model/key-value-store.js';
 import type { ResultCallback } from '../src/model/result.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { isLeader, runFor } from './simulation/cluster-queries.js';
@@ -77,7 +77,7 @@
   const reads: {
     since: number;
     wait: number;
-    callback: ResultCallback<WatchReply>;
+    callback: ResultCallback<WatchResponse>;
   }[] = [];
   const clock = {
     now: () => now,
@@ -86,7 +86,7 @@
   const state = {
     list: (_request: unknown, callback: ResultCallback<unknown>) =>
       callback({ ok: true, value: { items: [], hasMore: false, storeRevision: 5 } }),
-    watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>) =>
+    watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchResponse>) =>
       reads.push({ since: sinceRevision, wait: waitMs, callback }),
   };
   const gone: string[] = [];
@@ -160,12 +160,12 @@
   const leads = (node: string) => isLeader(simulation, node);
   const nodeName = simulation.nodeNames.find(leads)!;
   const controller = simulation.controllers.get(nodeName)!.controller as unknown as {
-    parts: {
+    components: {
       leadership: { leaderTerm: number };
       election: { resign(token: number, reason: string): void };
     };
   };
-  const { leadership, election } = controller.parts;
+  const { leadership, election } = controller.components;
   simulation.store.refusedNodes.add(nodeName);
   election.resign(leadership.leaderTerm, 'a test');
   runFor(simulation, 300);
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -9,7 +9,7 @@
   decodeLeaseId,
   decodeListPage,
   decodeStoredItem,
-  decodeWatchReply,
+  decodeWatchResponse,
 } from '../src/wire/store-messages.js';
 import { decodeSubmission } from '../src/wire/user-messages.js';
 import { decodeHeartbeat } from '../src/wire/worker-messages.js';
@@ -35,7 +35,7 @@
     decodeRentedMachines,
     decodeStoredItem,
     decodeListPage,
-    decodeWatchReply,
+    decodeWatchResponse,
     decodeFailedKeys,
     decodeLeaseId,
     decodePeerMessage,
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -4,7 +4,7 @@
   ListPage,
   StoredItem,
   Transaction,
-  WatchReply as WatchBatch,
+  WatchResponse as WatchBatch,
   WatchEvent,
 } from '../../src/model/key-value-store.js';
 import type { Simulator } from './simulated-time.js';
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -100,10 +100,10 @@
       send: (_i, message) => this.sentMessages.push(message),
       wake: () => {},
       onHigherToken: () => {},
-      inheritedCoverage: () => null,
+      latestCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       knownCancellationPeriod: (at) => ({ since: at, until: Number.NEGATIVE_INFINITY }),
-      reachablePeers: () => this.peers.count,
+      recentlyHeardPeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
@@ -155,7 +155,7 @@
       tasks,
       ...over,
     });
-    return answer === 'later' ? null : answer;
+    return answer === 'unavailable' ? null : answer;
   }
 
   /** Task 0 of job `wk-1` on machine `m`. */
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -26,7 +26,7 @@
     maxTransactionOperations: LIMITS.maxTransactionOperations,
     writesPerSecond: 100,
     maxTasksPerRequest: 64,
-    noticeGraceSeconds: 1,
+    evictionGraceMarginSeconds: 1,
     objectives: [],
     store: {} as KeyValueStore,
     clock: { now: () => 1000, wallTime: () => 1000, after: () => () => {}, defer: () => {}, random: () => 0 },
