--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -53,7 +53,7 @@
 /** How often a cancellation is repeated after a conflict with other writes or an indeterminate write. */
 const CANCEL_RETRIES = 6;
 /** Tolerance for rounding errors in sums of resources. */
-const ROUNDING_TOLERANCE = 1e-9;
+const EPSILON = 1e-9;
 
 const STORE_UNREACHABLE: ApiResponse = { type: 'unavailable', reason: 'state service not reached' };
 const MACHINE_TYPES_UNKNOWN: ApiResponse = { type: 'unavailable', reason: 'machine types not known yet' };
@@ -281,7 +281,7 @@
 
 /** Returns whether a need exceeds a quota; a quota of 0 means no limit. */
 function exceedsQuota(needed: number, quota: number): boolean {
-  return quota > 0 && needed > quota + ROUNDING_TOLERANCE;
+  return quota > 0 && needed > quota + EPSILON;
 }
 
 function isAllowedOn(spec: JobSpec, type: MachineType): boolean {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -14,7 +14,7 @@
 
 const PeerSchema = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
 
-/** Guaranteed and maximum CPUs and GPUs of a team; 0: none. */
+/** Guaranteed and maximum CPUs and GPUs of a team; 0: no guarantee, or no maximum. */
 const TeamSchema = v.object({
   name: NonEmptyString,
   cpus: NonNegativeNumber,
--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -69,7 +69,7 @@
   readonly peers = new PeerRegistry();
   readonly messenger: PeerMessenger;
   readonly coordinator: CancellationCoordinator;
-  readonly images: ImageReplication;
+  readonly imageReplication: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
   readonly shardOwner: ShardOwner;
@@ -97,7 +97,7 @@
     this.election = this.createElection();
     this.messenger = this.createMessenger();
     this.coordinator = this.createCoordinator();
-    this.images = new ImageReplication(this.messenger, this.leadership);
+    this.imageReplication = new ImageReplication(this.messenger, this.leadership);
     this.assignment = this.createAssignment();
     this.machineTypes = this.createMachineTypes();
     this.shardOwner = this.createShardOwner();
@@ -187,7 +187,7 @@
       workerTiming: options.workerTiming,
       machineListLagSeconds: options.machineListLagSeconds,
       cloudCallsPerSecond: options.cloudCallsPerSecond,
-      images: this.images.locations,
+      imageLocations: this.imageReplication.locations,
       objectives: options.objectives,
       isFirstLeader: fencingToken === 1,
       clock,
@@ -228,13 +228,13 @@
   }
 
   private createMessenger(): PeerMessenger {
-    const { nodeName, instanceId, peerNames, peers } = this.options;
+    const { nodeName, instanceId, peerNames, peerTransport } = this.options;
     const { queue, records, leadership } = this;
     return new PeerMessenger({
       nodeName,
       instanceId,
       peerNames,
-      transport: peers,
+      transport: peerTransport,
       queue,
       records,
       leadership,
@@ -327,7 +327,7 @@
 
   private createPeerMessages(): PeerMessageHandler {
     const { nodeName, instanceId, clock } = this.options;
-    const { records, leadership, peers, coordinator, images, shardOwner } = this;
+    const { records, leadership, peers, coordinator, imageReplication, shardOwner } = this;
     return new PeerMessageHandler({
       nodeName,
       instanceId,
@@ -336,7 +336,7 @@
       leadership,
       peers,
       coordinator,
-      images,
+      imageReplication,
       shardOwner,
     });
   }
--- a/src/controller/controller-options.ts
+++ b/src/controller/controller-options.ts
@@ -33,5 +33,5 @@
   store: KeyValueStore;
   cloud: CloudProvider;
   workers: WorkerCommandPort;
-  peers: PeerTransport;
+  peerTransport: PeerTransport;
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -127,7 +127,7 @@
   private tick(): void {
     const now = this.options.clock.now();
     const { lease, election, assignment, machineTypes, leadership } = this.components;
-    const { coordinator, images, peerHeartbeats } = this.components;
+    const { coordinator, imageReplication, peerHeartbeats } = this.components;
     lease.renew(now);
     election.campaignIfVacant(now);
     election.deleteStaleRecord(now);
@@ -135,7 +135,7 @@
     machineTypes.refresh(now);
     leadership.scheduler?.tick();
     const coverage = coordinator.updateCoverage(now);
-    images.sendChanges();
+    imageReplication.sendChanges();
     peerHeartbeats.send(now, coverage);
   }
 
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -18,7 +18,7 @@
   leadership: Leadership;
   peers: PeerRegistry;
   coordinator: CancellationCoordinator;
-  images: ImageReplication;
+  imageReplication: ImageReplication;
   shardOwner: ShardOwner;
 }
 
@@ -28,7 +28,7 @@
 
   /** Handles a message, unless a later one from the same peer has been handled before. */
   onMessage(message: PeerMessage): void {
-    const { instanceId, leadership, coordinator, images, shardOwner } = this.options;
+    const { instanceId, leadership, coordinator, imageReplication, shardOwner } = this.options;
     const { body } = message;
     const now = this.options.clock.now();
     const peer = this.options.peers.record(message, now);
@@ -38,7 +38,7 @@
         this.onHeartbeat({ message, heartbeat: body, peer, now });
         break;
       case 'images':
-        images.apply(body.added, body.removedMachines);
+        imageReplication.apply(body.added, body.removedMachines);
         break;
       case 'cancelled':
         coordinator.onPeerCancellation(message, body, now);
@@ -57,13 +57,13 @@
    * complete state is exchanged again.
    */
   onConnected(nodeName: string): void {
-    const { records, leadership, images, shardOwner } = this.options;
+    const { records, leadership, imageReplication, shardOwner } = this.options;
     if (leadership.leader.nodeName === nodeName) shardOwner.resync();
     const { scheduler } = leadership;
     if (!scheduler) return;
     for (const [instanceId, liveNodeName] of records.liveInstances())
       if (liveNodeName === nodeName) scheduler.requestSync(instanceId);
-    images.sendAll(nodeName);
+    imageReplication.sendAll(nodeName);
   }
 
   private onHeartbeat(received: {
--- a/src/main.ts
+++ b/src/main.ts
@@ -95,7 +95,7 @@
   log,
 }: ControllerDependencies): Controller {
   const { services, params } = settings;
-  const peers = new PeerConnections({
+  const peerTransport = new PeerConnections({
     bind: settings.mesh_addr,
     peers: settings.siblings.map((peer) => ({ nodeName: peer.host_name, address: peer.peer_addr })),
     log,
@@ -116,7 +116,7 @@
     }),
     cloud: new CloudClient(services.cloud, params.cloud.rps),
     workers: new WorkerClient(maxWorkerConnections),
-    peers,
+    peerTransport,
   });
   return controller;
 }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -51,9 +51,10 @@
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why an attempt ended. `gangMemberLost`: another task of its gang is gone. `gangIncomplete`: its gang was
- * not complete in time. The machine refused the attempt in these cases: `noCapacity`, its free resources
- * don't suffice; `attemptListed`, it lists another attempt of the task; `unknown`, it does not know the job.
+ * Why an attempt ended. `gangMemberLost`: another task of its gang is no longer there. `gangIncomplete`: its
+ * gang was not complete in time. The machine refused the attempt in these cases: `noCapacity`, its free
+ * resources don't suffice; `attemptListed`, it lists another attempt of the task; `unknown`, it does not know
+ * the job.
  */
 export type ExitReason =
   | 'done'
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -49,7 +49,7 @@
   avoidedMachines: string[];
   /**
    * The tasks still to be placed, if they are few and at least one of them has had an attempt: a machine that
-   * lists ended attempts of all of them is of no use. Null or absent: there are many, none has had an
+   * lists exited attempts of all of them is of no use. Null or absent: there are many, none has had an
    * attempt, or the job is a gang, which places all its tasks.
    */
   remainingTasks?: number[] | null;
@@ -118,7 +118,7 @@
    * Tasks of the job of which the machine lists an attempt that has exited; it would refuse another attempt.
    * Absent: none.
    */
-  endedTasks?: number[];
+  exitedTasks?: number[];
 }
 
 /** A change to a placement that the leader has observed. */
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -3,8 +3,8 @@
 import type { TaskAttempt } from './job.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from './placement.js';
 
-/** An attempt whose placement its shard owner no longer needs. */
-export interface ReleasedTask {
+/** The placement of an attempt that its shard owner no longer needs. */
+export interface ReleasedPlacement {
   machine: string;
   /** The attempt's key; see `attemptKey` in job.ts. */
   attemptKey: string;
@@ -40,7 +40,7 @@
       type: 'release';
       fencingToken: number;
       instanceId: string;
-      tasks: ReleasedTask[];
+      tasks: ReleasedPlacement[];
       grants: number[];
     }
   /**
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -9,6 +9,7 @@
  * should do. Times in ms.
  */
 export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
+  /** Key in `Machine.allocations`: see `attemptKey`, or `grantKey` for a grant. */
   key: string;
   /** `hold`: granted, but its owner has not yet reported a stored placement. */
   desiredState: PlacementSpec['desiredState'] | 'hold';
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -8,7 +8,7 @@
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { Policy, PolicyInput } from '../model/policy.js';
 import type { Allocation } from './allocation.js';
-import { EndedAttempts } from './ended-attempts.js';
+import { ExitedAttempts } from './exited-attempts.js';
 import { RentalBackoff } from './fleet/rental-backoff.js';
 import { createMachine, type Machine } from './machine.js';
 import type { FreeCapacity } from './placement/free-capacity.js';
@@ -19,10 +19,10 @@
   isWithinGuarantee,
   type ResourceUsage,
 } from './state/fleet-totals.js';
-import { LeaseRenewalGuard } from './state/lease-renewal.js';
+import { LeaseRenewalGuard } from './state/lease-renewal-guard.js';
 import { MachineCapacities } from './state/machine-capacities.js';
 import { OpenGrants } from './state/open-grants.js';
-import { requestFromPlacement } from './state/placement-request.js';
+import { requestFromPlacement } from './state/request-from-placement.js';
 import { type ShardOwnerRef, ShardOwners } from './state/shard-owners.js';
 
 /** A resource request, and the instance that sent it. */
@@ -66,9 +66,9 @@
   /** Until this time capacity counts as short, and no machine is surplus. */
   shortageUntil = 0;
   readonly machinesWithReservation = new Set<Machine>();
-  readonly endedAttempts = new EndedAttempts();
+  readonly exitedAttempts = new ExitedAttempts();
   /**
-   * Names of machines whose ended attempts alone keep work waiting. These attempts are removed at once,
+   * Names of machines whose exited attempts alone keep work waiting. These attempts are forgotten at once,
    * without waiting for more of them to share the message.
    */
   blockingMachines: ReadonlySet<string> = new Set();
@@ -232,7 +232,7 @@
     let machine = this.machines.get(name);
     if (!machine) {
       machine = createMachine(name, this.options.clock.now());
-      for (const [image, sizeGb] of this.options.images.imagesOf(name) ?? [])
+      for (const [image, sizeGb] of this.options.imageLocations.imagesOf(name) ?? [])
         machine.images.set(image, sizeGb);
       this.machines.set(name, machine);
     }
@@ -275,7 +275,7 @@
     return this.fleetTotals.usage();
   }
 
-  /** Whether one more task of this size would keep a team within its guaranteed resources. */
+  /** Whether one more task of this size would keep a team within its guaranteed share. */
   isWithinGuarantee(
     usage: ResourceUsage | undefined,
     team: string,
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -179,7 +179,7 @@
       redirected > Math.max(MAX_INDEPENDENT_FAILURES, live) &&
       now - this.state.startedAt > this.probeAfterMs + REDIRECT_SETTLING_MS
     ) {
-      this.options.resign('workers reach siblings only');
+      this.options.resign('workers reach peers only');
       return;
     }
     if (expired.length === 0) {
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -8,7 +8,7 @@
 import { fill } from '../placement/fill.js';
 import { type CapacityDemand, copyCapacities, type FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import { requestForReplica } from './replica-request.js';
+import { requestForReplica } from './request-for-replica.js';
 import { coldReplicaCount, type ServiceReserve } from './service-reserve.js';
 
 const SEARCH_INTERVAL_MS = 3000;
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -6,7 +6,7 @@
 import { fill } from '../placement/fill.js';
 import type { CapacityDemand, FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import { requestForReplica } from './replica-request.js';
+import { requestForReplica } from './request-for-replica.js';
 
 /** A machine whose lease may have been renewed within this time is reachable again. */
 const REACHABLE_WITHIN_MS = 3000;
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -18,7 +18,7 @@
   replicas: number;
   replicaCpus: number;
   batchTasks: number;
-  /** Allocations without a stored outcome. A machine with none is empty, even if it lists ended attempts. */
+  /** Allocations without a stored outcome. A machine with none is empty, even if it lists exited attempts. */
   unfinishedTasks: number;
   /** Whether a start or stop command may have to be sent. */
   hasPendingCommands: boolean;
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -2,7 +2,7 @@
 
 import type { Heartbeat, TaskStatus } from '../model/worker-messages.js';
 import type { Allocation } from './allocation.js';
-import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
+import { type ExitedTasks, NO_EXITED_TASKS } from './exited-attempts.js';
 import { emptyTotals, type MachineTotals } from './machine-totals.js';
 
 /** State of the commands sent to a worker directly instead of in the response to a heartbeat. Times in ms. */
@@ -11,7 +11,7 @@
   lastSentAt: number;
   /** Consecutive calls without a response. */
   failures: number;
-  /** Starts that got no response and may still arrive: the token they were sent under, by task key. */
+  /** Starts that got no response and may still arrive: the token they were sent under, by attempt key. */
   indeterminateStarts: Map<string, number>;
   /** When the first of the present `indeterminateStarts` was added. */
   indeterminateSince: number;
@@ -66,7 +66,7 @@
   evictionDeadline: number | null;
   /** Allocations by key, grants included. */
   allocations: Map<string, Allocation>;
-  /** The tasks that its worker lists, by task key. */
+  /** The attempts that its worker lists, by attempt key. */
   tasks: Map<string, TaskStatus>;
   directCommands: DirectCommandState;
   /** Sizes in GB by image, least recently used first. */
@@ -80,9 +80,9 @@
   idleSince: number;
   /** When a task of each job last failed on it, by job. */
   failedJobs: Map<string, number>;
-  /** Tasks with a listed ended attempt, by job. */
-  endedTasks: ReadonlyMap<string, EndedTasks>;
-  /** Listed tasks without an allocation, by task key: since when they are listed. */
+  /** Tasks with a listed exited attempt, by job. */
+  exitedTasks: ReadonlyMap<string, ExitedTasks>;
+  /** Listed attempts without an allocation, by attempt key: since when they are listed. */
   unknownTasks: Map<string, number>;
   /** The job for which tasks are preempted here: the freed capacity is reserved for it. */
   reservation: { jobId: string; priority: number; until: number } | null;
@@ -130,7 +130,7 @@
     isDraining: false,
     idleSince: now,
     failedJobs: new Map(),
-    endedTasks: NO_ENDED_TASKS,
+    exitedTasks: NO_EXITED_TASKS,
     unknownTasks: new Map(),
     reservation: null,
     speed: { runs: 0, meanSlowdown: 0 },
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -72,7 +72,7 @@
   private onDeleted(name: string): void {
     const { deletedMachines } = this.state;
     deletedMachines.add(name);
-    this.options.images.removeMachine(name);
+    this.options.imageLocations.removeMachine(name);
     if (deletedMachines.size > MAX_DELETED_NAMES)
       for (const oldName of [...deletedMachines].slice(0, DELETED_NAMES_TRIMMED))
         deletedMachines.delete(oldName);
@@ -84,7 +84,7 @@
       this.state.removeAllocation(machine, allocation);
     }
     this.state.machines.delete(name);
-    this.state.endedAttempts.update(machine, []);
+    this.state.exitedAttempts.update(machine, []);
     this.state.markChanged(machine);
     this.state.rentalBackoff.onFreed(machine);
   }
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -1,24 +1,24 @@
-/** Avoids placing tasks on machines that would refuse them because of ended attempts. */
+/** Avoids placing tasks on machines that would refuse them because of exited attempts. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { assignTasks } from '../../model/task-assignment.js';
 import type { ClusterState } from '../cluster-state.js';
-import type { EndedTasks } from '../ended-attempts.js';
+import type { ExitedTasks } from '../exited-attempts.js';
 import { isFeasible } from './capacity-filter.js';
 import { chooseForGang } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /**
- * How long ended attempts alone may block a job before a higher fencing token is requested, under which
+ * How long exited attempts alone may block a job before a higher fencing token is requested, under which
  * workers remove these attempts.
  */
 const RAISE_TOKEN_AFTER_MS = 15_000;
-/** Rounds of choosing machines for a gang before all machines that list its ended attempts are excluded. */
+/** Rounds of choosing machines for a gang before all machines that list its exited attempts are excluded. */
 const MAX_MATCHING_ROUNDS = 8;
 
 /**
- * Steers requests away from machines that still list an ended attempt of a task: such a machine refuses any
- * other attempt of that task (see `EndedAttempts`).
+ * Steers requests away from machines that still list an exited attempt of a task: such a machine refuses any
+ * other attempt of that task (see `ExitedAttempts`).
  *
  * A request excludes a machine only if the machine would refuse every remaining task. The tasks of a gang are
  * matched to machines such that none is refused, since one refusal ends the attempt of the whole gang.
@@ -47,8 +47,8 @@
   /** Machines that would refuse every remaining task of a request; null: there are none. */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
-    for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
-      if (refusesAllTasks(machine.endedTasks.get(request.jobId), request)) names.add(machine.name);
+    for (const machine of this.state.exitedAttempts.machinesOf(request.jobId))
+      if (refusesAllTasks(machine.exitedTasks.get(request.jobId), request)) names.add(machine.name);
     return names.size > 0 ? names : null;
   }
 
@@ -60,7 +60,7 @@
       const restrictedRequest: ResourceRequest = { ...request, refusingMachines: excludedMachines };
       return chooseForGang(capacities, { request: restrictedRequest, count }, scarceZone);
     };
-    if (!this.state.endedAttempts.has(request.jobId)) return choose();
+    if (!this.state.exitedAttempts.has(request.jobId)) return choose();
     for (let round = 0; round < MAX_MATCHING_ROUNDS; round++) {
       const chosen = choose();
       if (!chosen) return null;
@@ -74,7 +74,7 @@
         if (unassignedSlots.has(slot)) excludedMachines.add(machineName);
       });
     }
-    for (const machine of this.state.endedAttempts.machinesOf(request.jobId))
+    for (const machine of this.state.exitedAttempts.machinesOf(request.jobId))
       excludedMachines.add(machine.name);
     return choose();
   }
@@ -82,12 +82,12 @@
   /** For each capacity, the tasks of the job that its machine would refuse. */
   private refusedTasks(capacities: FreeCapacity[], jobId: string): (ReadonlySet<number> | undefined)[] {
     return capacities.map(
-      (capacity) => this.state.machines.get(capacity.machineName)?.endedTasks.get(jobId)?.tasks,
+      (capacity) => this.state.machines.get(capacity.machineName)?.exitedTasks.get(jobId)?.tasks,
     );
   }
 
   /**
-   * Handles a request of which no task was placed. Requests a higher fencing token if ended attempts alone
+   * Handles a request of which no task was placed. Requests a higher fencing token if exited attempts alone
    * have prevented placement for too long.
    */
   onUnplaced(demand: CapacityDemand, capacities: FreeCapacity[], now: number): void {
@@ -106,13 +106,13 @@
       );
   }
 
-  /** Handles the placement of at least one task of a job: ended attempts no longer block it. */
+  /** Handles the placement of at least one task of a job: exited attempts no longer block it. */
   onPlaced(jobId: string): void {
     this.blockedSince.delete(jobId);
   }
 
   private findBlockingMachines({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
-    if (!this.state.endedAttempts.has(request.jobId)) return [];
+    if (!this.state.exitedAttempts.has(request.jobId)) return [];
     const unrestrictedRequest: ResourceRequest = { ...request, refusingMachines: undefined };
     if (!request.isGang) {
       const { refusingMachines: refusing } = request;
@@ -132,12 +132,12 @@
   }
 }
 
-function refusesAllTasks(ended: EndedTasks | undefined, request: ResourceRequest): boolean {
-  if (!ended) return false;
-  if (request.isGang) return taskIndices(request.taskCount).every((task) => ended.tasks.has(task));
+function refusesAllTasks(exited: ExitedTasks | undefined, request: ResourceRequest): boolean {
+  if (!exited) return false;
+  if (request.isGang) return taskIndices(request.taskCount).every((task) => exited.tasks.has(task));
   // The remaining tasks are not known: a machine that has refused one is assumed to refuse the next.
-  if (!request.remainingTasks) return ended.hasRefusedAttempt;
-  return request.remainingTasks.every((task) => ended.tasks.has(task));
+  if (!request.remainingTasks) return exited.hasRefusedAttempt;
+  return request.remainingTasks.every((task) => exited.tasks.has(task));
 }
 
 function taskIndices(count: number): number[] {
--- a/src/scheduler/placement/grants.ts
+++ b/src/scheduler/placement/grant-issuer.ts
@@ -23,7 +23,7 @@
   issue(machine: Machine, { request, instanceId }: OwnerRequest, now: number): void {
     const id = ++this.lastGrantId;
     this.allocate(machine, grantedPlacement(machine, request, id), now);
-    const endedTasks = machine.endedTasks.get(request.jobId)?.tasks;
+    const exitedTasks = machine.exitedTasks.get(request.jobId)?.tasks;
     const grant: Grant = {
       id,
       jobId: request.jobId,
@@ -31,7 +31,7 @@
       machine: machine.name,
       zone: machine.zone,
       workerEpoch: machine.workerEpoch,
-      ...(endedTasks && { endedTasks: [...endedTasks] }),
+      ...(exitedTasks && { exitedTasks: [...exitedTasks] }),
     };
     const grants = this.unsent.get(instanceId);
     if (grants) grants.push(grant);
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -52,7 +52,7 @@
 ): ResourceRequest {
   const since = nothingPlacedSince.get(request.jobId) ?? now;
   const isStarved = now - since > STARVED_AFTER_MS;
-  // A worker that lists an ended attempt of a task refuses the next attempt: slots granted there would be
+  // A worker that lists an exited attempt of a task refuses the next attempt: slots granted there would be
   // given back again and again, each time after other work may have been preempted for them.
   const refusingMachines = attemptConflicts.refusingMachines(request);
   if (!isStarved && !refusingMachines && !(isWithinGuarantee && request.maxWaitSeconds)) return request;
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -8,7 +8,7 @@
 import { BatchProfiles } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
-import { GrantIssuer } from './grants.js';
+import { GrantIssuer } from './grant-issuer.js';
 import { JobConditionTimes } from './job-condition-times.js';
 import { orderedRequests } from './pass-requests.js';
 import { PlacementPass } from './placement-pass.js';
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -10,7 +10,7 @@
 import { fill } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 import type { GangReservations } from './gang-reservations.js';
-import type { GrantIssuer } from './grants.js';
+import type { GrantIssuer } from './grant-issuer.js';
 import type { JobConditionTimes } from './job-condition-times.js';
 import type { PassRequest } from './pass-requests.js';
 import type { Preemption } from './preemption.js';
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -21,7 +21,7 @@
   machineListLagSeconds: number;
   /** Calls per second that the cloud accepts. */
   cloudCallsPerSecond: number;
-  images: ImageLocations;
+  imageLocations: ImageLocations;
   objectives: ServiceLevelObjective[];
   /** Whether this is the cluster's first leader, so that no earlier one's machines can appear later. */
   isFirstLeader: boolean;
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -19,7 +19,7 @@
 import { PlacementEngine } from './placement/placement-engine.js';
 import type { SchedulerOptions } from './scheduler-options.js';
 import { DirectCommands } from './workers/direct-commands.js';
-import { HeartbeatHandler, type HeartbeatResponse } from './workers/heartbeat-handler.js';
+import { type HeartbeatCommands, HeartbeatHandler } from './workers/heartbeat-handler.js';
 import { Reconciler } from './workers/reconciler.js';
 import { WorkerCommands } from './workers/worker-commands.js';
 
@@ -151,7 +151,7 @@
    * Handles a worker's heartbeat. Returns null if this controller no longer leads, and `unavailable` if the
    * worker's lease must not be renewed now.
    */
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatCommands {
     return this.heartbeatHandler.handle(heartbeat);
   }
 
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -109,7 +109,7 @@
   }
 }
 
-/** Whether one more task of this size would keep a team with this usage within its guaranteed resources. */
+/** Whether one more task of this size would keep a team with this usage within its guaranteed share. */
 export function isWithinGuarantee(
   usage: ResourceUsage | undefined,
   team: Team | undefined,
--- a/src/scheduler/workers/heartbeat-handler.ts
+++ b/src/scheduler/workers/heartbeat-handler.ts
@@ -12,7 +12,7 @@
  * Commands to send with a lease renewal; `unavailable`: the lease must not be renewed now; null: the worker
  * has seen a higher fencing token, so this controller no longer leads.
  */
-export type HeartbeatResponse = WorkerCommand[] | 'unavailable' | null;
+export type HeartbeatCommands = WorkerCommand[] | 'unavailable' | null;
 
 /** Handles the heartbeats of all workers, one at a time. */
 export class HeartbeatHandler {
@@ -27,7 +27,7 @@
   }
 
   /** Handles a heartbeat. A stale one, or one of a deleted machine, gets a response without commands. */
-  handle(heartbeat: Heartbeat): HeartbeatResponse {
+  handle(heartbeat: Heartbeat): HeartbeatCommands {
     if (heartbeat.fencingToken > this.state.fencingToken) {
       this.options.onHigherToken(heartbeat.fencingToken);
       return null;
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -43,7 +43,7 @@
     this.updateMachine(machine, heartbeat);
     this.state.markChanged(machine);
     machine.tasks.clear();
-    this.state.endedAttempts.update(machine, heartbeat.tasks);
+    this.state.exitedAttempts.update(machine, heartbeat.tasks);
     for (const status of heartbeat.tasks)
       machine.tasks.set(attemptKey(status.jobId, status.taskIndex, status.attempt), status);
     for (const allocation of [...machine.allocations.values()])
--- a/src/scheduler/workers/task-phase-tracker.ts
+++ b/src/scheduler/workers/task-phase-tracker.ts
@@ -38,7 +38,7 @@
   private recordImage(machine: Machine, allocation: Allocation): void {
     machine.images.delete(allocation.image);
     machine.images.set(allocation.image, allocation.imageGb);
-    this.options.images.add(machine.name, allocation.image, allocation.imageGb);
+    this.options.imageLocations.add(machine.name, allocation.image, allocation.imageGb);
     this.trimImageCache(machine);
   }
 
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -38,9 +38,9 @@
   if (!canPlaceGang(job, grants, options.usage)) return [];
   const { tasks } = assignTasks(
     Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
-    grants.map((grant) => grant.endedTasks && new Set(grant.endedTasks)),
+    grants.map((grant) => grant.exitedTasks && new Set(grant.exitedTasks)),
   );
-  // A machine that lists an ended attempt of its task would refuse it, which would stop the whole gang.
+  // A machine that lists an exited attempt of its task would refuse it, which would stop the whole gang.
   if (tasks.includes(undefined)) return [];
   for (const [index, grant] of grants.entries()) {
     const task = tasks[index];
@@ -67,15 +67,15 @@
 }
 
 /**
- * Takes the next task to be placed, skipping tasks of which the machine lists an ended attempt; -1: none. If
+ * Takes the next task to be placed, skipping tasks of which the machine lists an exited attempt; -1: none. If
  * only such tasks are left, the job avoids the machine for a while.
  */
-function takeNextTask(job: OwnedJob, { machine, endedTasks }: Grant, nowMs: number): number {
+function takeNextTask(job: OwnedJob, { machine, exitedTasks }: Grant, nowMs: number): number {
   const isFinished = (task: number) => job.counter.has(task);
   const isTaken = (task: number) => isFinished(task) || job.placements.has(task);
   const refusedTasks: number[] = [];
   let taskIndex = job.fanOut.takeNext(isTaken, isFinished);
-  while (taskIndex >= 0 && endedTasks?.includes(taskIndex)) {
+  while (taskIndex >= 0 && exitedTasks?.includes(taskIndex)) {
     refusedTasks.push(taskIndex);
     taskIndex = job.fanOut.takeNext(isTaken, isFinished);
   }
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -39,7 +39,7 @@
       }
       const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
       updates.releaseGrant(placement.grantId);
-      updates.releaseTask({ machine: placement.machine, attemptKey: key });
+      updates.releasePlacement({ machine: placement.machine, attemptKey: key });
       jobs.removePlacement(job, placement, 'returned');
     }
     transactions.scheduleWrite(job, 0);
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -5,7 +5,7 @@
 
 import type { Clock } from '../model/clock.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { ReleasedTask, ShardMessage } from '../model/shard-messages.js';
+import type { ReleasedPlacement, ShardMessage } from '../model/shard-messages.js';
 import { CancellationProgress } from './cancellation-progress.js';
 import { fullSyncChunks, placementsToSync } from './full-sync.js';
 import type { OwnedJobs } from './owned-jobs.js';
@@ -51,7 +51,7 @@
   /** Number of `placements` messages sent since the last full sync. */
   private placementMessagesSent = 0;
   private placementsToSend: PlacementSpec[] = [];
-  private tasksToRelease: ReleasedTask[] = [];
+  private placementsToRelease: ReleasedPlacement[] = [];
   private grantsToRelease: number[] = [];
   private readonly cancellationProgress = new CancellationProgress();
 
@@ -109,14 +109,14 @@
     this.placementsToSend.push(placement);
   }
 
-  /** Returns an unused grant to the leader. */
+  /** Releases an unused grant: the leader may grant its slot again. */
   releaseGrant(grantId: number): void {
     this.grantsToRelease.push(grantId);
   }
 
-  /** Tells the leader to drop a placement that its worker does not list. */
-  releaseTask(task: ReleasedTask): void {
-    this.tasksToRelease.push(task);
+  /** Releases a placement that its worker does not list; the leader drops it. */
+  releasePlacement(placement: ReleasedPlacement): void {
+    this.placementsToRelease.push(placement);
   }
 
   /** Has the resource requests rebuilt, since they may have changed. */
@@ -183,14 +183,14 @@
   }
 
   private sendReleases(): void {
-    if (this.tasksToRelease.length + this.grantsToRelease.length === 0) return;
-    const released = { tasks: this.tasksToRelease, grants: this.grantsToRelease };
+    if (this.placementsToRelease.length + this.grantsToRelease.length === 0) return;
+    const released = { tasks: this.placementsToRelease, grants: this.grantsToRelease };
     this.options.send({ type: 'release', ...this.senderFields, ...released });
     this.clearReleases();
   }
 
   private clearReleases(): void {
-    this.tasksToRelease = [];
+    this.placementsToRelease = [];
     this.grantsToRelease = [];
   }
 
--- a/src/shard/write-event-handler.ts
+++ b/src/shard/write-event-handler.ts
@@ -37,7 +37,7 @@
       return;
     }
     const key = attemptKey(job.spec.id, placement.taskIndex, placement.attempt);
-    updates.releaseTask({ machine: placement.machine, attemptKey: key });
+    updates.releasePlacement({ machine: placement.machine, attemptKey: key });
   }
 
   onCounterComplete(job: OwnedJob): void {
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -94,7 +94,7 @@
   machine: 'machine',
   zone: 'zone',
   workerEpoch: 'season',
-  endedTasks: 'endedTasks',
+  exitedTasks: 'endedTasks',
 });
 
 const allocationEvent = taggedUnion<AllocationEvent>('s', {
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -62,7 +62,7 @@
     // What peers report of them, some seconds after the first report went unanswered.
     if (i >= 4) harness.scheduler.onMachinesRedirected(all.slice(0, 4 * (i - 3)));
   }
-  expect(harness.resignationReasons).toEqual(['workers reach siblings only']);
+  expect(harness.resignationReasons).toEqual(['workers reach peers only']);
   expect(harness.deletedMachines).toEqual([]);
 });
 
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -112,7 +112,7 @@
       listMachines: (_since, then) => then({ ok: true, value: { machines: [], hasMore: false } }),
     },
     workers: { sendCommands: () => {} },
-    peers: { send: (_host, message) => sent.push(message) },
+    peerTransport: { send: (_host, message) => sent.push(message) },
   });
   controller.start();
   sim.run(ms);
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -226,7 +226,7 @@
   'synced without a number': { type: 'syncAccepted', fencingToken: 7 },
   resync: { type: 'syncRequested', fencingToken: 7 },
   grants: { type: 'grants', fencingToken: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
-  'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
+  'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, exitedTasks: [1, 2] }] },
   mark: { type: 'timestamp', fencingToken: 7, leaderTimestamp: 123456.5 },
   'seen, each phase': {
     type: 'allocationEvents',
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -229,7 +229,7 @@
     store: port as KeyValueStore,
     cloud: port as ConstructorParameters<typeof Controller>[0]['cloud'],
     workers: port as ConstructorParameters<typeof Controller>[0]['workers'],
-    peers: {
+    peerTransport: {
       send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
     },
   });
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -6,7 +6,7 @@
 import type { Grant } from '../src/model/placement.js';
 import { assignTasks } from '../src/model/task-assignment.js';
 import type { Heartbeat, TaskStatus } from '../src/model/worker-messages.js';
-import { EndedAttempts } from '../src/scheduler/ended-attempts.js';
+import { ExitedAttempts } from '../src/scheduler/exited-attempts.js';
 import { createMachine } from '../src/scheduler/machine.js';
 import { AttemptConflicts } from '../src/scheduler/placement/attempt-conflicts.js';
 import { assignGrants } from '../src/shard/grant-assignment.js';
@@ -26,7 +26,7 @@
   checkpointSaved: false,
   ...over,
 });
-const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
+const machineNames = (index: ExitedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
 const isGranted = (harness: SchedulerHarness, id: string) =>
   harness.grantedJobs().filter((job) => job === id).length;
 
@@ -71,7 +71,7 @@
 // ---- index -------------------------------------------------------------------------------------------
 
 test('the index follows each list of a machine, and leaves out what runs or is done', () => {
-  const index = new EndedAttempts();
+  const index = new ExitedAttempts();
   const machine = createMachine('m', 0);
   index.update(machine, [
     ended('wk-1', 0),
@@ -80,7 +80,7 @@
     ended('wk-3', 0, { exitReason: 'done' }),
   ]);
   expect(machineNames(index, 'wk-1')).toEqual(['m']);
-  expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
+  expect(machine.exitedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
   expect([index.has('wk-2'), index.has('wk-3')]).toEqual([false, false]);
   index.update(machine, [ended('wk-2', 0)]);
   expect([index.has('wk-1'), index.has('wk-2')]).toEqual([false, true]);
@@ -160,7 +160,7 @@
     const [grant] = harness.sentMessages.flatMap((message) =>
       message.type === 'grants' ? message.grants : [],
     );
-    expect(grant?.endedTasks).toEqual([0, 2]);
+    expect(grant?.exitedTasks).toEqual([0, 2]);
   }
 });
 
@@ -190,7 +190,7 @@
       ...over,
     });
   for (let index = 0; index < machineCount; index++) sendHeartbeat(index);
-  const looks = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
+  const looks = vi.spyOn(ExitedAttempts.prototype, 'machinesOf');
   const machinesFor = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
   harness.sendRequests(
     Array.from({ length: jobCount }, (_, i) =>
@@ -229,14 +229,14 @@
   });
 }
 
-const grantOn = (id: number, endedTasks?: number[]): Grant => ({
+const grantOn = (id: number, exitedTasks?: number[]): Grant => ({
   id,
   jobId: 'wk-1',
   team: 'red',
   machine: `m${id}`,
   zone: 'a',
   workerEpoch: 1,
-  ...(endedTasks && { endedTasks }),
+  ...(exitedTasks && { exitedTasks }),
 });
 
 function placed(of: OwnedJob, grants: Grant[]): [number, number][] {
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -79,7 +79,7 @@
       workerTiming: { heartbeatIntervalSeconds: 2, leaseSeconds: 20, cancellationSeconds: 40 },
       machineListLagSeconds: 3,
       cloudCallsPerSecond: 5,
-      images: new ImageLocations(),
+      imageLocations: new ImageLocations(),
       objectives: this.objectives,
       isFirstLeader: true,
       clock: {
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -130,7 +130,7 @@
       store: digest.store(nodeName, storePort({ cluster, quotaChecker, nodeName, deliver })),
       cloud: digest.cloud(nodeName, this.cloud.port(nodeName, deliver)),
       workers: digest.workers(nodeName, workerPort(cluster, nodeName, deliver)),
-      peers: { send: (to, message) => this.sendToPeer(nodeName, to, message) },
+      peerTransport: { send: (to, message) => this.sendToPeer(nodeName, to, message) },
     } satisfies Partial<ControllerOptions>;
   }
 
