--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -70,7 +70,7 @@
  * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that serve users
  * cost at most one write each, so they precede placements, whose transactions use up the write budget.
  */
-export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, cleanup: 4 } as const;
+export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, archive: 4 } as const;
 
 /** One of the values of `URGENCY`. */
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -4,6 +4,7 @@
 
 /** The cluster values that policy expressions can refer to. */
 export interface PolicyInput {
+  /** Number of service replicas. */
   services: number;
   serviceCpus: number;
   queuedTasks: number;
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -295,8 +295,8 @@
       }
     const bootSeconds = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
     return {
-      services: this.totals.services,
-      serviceCpus: this.totals.serviceCpus,
+      services: this.totals.replicas,
+      serviceCpus: this.totals.replicaCpus,
       queuedTasks: queued,
       queuedCpus,
       runningBatchTasks: this.totals.batchTasks,
--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -23,7 +23,7 @@
     kind.machinesUp++;
     kind.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
     kind.replicaCpus += machine.totals.replicaCpus;
-    kind.batchCpus += machine.totals.batch.cpus;
+    kind.batchCpus += machine.totals.preemptible.cpus;
   }
   return byKind;
 }
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -83,7 +83,7 @@
     // Each move interrupts a replica for a moment: moves are limited to a rate that users do not notice.
     this.moveCredit = Math.min(
       MAX_MOVE_CREDIT,
-      this.moveCredit + this.state.totals.services * MOVE_CREDIT_PER_REPLICA,
+      this.moveCredit + this.state.totals.replicas * MOVE_CREDIT_PER_REPLICA,
     );
     if (draining >= Math.ceil(this.state.machines.size / MACHINES_PER_DRAINING)) return;
     const search = this.beginSearch(now);
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -57,7 +57,7 @@
     const demands: CapacityDemand[] = [];
     for (const { request, recordedAt } of this.state.serviceProfiles.values()) {
       if (now - recordedAt > MAX_PROFILE_AGE_MS) continue;
-      const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.services);
+      const share = (running.get(request.image) ?? 0) / Math.max(1, this.state.totals.replicas);
       const count = Math.max(1, Math.ceil(this.state.policy.reserveReplicas * share));
       demands.push({ request, count });
     }
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -37,7 +37,7 @@
       state.reserveMachines.has(machine.name)
     )
       continue;
-    if (machine.isUp) cpus += machine.totals.batch.cpus;
+    if (machine.isUp) cpus += machine.totals.preemptible.cpus;
   }
   for (const machine of state.machinesWithCapacity)
     if (machine.isSpot && state.isUsable(machine, now)) cpus -= machine.totals.free.cpus;
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -10,7 +10,7 @@
   /** Capacity that no allocation uses. */
   free: Resources;
   /** Used by array and gang tasks below the highest priority, which may be preempted for services. */
-  batch: Resources;
+  preemptible: Resources;
   /** Used by tasks that are being stopped, or that their owners were asked to stop. */
   stopping: Resources;
   /** Resources in use, by team. */
@@ -32,7 +32,7 @@
   return {
     isTypeKnown: false,
     free: zero(),
-    batch: zero(),
+    preemptible: zero(),
     stopping: zero(),
     teams: [],
     replicas: 0,
@@ -77,7 +77,7 @@
     totals.replicaCpus += allocation.cpus;
   } else {
     totals.batchTasks++;
-    if (allocation.priority > 0) addResources(totals.batch, allocation);
+    if (allocation.priority > 0) addResources(totals.preemptible, allocation);
   }
   if (allocation.desiredState === 'run') totals.runningByPriority[allocation.priority]++;
 }
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -25,7 +25,7 @@
 
 /** Finds preemption candidates, using an index of machines that is built once per pass. */
 export class PreemptionCandidates {
-  /** Usable machines with batch tasks, by held image; null: all of them. Empty until first used in a pass. */
+  /** Usable machines with preemptible tasks, by held image; null: all of them. Empty until first used in a pass. */
   private readonly machinesByImage = new Map<string | null, Machine[]>();
 
   constructor(
@@ -44,10 +44,10 @@
     const { request } = query;
     const candidates: PreemptionCandidate[] = [];
     for (const machine of this.preemptibleMachines(query.now, warmOnly ? request.image : null)) {
-      const { batch, free } = machine.totals;
+      const { preemptible, free } = machine.totals;
       if (
-        batch.cpus + free.cpus + EPSILON < request.cpus ||
-        batch.memoryGb + free.memoryGb + EPSILON < request.memoryGb
+        preemptible.cpus + free.cpus + EPSILON < request.cpus ||
+        preemptible.memoryGb + free.memoryGb + EPSILON < request.memoryGb
       )
         continue;
       const candidate = this.candidateOn(machine, query);
@@ -133,7 +133,7 @@
     const all: Machine[] = [];
     this.machinesByImage.set(null, all);
     for (const machine of this.state.machines.values()) {
-      if (machine.totals.batch.cpus <= 0 || !this.state.isUsable(machine, now)) continue;
+      if (machine.totals.preemptible.cpus <= 0 || !this.state.isUsable(machine, now)) continue;
       all.push(machine);
       for (const image of machine.images.keys()) {
         const holders = this.machinesByImage.get(image);
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -46,7 +46,7 @@
   private readonly exhaustedKeys = new Set<string>();
   /** Jobs with reserved machines: they may find capacity where equivalent requests find none. */
   private readonly jobsWithReservation = new Set<string>();
-  private readonly isLeader: boolean;
+  private readonly holdsLeadership: boolean;
 
   constructor(
     private readonly context: PlacementContext,
@@ -60,7 +60,7 @@
     for (const { reservation } of state.machinesWithReservation)
       if (reservation) this.jobsWithReservation.add(reservation.jobId);
     this.beingFreed = capacitiesBeingFreed(state, now);
-    this.isLeader = options.holdsLeadership();
+    this.holdsLeadership = options.holdsLeadership();
   }
 
   /** Sets aside the capacity that these tasks would take, so that requests served later do not get it. */
@@ -97,7 +97,7 @@
       const warm = this.beingFreed.filter((capacity) => capacity.images?.has(request.image) === true);
       remaining = this.claimCapacityBeingFreed(warm, { request, count: remaining });
     }
-    if (remaining > 0 && this.isLeader)
+    if (remaining > 0 && this.holdsLeadership)
       remaining -= this.context.preemption.preempt(
         { request, count: remaining },
         { usage, now, warmOnly: true },
@@ -130,7 +130,7 @@
     if (remaining <= 0) return;
     // Slots become free all the time: a short wait often avoids the loss of work that preemption causes.
     const isPreemptionDue = this.recordUnplaced(entry);
-    if (this.isLeader && isPreemptionDue)
+    if (this.holdsLeadership && isPreemptionDue)
       remaining -= this.context.preemption.preempt(
         { request, count: remaining },
         { usage, now, warmOnly: false },
@@ -181,7 +181,7 @@
   /** Grants slots for up to `count` tasks. Returns the number of tasks left. */
   private grantFrom(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
-    if (!this.isLeader || count <= 0) return count;
+    if (!this.holdsLeadership || count <= 0) return count;
     const key = this.exhaustedKeyFor(request, capacities);
     if (key !== null && this.exhaustedKeys.has(key)) return count;
     if (request.isGang) return this.grantToGang(capacities, entry, count);
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -221,12 +221,17 @@
   /** Counts for status reports and tests. */
   stats(): Record<string, number> {
     let machinesUp = 0;
-    let entries = 0;
+    let allocations = 0;
     for (const machine of this.state.machines.values()) {
       if (machine.isUp) machinesUp++;
-      entries += machine.allocations.size;
+      allocations += machine.allocations.size;
     }
-    return { machines: this.state.machines.size, up: machinesUp, entries, holds: this.state.openGrants.size };
+    return {
+      machines: this.state.machines.size,
+      up: machinesUp,
+      allocations,
+      openGrants: this.state.openGrants.size,
+    };
   }
 }
 
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -19,8 +19,8 @@
 /** Totals of the tasks that use capacity, over the whole fleet. */
 export interface FleetTaskTotals {
   /** Number of service replicas. */
-  services: number;
-  serviceCpus: number;
+  replicas: number;
+  replicaCpus: number;
   batchTasks: number;
   /** Number of tasks that are to run, by priority. */
   runningByPriority: [number, number, number, number];
@@ -37,8 +37,8 @@
   /** Machines that are up and on which tasks are being stopped. */
   readonly machinesWithStops = new Set<Machine>();
   readonly taskTotals: FleetTaskTotals = {
-    services: 0,
-    serviceCpus: 0,
+    replicas: 0,
+    replicaCpus: 0,
     batchTasks: 0,
     runningByPriority: [0, 0, 0, 0],
   };
@@ -93,8 +93,8 @@
       usage.gpus += sign * gpus;
       this.usageByTeam.set(team, usage);
     }
-    this.taskTotals.services += sign * totals.replicas;
-    this.taskTotals.serviceCpus += sign * totals.replicaCpus;
+    this.taskTotals.replicas += sign * totals.replicas;
+    this.taskTotals.replicaCpus += sign * totals.replicaCpus;
     this.taskTotals.batchTasks += sign * totals.batchTasks;
     for (const priority of PRIORITIES)
       this.taskTotals.runningByPriority[priority] += sign * totals.runningByPriority[priority];
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -101,13 +101,13 @@
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machines.values()) {
-      const { batch, free } = machine.totals;
-      if (free.cpus + batch.cpus <= EPSILON || !this.isUsable(machine, now)) continue;
+      const { preemptible, free } = machine.totals;
+      if (free.cpus + preemptible.cpus <= EPSILON || !this.isUsable(machine, now)) continue;
       const capacity = this.capacityOf(machine, now);
       if (!capacity) continue;
-      capacity.cpus += batch.cpus;
-      capacity.gpus += batch.gpus;
-      capacity.memoryGb += batch.memoryGb;
+      capacity.cpus += preemptible.cpus;
+      capacity.gpus += preemptible.gpus;
+      capacity.memoryGb += preemptible.memoryGb;
       capacities.push(capacity);
     }
     return capacities;
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -10,7 +10,7 @@
 import type { Logger } from '../model/logger.js';
 import type { Failure, Result } from '../model/result.js';
 import { counterKey, jobKey, teamKey, teamOfKey } from '../store/keyspace.js';
-import { cleanupWrite, type JobWrite, knownRevision, progressWrite, type WriteEvents } from './job-writes.js';
+import { archiveWrite, type JobWrite, knownRevision, progressWrite, type WriteEvents } from './job-writes.js';
 import { isReadyToArchive, type OwnedJob } from './owned-job.js';
 import type { WakeTimer } from './wake-timer.js';
 import type { WriteFence } from './write-fence.js';
@@ -41,10 +41,10 @@
 const COALESCED_WRITES_SHARE = 0.2;
 
 /**
- * What a transaction writes. `progress`: placements and counters of unfinished jobs. `cleanup`: final
+ * What a transaction writes. `progress`: placements and counters of unfinished jobs. `archive`: final
  * records, and the deletion of the records that they replace.
  */
-type WriteKind = 'progress' | 'cleanup';
+type WriteKind = 'progress' | 'archive';
 
 /** Settings and dependencies of `JobTransactions`. */
 export interface JobTransactionsOptions {
@@ -94,7 +94,7 @@
 export class JobTransactions {
   /** Jobs with unwritten changes, and finished or cancelled jobs without a final record. */
   private readonly dirtyJobs = new Set<OwnedJob>();
-  private readonly inFlight: Record<WriteKind, boolean> = { progress: false, cleanup: false };
+  private readonly inFlight: Record<WriteKind, boolean> = { progress: false, archive: false };
   private pausedUntil = 0;
 
   constructor(private readonly options: JobTransactionsOptions) {}
@@ -122,12 +122,12 @@
 
   /**
    * Sends a transaction of each kind with the writes that are due, unless one of that kind is in flight.
-   * Placements and counters therefore do not wait for cleanup, and changes made in the meantime share the
+   * Placements and counters therefore do not wait for archiving, and changes made in the meantime share the
    * next transaction.
    */
   sendDueWrites(): void {
     this.sendNextBatch('progress');
-    this.sendNextBatch('cleanup');
+    this.sendNextBatch('archive');
   }
 
   private sendNextBatch(kind: WriteKind): void {
@@ -166,7 +166,7 @@
       if (!needsFinalRecord && !job.isCounterDirty && job.dirtyChunks.size === 0) {
         job.writeDueAt = Number.POSITIVE_INFINITY;
         this.dirtyJobs.delete(job);
-      } else if (needsFinalRecord === (kind === 'cleanup')) {
+      } else if (needsFinalRecord === (kind === 'archive')) {
         if (job.writeDueAt <= now) dueJobs.push(job);
         else nextDueAt = Math.min(nextDueAt, job.writeDueAt);
       }
@@ -187,7 +187,7 @@
     const maxOperations = this.remainingOperations(batch);
     if (maxOperations < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
     const writeOptions = { maxOperations, tasksPerChunk, events };
-    const write = kind === 'cleanup' ? cleanupWrite(job, writeOptions) : progressWrite(job, writeOptions);
+    const write = kind === 'archive' ? archiveWrite(job, writeOptions) : progressWrite(job, writeOptions);
     if (!write) return true;
     const writtenKeys = new Set(write.operations.map(({ key }) => key));
     for (const operation of write.operations) {
@@ -230,7 +230,7 @@
       job.writeDueAt = Number.POSITIVE_INFINITY;
     }
     this.inFlight[kind] = true;
-    const urgency = kind === 'cleanup' ? URGENCY.cleanup : URGENCY.placement;
+    const urgency = kind === 'archive' ? URGENCY.archive : URGENCY.placement;
     this.options.store.compareAndSwap(batch.transaction, urgency, (result) => {
       this.inFlight[kind] = false;
       this.onResult(batch, result);
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -166,7 +166,7 @@
  * all fit into one transaction, placement records are deleted first, and the last transaction stores the
  * final record. Returns null if no part of this fits.
  */
-export function cleanupWrite(
+export function archiveWrite(
   job: OwnedJob,
   { maxOperations, events }: Omit<JobWriteOptions, 'tasksPerChunk'>,
 ): JobWrite | null {
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -69,7 +69,7 @@
     [URGENCY.user]: [],
     [URGENCY.placement]: [],
     [URGENCY.read]: [],
-    [URGENCY.cleanup]: [],
+    [URGENCY.archive]: [],
   };
 
   constructor(private readonly limits: RateLimits) {
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -7,7 +7,7 @@
 import type { MachineType } from '../../src/model/machine-type.js';
 import type { ShardMessage } from '../../src/model/shard-messages.js';
 import type { Team } from '../../src/model/team.js';
-import { cleanupWrite, type JobWrite, progressWrite, type WriteEvents } from '../../src/shard/job-writes.js';
+import { archiveWrite, type JobWrite, progressWrite, type WriteEvents } from '../../src/shard/job-writes.js';
 import { createOwnedJob, type OwnedJob, type Placement } from '../../src/shard/owned-job.js';
 import { ShardOwner } from '../../src/shard/shard-owner.js';
 import { WriteFence } from '../../src/shard/write-fence.js';
@@ -316,7 +316,7 @@
 });
 
 describe('the final record of a job, end/<id>', () => {
-  const finalOf = (job: OwnedJob): JobWrite | null => cleanupWrite(job, { maxOperations: 16, events });
+  const finalOf = (job: OwnedJob): JobWrite | null => archiveWrite(job, { maxOperations: 16, events });
 
   test('is written when it is done, and the working records are dropped', () => {
     const job = ownedJob(GANG);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -192,7 +192,7 @@
   expect(fleet.messages).toBeLessThanOrEqual(12);
   for (let i = 0; i < 6; i++) fleet.round(6);
   expect(fleet.running()).toBe(MACHINES);
-  expect(fleet.leader.scheduler.stats().entries).toBe(MACHINES);
+  expect(fleet.leader.scheduler.stats().allocations).toBe(MACHINES);
 
   // A zone with most machines becomes unresponsive, and no peer confirms that they are dead: none is deleted.
   for (let i = 0; i < 12; i++) fleet.round(6, ['a']);
@@ -233,8 +233,8 @@
       send: (_host, { body }) => body.type === 'heartbeat' && sent.push(body.redirectedMachines.length),
     },
   });
-  const inside = controller as unknown as { parts: { leadership: { knownLeader: object } } };
-  inside.parts.leadership.knownLeader = {
+  const inside = controller as unknown as { components: { leadership: { knownLeader: object } } };
+  inside.components.leadership.knownLeader = {
     instanceId: 'c1.1',
     nodeName: 'c1',
     fencingToken: 1,
