--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -26,7 +26,7 @@
 /** Maximum time that a watch waits for a change. */
 const WATCH_WAIT_MS = 10000;
 
-/** The controller that owns a shard. `shardEpoch` is the revision of the team record that names it. */
+/** The controller that owns a shard. `shardEpoch` is the revision of the owner record that names it. */
 export interface ShardOwnership {
   instanceId: string;
   shardEpoch: number;
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -29,7 +29,9 @@
   zone: string | null;
   /** Whether all running tasks of the job must be in one zone. */
   zoneAffinity: boolean;
-  /** Whether at most half of the job's tasks may be in any one zone at a time. */
+  /**
+   * Whether the job must be spread over zones: at most half of its tasks may be in any one zone at a time.
+   */
   zoneAntiAffinity: boolean;
   spotAllowed: boolean;
   /** Run time of one task as estimated by the user. */
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -15,7 +15,7 @@
   queuePosition: number;
   /**
    * Number of objectives that the job can no longer meet; 0 while it can still meet its first objective or
-   * its deadline. A job that has waited very long, or whose objectives have been given up, counts as 0 again.
+   * its deadline. A job that has waited very long, or whose objectives have expired, counts as 0 again.
    */
   missedObjectives: number;
   taskCount: number;
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -28,7 +28,7 @@
   amortizationSeconds: number;
   /** The same for machines rented for services, whose replicas stay longer. */
   serviceAmortizationSeconds: number;
-  /** Multiple of the machine type's boot time after which a machine that is still not up is given up. */
+  /** Multiple of the machine type's boot time after which a machine that is still not up is deleted. */
   maxBootTimeFactor: number;
   /** Seconds without a heartbeat after which a machine is deleted to finalize its tasks. */
   unresponsiveSeconds: number;
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -55,7 +55,10 @@
   };
 }
 
-/** Whether no placement is known to be stored for this allocation: its worker has never been told of it. */
+/**
+ * Whether no placement is known to be stored for this allocation: no command for it has been sent to its
+ * worker.
+ */
 export function isWithoutStoredPlacement(allocation: Allocation): boolean {
   return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
 }
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -61,7 +61,7 @@
   scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
   /** Zones in which most machines are silent while other zones are not: partitioned rather than failed. */
   partitionedZones = new Set<string>();
-  /** Names of the machines that hold the capacity reserve of services. */
+  /** Names of the machines that hold the service reserve. */
   reserveMachines = new Set<string>();
   /** Until this time capacity counts as short, and no machine is surplus. */
   shortageUntil = 0;
--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -8,6 +8,7 @@
   machinesUp: number;
   cpus: number;
   replicaCpus: number;
+  /** CPUs of the batch tasks that may be preempted. */
   batchCpus: number;
 }
 
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -25,7 +25,8 @@
 }
 
 /**
- * CPUs of batch work on the on-demand machines that could be replaced, less what is free on spot machines.
+ * CPUs of preemptible batch work on the on-demand machines that could be replaced, less what is free on spot
+ * machines.
  */
 function replaceableCpus(state: ClusterState, now: number): number {
   let cpus = 0;
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -53,7 +53,7 @@
   const since = nothingPlacedSince.get(request.jobId) ?? now;
   const isStarved = now - since > STARVED_AFTER_MS;
   // A worker that lists an exited attempt of a task refuses the next attempt: slots granted there would be
-  // given back again and again, each time after other work may have been preempted for them.
+  // released again and again, each time after other work may have been preempted for them.
   const refusingMachines = attemptConflicts.refusingMachines(request);
   if (!isStarved && !refusingMachines && !(isWithinGuarantee && request.maxWaitSeconds)) return request;
   const adjusted: ResourceRequest = { ...request, isStarved };
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -25,7 +25,10 @@
 
 /** Finds preemption candidates, using an index of machines that is built once per pass. */
 export class PreemptionCandidates {
-  /** Usable machines with preemptible tasks, by held image; null: all of them. Empty until first used in a pass. */
+  /**
+   * Usable machines with preemptible tasks, by held image; null: all of them. Empty until first used in a
+   * pass.
+   */
   private readonly machinesByImage = new Map<string | null, Machine[]>();
 
   constructor(
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -105,7 +105,7 @@
     this.shardOwnerHandler.setOwners(records);
   }
 
-  /** Ignores a team's present owner from now on, because the team's ownership record is about to change. */
+  /** Ignores a team's present owner from now on, because the team's owner record is about to change. */
   suspendOwner(team: string): void {
     this.shardOwnerHandler.suspendOwner(team);
   }
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -19,7 +19,7 @@
   readonly machines: ReadonlyMap<string, Machine>;
   readonly machineTypes: ReadonlyMap<string, MachineType>;
   readonly machinesWithCapacity: ReadonlySet<Machine>;
-  /** Names of the machines that hold the capacity reserve of services. */
+  /** Names of the machines that hold the service reserve. */
   readonly reserveMachines: ReadonlySet<string>;
   /** Until this time capacity counts as short, and no machine is surplus. */
   readonly shortageUntil: number;
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -49,7 +49,7 @@
   private send(machine: Machine): void {
     if (!canCall(machine) || machine.directCommands.failures > 0) return;
     let commands = machine.isUp ? this.components.commands.commandsFor(machine, null) : [];
-    // A stop is safe without leadership: a worker that has seen a later fencing token drops it.
+    // A stop is safe without leadership: a worker that has seen a higher fencing token drops it.
     if (!this.options.holdsLeadership()) commands = commands.filter((command) => command.type === 'stop');
     // Exited attempts use no capacity: they can be forgotten with the next response or command.
     if (commands.every((command) => command.type === 'forget')) return;
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -125,7 +125,7 @@
         continue;
       }
       if (!this.isUnclaimed(status, since, allSynced)) continue;
-      // A stop is safe without leadership: a worker that has seen a later fencing token drops it.
+      // A stop is safe without leadership: a worker that has seen a higher fencing token drops it.
       if (status.phase !== 'exited') commands.push(stopCommand(status, 0));
       else if (holdsLeadership && this.canForget(machine, status, key)) commands.push(forgetCommand(status));
     }
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -257,7 +257,7 @@
   /** Has the records of the jobs read again after a transaction that failed or has an unknown outcome. */
   private onUnconfirmed({ jobs, fenceRevision }: Batch, { kind, failedKeys = [] }: Failure): void {
     this.options.log.debug({ kind, failedKeys, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
-    // If only team records have changed, another controller owns a team now, as the watch will report.
+    // If only owner records have changed, another controller owns a team now, as the watch will report.
     // Nothing of this transaction was stored.
     if (kind === 'conflict' && failedKeys.every((key) => teamOfKey(key) !== null))
       this.pause(OWNERSHIP_CHANGED_PAUSE_MS);
--- a/src/shard/owned-shards.ts
+++ b/src/shard/owned-shards.ts
@@ -5,14 +5,14 @@
 /** A shard from its acquisition to its release. A shard that is acquired again gets a new object. */
 export interface OwnedShard {
   readonly team: string;
-  /** Revision of the team's record that names this instance; a precondition of all writes of the jobs. */
+  /** Revision of the owner record that names this instance; a precondition of all writes of the jobs. */
   readonly shardEpoch: number;
   /** Whether the jobs of the shard have been read. Until then nothing is placed or requested for its team. */
   isLoaded: boolean;
   isLoading: boolean;
 }
 
-/** Acquires and releases shards according to the teams' records. */
+/** Acquires and releases shards according to the teams' owner records. */
 export class OwnedShards {
   private readonly shards = new Map<string, OwnedShard>();
 
@@ -40,7 +40,7 @@
    * Releases the shards whose epoch is missing or different in `epochs`, and acquires those that are not
    * owned yet.
    *
-   * @param epochs - Revision of the record that names this instance as the owner, by team
+   * @param epochs - Revision of the owner record that names this instance, by team
    */
   assign(epochs: ReadonlyMap<string, number>): void {
     for (const { team, shardEpoch } of this.shards.values()) {
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -132,7 +132,7 @@
   /**
    * Sets the teams whose shards this controller owns.
    *
-   * @param epochs - Revision of the record that names this instance as the owner, by team
+   * @param epochs - Revision of the owner record that names this instance, by team
    */
   setShards(epochs: ReadonlyMap<string, number>): void {
     this.shards.assign(epochs);
