--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -113,7 +113,7 @@
     const current = records.leader();
     if (!current) return;
     const { record, modRevision } = current;
-    if (record.instanceId !== instanceId || record.fencingToken > leadership.leaderTerm) return;
+    if (record.instanceId !== instanceId || record.fencingToken > leadership.latestTermToken) return;
     this.nextStaleRecordDeletionAt = now + STALE_RECORD_DELETION_INTERVAL_MS;
     this.staleRecordDeletionInFlight = true;
     this.deleteLeaderRecord(modRevision, () => {
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -21,7 +21,7 @@
 export class Leadership {
   private currentScheduler: Scheduler | null = null;
   private knownLeader: LeaderRecord = { instanceId: '', nodeName: '', fencingToken: 0 };
-  private lastTerm = 0;
+  private lastTermToken = 0;
   private startedAtMs = 0;
   private ownRecordRevision = 0;
 
@@ -40,8 +40,8 @@
   }
 
   /** Fencing token of the latest term of this process; 0 if it has never led. */
-  get leaderTerm(): number {
-    return this.lastTerm;
+  get latestTermToken(): number {
+    return this.lastTermToken;
   }
 
   /** Start time of the latest term of this process. */
@@ -69,8 +69,8 @@
   start(record: LeaderRecord, recordRevision: number, reason: string): void {
     const { fencingToken } = record;
     if (this.currentScheduler && this.currentScheduler.fencingToken >= fencingToken) return;
-    if (fencingToken < this.knownLeader.fencingToken || fencingToken <= this.lastTerm) return;
-    this.lastTerm = fencingToken;
+    if (fencingToken < this.knownLeader.fencingToken || fencingToken <= this.lastTermToken) return;
+    this.lastTermToken = fencingToken;
     this.startedAtMs = this.options.clock.now();
     this.ownRecordRevision = recordRevision;
     this.options.log.info({ fencingToken, reason }, 'leading');
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -11,8 +11,8 @@
 export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
   /** Key in `Machine.allocations`: see `attemptKey`, or `grantKey` for a grant. */
   key: string;
-  /** `hold`: granted, but its owner has not yet reported a stored placement. */
-  desiredState: PlacementSpec['desiredState'] | 'hold';
+  /** `granted`: a grant for which its owner has not yet reported a stored placement. */
+  desiredState: PlacementSpec['desiredState'] | 'granted';
   /**
    * Sequence of the heartbeat whose response carried its start, until a later heartbeat arrives; -1: none.
    */
@@ -60,7 +60,7 @@
  * worker.
  */
 export function isWithoutStoredPlacement(allocation: Allocation): boolean {
-  return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
+  return allocation.desiredState === 'granted' || allocation.desiredState === 'pending';
 }
 
 /** Whether an allocation uses capacity: until its worker reports that it has exited, or it is finalized. */
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -199,7 +199,7 @@
   removeAllocation(machine: Machine, allocation: Allocation): void {
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
-    if (allocation.desiredState === 'hold') this.grants.remove(allocation);
+    if (allocation.desiredState === 'granted') this.grants.remove(allocation);
     this.markChanged(machine);
   }
 
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -35,7 +35,7 @@
     machine.isBeingDeleted = true;
     this.queue.add(machine.name);
     for (const allocation of machine.allocations.values())
-      if (allocation.desiredState === 'hold') this.state.removeAllocation(machine, allocation);
+      if (allocation.desiredState === 'granted') this.state.removeAllocation(machine, allocation);
     this.options.log.info(
       {
         machine: machine.name,
--- a/src/scheduler/owners/shard-owner-handler.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -171,7 +171,10 @@
         listed.add(attemptKey(placement.jobId, placement.taskIndex, placement.attempt));
     for (const machine of this.state.machines.values())
       for (const allocation of machine.allocations.values())
-        if (teams.has(allocation.team) && (allocation.desiredState === 'hold' || !listed.has(allocation.key)))
+        if (
+          teams.has(allocation.team) &&
+          (allocation.desiredState === 'granted' || !listed.has(allocation.key))
+        )
           this.state.removeAllocation(machine, allocation);
   }
 
--- a/src/scheduler/placement/grant-issuer.ts
+++ b/src/scheduler/placement/grant-issuer.ts
@@ -48,7 +48,7 @@
     const { grantId, jobId } = placement;
     const allocation = createAllocation(placement, now);
     allocation.key = `grant#${grantId}`;
-    allocation.desiredState = 'hold';
+    allocation.desiredState = 'granted';
     machine.allocations.set(allocation.key, allocation);
     this.state.markChanged(machine);
     this.state.machinesByGrant.set(grantId, machine);
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -40,7 +40,7 @@
     !allocation.hasExited ||
     allocation.isFinalized ||
     allocation.desiredState === 'forget' ||
-    allocation.desiredState === 'hold'
+    allocation.desiredState === 'granted'
   )
     return;
   allocation.isFinalized = true;
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -90,7 +90,7 @@
   }
 
   private reconcileAllocation(machine: Machine, allocation: Allocation, heartbeatSequence: number): void {
-    if (allocation.desiredState === 'hold') {
+    if (allocation.desiredState === 'granted') {
       if (allocation.workerEpoch !== machine.workerEpoch) this.state.removeAllocation(machine, allocation);
       return;
     }
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Determines the commands for a machine's worker: starts and stops, and forgets of exited attempts. */
+/** Determines the commands for a machine's worker: starts, stops and the forgetting of exited attempts. */
 
 import type { TaskStatus, WorkerCommand } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -234,13 +234,13 @@
   const raise = () => {
     const controller = simulation.controllers.get(leader)!.controller as unknown as {
       components: {
-        leadership: { leaderTerm: number };
+        leadership: { latestTermToken: number };
         election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
       };
     };
     const { leadership, election } = controller.components;
     election.nextTokenRaiseAt = 0;
-    election.raiseFencingToken(leadership.leaderTerm, 'a test');
+    election.raiseFencingToken(leadership.latestTermToken, 'a test');
     simulation.simulator.scheduleAfter(1500, raise);
   };
   raise();
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -161,13 +161,13 @@
   const nodeName = simulation.nodeNames.find(leads)!;
   const controller = simulation.controllers.get(nodeName)!.controller as unknown as {
     components: {
-      leadership: { leaderTerm: number };
+      leadership: { latestTermToken: number };
       election: { resign(token: number, reason: string): void };
     };
   };
   const { leadership, election } = controller.components;
   simulation.store.refusedNodes.add(nodeName);
-  election.resign(leadership.leaderTerm, 'a test');
+  election.resign(leadership.latestTermToken, 'a test');
   runFor(simulation, 300);
   simulation.store.readmit(nodeName);
   expect(simulation.nodeNames.some(leads)).toBe(false);
