--- a/src/model/records.ts
+++ b/src/model/records.ts
@@ -50,7 +50,7 @@
    * Number of running tasks at the last write of the record, which is not written for every task that starts.
    */
   runningTasks: number;
-  /** The finished tasks, encoded as described in `store/completion-bitmap.ts`. */
+  /** The finished tasks, encoded as described in src/store/completion-bitmap.ts. */
   finishedBitmap: string;
 }
 
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -82,6 +82,7 @@
     return maxIdleMs;
   }
 
+  /** Like {@link ClusterState.isSurplus}, for a machine that is known to be empty. */
   private isSurplus(machine: Machine, now: number): boolean {
     return !machine.isSpot && !this.state.reserveMachines.has(machine.name) && now > this.state.shortageUntil;
   }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -12,7 +12,7 @@
  *   sys/types              the machine types
  */
 
-/** Prefix of the records of open jobs, which are neither done nor fully cancelled. */
+/** Prefix of the records of open jobs: accepted jobs whose final record is not stored yet. */
 export const OPEN_JOBS_PREFIX = 'open/';
 /** Prefix of the placement records of open jobs. */
 export const PLACEMENTS_PREFIX = 'place/';
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Lists one page of machines in name order, starting after the name `since`. Fails as `refused`. */
+  /** Lists one page of machines in name order, starting after `afterName`. Fails as `refused`. */
   listMachines(afterName: string, callback: ResultCallback<MachinePage>): void {
     const start = afterName === '' ? '' : `since=${encodeURIComponent(afterName)}&`;
     this.enqueue({
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -17,7 +17,7 @@
 /** Heartbeats are sent far more often, so an inbound connection that is silent for this long is dead. */
 const RECEIVE_TIMEOUT_MS = 15_000;
 
-/** Another controller. */
+/** Node name and address of another controller. */
 export interface PeerAddress {
   nodeName: string;
   /** `HOST:PORT`. */
