--- a/src/controller/controller-parts.ts
+++ b/src/controller/controller-components.ts
@@ -32,8 +32,8 @@
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
 /** Minimum interval between watches of the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
-/** Time that an evicted task gets to save its progress, in addition to its checkpoint save time. */
-const NOTICE_GRACE_SECONDS = 1;
+/** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+const EVICTION_GRACE_MARGIN_SECONDS = 1;
 
 /** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
 const IDLE_CLUSTER: PolicyInput = {
@@ -56,7 +56,7 @@
  * changes it. Components are created after those they depend on; a component that is created later, or that
  * may call back, is passed as a function.
  */
-export class ControllerParts {
+export class ControllerComponents {
   /** Serves users' requests. */
   readonly api: JobApi;
   readonly queue: EventQueue;
@@ -69,7 +69,7 @@
   readonly peers = new PeerRegistry();
   readonly messenger: PeerMessenger;
   readonly coordinator: CancellationCoordinator;
-  readonly images: ImageReplication;
+  readonly imageReplication: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
   readonly shardOwner: ShardOwner;
@@ -97,7 +97,7 @@
     this.election = this.createElection();
     this.messenger = this.createMessenger();
     this.coordinator = this.createCoordinator();
-    this.images = new ImageReplication(this.messenger, this.leadership);
+    this.imageReplication = new ImageReplication(this.messenger, this.leadership);
     this.assignment = this.createAssignment();
     this.machineTypes = this.createMachineTypes();
     this.shardOwner = this.createShardOwner();
@@ -187,7 +187,7 @@
       workerTiming: options.workerTiming,
       machineListLagSeconds: options.machineListLagSeconds,
       cloudCallsPerSecond: options.cloudCallsPerSecond,
-      images: this.images.locations,
+      imageLocations: this.imageReplication.locations,
       objectives: options.objectives,
       isFirstLeader: fencingToken === 1,
       clock,
@@ -203,10 +203,10 @@
         if (leadership.leadsUnder(fencingToken))
           leadership.stepDown(`higher fencing token ${higherToken} seen`);
       },
-      inheritedCoverage: () => coordinator.inheritedCoverage,
+      latestCoverage: () => coordinator.latestCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      knownCancellationPeriod: (now) => coordinator.completeInterval(now),
-      reachablePeers: () => this.peers.countRecentlyHeard(clock.now()),
+      knownCancellationPeriod: (now) => coordinator.knownCancellationPeriod(now),
+      recentlyHeardPeers: () => this.peers.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
@@ -228,13 +228,13 @@
   }
 
   private createMessenger(): PeerMessenger {
-    const { nodeName, instanceId, peerNames, peers } = this.options;
+    const { nodeName, instanceId, peerNames, peerTransport } = this.options;
     const { queue, records, leadership } = this;
     return new PeerMessenger({
       nodeName,
       instanceId,
       peerNames,
-      transport: peers,
+      transport: peerTransport,
       queue,
       records,
       leadership,
@@ -283,7 +283,7 @@
       maxTransactionOperations: storeLimits.maxTransactionOperations,
       writesPerSecond: storeLimits.writesPerSecond,
       maxTasksPerRequest: Math.max(1, Math.round(options.policy(IDLE_CLUSTER).maxTasksPerRequest)),
-      noticeGraceSeconds: NOTICE_GRACE_SECONDS,
+      evictionGraceMarginSeconds: EVICTION_GRACE_MARGIN_SECONDS,
       objectives: options.objectives,
       openJobItems: () => openJobs.items,
       openJobsFreshAsOf: () => openJobs.freshAsOf,
@@ -327,7 +327,7 @@
 
   private createPeerMessages(): PeerMessageHandler {
     const { nodeName, instanceId, clock } = this.options;
-    const { records, leadership, peers, coordinator, images, shardOwner } = this;
+    const { records, leadership, peers, coordinator, imageReplication, shardOwner } = this;
     return new PeerMessageHandler({
       nodeName,
       instanceId,
@@ -336,7 +336,7 @@
       leadership,
       peers,
       coordinator,
-      images,
+      imageReplication,
       shardOwner,
     });
   }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -29,7 +29,9 @@
   zone: string | null;
   /** Whether all running tasks of the job must be in one zone. */
   zoneAffinity: boolean;
-  /** Whether at most half of the job's tasks may be in any one zone at a time. */
+  /**
+   * Whether the job must be spread over zones: at most half of its tasks may be in any one zone at a time.
+   */
   zoneAntiAffinity: boolean;
   spotAllowed: boolean;
   /** Run time of one task as estimated by the user. */
@@ -51,9 +53,10 @@
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why an attempt ended. `gangMemberLost`: another task of its gang is gone. `gangIncomplete`: its gang was
- * not complete in time. The machine refused the attempt in these cases: `noCapacity`, its free resources
- * don't suffice; `attemptListed`, it lists another attempt of the task; `unknown`, it does not know the job.
+ * Why an attempt ended. `gangMemberLost`: another task of its gang is no longer there. `gangIncomplete`: its
+ * gang was not complete in time. The machine refused the attempt in these cases: `noCapacity`, its free
+ * resources don't suffice; `attemptListed`, it lists another attempt of the task; `unknown`, it does not know
+ * the job.
  */
 export type ExitReason =
   | 'done'
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -61,7 +61,7 @@
 }
 
 /** All matching changes up to a store revision. */
-export interface WatchReply {
+export interface WatchResponse {
   storeRevision: number;
   events: WatchEvent[];
 }
@@ -70,7 +70,7 @@
  * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that serve users
  * cost at most one write each, so they precede placements, whose transactions use up the write budget.
  */
-export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, cleanup: 4 } as const;
+export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, archive: 4 } as const;
 
 /** One of the values of `URGENCY`. */
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
@@ -95,5 +95,5 @@
    * Waits for changes. Fails as `notFound` if the store no longer keeps all changes since that revision; the
    * keys must then be listed again.
    */
-  watch(request: WatchRequest, callback: ResultCallback<WatchReply>): void;
+  watch(request: WatchRequest, callback: ResultCallback<WatchResponse>): void;
 }
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -9,10 +9,13 @@
  * should do. Times in ms.
  */
 export interface Allocation extends Omit<PlacementSpec, 'desiredState'> {
+  /** Key in `Machine.allocations`: see `attemptKey`, or `grantKey` for a grant. */
   key: string;
-  /** `hold`: granted, but its owner has not yet reported a stored placement. */
-  desiredState: PlacementSpec['desiredState'] | 'hold';
-  /** Sequence of the heartbeat whose answer carried its start, until a later heartbeat arrives; -1: none. */
+  /** `granted`: a grant for which its owner has not yet reported a stored placement. */
+  desiredState: PlacementSpec['desiredState'] | 'granted';
+  /**
+   * Sequence of the heartbeat whose response carried its start, until a later heartbeat arrives; -1: none.
+   */
   startHeartbeatSequence: number;
   /** Whether a direct command that starts it is in flight. */
   isDirectStartInFlight: boolean;
@@ -52,9 +55,12 @@
   };
 }
 
-/** Whether no placement is known to be stored for this allocation: its worker has never been told of it. */
+/**
+ * Whether no placement is known to be stored for this allocation: no command for it has been sent to its
+ * worker.
+ */
 export function isWithoutStoredPlacement(allocation: Allocation): boolean {
-  return allocation.desiredState === 'hold' || allocation.desiredState === 'pending';
+  return allocation.desiredState === 'granted' || allocation.desiredState === 'pending';
 }
 
 /** Whether an allocation uses capacity: until its worker reports that it has exited, or it is finalized. */
--- a/src/scheduler/fleet/fleet-composition.ts
+++ b/src/scheduler/fleet/fleet-composition.ts
@@ -8,10 +8,11 @@
   machinesUp: number;
   cpus: number;
   replicaCpus: number;
+  /** CPUs of the batch tasks that may be preempted. */
   batchCpus: number;
 }
 
-/** Groups the machines by `type/zone`, and by `type/zone/spot` for spot instances. */
+/** Groups the machines by `type/zone`, and by `type/zone/spot` for spot machines. */
 export function fleetComposition(state: ClusterState): Record<string, FleetComposition> {
   const byKind: Record<string, FleetComposition> = {};
   for (const machine of state.machines.values()) {
@@ -23,7 +24,7 @@
     kind.machinesUp++;
     kind.cpus += state.machineTypes.get(machine.machineType)?.cpus ?? 0;
     kind.replicaCpus += machine.totals.replicaCpus;
-    kind.batchCpus += machine.totals.batch.cpus;
+    kind.batchCpus += machine.totals.preemptible.cpus;
   }
   return byKind;
 }
--- a/src/scheduler/fleet/spot-replacement.ts
+++ b/src/scheduler/fleet/spot-replacement.ts
@@ -1,11 +1,11 @@
-/** Requests spot instances to replace on-demand machines that run batch work. */
+/** Requests spot machines to replace on-demand machines that run batch work. */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { CapacityDemand } from '../placement/free-capacity.js';
 
 /**
- * Demand for spot instances in place of the on-demand machines that run only batch work. Once spot instances
+ * Demand for spot machines in place of the on-demand machines that run only batch work. Once spot machines
  * are available, the work moves to them task by task and the on-demand machines become idle.
  */
 export function spotReplacementDemand(state: ClusterState, now: number): CapacityDemand[] {
@@ -25,7 +25,8 @@
 }
 
 /**
- * CPUs of batch work on the on-demand machines that could be replaced, less what is free on spot instances.
+ * CPUs of preemptible batch work on the on-demand machines that could be replaced, less what is free on spot
+ * machines.
  */
 function replaceableCpus(state: ClusterState, now: number): number {
   let cpus = 0;
@@ -37,7 +38,7 @@
       state.reserveMachines.has(machine.name)
     )
       continue;
-    if (machine.isUp) cpus += machine.totals.batch.cpus;
+    if (machine.isUp) cpus += machine.totals.preemptible.cpus;
   }
   for (const machine of state.machinesWithCapacity)
     if (machine.isSpot && state.isUsable(machine, now)) cpus -= machine.totals.free.cpus;
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -10,7 +10,7 @@
   /** Capacity that no allocation uses. */
   free: Resources;
   /** Used by array and gang tasks below the highest priority, which may be preempted for services. */
-  batch: Resources;
+  preemptible: Resources;
   /** Used by tasks that are being stopped, or that their owners were asked to stop. */
   stopping: Resources;
   /** Resources in use, by team. */
@@ -18,7 +18,7 @@
   replicas: number;
   replicaCpus: number;
   batchTasks: number;
-  /** Allocations without a stored outcome. A machine with none is empty, even if it lists ended attempts. */
+  /** Allocations without a stored outcome. A machine with none is empty, even if it lists exited attempts. */
   unfinishedTasks: number;
   /** Whether a start or stop command may have to be sent. */
   hasPendingCommands: boolean;
@@ -32,7 +32,7 @@
   return {
     isTypeKnown: false,
     free: zero(),
-    batch: zero(),
+    preemptible: zero(),
     stopping: zero(),
     teams: [],
     replicas: 0,
@@ -77,7 +77,7 @@
     totals.replicaCpus += allocation.cpus;
   } else {
     totals.batchTasks++;
-    if (allocation.priority > 0) addResources(totals.batch, allocation);
+    if (allocation.priority > 0) addResources(totals.preemptible, allocation);
   }
   if (allocation.desiredState === 'run') totals.runningByPriority[allocation.priority]++;
 }
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -1,17 +1,17 @@
-/** A rented machine as the leader knows it: its worker's reports, its allocations, and its commands. */
+/** A rented machine as the leader knows it: its worker's heartbeats, its allocations, and its commands. */
 
 import type { Heartbeat, TaskStatus } from '../model/worker-messages.js';
 import type { Allocation } from './allocation.js';
-import { type EndedTasks, NO_ENDED_TASKS } from './ended-attempts.js';
+import { type ExitedTasks, NO_EXITED_TASKS } from './exited-attempts.js';
 import { emptyTotals, type MachineTotals } from './machine-totals.js';
 
-/** State of the commands sent to a worker directly instead of in the answer to a heartbeat. Times in ms. */
+/** State of the commands sent to a worker directly instead of in the response to a heartbeat. Times in ms. */
 export interface DirectCommandState {
   inFlight: boolean;
   lastSentAt: number;
-  /** Consecutive calls without an answer. */
+  /** Consecutive calls without a response. */
   failures: number;
-  /** Starts that were not answered and may still arrive: the token they were sent under, by task key. */
+  /** Starts that got no response and may still arrive: the token they were sent under, by attempt key. */
   indeterminateStarts: Map<string, number>;
   /** When the first of the present `indeterminateStarts` was added. */
   indeterminateSince: number;
@@ -19,8 +19,8 @@
   startedAttempts: Set<string>;
 }
 
-/** Consecutive heartbeats that show that the answers to earlier ones did not arrive. Time in ms. */
-export interface MissedAnswers {
+/** Consecutive heartbeats that show that the responses to earlier ones did not arrive. Time in ms. */
+export interface MissedResponses {
   count: number;
   since: number;
 }
@@ -40,33 +40,33 @@
   zone: string;
   isSpot: boolean;
   workerEpoch: number;
-  /** Sequence of the newest message: a heartbeat, or the answer to a direct command. */
+  /** Sequence of the newest message: a heartbeat, or the response to a direct command. */
   sequence: number;
-  /** Sequence of the newest heartbeat, without answers to direct commands. */
+  /** Sequence of the newest heartbeat, without responses to direct commands. */
   heartbeatSequence: number;
   /** The highest fencing token that its worker has reported. */
   fencingToken: number;
-  /** When the last heartbeat or answer to a direct command arrived. */
+  /** When the last heartbeat or response to a direct command arrived. */
   lastHeardAt: number;
   lastHeartbeatAt: number;
   /** When this leader first saw the machine up. */
   upSince: number;
-  /** Whether the answer to its last heartbeat renewed its lease. */
+  /** Whether the response to its last heartbeat renewed its lease. */
   wasLeaseRenewed: boolean;
   /** When a peer last reported that it had redirected this machine. */
   redirectedAt: number;
   isUp: boolean;
   /** Whether its worker has reported this leader's token, so that its state is not from a late copy. */
   hasCurrentToken: boolean;
-  missedAnswers: MissedAnswers;
+  missedResponses: MissedResponses;
   rentedAt: number;
   /** Whether the cloud lists it as running, even if its worker has not reported yet. */
   isListedAsRunning: boolean;
-  /** When the cloud takes the machine away; null: it has given no notice. */
+  /** When the cloud reclaims the machine; null: no eviction notice. */
   evictionDeadline: number | null;
   /** Allocations by key, grants included. */
   allocations: Map<string, Allocation>;
-  /** The tasks that its worker lists, by task key. */
+  /** The attempts that its worker lists, by attempt key. */
   tasks: Map<string, TaskStatus>;
   directCommands: DirectCommandState;
   /** Sizes in GB by image, least recently used first. */
@@ -80,9 +80,9 @@
   idleSince: number;
   /** When a task of each job last failed on it, by job. */
   failedJobs: Map<string, number>;
-  /** Tasks with a listed ended attempt, by job. */
-  endedTasks: ReadonlyMap<string, EndedTasks>;
-  /** Listed tasks without an allocation, by task key: since when they are listed. */
+  /** Tasks with a listed exited attempt, by job. */
+  exitedTasks: ReadonlyMap<string, ExitedTasks>;
+  /** Listed attempts without an allocation, by attempt key: since when they are listed. */
   unknownTasks: Map<string, number>;
   /** The job for which tasks are preempted here: the freed capacity is reserved for it. */
   reservation: { jobId: string; priority: number; until: number } | null;
@@ -110,7 +110,7 @@
     redirectedAt: Number.NEGATIVE_INFINITY,
     isUp: false,
     hasCurrentToken: false,
-    missedAnswers: { count: 0, since: 0 },
+    missedResponses: { count: 0, since: 0 },
     rentedAt: now,
     isListedAsRunning: false,
     evictionDeadline: null,
@@ -130,7 +130,7 @@
     isDraining: false,
     idleSince: now,
     failedJobs: new Map(),
-    endedTasks: NO_ENDED_TASKS,
+    exitedTasks: NO_EXITED_TASKS,
     unknownTasks: new Map(),
     reservation: null,
     speed: { runs: 0, meanSlowdown: 0 },
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -19,7 +19,7 @@
   readonly machines: ReadonlyMap<string, Machine>;
   readonly machineTypes: ReadonlyMap<string, MachineType>;
   readonly machinesWithCapacity: ReadonlySet<Machine>;
-  /** Names of the machines that hold the capacity reserve of services. */
+  /** Names of the machines that hold the service reserve. */
   readonly reserveMachines: ReadonlySet<string>;
   /** Until this time capacity counts as short, and no machine is surplus. */
   readonly shortageUntil: number;
@@ -50,7 +50,7 @@
       machine.directCommands.failures > 0
     )
       return false;
-    if (!machine.hasCurrentToken || machine.missedAnswers.count > 0) return false;
+    if (!machine.hasCurrentToken || machine.missedResponses.count > 0) return false;
     // A machine that only answers direct commands is not usable: tasks on it would end with its lease.
     return (
       now - lastPossibleLeaseRenewalAt(machine) <= this.overdueAfterMs * UNUSABLE_AFTER_OVERDUE_PERIODS &&
@@ -101,13 +101,13 @@
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
     for (const machine of this.context.machines.values()) {
-      const { batch, free } = machine.totals;
-      if (free.cpus + batch.cpus <= EPSILON || !this.isUsable(machine, now)) continue;
+      const { preemptible, free } = machine.totals;
+      if (free.cpus + preemptible.cpus <= EPSILON || !this.isUsable(machine, now)) continue;
       const capacity = this.capacityOf(machine, now);
       if (!capacity) continue;
-      capacity.cpus += batch.cpus;
-      capacity.gpus += batch.gpus;
-      capacity.memoryGb += batch.memoryGb;
+      capacity.cpus += preemptible.cpus;
+      capacity.gpus += preemptible.gpus;
+      capacity.memoryGb += preemptible.memoryGb;
       capacities.push(capacity);
     }
     return capacities;
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -126,9 +126,9 @@
     const controller = simulation.controllers.get(
       simulation.nodeNames.find((nodeName) => nodeName !== previousLeader && nodeName !== newLeader())!,
     )!.controller as unknown as {
-      parts: { coordinator: { announce(jobId: string): void } };
+      components: { coordinator: { announce(jobId: string): void } };
     };
-    controller.parts.coordinator.announce(ids[0]!);
+    controller.components.coordinator.announce(ids[0]!);
     runFor(simulation, simulation.config.cancellationSeconds * 2500);
     expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
     expect(
@@ -182,22 +182,22 @@
 
 test('the cancellation log is complete from when no announcement is missing up to the last timestamp acknowledged by all peers', () => {
   const log = new CancellationLog(['b', 'c']);
-  expect(log.completeInterval(100).until).toBe(Number.NEGATIVE_INFINITY);
+  expect(log.knownCancellationPeriod(100).until).toBe(Number.NEGATIVE_INFINITY);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 90 }, 100);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: null }, 110);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 4, latestTimestamp: 200 }, 205);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 180 }, 206);
-  expect(log.completeInterval(210)).toEqual({ since: 110, until: 180 });
+  expect(log.knownCancellationPeriod(210)).toEqual({ since: 110, until: 180 });
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-1', cancellationNumber: 5 }, 215);
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 5, latestTimestamp: 212 }, 216);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c1' }, { announced: 0, latestTimestamp: 213 }, 217);
-  expect([log.has('wk-1'), log.completeInterval(220)]).toEqual([true, { since: 110, until: 212 }]);
+  expect([log.has('wk-1'), log.knownCancellationPeriod(220)]).toEqual([true, { since: 110, until: 212 }]);
   // Announcement 6 was lost: the log is complete again only from announcement 7 on.
   log.recordFromPeer({ nodeName: 'b', instanceId: 'b1' }, { jobId: 'wk-3', cancellationNumber: 7 }, 230);
-  expect(log.completeInterval(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
+  expect(log.knownCancellationPeriod(231)).toEqual({ since: 230, until: Number.NEGATIVE_INFINITY });
   log.recordHeartbeat({ nodeName: 'b', instanceId: 'b1' }, { announced: 7, latestTimestamp: 232 }, 233);
   log.recordHeartbeat({ nodeName: 'c', instanceId: 'c2' }, { announced: 0, latestTimestamp: 234 }, 235);
-  expect(log.completeInterval(236)).toEqual({ since: 235, until: Number.NEGATIVE_INFINITY });
+  expect(log.knownCancellationPeriod(236)).toEqual({ since: 235, until: Number.NEGATIVE_INFINITY });
   expect([log.recordOwn('wk-9'), log.recordOwn('wk-9'), log.announcedCount]).toEqual([true, false, 1]);
 });
 
@@ -240,14 +240,14 @@
   cancelAt(simulation, owner, id);
   const raiseToken = () => {
     const controller = simulation.controllers.get(leader)!.controller as unknown as {
-      parts: {
-        leadership: { leaderTerm: number };
+      components: {
+        leadership: { latestTermToken: number };
         election: { nextTokenRaiseAt: number; raiseFencingToken(token: number, reason: string): void };
       };
     };
-    const { leadership, election } = controller.parts;
+    const { leadership, election } = controller.components;
     election.nextTokenRaiseAt = 0;
-    election.raiseFencingToken(leadership.leaderTerm, 'a test');
+    election.raiseFencingToken(leadership.latestTermToken, 'a test');
     simulation.simulator.scheduleAfter(1500, raiseToken);
   };
   raiseToken();
--- a/test/delayed-messages.test.ts
+++ b/test/delayed-messages.test.ts
@@ -2,7 +2,7 @@
 
 import { expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
-import type { KeyValueStore, WatchReply, WatchRequest } from '../src/model/key-value-store.js';
+import type { KeyValueStore, WatchRequest, WatchResponse } from '../src/model/key-value-store.js';
 import type { ResultCallback } from '../src/model/result.js';
 import { WatchCache } from '../src/store/watch-cache.js';
 import { isLeader, runFor } from './simulation/cluster-queries.js';
@@ -77,7 +77,7 @@
   const reads: {
     since: number;
     wait: number;
-    callback: ResultCallback<WatchReply>;
+    callback: ResultCallback<WatchResponse>;
   }[] = [];
   const clock = {
     now: () => now,
@@ -86,7 +86,7 @@
   const store = {
     list: (_request: unknown, callback: ResultCallback<unknown>) =>
       callback({ ok: true, value: { items: [], hasMore: false, storeRevision: 5 } }),
-    watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchReply>) =>
+    watch: ({ sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchResponse>) =>
       reads.push({ since: sinceRevision, wait: waitMs, callback }),
   };
   const deletedKeys: string[] = [];
@@ -161,14 +161,14 @@
   const isLeading = (node: string) => isLeader(simulation, node);
   const nodeName = simulation.nodeNames.find(isLeading)!;
   const controller = simulation.controllers.get(nodeName)!.controller as unknown as {
-    parts: {
-      leadership: { leaderTerm: number };
+    components: {
+      leadership: { latestTermToken: number };
       election: { resign(token: number, reason: string): void };
     };
   };
-  const { leadership, election } = controller.parts;
+  const { leadership, election } = controller.components;
   simulation.store.refusedNodes.add(nodeName);
-  election.resign(leadership.leaderTerm, 'a test');
+  election.resign(leadership.latestTermToken, 'a test');
   runFor(simulation, 300);
   simulation.store.clearRefusal(nodeName);
   expect(simulation.nodeNames.some(isLeading)).toBe(false);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -65,7 +65,7 @@
     // From some seconds after the last heartbeat, peers report that they redirected these machines.
     if (i >= 4) harness.scheduler.onMachinesRedirected(allMachines.slice(0, 4 * (i - 3)));
   }
-  expect(harness.resignationReasons).toEqual(['workers reach siblings only']);
+  expect(harness.resignationReasons).toEqual(['workers reach peers only']);
   expect(harness.deletedMachines).toEqual([]);
 });
 
--- a/test/forms/controller-records.test.ts
+++ b/test/forms/controller-records.test.ts
@@ -112,7 +112,7 @@
       listMachines: (_since, callback) => callback({ ok: true, value: { machines: [], hasMore: false } }),
     },
     workers: { sendCommands: () => {} },
-    peers: { send: (_nodeName, message) => sentMessages.push(message) },
+    peerTransport: { send: (_nodeName, message) => sentMessages.push(message) },
   });
   controller.start();
   simulator.run(durationMs);
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -233,7 +233,7 @@
   'syncAccepted without a number': { type: 'syncAccepted', fencingToken: 7 },
   syncRequested: { type: 'syncRequested', fencingToken: 7 },
   grants: { type: 'grants', fencingToken: 7, grants: [GRANT, { ...GRANT, id: 42 }] },
-  'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, endedTasks: [1, 2] }] },
+  'grants with ended tasks': { type: 'grants', fencingToken: 7, grants: [{ ...GRANT, exitedTasks: [1, 2] }] },
   timestamp: { type: 'timestamp', fencingToken: 7, leaderTimestamp: 123456.5 },
   'allocationEvents with each phase': {
     type: 'allocationEvents',
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -192,7 +192,7 @@
   expect(fleet.messages).toBeLessThanOrEqual(12);
   for (let i = 0; i < 6; i++) fleet.runRound(6);
   expect(fleet.runningTaskCount()).toBe(MACHINES);
-  expect(fleet.leader.scheduler.stats().entries).toBe(MACHINES);
+  expect(fleet.leader.scheduler.stats().allocations).toBe(MACHINES);
 
   // The zone with most machines is unresponsive, and no peer confirms that they are lost: none is deleted.
   for (let i = 0; i < 12; i++) fleet.runRound(6, ['a']);
@@ -229,13 +229,13 @@
     store: stub as KeyValueStore,
     cloud: stub as ConstructorParameters<typeof Controller>[0]['cloud'],
     workers: stub as ConstructorParameters<typeof Controller>[0]['workers'],
-    peers: {
+    peerTransport: {
       send: (_host, { body }) =>
         body.type === 'heartbeat' && redirectedCounts.push(body.redirectedMachines.length),
     },
   });
-  const internals = controller as unknown as { parts: { leadership: { knownLeader: object } } };
-  internals.parts.leadership.knownLeader = {
+  const internals = controller as unknown as { components: { leadership: { knownLeader: object } } };
+  internals.components.leadership.knownLeader = {
     instanceId: 'c1.1',
     nodeName: 'c1',
     fencingToken: 1,
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -9,7 +9,7 @@
 import type { Grant } from '../src/model/placement.js';
 import { assignTasks } from '../src/model/task-assignment.js';
 import type { Heartbeat, TaskStatus } from '../src/model/worker-messages.js';
-import { EndedAttempts } from '../src/scheduler/ended-attempts.js';
+import { ExitedAttempts } from '../src/scheduler/exited-attempts.js';
 import { createMachine } from '../src/scheduler/machine.js';
 import { AttemptConflicts } from '../src/scheduler/placement/attempt-conflicts.js';
 import { assignGrants } from '../src/shard/grant-assignment.js';
@@ -29,7 +29,7 @@
   checkpointSaved: false,
   ...overrides,
 });
-const machineNames = (index: EndedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
+const machineNames = (index: ExitedAttempts, id: string) => [...index.machinesOf(id)].map(({ name }) => name);
 const grantCount = (harness: SchedulerHarness, id: string) =>
   harness.grantedJobs().filter((job) => job === id).length;
 
@@ -74,7 +74,7 @@
 // ---- index -------------------------------------------------------------------------------------------
 
 test('the index of ended attempts follows the task list of a machine and leaves out running and completed tasks', () => {
-  const index = new EndedAttempts();
+  const index = new ExitedAttempts();
   const machine = createMachine('m', 0);
   index.update(machine, [
     endedTask('wk-1', 0),
@@ -83,7 +83,7 @@
     endedTask('wk-3', 0, { exitReason: 'done' }),
   ]);
   expect(machineNames(index, 'wk-1')).toEqual(['m']);
-  expect(machine.endedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
+  expect(machine.exitedTasks.get('wk-1')).toEqual({ tasks: new Set([0, 3]), hasRefusedAttempt: true });
   expect([index.has('wk-2'), index.has('wk-3')]).toEqual([false, false]);
   index.update(machine, [endedTask('wk-2', 0)]);
   expect([index.has('wk-1'), index.has('wk-2')]).toEqual([false, true]);
@@ -178,7 +178,7 @@
     const [grant] = harness.sentMessages.flatMap((message) =>
       message.type === 'grants' ? message.grants : [],
     );
-    expect(grant?.endedTasks).toEqual([0, 2]);
+    expect(grant?.exitedTasks).toEqual([0, 2]);
   }
 });
 
@@ -208,7 +208,7 @@
       ...overrides,
     });
   for (let index = 0; index < machineCount; index++) sendHeartbeat(index);
-  const machineLookups = vi.spyOn(EndedAttempts.prototype, 'machinesOf');
+  const machineLookups = vi.spyOn(ExitedAttempts.prototype, 'machinesOf');
   const conflictChecks = vi.spyOn(AttemptConflicts.prototype, 'refusingMachines');
   harness.sendRequests(
     Array.from({ length: jobCount }, (_, index) =>
@@ -254,7 +254,7 @@
   machine: `m${id}`,
   zone: 'a',
   workerEpoch: 1,
-  ...(endedTasks && { endedTasks }),
+  ...(endedTasks && { exitedTasks: endedTasks }),
 });
 
 function assignTo(job: OwnedJob, grants: Grant[]): [number, number][] {
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -85,7 +85,7 @@
       workerTiming: { heartbeatIntervalSeconds: 2, leaseSeconds: 20, cancellationSeconds: 40 },
       machineListLagSeconds: 3,
       cloudCallsPerSecond: 5,
-      images: new ImageLocations(),
+      imageLocations: new ImageLocations(),
       objectives: this.objectives,
       isFirstLeader: true,
       clock: {
@@ -106,10 +106,10 @@
       send: (_instanceId, message) => this.sentMessages.push(message),
       wake: () => {},
       onHigherToken: () => {},
-      inheritedCoverage: () => null,
+      latestCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       knownCancellationPeriod: (at) => ({ since: at, until: Number.NEGATIVE_INFINITY }),
-      reachablePeers: () => this.peers.count,
+      recentlyHeardPeers: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
@@ -163,7 +163,7 @@
       tasks,
       ...overrides,
     });
-    return result === 'later' ? null : result;
+    return result === 'unavailable' ? null : result;
   }
 
   /** Returns the placement of task 0 of job `wk-1` on machine `m`. */
