--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -206,7 +206,7 @@
       latestCoverage: () => coordinator.latestCoverage,
       isCancelled: (jobId) => coordinator.isCancelled(jobId),
       knownCancellationPeriod: (now) => coordinator.knownCancellationPeriod(now),
-      recentlyHeardPeers: () => this.peers.countRecentlyHeard(clock.now()),
+      recentPeerCount: () => this.peers.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -19,17 +19,28 @@
   startHeartbeatSequence: number;
   /** Whether a direct command that starts it is in flight. */
   isDirectStartInFlight: boolean;
+  /** The status that its worker last reported for it; null: the worker's list does not contain it. */
   reportedStatus: TaskStatus | null;
   /** Whether its worker last listed it as exited: it is not started again, even if it is no longer listed. */
   hasExited: boolean;
+  /**
+   * Whether the attempt has ended on its machine and can't run there again. Reset if the worker lists it
+   * after all.
+   */
   isFinalized: boolean;
   /** The status last sent to its owner, to send each change once; empty: none. */
   lastSentStatusKey: string;
-  /** When it began to run; before that, when it was created. Reset when it becomes `forget`. */
+  /**
+   * When it was reported as running; before that, when it was created. Once its desired state is `forget`:
+   * since when it is. Other changes of phase, for example to `exited`, do not update it.
+   */
   phaseSince: number;
-  /** Whether `phaseSince` is the start of its run: this leader saw it before it ran, or sent its start. */
+  /**
+   * Whether `phaseSince` will be the start of its run once it runs: this leader sent its start, or saw it
+   * before it ran. False if it already ran when this leader first saw it, so that `phaseSince` is too late.
+   */
   isStartTimeKnown: boolean;
-  /** When its owner was asked to stop it; 0: never. */
+  /** When its owner was asked to stop it; 0: it was not, or the request has expired. */
   evictionRequestedAt: number;
 }
 
@@ -63,7 +74,10 @@
   return allocation.desiredState === 'granted' || allocation.desiredState === 'pending';
 }
 
-/** Whether an allocation uses capacity: until its worker reports that it has exited, or it is finalized. */
+/**
+ * Whether an allocation uses capacity: until its worker reports that it has exited, its owner reports the
+ * same (`keep` or `forget`), or it is finalized.
+ */
 export function usesCapacity(allocation: Allocation): boolean {
   return (
     !allocation.isFinalized &&
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -31,7 +31,10 @@
   instanceId: string;
 }
 
-/** Initial and maximum pause after refused rentals; it grows with each consecutive refusal. */
+/**
+ * Initial and maximum pause after the cloud had too few machines for a rental; it doubles each time that
+ * happens in a row.
+ */
 const RENTAL_BACKOFF_MS = 5000;
 const MAX_RENTAL_BACKOFF_MS = 15_000;
 /** Boot time assumed while no machine type is known. */
@@ -43,7 +46,7 @@
 export class ClusterState {
   readonly fencingToken: number;
   readonly machines = new Map<string, Machine>();
-  /** Names of machines whose deletion the cloud has confirmed. */
+  /** Names of machines whose deletion the cloud has confirmed; `MachineDeletion` drops the oldest ones. */
   readonly deletedMachines = new Set<string>();
   private readonly shardOwners: ShardOwners;
   /** Resource requests by the instance that sent them. */
@@ -54,9 +57,9 @@
   readonly leaseRenewal: LeaseRenewalGuard;
   /** Machines to which commands may have to be sent by the next flush. */
   readonly machinesToContact = new Set<Machine>();
-  /** Allocations that their owners were asked to stop. */
+  /** Allocations that their owners were asked to stop; see `Allocation.evictionRequestedAt`. */
   readonly evictions = new Set<Allocation>();
-  /** The zone whose on-demand machines are kept for services that must be spread over zones; null: none. */
+  /** The zone whose on-demand machines are left to jobs that must be spread over zones; null: none. */
   scarceZone: string | null = null;
   scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
   /** Zones in which most machines are silent while other zones are not: partitioned rather than failed. */
@@ -74,7 +77,7 @@
   blockingMachines: ReadonlySet<string> = new Set();
   /** Names of machines reserved for waiting gangs, which are not returned although they are idle. */
   machinesReservedForGangs: ReadonlySet<string> = new Set();
-  /** Offers that are not rented for now, because the cloud refused them. */
+  /** Offers that are not rented for now, because the cloud had too few machines of them. */
   readonly rentalBackoff = new RentalBackoff(RENTAL_BACKOFF_MS, MAX_RENTAL_BACKOFF_MS);
   readonly startedAt: number;
   /** Resource needs of known services; see {@link recordServiceProfile}. */
@@ -102,19 +105,19 @@
     return this.shardOwners.byTeam;
   }
 
-  /** Whether the full sync of the team's owner has been applied. */
+  /** Whether the team has an owner and that owner is synced; see {@link ShardOwnerRef.isSynced}. */
   isSynced(team: string): boolean {
     return this.shardOwners.isSynced(team);
   }
 
-  /** Whether all teams' owners are synced, so that every stored placement is known here. */
-  areAllOwnersSynced(): boolean {
-    return this.shardOwners.areAllOwnersSynced();
+  /** Whether each team has an owner that is synced, so that every stored placement is known here. */
+  areAllTeamsSynced(): boolean {
+    return this.shardOwners.areAllTeamsSynced();
   }
 
   /** Whether this instance owns the team and is synced, so that its messages about the team are valid. */
-  isCurrentOwner(instanceId: string, team: string): boolean {
-    return this.shardOwners.isCurrentOwner(instanceId, team);
+  isSyncedOwner(instanceId: string, team: string): boolean {
+    return this.shardOwners.isSyncedOwner(instanceId, team);
   }
 
   /**
@@ -205,7 +208,7 @@
 
   /**
    * Marks the tasks of a job for stopping. The job is stored as cancelled, so this is correct whoever owns
-   * its shard. Returns the machines on which its tasks may run.
+   * its shard. Returns the machines on which its tasks may run, once for each of its tasks.
    */
   cancel(jobId: string): Machine[] {
     const affected: Machine[] = [];
@@ -260,22 +263,30 @@
     return this.fleetTotals.taskTotals;
   }
 
-  /** Machines that are up and have free CPUs. */
+  /** Machines of known type that are up and have free CPUs, as of the last `refreshTotals`. */
   get machinesWithCapacity(): Set<Machine> {
     return this.fleetTotals.machinesWithCapacity;
   }
 
-  /** Machines that are up and on which tasks are being stopped. */
+  /**
+   * Machines of known type that are up and on which tasks are being stopped, or were requested to be, as of
+   * the last `refreshTotals`.
+   */
   get machinesWithStops(): Set<Machine> {
     return this.fleetTotals.machinesWithStops;
   }
 
-  /** The resources in use by each team, as a copy that the caller may modify. */
+  /**
+   * The resources in use by each team as of the last `refreshTotals`, as a copy that the caller may modify.
+   */
   usage(): Map<string, ResourceUsage> {
     return this.fleetTotals.usage();
   }
 
-  /** Whether one more task of this size would keep a team within its guaranteed share. */
+  /**
+   * Whether one more task of this size would keep a team within its guaranteed share; false for a team
+   * without one.
+   */
   isWithinGuarantee(
     usage: ResourceUsage | undefined,
     team: string,
@@ -324,7 +335,7 @@
     return this.capacities.isSurplus(machine, now);
   }
 
-  /** The free capacity of each usable machine that has any. */
+  /** The free capacity of each usable machine that has free CPUs. */
   freeCapacities(now: number): FreeCapacity[] {
     return this.capacities.freeCapacities(now);
   }
--- a/src/scheduler/exited-attempts.ts
+++ b/src/scheduler/exited-attempts.ts
@@ -2,20 +2,20 @@
 
 import type { TaskStatus } from '../model/worker-messages.js';
 
-/** The tasks of one job that have an exited attempt on a machine. */
+/** The tasks of one job that have an exited attempt on a machine and are not done. */
 export interface ExitedTasks {
   readonly tasks: ReadonlySet<number>;
   /** Whether the machine refused one of these attempts as `attemptListed`. */
   readonly hasRefusedAttempt: boolean;
 }
 
-/** Shared by all machines that list no exited attempts. */
+/** Shared by all machines that list no exited attempts, or only those of tasks that are done. */
 export const NO_EXITED_TASKS: ReadonlyMap<string, ExitedTasks> = new Map();
 
 /** The part of a machine that `ExitedAttempts` reads and updates. */
 export interface MachineWithExitedTasks {
   readonly name: string;
-  /** Tasks with a listed exited attempt, by job. */
+  /** Tasks with a listed exited attempt, without tasks that are done, by job. */
   exitedTasks: ReadonlyMap<string, ExitedTasks>;
 }
 
@@ -30,7 +30,10 @@
 export class ExitedAttempts {
   private readonly machinesByJob = new Map<string, Map<string, MachineWithExitedTasks>>();
 
-  /** Replaces a machine's previous list, in time linear in the lengths of both lists. */
+  /**
+   * Replaces what a machine listed before by its present list of attempts, in time linear in the lengths of
+   * both.
+   */
   update(machine: MachineWithExitedTasks, listed: readonly TaskStatus[]): void {
     const current = exitedTasksOf(listed);
     for (const jobId of machine.exitedTasks.keys()) if (!current.has(jobId)) this.remove(jobId, machine);
@@ -38,12 +41,12 @@
     machine.exitedTasks = current;
   }
 
-  /** The machines that list exited attempts of a job. */
+  /** The machines that list exited attempts of a job, except attempts of tasks that are done. */
   machinesOf(jobId: string): Iterable<MachineWithExitedTasks> {
     return this.machinesByJob.get(jobId)?.values() ?? [];
   }
 
-  /** Whether any machine lists an exited attempt of a job. */
+  /** Whether {@link machinesOf} returns any machine. */
   has(jobId: string): boolean {
     return this.machinesByJob.has(jobId);
   }
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -19,7 +19,7 @@
  * Consecutive missed responses from which a machine counts as unresponsive although its heartbeats arrive.
  */
 const MISSED_RESPONSES_THRESHOLD = 2;
-/** Time after a lease expires in which the worker may still be ending its tasks. */
+/** Time after the expiry of a lease in which the worker may still be ending its tasks. */
 const LEASE_EXPIRY_GRACE_MS = 5000;
 /** Tolerance for a redirect by a peer just before the machine reached this controller. */
 const REDIRECT_MARGIN_MS = 2000;
@@ -51,7 +51,7 @@
 
 /** Machines of one zone. */
 interface ZoneCount {
-  /** Machines that neither send heartbeats nor answer direct commands. */
+  /** Machines that are not live and do not answer direct commands either. */
   silent: number;
   total: number;
 }
@@ -73,7 +73,10 @@
 
 /** Decides whether machines, zones or this controller itself are at fault. Times in ms. */
 export class FailureDetector {
-  /** When this controller was first suspected of being at fault itself; 0: it is not suspected. */
+  /**
+   * Start of the time in which this controller is suspected of being at fault itself; 0: it is not suspected.
+   * The time starts anew each time the controller resigns for this reason.
+   */
   private selfSuspectedSince = 0;
   private readonly heartbeatIntervalMs: number;
   private readonly leaseMs: number;
@@ -90,7 +93,8 @@
   }
 
   /**
-   * Records machines that peers have redirected: they are alive even if their heartbeats do not arrive here.
+   * Records machines whose workers a peer has redirected to the leader: they are alive even if their
+   * heartbeats do not arrive here.
    */
   onMachinesRedirected(names: readonly string[]): void {
     const now = this.options.clock.now();
@@ -198,7 +202,7 @@
     if (!isMany) return true;
     // This controller still receives heartbeats, and recently heard peers have redirected hardly any of the
     // unresponsive machines, so the machines are at fault.
-    return live > 0 && this.options.recentlyHeardPeers() > 0 && redirected < overdue * MAX_REDIRECTED_SHARE;
+    return live > 0 && this.options.recentPeerCount() > 0 && redirected < overdue * MAX_REDIRECTED_SHARE;
   }
 
   private deleteUnlessKept(machines: readonly Machine[], now: number): void {
@@ -251,7 +255,7 @@
   }
 }
 
-/** Counts a machine in its zone and in the total, and returns the counts of the zone. */
+/** Counts a machine in its zone and in the number of machines, and returns the counts of the zone. */
 function countInZone(name: string, summary: LivenessSummary): ZoneCount {
   summary.machines++;
   let zone = summary.zones.get(name);
--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -20,8 +20,8 @@
 /** How long after the last capacity shortage on-demand machines do not count as surplus. */
 const SHORTAGE_HOLD_MS = 10_000;
 const LOG_INTERVAL_MS = 30_000;
-/** Cloud calls that a plan may always make, however low the cloud's rate limit is. */
-const MIN_CALLS_PER_PLAN = 2;
+/** Lower bound of the number of cloud calls that a plan may make, however low the cloud's rate limit is. */
+const MIN_CALL_LIMIT_PER_PLAN = 2;
 
 /** The leader's autoscaler. */
 export class FleetManager {
@@ -48,19 +48,21 @@
   }
 
   /**
-   * Rents machines for tasks that a placement pass left without capacity and for the service reserve, and
-   * returns idle machines.
+   * Rents machines and returns idle ones. Machines are rented for tasks that a placement pass left without
+   * capacity, for replicas on unreachable machines, for the service reserve, and to replace on-demand
+   * machines by spot machines. Each plan may make the calls that the cloud accepts in one second, so this
+   * must not be called more often than once per second.
    */
   scaleFleet(now: number, unplaced: CapacityDemand[]): void {
     if (this.options.machineTypes().length === 0 || !this.options.holdsLeadership()) return;
     const expectedCapacities = [...bootingCapacities(this.state, now), ...this.renter.requestedCapacities()];
     const demand = this.rentalDemand(now, unplaced);
-    if (demand.length > 0 && this.knowsExistingMachines(now) && this.state.areAllOwnersSynced()) {
+    if (demand.length > 0 && this.knowsExistingMachines(now) && this.state.areAllTeamsSynced()) {
       const rentals = planRentals({
         unplaced: demand,
         expectedCapacities,
         ...currentPricing(this.options, this.state, now),
-        maxCalls: Math.max(MIN_CALLS_PER_PLAN, Math.floor(this.options.cloudCallsPerSecond)),
+        maxCalls: Math.max(MIN_CALL_LIMIT_PER_PLAN, Math.floor(this.options.cloudCallsPerSecond)),
       });
       for (const rental of rentals) this.renter.rent(rental);
     }
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -41,7 +41,7 @@
 
   /** Returns idle machines that neither unplaced work nor the service reserve needs. */
   deleteIdle(now: number, unplaced: readonly CapacityDemand[]): void {
-    if (!this.state.areAllOwnersSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
+    if (!this.state.areAllTeamsSynced() || now - this.state.startedAt < MIN_LEADERSHIP_MS) return;
     this.state.refreshTotals();
     const idle = this.findIdle(now);
     if (idle.size === 0) return;
@@ -90,8 +90,8 @@
   private deleteIfBootFailed(machine: Machine, now: number): void {
     const { heartbeatIntervalSeconds, leaseSeconds } = this.options.workerTiming;
     const bootSeconds = this.state.machineTypes.get(machine.machineType)?.bootSeconds ?? DEFAULT_BOOT_SECONDS;
-    // Was up under an earlier leader and has not reached this one yet: it is behind a network partition, or
-    // its worker is still looking for the leader.
+    // The machine was up under an earlier leader and has not reached this one yet: it is behind a network
+    // partition, or its worker is still looking for the leader.
     if (machine.isListedAsRunning && now - machine.lastHeardAt < leaseSeconds * 1000) return;
     if (
       now - machine.rentedAt > bootSeconds * 1000 * this.state.policy.maxBootTimeFactor &&
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -1,21 +1,20 @@
-/** Requests machines from the cloud, and retries requests without a response. */
+/** Requests machines from the cloud, and retries requests that failed for now or got no response. */
 
 import type { RentalRequest } from '../../model/cloud-provider.js';
 import type { Result } from '../../model/result.js';
 import type { ClusterState } from '../cluster-state.js';
 import { emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import type { Rental } from './rental-planner.js';
+import type { RentalOrder } from './rental-planner.js';
 
-/**
- * Maximum attempts for a rental without a response, and the step by which the delay before each retry grows.
- */
+/** Maximum number of calls for one rental order, and the step by which the delay before each retry grows. */
 const MAX_ATTEMPTS = 6;
 const RETRY_DELAY_STEP_MS = 1000;
 
-/** Rents machines, and tracks the rentals that are still without a response. */
+/** Rents machines, and tracks the orders whose result is not known yet. */
 export class MachineRenter {
-  private readonly inFlight = new Map<string, Rental>();
+  /** Orders whose call is in flight or will be retried, by claim. */
+  private readonly inFlight = new Map<string, RentalOrder>();
   private claimCount = 0;
 
   constructor(
@@ -23,14 +22,14 @@
     private readonly state: ClusterState,
   ) {}
 
-  rent(rental: Rental): void {
+  rent(rental: RentalOrder): void {
     const claim = `${this.options.instanceId}-${this.state.fencingToken}-${++this.claimCount}`;
     this.inFlight.set(claim, rental);
     this.options.log.info({ claim, ...rental }, 'machines requested');
     this.call({ claim, ...rental }, 1);
   }
 
-  /** Returns the capacities that rentals without a response may add. */
+  /** Returns the capacities of the machines in the orders whose result is not known yet. */
   requestedCapacities(): FreeCapacity[] {
     const capacities: FreeCapacity[] = [];
     for (const { machineType, zone, isSpot, count } of this.inFlight.values()) {
@@ -57,8 +56,9 @@
       this.onRented(request, result.value);
     } else if (result.kind === 'notFound') {
       this.inFlight.delete(claim);
-      this.state.rentalBackoff.onRefused(request, this.options.clock.now());
+      this.state.rentalBackoff.onNotFulfilled(request, this.options.clock.now());
       this.options.log.debug({ ...request }, 'no machines to rent');
+      // If an order given up here was executed nonetheless, the cloud's list will show its machines.
     } else if (result.kind === 'invalid' || attempt >= MAX_ATTEMPTS) this.inFlight.delete(claim);
     else this.retryLater(request, attempt);
   }
@@ -69,14 +69,14 @@
     for (const name of names) {
       if (this.state.deletedMachines.has(name)) continue;
       const machine = this.state.getOrCreateMachine(name);
-      // The worker's first heartbeat or the cloud's list arrived before this response.
+      // Described already: the worker's first heartbeat or the cloud's list arrived before this response.
       if (machine.machineType !== '') continue;
       machine.machineType = machineType;
       machine.zone = zone;
       machine.isSpot = isSpot;
       machine.rentedAt = now;
     }
-    if (names.length < count) this.state.rentalBackoff.onRefused(request, now);
+    if (names.length < count) this.state.rentalBackoff.onNotFulfilled(request, now);
     else this.state.rentalBackoff.onFulfilled(request);
     this.options.log.debug({ claim, machineCount: names.length }, 'machines rented');
   }
--- a/src/scheduler/fleet/rental-backoff.ts
+++ b/src/scheduler/fleet/rental-backoff.ts
@@ -1,4 +1,4 @@
-/** Backs off from rentals that the cloud refused. */
+/** Backs off from offers of which the cloud had no machines, or fewer than requested. */
 
 import type { MachineOffer } from '../placement/free-capacity.js';
 
@@ -24,13 +24,15 @@
     return !block || block.until <= now;
   }
 
-  onRefused(offer: MachineOffer, now: number): void {
+  /** The cloud rented no machines of this kind, or fewer than requested: starts or doubles the backoff. */
+  onNotFulfilled(offer: MachineOffer, now: number): void {
     const key = offerKey(offer);
     const previousBackoffMs = this.blocked.get(key)?.backoffMs ?? this.initialBackoffMs / 2;
     const backoffMs = Math.min(this.maxBackoffMs, previousBackoffMs * 2);
     this.blocked.set(key, { until: now + backoffMs, backoffMs });
   }
 
+  /** The cloud rented all requested machines of this kind: ends the backoff. */
   onFulfilled(offer: MachineOffer): void {
     this.blocked.delete(offerKey(offer));
   }
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -26,8 +26,8 @@
  */
 const MIN_CPUS_PER_TASK = 0.1;
 
-/** Machines to rent of one type and zone, either on-demand or spot. */
-export interface Rental {
+/** An order for machines of one type and zone, either on-demand or spot, as planned. */
+export interface RentalOrder {
   machineType: string;
   zone: string;
   isSpot: boolean;
@@ -36,7 +36,10 @@
 
 /** Input for a rental plan. */
 export interface RentalPlanInput extends PricingInput {
-  /** Requests that found no capacity, highest priority first, with the number of tasks left. */
+  /**
+   * Demand that found no capacity, with the number of tasks not placed. Machines are planned for it in this
+   * order, so that the first entries get the calls that may be made.
+   */
   unplaced: CapacityDemand[];
   /** Capacities of machines that were requested and are not yet up. */
   expectedCapacities: FreeCapacity[];
@@ -47,21 +50,21 @@
 }
 
 /** Chooses rentals for work without capacity, at the lowest cost per task including boot and image fetch. */
-export function planRentals(input: RentalPlanInput): Rental[] {
+export function planRentals(input: RentalPlanInput): RentalOrder[] {
   return new RentalPlan(input).compute();
 }
 
 class RentalPlan {
   private readonly capacities: FreeCapacity[];
   private readonly machineTypes: ReadonlyMap<string, MachineType>;
-  private readonly rentals = new Map<string, Rental>();
+  private readonly rentals = new Map<string, RentalOrder>();
 
   constructor(private readonly input: RentalPlanInput) {
     this.capacities = [...input.expectedCapacities];
     this.machineTypes = new Map(input.machineTypes.map((machineType) => [machineType.name, machineType]));
   }
 
-  compute(): Rental[] {
+  compute(): RentalOrder[] {
     // Tasks planned in a zone count against the zone allowance of a copy of their request. Without this,
     // machines would be rented again and again for replicas that may not use them.
     const demands = this.input.unplaced.map(({ request, count }) => {
@@ -185,8 +188,8 @@
   }
 }
 
-function splitIntoCalls(rental: Rental): Rental[] {
-  const calls: Rental[] = [];
+function splitIntoCalls(rental: RentalOrder): RentalOrder[] {
+  const calls: RentalOrder[] = [];
   for (let remaining = rental.count; remaining > 0; remaining -= MAX_MACHINES_PER_CALL)
     calls.push({ ...rental, count: Math.min(MAX_MACHINES_PER_CALL, remaining) });
   return calls;
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -28,7 +28,10 @@
  */
 const IMAGES_HALVING_GAIN = 10;
 
-/** Results for the machines considered for draining in one search. */
+/**
+ * Counts of one search. `candidates` is the number of machines found, of which some are skipped; each of the
+ * others is counted under its result.
+ */
 export interface ConsolidationOutcome {
   candidates: number;
   noCapacity: number;
@@ -55,8 +58,8 @@
 }
 
 /**
- * Moves only replicas that have run for a while, and only to machines that have capacity now and hold their
- * image.
+ * Chooses machines whose replicas all fit on other machines, and drains them. Moves only replicas that have
+ * run for a while, and only to machines that have capacity now and hold their image.
  */
 export class ReplicaConsolidation {
   private nextSearchAt = 0;
@@ -108,7 +111,7 @@
     return (
       now >= this.nextSearchAt &&
       this.options.holdsLeadership() &&
-      this.state.areAllOwnersSynced() &&
+      this.state.areAllTeamsSynced() &&
       now - this.state.startedAt >= MIN_LEADERSHIP_MS
     );
   }
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -19,7 +19,8 @@
 
   /**
    * Capacity that new replicas should find without waiting, divided over all zones if some service must be
-   * spread.
+   * spread. The requests are modelled on the service profile recorded last, without its image and its limit
+   * to machine types. They belong to no job, so their job id is empty.
    */
   demand(): CapacityDemand[] {
     const profiles = [...this.state.serviceProfiles.values()].sort(
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -27,15 +27,18 @@
   /**
    * Whether to keep an unreachable machine. An on-demand machine is kept for the length of its lease if
    * replicas on it would find no capacity elsewhere: they may still be running behind a network partition,
-   * and deleting the machine would free no capacity for them. Replacement capacity is rented meanwhile.
+   * and deleting the machine would free no capacity for them. Replacement capacity is rented meanwhile. In a
+   * partitioned zone, an on-demand machine with replicas is kept for `cancellationSeconds`.
+   *
+   * `capacities` are those elsewhere; what the replicas would use is subtracted from them.
    */
   shouldKeep(machine: Machine, capacities: FreeCapacity[], now: number): boolean {
     this.replicasToReplace.delete(machine.name);
     const { leaseSeconds, cancellationSeconds } = this.options.workerTiming;
     const unresponsiveMs = now - Math.max(lastPossibleLeaseRenewalAt(machine), this.state.startedAt);
     // In a partitioned zone a controller inside the zone may keep replicas alive, and they could not be
-    // placed elsewhere. Until `cancellationSeconds` are over and they are dead in any case, deleting their
-    // machine would only end them.
+    // placed elsewhere. Until `cancellationSeconds` are over and they have ended in any case, deleting
+    // their machine would only end them earlier.
     if (!machine.isSpot && machine.totals.replicas > 0 && this.state.partitionedZones.has(machine.zone))
       return unresponsiveMs <= cancellationSeconds * 1000;
     if (machine.isSpot || unresponsiveMs > leaseSeconds * 1000) return false;
--- a/src/scheduler/image-locations.ts
+++ b/src/scheduler/image-locations.ts
@@ -1,19 +1,23 @@
 /**
- * The images cached on each machine, as inferred from the tasks that ran there. The leader replicates them to
- * its peers, so that the next leader knows them too. They only influence the choice of machines, so they may
- * be wrong or outdated.
+ * The images cached on each machine, as inferred from the tasks that wait or run there. The leader replicates
+ * them to its peers, so that the next leader knows them too. They only influence the choice of machines, so
+ * they may be wrong or outdated: an image that a worker has dropped from its cache stays listed until the
+ * machine is deleted.
  */
 
 import type { ImageLocation } from '../model/image-location.js';
 
-/** Images by machine, and the changes not yet sent to peers. */
+/** Images by machine, and the changes recorded here that were not yet taken to be sent to peers. */
 export class ImageLocations {
-  /** Sizes in GB by image, by machine. */
+  /** By machine name: sizes in GB by image. */
   private readonly sizesByMachine = new Map<string, Map<string, number>>();
   private added: ImageLocation[] = [];
   private removedMachines: string[] = [];
 
-  /** Records that a task which ran on a machine has left its image there. */
+  /**
+   * Records that a machine holds an image, because a task that needs the image waits or runs there. Has no
+   * effect if the image is known already.
+   */
   add(machine: string, image: string, sizeGb: number): void {
     if (this.sizesByMachine.get(machine)?.has(image)) return;
     const location: ImageLocation = { machine, image, sizeGb };
@@ -21,7 +25,7 @@
     this.added.push(location);
   }
 
-  /** Removes a machine that was deleted. */
+  /** Removes the images of a machine that was deleted. */
   removeMachine(machine: string): void {
     if (this.sizesByMachine.delete(machine)) this.removedMachines.push(machine);
   }
@@ -31,7 +35,7 @@
     return this.sizesByMachine.get(machine);
   }
 
-  /** Returns the changes since the last call. */
+  /** Returns the changes recorded since the last call, without those received from the leader. */
   takeChanges(): { added: ImageLocation[]; removedMachines: string[] } {
     const changes = { added: this.added, removedMachines: this.removedMachines };
     this.added = [];
@@ -47,7 +51,7 @@
     return locations;
   }
 
-  /** Applies the changes received from a peer. */
+  /** Applies the changes received from the leader. */
   apply(added: readonly ImageLocation[], removedMachines: readonly string[]): void {
     for (const location of added) this.set(location);
     // Names of machines are never reused, so a removal takes precedence over an addition.
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -11,7 +11,7 @@
   free: Resources;
   /** Used by array and gang tasks below the highest priority, which may be preempted for services. */
   preemptible: Resources;
-  /** Used by tasks that are being stopped, or that their owners were asked to stop. */
+  /** Used by tasks that are being stopped, or whose owners were asked to stop them. */
   stopping: Resources;
   /** Resources in use, by team. */
   teams: { team: string; cpus: number; gpus: number }[];
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -9,7 +9,7 @@
 export interface DirectCommandState {
   inFlight: boolean;
   lastSentAt: number;
-  /** Consecutive calls without a response. */
+  /** Consecutive calls without a response. A heartbeat resets the count, unless responses are missed. */
   failures: number;
   /** Starts that got no response and may still arrive: the token they were sent under, by attempt key. */
   indeterminateStarts: Map<string, number>;
@@ -46,7 +46,10 @@
   heartbeatSequence: number;
   /** The highest fencing token that its worker has reported. */
   fencingToken: number;
-  /** When the last heartbeat or response to a direct command arrived. */
+  /**
+   * When the last heartbeat or response to a direct command arrived; before the first, when the machine
+   * became known.
+   */
   lastHeardAt: number;
   lastHeartbeatAt: number;
   /** When this leader first saw the machine up. */
@@ -55,8 +58,12 @@
   wasLeaseRenewed: boolean;
   /** When a peer last reported that it had redirected this machine. */
   redirectedAt: number;
+  /** Whether its worker has reported its status to this leader; never reset. */
   isUp: boolean;
-  /** Whether its worker has reported this leader's token, so that its state is not from a late copy. */
+  /**
+   * Whether its worker has reported this leader's token. Before that, its status may come from a late
+   * duplicate of an earlier message.
+   */
   hasCurrentToken: boolean;
   missedResponses: MissedResponses;
   rentedAt: number;
@@ -78,9 +85,9 @@
   isDraining: boolean;
   /** When the machine last became empty; before that, when it came up or became known. */
   idleSince: number;
-  /** When a task of each job last failed on it, by job. */
+  /** When a task of each job last failed on it, by job; without jobs of which a task was done on it later. */
   failedJobs: Map<string, number>;
-  /** Tasks with a listed exited attempt, by job. */
+  /** Tasks with a listed exited attempt, without tasks that are done, by job. */
   exitedTasks: ReadonlyMap<string, ExitedTasks>;
   /** Listed attempts without an allocation, by attempt key: since when they are listed. */
   unknownTasks: Map<string, number>;
@@ -146,8 +153,11 @@
   return Math.max(machine.lastHeartbeatAt, machine.upSince);
 }
 
-/** Whether a heartbeat is newer than every earlier message of this machine. */
-export function isNewer(machine: Machine, heartbeat: Heartbeat): boolean {
+/**
+ * Whether a heartbeat, or the status in a response to a direct command, is newer than every earlier message
+ * of this machine.
+ */
+export function isNewestMessage(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
     heartbeat.workerEpoch > machine.workerEpoch ||
     (heartbeat.workerEpoch === machine.workerEpoch && heartbeat.sequence > machine.sequence)
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -29,7 +29,10 @@
     private readonly events: AllocationEvents,
   ) {}
 
-  /** Stops placing work on the machine and queues it for deletion. */
+  /**
+   * Queues a machine for deletion. It gets no more work, and its grants are removed; what runs on it ends
+   * when the cloud deletes it.
+   */
   delete(machine: Machine, reason: string): void {
     if (machine.isBeingDeleted) return;
     machine.isBeingDeleted = true;
--- a/src/scheduler/machines/machine-draining.ts
+++ b/src/scheduler/machines/machine-draining.ts
@@ -1,10 +1,13 @@
-/** Moves tasks off machines that the cloud is about to reclaim, and services off quarantined machines. */
+/**
+ * Requests the eviction of tasks on machines that the cloud is about to reclaim, and of service replicas on
+ * quarantined machines.
+ */
 
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 
-/** An eviction request that its owner has not acted on within this time is repeated. */
+/** An eviction request that its owner has not acted on within this time expires and may be repeated. */
 const EVICTION_RETRY_MS = 5000;
 /**
  * Share of its estimated run time after which a task may be done: one that could finish before the machine is
@@ -16,7 +19,7 @@
 export class MachineDraining {
   constructor(private readonly state: ClusterState) {}
 
-  /** Drops eviction requests that were carried out, and those that must be repeated. */
+  /** Drops eviction requests that were carried out, and expired ones, so that they can be repeated. */
   expireEvictions(now: number): void {
     for (const allocation of this.state.evictions) {
       if (allocation.desiredState === 'run' && now - allocation.evictionRequestedAt <= EVICTION_RETRY_MS)
--- a/src/scheduler/owners/allocation-events.ts
+++ b/src/scheduler/owners/allocation-events.ts
@@ -19,7 +19,10 @@
     private readonly state: ClusterState,
   ) {}
 
-  /** Adds an event with the allocation's status, unless that status was sent before. */
+  /**
+   * Adds an event with the allocation's status. Adds none if the status is the one last sent, if the worker
+   * has not reported one yet, without a stored placement, or while the owner is not synced.
+   */
   emitStatus(machine: Machine, allocation: Allocation): void {
     if (isWithoutStoredPlacement(allocation)) return;
     const key = statusKey(allocation);
--- a/src/scheduler/owners/placement-handler.ts
+++ b/src/scheduler/owners/placement-handler.ts
@@ -86,7 +86,10 @@
   }
 }
 
-/** Whether a worker has forgotten an attempt: it does not list the attempt, and no start is in flight. */
+/**
+ * Whether a worker has forgotten an attempt that it was to forget: it does not list the attempt, and no start
+ * is in flight.
+ */
 function isForgotten(machine: Machine, allocation: Allocation): boolean {
   return (
     allocation.desiredState === 'forget' &&
--- a/src/scheduler/owners/shard-owner-handler.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -54,13 +54,19 @@
     }
   }
 
-  /** Treats a team's present owner as not synced: its placements and requests for the team are ignored. */
+  /**
+   * Treats a team's present owner as not synced: its placements for the team are ignored and its requests are
+   * not served until its next full sync.
+   */
   suspendOwner(team: string): void {
     const owner = this.state.owners.get(team);
     if (owner) owner.isSynced = false;
   }
 
-  /** Requests a full sync from an instance, whose placements and requests are ignored until it arrives. */
+  /**
+   * Requests a full sync from an instance. Until it has been applied, the instance's placements are ignored
+   * and its requests are not served.
+   */
   requestSync(instanceId: string): void {
     for (const owner of this.state.owners.values())
       if (owner.instanceId === instanceId) owner.isSynced = false;
@@ -96,7 +102,7 @@
       case 'placements':
         this.state.leaseRenewal.watermarks.onPlacementMessage(message.instanceId);
         for (const placement of message.placements)
-          if (this.state.isCurrentOwner(message.instanceId, placement.team))
+          if (this.state.isSyncedOwner(message.instanceId, placement.team))
             this.components.placementHandler.apply(placement);
         return true;
       case 'release':
@@ -197,6 +203,10 @@
     }
   }
 
+  /**
+   * Removes the allocations of placements that need no further action, and the grants that the owner did not
+   * use.
+   */
   private release({ instanceId, tasks, grants }: ReleaseMessage): void {
     for (const { machine: name, attemptKey: key } of tasks) {
       const machine = this.state.machines.get(name);
@@ -204,7 +214,7 @@
       if (
         machine &&
         allocation &&
-        this.state.isCurrentOwner(instanceId, allocation.team) &&
+        this.state.isSyncedOwner(instanceId, allocation.team) &&
         (allocation.isFinalized || allocation.desiredState === 'pending')
       )
         this.state.removeAllocation(machine, allocation);
--- a/src/scheduler/owners/sync-assembly.ts
+++ b/src/scheduler/owners/sync-assembly.ts
@@ -1,9 +1,9 @@
-/** Assembles the chunks of full syncs. */
+/** Assembles full syncs, which shard owners send in chunks: one message each. */
 
 import type { PlacementSpec } from '../../model/placement.js';
 import type { ShardMessage } from '../../model/shard-messages.js';
 
-/** One chunk of a shard owner's full sync. */
+/** One chunk of a shard owner's full sync: a message with part of its placements. */
 export type SyncChunk = Extract<ShardMessage, { type: 'fullSync' }>;
 
 /** The result of adding a chunk: the sync is complete, still partial, or void because a chunk was lost. */
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -31,7 +31,7 @@
   const ordered: PassRequest[] = [];
   for (const [instanceId, requests] of state.requests)
     for (const request of requests) {
-      if (!state.isCurrentOwner(instanceId, request.team)) continue;
+      if (!state.isSyncedOwner(instanceId, request.team)) continue;
       const isWithinGuarantee = state.isWithinGuarantee(usage.get(request.team), request.team, request);
       const adjusted = adjustForPass({ request, instanceId, isWithinGuarantee }, history, now);
       ordered.push({ request: adjusted, instanceId, isWithinGuarantee });
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -16,6 +16,7 @@
   instanceId: string;
   fencingToken: number;
   teams: Map<string, Team>;
+  /** Time limits of workers; see `WorkerTiming` in model/worker-timing.ts. */
   workerTiming: { heartbeatIntervalSeconds: number; leaseSeconds: number; cancellationSeconds: number };
   /** How long changes may take to show up in the cloud's list of machines. */
   machineListLagSeconds: number;
@@ -37,17 +38,23 @@
   send(instanceId: string, message: LeaderMessage): void;
   /** Schedules a call of the scheduler's `flush`. */
   wake(): void;
-  /** A worker has reported a higher fencing token, so there is a newer leader. */
+  /** Called when a worker has reported a higher fencing token, so that there is a newer leader. */
   onHigherToken(token: number): void;
-  /** The number of recently heard peers. */
-  recentlyHeardPeers(): number;
-  /** The latest cancellation coverage computed by any leader; null: none is known. */
+  /** The number of other controllers from which this one has recently received messages. */
+  recentPeerCount(): number;
+  /**
+   * The latest cancellation coverage computed by any leader, in times of this controller's clock; null: none
+   * is known.
+   */
   latestCoverage(): CancellationCoverage | null;
-  /** Whether a job is known to be stored as cancelled, even if its shard owner has not read that yet. */
+  /**
+   * Whether a job is known to be stored as cancelled, even if its shard owner has not read that yet. A
+   * cancellation is stored first, then announced to all controllers, and then confirmed to the user.
+   */
   isCancelled(jobId: string): boolean;
   /**
-   * The period in which every cancellation confirmed to a user by any controller is known here; empty if
-   * `until` is before `since`.
+   * A period on this controller's clock: every cancellation that any controller confirmed to a user within
+   * it is known here. It is empty if `until` is before `since`.
    */
   knownCancellationPeriod(now: number): { since: number; until: number };
   /** Gives up leadership, because this controller's own network seems to be at fault. */
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -95,7 +95,7 @@
 
   // ---- shard owners ---------------------------------------------------------------------------------
 
-  /** Whether the full sync of the team's owner has been applied. */
+  /** Whether the team has an owner and that owner's full sync has been applied. */
   isSynced(team: string): boolean {
     return this.state.isSynced(team);
   }
@@ -105,17 +105,23 @@
     this.shardOwnerHandler.setOwners(records);
   }
 
-  /** Ignores a team's present owner from now on, because the team's owner record is about to change. */
+  /**
+   * Ignores the placements and requests of a team's present owner until its next full sync, because the
+   * team's owner record is about to change.
+   */
   suspendOwner(team: string): void {
     this.shardOwnerHandler.suspendOwner(team);
   }
 
-  /** Requests a full sync from an instance. */
+  /**
+   * Requests a full sync from an instance. Until it has been applied, the instance's placements are ignored
+   * and its requests are not served.
+   */
   requestSync(instanceId: string): void {
     this.shardOwnerHandler.requestSync(instanceId);
   }
 
-  /** Handles a message of a shard owner. Messages that were meant for another leader are ignored. */
+  /** Handles a message of a shard owner. Messages meant for another leadership term are ignored. */
   onShardMessage(message: ShardMessage): void {
     if (!this.shardOwnerHandler.handle(message)) return;
     this.state.isDirty = true;
@@ -132,8 +138,9 @@
   // ---- cancellations --------------------------------------------------------------------------------
 
   /**
-   * Handles a cancellation that this controller or a peer has stored. Its tasks are stopped at once, without
-   * waiting for their shard owner to read it, and so also while the key-value store is unavailable.
+   * Handles a cancellation that this controller or a peer has stored. The job's tasks are stopped at once,
+   * without waiting for their shard owner to read the cancellation, so this works while the key-value store
+   * is unavailable.
    */
   onJobCancelled(jobId: string): void {
     for (const machine of this.state.cancel(jobId)) this.state.machinesToContact.add(machine);
@@ -155,7 +162,7 @@
     return this.heartbeatHandler.handle(heartbeat);
   }
 
-  /** Handles a peer's report of machines that it has redirected. */
+  /** Handles a peer's report of machines whose workers it has redirected to the leader. */
   onMachinesRedirected(names: string[]): void {
     this.failureDetector.onMachinesRedirected(names);
   }
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -32,9 +32,9 @@
 export class FleetTotals {
   /** Machines that have changed since the last `refresh`. */
   private readonly changedMachines = new Set<Machine>();
-  /** Machines that are up and have free CPUs. */
+  /** Machines of known type that are up and have free CPUs. */
   readonly machinesWithCapacity = new Set<Machine>();
-  /** Machines that are up and on which tasks are being stopped. */
+  /** Machines of known type that are up and on which tasks are being stopped, or were requested to be. */
   readonly machinesWithStops = new Set<Machine>();
   readonly taskTotals: FleetTaskTotals = {
     replicas: 0,
@@ -109,7 +109,10 @@
   }
 }
 
-/** Whether one more task of this size would keep a team with this usage within its guaranteed share. */
+/**
+ * Whether one more task of this size would keep a team with this usage within its guaranteed share; false for
+ * a team without one. GPUs only count if the task needs any.
+ */
 export function isWithinGuarantee(
   usage: ResourceUsage | undefined,
   team: Team | undefined,
--- a/src/scheduler/state/lease-renewal-guard.ts
+++ b/src/scheduler/state/lease-renewal-guard.ts
@@ -38,6 +38,10 @@
    * cancellations before the effective watermarks of the teams with tasks on the machine. Tasks cancelled
    * later end when this lease expires, at the latest, which is within `cancellationSeconds` because the
    * watermarks are recent.
+   *
+   * A machine that runs a task without an allocation may run tasks of any team, so all teams must be up to
+   * date. For a machine without any tasks, one team that is up to date suffices. While some team has no
+   * watermark yet, the coverage computed by earlier leaders decides.
    */
   canRenew(machine: Machine, now: number): boolean {
     if (!this.watermarks.hasAllTeams) return this.inheritedCoverageAllowsRenewal(machine, now);
@@ -72,8 +76,9 @@
   }
 
   /**
-   * Whether the coverage inherited from earlier leaders allows the renewal. It is used while some team has no
-   * watermark, because the tasks on a machine are not all known until then.
+   * Whether the latest coverage of any leader allows the renewal. It is used while some team has no
+   * watermark: until all have one, the tasks on a machine are not all known, and this leader computes no
+   * coverage itself.
    */
   private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
     const coverage = this.options.latestCoverage();
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -8,7 +8,7 @@
 /** A heartbeat is overdue after one missed interval, with a margin for the message delay. */
 const OVERDUE_AFTER_INTERVALS = 1.25;
 const OVERDUE_MARGIN_SECONDS = 1;
-/** Multiple of that time after which a machine gets no new work. */
+/** Multiple of `overdueAfterMs` without a heartbeat after which a machine gets no new work. */
 const UNUSABLE_AFTER_OVERDUE_PERIODS = 1.6;
 /** Score penalties for a machine whose heartbeat is overdue, and for one on which jobs failed. */
 const OVERDUE_PENALTY_SECONDS = 10;
@@ -39,7 +39,11 @@
       (heartbeatIntervalSeconds * OVERDUE_AFTER_INTERVALS + OVERDUE_MARGIN_SECONDS) * 1000;
   }
 
-  /** Whether new work may be placed on a machine. A machine without a recent heartbeat gets none. */
+  /**
+   * Whether new work may be placed on a machine. The machine must be up, and must not be quarantined or about
+   * to leave. Its worker must have reported the current fencing token, must have sent a recent heartbeat and
+   * must seem to receive responses and direct commands. It must run no task without an allocation.
+   */
   isUsable(machine: Machine, now: number): boolean {
     if (
       !machine.isUp ||
@@ -85,7 +89,7 @@
     );
   }
 
-  /** The free capacity of each usable machine that has any. */
+  /** The free capacity of each usable machine that has free CPUs. */
   freeCapacities(now: number): FreeCapacity[] {
     this.context.refreshTotals();
     const capacities: FreeCapacity[] = [];
--- a/src/scheduler/state/open-grants.ts
+++ b/src/scheduler/state/open-grants.ts
@@ -7,6 +7,7 @@
 export class OpenGrants {
   /** Grant ids by job. */
   readonly byJob = new Map<string, Set<number>>();
+  /** The machine of each grant, by grant id. */
   readonly machinesByGrant = new Map<number, Machine>();
 
   /** The allocation of a grant; undefined if the grant is no longer open. */
@@ -14,7 +15,7 @@
     return this.machinesByGrant.get(grantId)?.allocations.get(grantKey(grantId));
   }
 
-  /** Removes the grant of an allocation that was removed. */
+  /** Removes a grant whose allocation was removed from its machine. */
   remove(allocation: Allocation): void {
     this.machinesByGrant.delete(allocation.grantId);
     const grantIds = this.byJob.get(allocation.jobId);
--- a/src/scheduler/state/shard-owners.ts
+++ b/src/scheduler/state/shard-owners.ts
@@ -6,9 +6,12 @@
 export interface ShardOwnerRef {
   instanceId: string;
   shardEpoch: number;
-  /** Whether its full sync under this epoch has been applied. */
+  /**
+   * Whether its full sync under this epoch has been applied. Becomes false again when messages of the owner
+   * were lost, until another full sync has been applied, and when the team's owner record is about to change.
+   */
   isSynced: boolean;
-  /** When this controller learned of the ownership, in ms. */
+  /** When this leader learned of the ownership, in ms on its clock. */
   since: number;
 }
 
@@ -18,19 +21,19 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** Whether the full sync of the team's owner has been applied. */
+  /** Whether the team has an owner and that owner is synced; see {@link ShardOwnerRef.isSynced}. */
   isSynced(team: string): boolean {
     return this.byTeam.get(team)?.isSynced === true;
   }
 
-  /** Whether all teams' owners are synced, so that every stored placement is known here. */
-  areAllOwnersSynced(): boolean {
+  /** Whether each team has an owner that is synced, so that every stored placement is known here. */
+  areAllTeamsSynced(): boolean {
     for (const team of this.teams.keys()) if (!this.isSynced(team)) return false;
     return true;
   }
 
   /** Whether this instance owns the team and is synced, so that its messages about the team are valid. */
-  isCurrentOwner(instanceId: string, team: string): boolean {
+  isSyncedOwner(instanceId: string, team: string): boolean {
     const owner = this.byTeam.get(team);
     return owner?.instanceId === instanceId && owner.isSynced;
   }
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -4,7 +4,7 @@
 import type { Result } from '../../model/result.js';
 import type { Heartbeat, WorkerCommand } from '../../model/worker-messages.js';
 import type { ClusterState } from '../cluster-state.js';
-import { isNewer, type Machine } from '../machine.js';
+import { isNewestMessage, type Machine } from '../machine.js';
 import type { MachineDeletion } from '../machines/machine-deletion.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Reconciler } from './reconciler.js';
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Sends pending commands, unless the last call failed: then the response to the next heartbeat or a probe
-   * carries them.
+   * Sends pending commands, unless the worker can't be called now or the last call failed. After a failure,
+   * the response to the next heartbeat or a probe carries them.
    */
   private send(machine: Machine): void {
     if (!canCall(machine) || machine.directCommands.failures > 0) return;
@@ -133,7 +133,7 @@
       (heartbeat.workerEpoch === workerEpoch && heartbeat.sequence <= sequence)
     )
       this.components.deletion.delete(machine, 'worker lost its state');
-    else if (isNewer(machine, heartbeat))
+    else if (isNewestMessage(machine, heartbeat))
       this.components.reconciler.reconcileDirectResponse(machine, heartbeat);
   }
 
@@ -158,6 +158,7 @@
   }
 }
 
+/** Whether the worker may be called: its address is known, and no other call to it is in flight. */
 function canCall(machine: Machine): boolean {
   return !machine.directCommands.inFlight && machine.address !== '' && !machine.isBeingDeleted;
 }
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -5,9 +5,10 @@
 import type { Machine } from '../machine.js';
 
 /**
- * Finalizes a stopped attempt that its worker does not list. The worker must have reported the current
- * fencing token, so that starts under older tokens are void, and no start of the attempt under the current
- * token may be in flight or indeterminate.
+ * Finalizes an attempt that is to be stopped and that its worker does not list. The worker must still be in
+ * the epoch for which the attempt was placed. It must have reported the current fencing token, so that starts
+ * under older tokens are void. Under the current token, no start of the attempt may be in flight or
+ * indeterminate, and no direct call to the worker may be in flight.
  */
 export function finalizeIfMissing(state: ClusterState, machine: Machine, allocation: Allocation): void {
   if (
--- a/src/scheduler/workers/heartbeat-handler.ts
+++ b/src/scheduler/workers/heartbeat-handler.ts
@@ -1,8 +1,11 @@
-/** Processes workers' heartbeats: drops stale ones, yields to a newer leader, and responds with commands. */
+/**
+ * Handles workers' heartbeats: updates machines and allocations from them, ignores stale ones, and chooses
+ * the commands for the response.
+ */
 
 import type { Heartbeat, WorkerCommand } from '../../model/worker-messages.js';
 import type { ClusterState } from '../cluster-state.js';
-import { isNewer, type Machine } from '../machine.js';
+import { isNewestMessage, type Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Reconciler } from './reconciler.js';
 import { ResponseLossDetector } from './response-loss-detector.js';
@@ -26,16 +29,23 @@
     this.responseLossDetector = new ResponseLossDetector(options);
   }
 
-  /** Handles a heartbeat. A stale one, or one of a deleted machine, gets a response without commands. */
+  /**
+   * Handles a heartbeat and returns the response to it. Reports a fencing token that is higher than this
+   * leader's. Otherwise the heartbeat updates its machine, which is created if it was not known before, and
+   * the allocations there; then the lease is renewed if that is allowed. A stale heartbeat, or one of a
+   * deleted machine, changes nothing and gets a response without commands.
+   */
   handle(heartbeat: Heartbeat): HeartbeatCommands {
     if (heartbeat.fencingToken > this.state.fencingToken) {
       this.options.onHigherToken(heartbeat.fencingToken);
       return null;
     }
+    // The cloud has confirmed that this machine no longer exists: its heartbeat was delayed.
     if (this.state.deletedMachines.has(heartbeat.machine)) return [];
     const machine = this.state.getOrCreateMachine(heartbeat.machine);
-    // A stale heartbeat is no sign of life. Its only lasting facts are that its epoch has begun and that the
-    // tasks it lists as exited have exited; neither is used once a newer heartbeat was received.
+    // A stale heartbeat does not show that the worker is still running. All that remains true of it is that
+    // its epoch has begun and that the tasks it lists as exited have exited; neither is used once a newer
+    // message was received. The worker no longer waits for the response, which therefore renews no lease.
     if (isStale(machine, heartbeat)) return [];
     const now = this.options.clock.now();
     if (machine.wasLeaseRenewed) this.responseLossDetector.check(machine, heartbeat, now);
@@ -51,16 +61,19 @@
   private recordArrival(machine: Machine, now: number): void {
     machine.lastHeardAt = now;
     machine.lastHeartbeatAt = now;
+    // Direct commands are sent again, unless the worker seems not to receive what is sent to it.
     if (machine.missedResponses.count === 0) machine.directCommands.failures = 0;
   }
 
   private applyHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     const isFirstHeartbeat = machine.heartbeatSequence < 0;
     machine.heartbeatSequence = heartbeat.sequence;
-    if (isNewer(machine, heartbeat)) this.components.reconciler.reconcileHeartbeat(machine, heartbeat);
+    if (isNewestMessage(machine, heartbeat))
+      this.components.reconciler.reconcileHeartbeat(machine, heartbeat);
     else if (isFirstHeartbeat || heartbeat.workerEpoch === machine.workerEpoch) {
-      // The response to a direct command overtook this heartbeat. Its task list is outdated, but the worker
-      // now waits for the response to this heartbeat: responses to earlier ones were handled or dropped.
+      // The response to a direct command overtook this heartbeat, whose task list is therefore outdated. But
+      // the worker now waits for the response to this heartbeat: those to earlier ones were handled or
+      // dropped.
       for (const allocation of machine.allocations.values())
         if (allocation.startHeartbeatSequence >= 0 && heartbeat.sequence > allocation.startHeartbeatSequence)
           allocation.startHeartbeatSequence = -1;
@@ -68,6 +81,10 @@
   }
 }
 
+/**
+ * Whether this heartbeat or a later one, or any message of a later epoch, has been received before. Unlike
+ * `isNewestMessage`, this disregards responses to direct commands in the same epoch.
+ */
 function isStale(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
     heartbeat.workerEpoch < machine.workerEpoch ||
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -146,7 +146,10 @@
   }
 }
 
-/** Clears the record of the response that carried the allocation's start, once it was handled or dropped. */
+/**
+ * Clears the record of the response that carried the allocation's start, once that response was handled or
+ * dropped.
+ */
 function clearHandledStart(allocation: Allocation, heartbeatSequence: number): void {
   if (heartbeatSequence > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
 }
--- a/src/scheduler/workers/response-loss-detector.ts
+++ b/src/scheduler/workers/response-loss-detector.ts
@@ -10,9 +10,7 @@
  * receive the renewals that were sent.
  */
 const EARLY_RESTART_LEASE_SHARE = 0.5;
-/**
- * Missed responses in a row from which the machine counts as unreachable; a single one may have other causes.
- */
+/** Missed responses in a row at which they are logged; a single one may have other causes. */
 const MISSED_RESPONSES_TO_LOG = 2;
 
 /**
--- a/src/scheduler/workers/slow-machine-detector.ts
+++ b/src/scheduler/workers/slow-machine-detector.ts
@@ -4,7 +4,7 @@
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** Weights of the newest run and of all earlier runs in a machine's moving mean. */
+/** Weights of the newest run and of the previous mean, for all earlier runs, in a machine's moving mean. */
 const NEWEST_RUN_WEIGHT = 0.3;
 const EARLIER_RUNS_WEIGHT = 0.7;
 /**
@@ -12,7 +12,7 @@
  */
 const MIN_RUNS_FOR_MEDIAN = 3;
 const MIN_RUNS_TO_QUARANTINE = 4;
-/** The median of this many machines or fewer is not meaningful. */
+/** With this many measured machines or fewer, their median is not meaningful. */
 const MAX_MACHINES_WITHOUT_MEDIAN = 3;
 /** A machine is quarantined when its mean slowdown exceeds this multiple of the median. */
 const QUARANTINE_SLOWDOWN_RATIO = 2.5;
--- a/src/scheduler/workers/task-phase-tracker.ts
+++ b/src/scheduler/workers/task-phase-tracker.ts
@@ -1,4 +1,7 @@
-/** Updates machines when their tasks change phase: cached images, failed jobs and measured run times. */
+/**
+ * Updates an allocation and its machine when the task changes phase: start time, cached images, failed jobs
+ * and measured run times. Quarantines machines on which several jobs fail.
+ */
 
 import type { TaskStatus } from '../../model/worker-messages.js';
 import type { Allocation } from '../allocation.js';
@@ -9,7 +12,7 @@
 
 /**
  * Different jobs that must fail on a machine before the fault is attributed to the machine rather than to the
- * jobs.
+ * jobs. Failures do not expire: a job counts until one of its tasks is done on the machine.
  */
 const FAILED_JOBS_TO_QUARANTINE = 2;
 
@@ -27,6 +30,7 @@
   /** Handles a status whose phase differs from the phase last reported for this allocation. */
   onPhaseChange(machine: Machine, allocation: Allocation, status: TaskStatus): void {
     const { phase } = status;
+    // A task waits for its gang only once its image is fetched.
     if (phase === 'running' || phase === 'waiting') this.recordImage(machine, allocation);
     if (phase === 'running') allocation.phaseSince = this.options.clock.now();
     if (phase === 'fetching' || phase === 'waiting') allocation.isStartTimeKnown = true;
@@ -36,6 +40,7 @@
   }
 
   private recordImage(machine: Machine, allocation: Allocation): void {
+    // Deleted first, so that the image becomes the last entry, which is the most recently used one.
     machine.images.delete(allocation.image);
     machine.images.set(allocation.image, allocation.imageGb);
     this.options.imageLocations.add(machine.name, allocation.image, allocation.imageGb);
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -6,22 +6,26 @@
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-const MAX_COMMANDS_PER_MESSAGE = 200;
+/**
+ * Number of commands in a message from which no further starts, and no further commands for unknown tasks,
+ * are added. Stops and `forget` commands for allocations are not limited.
+ */
+const SOFT_COMMAND_LIMIT = 200;
 /** Exited attempts of a machine that are forgotten together, and how long one waits for others. */
 const FORGET_BATCH_SIZE = 4;
 const MAX_FORGET_DELAY_MS = 20_000;
 /**
- * Listed attempts above which the fencing token is raised, so that exited ones can be forgotten: a heartbeat
- * holds about 600 attempts.
+ * Number of attempts listed by a worker, whether exited or not, above which the fencing token is raised, so
+ * that exited ones can be forgotten: a heartbeat holds about 600 attempts.
  */
-const MAX_EXITED_TASKS_LISTED = 300;
+const LISTED_ATTEMPTS_THRESHOLD = 300;
 /**
  * Grace period for unknown tasks: an owner may still be storing the placement, or reporting it to a new
  * leader.
  */
 const UNKNOWN_TASK_GRACE_MS = 3000;
 
-/** Chooses the commands that the response to a heartbeat or a direct call carries. */
+/** Chooses the commands that the response to a heartbeat, or a direct call, carries to a worker. */
 export class WorkerCommands {
   constructor(
     private readonly options: SchedulerOptions,
@@ -50,7 +54,7 @@
     const now = this.options.clock.now();
     let oldestSince = now;
     for (const allocation of machine.allocations.values()) {
-      if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
+      if (commands.length >= SOFT_COMMAND_LIMIT) break;
       if (allocation.isFinalized) continue;
       if (allocation.desiredState === 'run') {
         if (this.prepareStart(machine, allocation, heartbeatSequence))
@@ -115,16 +119,16 @@
   }
 
   private addCommandsForUnknownTasks(machine: Machine, commands: WorkerCommand[]): void {
-    const allSynced = this.state.areAllOwnersSynced();
+    const allSynced = this.state.areAllTeamsSynced();
     const holdsLeadership = this.options.holdsLeadership();
     for (const [key, since] of machine.unknownTasks) {
-      if (commands.length >= MAX_COMMANDS_PER_MESSAGE) break;
+      if (commands.length >= SOFT_COMMAND_LIMIT) break;
       const status = machine.tasks.get(key);
       if (!status || machine.allocations.has(key)) {
         machine.unknownTasks.delete(key);
         continue;
       }
-      if (!this.isUnclaimed(status, since, allSynced)) continue;
+      if (!this.mayEndUnknownTask(status, since, allSynced)) continue;
       // A stop is safe without leadership: a worker that has seen a higher fencing token drops it.
       if (status.phase !== 'exited') commands.push(stopCommand(status, 0));
       else if (holdsLeadership && this.canForget(machine, status, key)) commands.push(forgetCommand(status));
@@ -132,10 +136,11 @@
   }
 
   /**
-   * Whether no owner claims the task. This is known once all owners are synced; tasks of a cancelled job may
-   * be stopped before that.
+   * Whether an unknown task may be stopped, or forgotten if it has exited. No owner claims it if it is still
+   * unknown some time after all owners are synced. A task of a cancelled job may be stopped before that, and
+   * forgotten as soon as all owners are synced.
    */
-  private isUnclaimed(status: TaskStatus, unknownSince: number, allSynced: boolean): boolean {
+  private mayEndUnknownTask(status: TaskStatus, unknownSince: number, allSynced: boolean): boolean {
     const isCancelled = this.options.isCancelled(status.jobId);
     if (!allSynced && !(isCancelled && status.phase !== 'exited')) return false;
     if (isCancelled) return true;
@@ -159,6 +164,9 @@
    * start has no effect. A late duplicate of a direct command takes effect as long as its fencing token is
    * the highest: a forgotten attempt that had been stopped would run again, possibly next to its successor.
    * An attempt that is done exits at once when it is started again.
+   *
+   * Raises the fencing token if too many attempts are listed, so that they can be forgotten under the next
+   * one.
    */
   private canForget(machine: Machine, status: TaskStatus, key: string): boolean {
     const { indeterminateStarts, startedAttempts } = machine.directCommands;
@@ -166,7 +174,7 @@
     if (status.exitReason === 'done' || !startedAttempts.has(key)) return true;
     // Heartbeats are limited in size. Under a higher token duplicates are dropped, and all exited
     // attempts can be forgotten.
-    if (machine.tasks.size > MAX_EXITED_TASKS_LISTED)
+    if (machine.tasks.size > LISTED_ATTEMPTS_THRESHOLD)
       this.options.raiseFencingToken(`${machine.name} keeps ${machine.tasks.size} ended tasks`);
     return false;
   }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -54,7 +54,7 @@
   const rentalBackoff = new RentalBackoff(5000, 15000);
   for (const zone of ['a', 'b'])
     for (const type of ['small', 'big'])
-      if (zone === 'b') rentalBackoff.onRefused({ machineType: type, zone, isSpot: false }, 0);
+      if (zone === 'b') rentalBackoff.onNotFulfilled({ machineType: type, zone, isSpot: false }, 0);
   const request = makeResourceRequest('wk-1', {
     isService: true,
     priority: 0,
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -109,7 +109,7 @@
       latestCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       knownCancellationPeriod: (at) => ({ since: at, until: Number.NEGATIVE_INFINITY }),
-      recentlyHeardPeers: () => this.peers.count,
+      recentPeerCount: () => this.peers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
