--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -98,6 +98,10 @@
     );
   }
 
+  /**
+   * Determines the demand for which machines are rented. Also records which machines hold the reserve, and
+   * whether capacity is short.
+   */
   private rentalDemand(now: number, unplaced: CapacityDemand[]): CapacityDemand[] {
     const { scarceZone } = this.state;
     // The reserve may include capacity of batch work that would be preempted for services.
--- a/src/scheduler/fleet/rental-backoff.ts
+++ b/src/scheduler/fleet/rental-backoff.ts
@@ -24,7 +24,7 @@
     return !block || block.until <= now;
   }
 
-  /** The cloud rented no machines of this kind, or fewer than requested: starts or doubles the backoff. */
+  /** The cloud rented no machines of this kind, or fewer than requested: starts or doubles the pause. */
   onNotFulfilled(offer: MachineOffer, now: number): void {
     const key = offerKey(offer);
     const previousBackoffMs = this.blocked.get(key)?.backoffMs ?? this.initialBackoffMs / 2;
@@ -32,7 +32,7 @@
     this.blocked.set(key, { until: now + backoffMs, backoffMs });
   }
 
-  /** The cloud rented all requested machines of this kind: ends the backoff. */
+  /** The cloud rented all requested machines of this kind: the next pause is the initial one again. */
   onFulfilled(offer: MachineOffer): void {
     this.blocked.delete(offerKey(offer));
   }
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -51,7 +51,7 @@
 
   /**
    * Slots on machines that already hold a service's image, as its next replicas will need them: its share of
-   * the reserve, by its number of running replicas.
+   * the reserve, by its number of running replicas, and at least one.
    */
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -28,7 +28,8 @@
    * Whether to keep an unreachable machine. An on-demand machine is kept for the length of its lease if
    * replicas on it would find no capacity elsewhere: they may still be running behind a network partition,
    * and deleting the machine would free no capacity for them. Replacement capacity is rented meanwhile. In a
-   * partitioned zone, an on-demand machine with replicas is kept for `cancellationSeconds`.
+   * partitioned zone, an on-demand machine with replicas is kept until it has been unresponsive for longer
+   * than `cancellationSeconds`.
    *
    * `capacities` are those elsewhere; what the replicas would use is subtracted from them.
    */
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -9,7 +9,7 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { cheapestOffer, currentPricing, type PricingInput, startupSeconds } from './rental-pricing.js';
 
-/** How far ahead capacity that running tasks will free is taken into account. */
+/** Capacity that running tasks free later than this from now is not taken into account. */
 const MAX_WAIT_SECONDS = 120;
 /**
  * Share of a machine's startup time for which work always waits; less than 1, as other work competes for
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -29,7 +29,10 @@
 const PASS_PAUSE_FACTOR = 5;
 const MIN_PASS_PAUSE_MS = 30;
 const MAX_PASS_PAUSE_MS = 500;
-/** Scaling looks at the whole fleet, so its interval is a multiple of its duration. */
+/**
+ * Scaling looks at the whole fleet, so its interval is a multiple of its duration. The minimum also limits
+ * how often machines are rented; see `FleetManager.scaleFleet`.
+ */
 const SCALING_INTERVAL_FACTOR = 40;
 const MIN_SCALING_INTERVAL_MS = 1000;
 const MAX_SCALING_INTERVAL_MS = 3000;
@@ -188,6 +191,7 @@
     });
   }
 
+  /** Runs a placement pass, then scales the fleet if that is due and sends queued deletions to the cloud. */
   private runPass(now: number): void {
     const { clock } = this.options;
     this.state.isDirty = false;
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -11,8 +11,8 @@
 import type { WorkerCommands } from './worker-commands.js';
 
 /**
- * How long a stop waits for a start of the same attempt that may still arrive. After that the fencing token
- * is raised, which voids the start.
+ * How long starts on a machine may be indeterminate while a stop waits for one of them. After that the
+ * fencing token is raised, which voids them.
  */
 const MAX_INDETERMINATE_MS = 10_000;
 
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Raises the fencing token if a stop can't be confirmed because a start of the same attempt may still
-   * arrive: the higher token voids the start.
+   * Raises the fencing token if a stop has waited too long for a start of the same attempt that may still
+   * arrive: the higher token voids all indeterminate starts.
    */
   checkIndeterminateStarts(now: number): void {
     for (const machine of this.state.machines.values()) {
@@ -158,7 +158,10 @@
   }
 }
 
-/** Whether the worker may be called: its address is known, and no other call to it is in flight. */
+/**
+ * Whether the worker may be called: its address is known, no other call to it is in flight, and its machine
+ * is not being deleted.
+ */
 function canCall(machine: Machine): boolean {
   return !machine.directCommands.inFlight && machine.address !== '' && !machine.isBeingDeleted;
 }
--- a/src/scheduler/workers/response-loss-detector.ts
+++ b/src/scheduler/workers/response-loss-detector.ts
@@ -33,6 +33,7 @@
           { machine: machine.name },
           'machine unreachable inbound: it is heard but seems not to hear',
         );
+      // A first report of this leader's token shows that a response or a direct command has arrived.
     } else if (
       evidence === 'arrived' ||
       (heartbeat.fencingToken === this.options.fencingToken &&
--- a/src/scheduler/workers/task-phase-tracker.ts
+++ b/src/scheduler/workers/task-phase-tracker.ts
@@ -47,7 +47,10 @@
     this.trimImageCache(machine);
   }
 
-  /** Mirrors the worker's image cache, which drops the least recently used images once it is full. */
+  /**
+   * Mirrors the worker's image cache, which drops the least recently used images once it is full. The image
+   * locations that are sent to peers keep them.
+   */
   private trimImageCache(machine: Machine): void {
     const cacheGb =
       this.state.machineTypes.get(machine.machineType)?.imageCacheGb ?? Number.POSITIVE_INFINITY;
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -8,7 +8,7 @@
 
 /**
  * Number of commands in a message from which no further starts, and no further commands for unknown tasks,
- * are added. Stops and `forget` commands for allocations are not limited.
+ * are added. Stops are not limited, and `forget` commands for allocations are not counted.
  */
 const SOFT_COMMAND_LIMIT = 200;
 /** Exited attempts of a machine that are forgotten together, and how long one waits for others. */
