--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -19,7 +19,8 @@
 
   /**
    * Capacity that new replicas should find without waiting, divided over all zones if some service must be
-   * spread.
+   * spread. The requests are modelled on the service profile recorded last, without its image and its limit
+   * to machine types. They belong to no job, so their job id is empty.
    */
   demand(): CapacityDemand[] {
     const profiles = [...this.state.serviceProfiles.values()].sort(
@@ -50,7 +51,7 @@
 
   /**
    * Slots on machines that already hold a service's image, as its next replicas will need them: its share of
-   * the reserve, by its number of running replicas.
+   * the reserve, by its number of running replicas, and at least one.
    */
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -4,15 +4,15 @@
 import type { Result } from '../../model/result.js';
 import type { Heartbeat, WorkerCommand } from '../../model/worker-messages.js';
 import type { ClusterState } from '../cluster-state.js';
-import { isNewer, type Machine } from '../machine.js';
+import { isNewestMessage, type Machine } from '../machine.js';
 import type { MachineDeletion } from '../machines/machine-deletion.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { Reconciler } from './reconciler.js';
 import type { WorkerCommands } from './worker-commands.js';
 
 /**
- * How long a stop waits for a start of the same attempt that may still arrive. After that the fencing token
- * is raised, which voids the start.
+ * How long starts on a machine may be indeterminate while a stop waits for one of them. After that the
+ * fencing token is raised, which voids them.
  */
 const MAX_INDETERMINATE_MS = 10_000;
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Sends pending commands, unless the last call failed: then the response to the next heartbeat or a probe
-   * carries them.
+   * Sends pending commands, unless the worker can't be called now or the last call failed. After a failure,
+   * the response to the next heartbeat or a probe carries them.
    */
   private send(machine: Machine): void {
     if (!canCall(machine) || machine.directCommands.failures > 0) return;
@@ -133,13 +133,13 @@
       (heartbeat.workerEpoch === workerEpoch && heartbeat.sequence <= sequence)
     )
       this.components.deletion.delete(machine, 'worker lost its state');
-    else if (isNewer(machine, heartbeat))
+    else if (isNewestMessage(machine, heartbeat))
       this.components.reconciler.reconcileDirectResponse(machine, heartbeat);
   }
 
   /**
-   * Raises the fencing token if a stop can't be confirmed because a start of the same attempt may still
-   * arrive: the higher token voids the start.
+   * Raises the fencing token if a stop has waited too long for a start of the same attempt that may still
+   * arrive: the higher token voids all indeterminate starts.
    */
   checkIndeterminateStarts(now: number): void {
     for (const machine of this.state.machines.values()) {
@@ -158,6 +158,10 @@
   }
 }
 
+/**
+ * Whether the worker may be called: its address is known, no other call to it is in flight, and its machine
+ * is not being deleted.
+ */
 function canCall(machine: Machine): boolean {
   return !machine.directCommands.inFlight && machine.address !== '' && !machine.isBeingDeleted;
 }
