--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '../../model/machine-type.js';
 import type { ResourceRequest } from '../../model/placement.js';
 import { EPSILON, slotsIn } from '../../model/resources.js';
-import { fits, isAllowed, isAvoided, subtract } from '../placement/capacity-filter.js';
+import { fits, isAllowed, isExcluded, subtract } from '../placement/capacity-filter.js';
 import { fill } from '../placement/fill.js';
 import { type CapacityDemand, emptyMachineCapacity, type FreeCapacity } from '../placement/free-capacity.js';
 import { OBJECTIVE_MARGIN_SHARE } from '../placement/wait-objectives.js';
@@ -172,7 +172,7 @@
         !machineType ||
         !fits(capacity, request) ||
         !isAllowed(capacity, request) ||
-        isAvoided(request, capacity.machineName)
+        isExcluded(request, capacity.machineName)
       )
         continue;
       if (request.spotOnly && !capacity.isSpot) continue;
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -20,11 +20,14 @@
  * Steers requests away from machines that still list an exited attempt of a task: such a machine refuses any
  * other attempt of that task (see `ExitedAttempts`).
  *
- * A request excludes a machine only if the machine would refuse every remaining task. The tasks of a gang are
- * matched to machines such that none is refused, since one refusal ends the attempt of the whole gang.
+ * A request excludes a machine only if the machine would refuse every remaining task or, if the remaining
+ * tasks are not known, has refused a task of the job. The tasks of a gang are matched to machines such that
+ * none is refused, since one refusal ends the attempt of the whole gang.
  */
 export class AttemptConflicts {
+  /** For each job that exited attempts alone keep from being placed: since when they do, in monotonic ms. */
   private readonly blockedSince = new Map<string, number>();
+  /** Names of the machines found in this pass whose exited attempts alone prevent placement. */
   private blockingMachines = new Set<string>();
 
   constructor(
@@ -44,7 +47,7 @@
     this.state.blockingMachines = this.blockingMachines;
   }
 
-  /** Machines that would refuse every remaining task of a request; null: there are none. */
+  /** Machines that would refuse, or are assumed to refuse, every remaining task of a request; null: none. */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.exitedAttempts.machinesOf(request.jobId))
@@ -52,8 +55,15 @@
     return names.size > 0 ? names : null;
   }
 
-  /** Chooses one capacity per task of a gang such that no task is refused; null: no such choice was found. */
-  chooseForGang(capacities: FreeCapacity[], { request, count }: CapacityDemand): FreeCapacity[] | null {
+  /**
+   * Chooses a capacity for each task of a gang such that no task is refused; null: no such choice was found.
+   * If a choice has slots that would refuse every task left for them, their machines are excluded and the
+   * choice is repeated; after `MAX_MATCHING_ROUNDS`, all machines that list exited attempts are excluded.
+   */
+  chooseWithoutConflicts(
+    capacities: FreeCapacity[],
+    { request, count }: CapacityDemand,
+  ): FreeCapacity[] | null {
     const { scarceZone } = this.state;
     const excludedMachines = new Set(request.refusingMachines);
     const choose = () => {
@@ -66,7 +76,7 @@
       if (!chosen) return null;
       const { unassignedSlots: unassigned } = assignTasks(
         taskIndices(count),
-        this.refusedTasks(chosen, request.jobId),
+        this.refusedTasksByCapacity(chosen, request.jobId),
       );
       if (unassigned.length === 0) return chosen;
       const unassignedSlots = new Set(unassigned);
@@ -80,15 +90,18 @@
   }
 
   /** For each capacity, the tasks of the job that its machine would refuse. */
-  private refusedTasks(capacities: FreeCapacity[], jobId: string): (ReadonlySet<number> | undefined)[] {
+  private refusedTasksByCapacity(
+    capacities: FreeCapacity[],
+    jobId: string,
+  ): (ReadonlySet<number> | undefined)[] {
     return capacities.map(
       (capacity) => this.state.machines.get(capacity.machineName)?.exitedTasks.get(jobId)?.tasks,
     );
   }
 
   /**
-   * Handles a request of which no task was placed. Requests a higher fencing token if exited attempts alone
-   * have prevented placement for too long.
+   * Handles a request of which no task was placed. If exited attempts alone prevent placement, records the
+   * machines that list them, and requests a higher fencing token once this has lasted too long.
    */
   onUnplaced(demand: CapacityDemand, capacities: FreeCapacity[], now: number): void {
     const { request } = demand;
@@ -106,11 +119,15 @@
       );
   }
 
-  /** Handles the placement of at least one task of a job: exited attempts no longer block it. */
+  /** Handles the placement of at least one task of a job: exited attempts alone no longer prevent it. */
   onPlaced(jobId: string): void {
     this.blockedSince.delete(jobId);
   }
 
+  /**
+   * Machines that could take tasks of the request if they listed no exited attempts. For a gang, only those
+   * of a choice of machines on which all its tasks would fit.
+   */
   private findBlockingMachines({ request, count }: CapacityDemand, capacities: FreeCapacity[]): string[] {
     if (!this.state.exitedAttempts.has(request.jobId)) return [];
     const unrestrictedRequest: ResourceRequest = { ...request, refusingMachines: undefined };
@@ -127,7 +144,7 @@
     }
     const chosen =
       chooseForGang(capacities, { request: unrestrictedRequest, count }, this.state.scarceZone) ?? [];
-    const refused = this.refusedTasks(chosen, request.jobId);
+    const refused = this.refusedTasksByCapacity(chosen, request.jobId);
     return [...new Set(chosen.filter((_, slot) => refused[slot]).map((capacity) => capacity.machineName))];
   }
 }
@@ -135,7 +152,7 @@
 function refusesAllTasks(exited: ExitedTasks | undefined, request: ResourceRequest): boolean {
   if (!exited) return false;
   if (request.isGang) return taskIndices(request.taskCount).every((task) => exited.tasks.has(task));
-  // The remaining tasks are not known: a machine that has refused one is assumed to refuse the next.
+  // The remaining tasks are not listed: a machine that has refused one is assumed to refuse the next.
   if (!request.remainingTasks) return exited.hasRefusedAttempt;
   return request.remainingTasks.every((task) => exited.tasks.has(task));
 }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -42,15 +42,17 @@
 }
 
 /**
- * Whether a request excludes this machine: its job failed there recently, or the machine would refuse its
- * tasks.
+ * Whether a request excludes this machine: its job failed there recently, or the machine has refused one of
+ * its tasks or would refuse all that remain.
  */
-export function isAvoided(request: ResourceRequest, machine: string): boolean {
+export function isExcluded(request: ResourceRequest, machine: string): boolean {
   return request.avoidedMachines.includes(machine) || request.refusingMachines?.has(machine) === true;
 }
 
-/** Whether a request excludes any machine. Its results then say nothing about equivalent requests. */
-export function avoidsAnyMachine(request: ResourceRequest): boolean {
+/**
+ * Whether a request excludes any machine. If it finds no capacity, equivalent requests may still find some.
+ */
+export function excludesAnyMachine(request: ResourceRequest): boolean {
   return request.avoidedMachines.length > 0 || request.refusingMachines !== undefined;
 }
 
@@ -59,7 +61,11 @@
   return request.spotAllowed && !request.isService && (request.maxWaitSeconds ?? 0) > 0;
 }
 
-/** Whether a task of the request can be placed on this capacity now. */
+/**
+ * Whether a task of the request can be placed on this capacity now: it fits, the capacity is neither reserved
+ * for another job nor withheld, the machine meets the request's constraints, and the request does not exclude
+ * it. Starved requests may use withheld capacity.
+ */
 export function isFeasible(
   capacity: FreeCapacity,
   request: ResourceRequest,
@@ -68,16 +74,18 @@
   if (!fits(capacity, request)) return false;
   if (isReservedForOtherJob(capacity, request)) return false;
   if (!request.isStarved && isWithheld(capacity, request, scarceZone)) return false;
-  return isAllowed(capacity, request) && !isAvoided(request, capacity.machineName);
+  return isAllowed(capacity, request) && !isExcluded(request, capacity.machineName);
 }
 
+/** Whether the capacity is reserved for another job; requests of priority 0 ignore reservations. */
 function isReservedForOtherJob({ reservation }: FreeCapacity, request: ResourceRequest): boolean {
   return reservation !== null && reservation.jobId !== request.jobId && request.priority > 0;
 }
 
 function isWithheld(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): boolean {
-  // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so services that
-  // are neither spread nor tied to a zone may not use them. Batch tasks may, since they can be preempted.
+  // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so among
+  // services only those that must be spread or are tied to a zone may use them. Batch tasks may, since they
+  // can be preempted.
   if (
     scarceZone === capacity.zone &&
     !capacity.isSpot &&
--- a/src/scheduler/placement/capacity-score.ts
+++ b/src/scheduler/placement/capacity-score.ts
@@ -6,7 +6,7 @@
 
 // All weights are in seconds, so that they compare with the time that fetching an image takes.
 
-/** Penalty for a machine that would be left entirely free, compared with one that would be full. */
+/** Penalty for a machine with all its CPUs left free, compared with one with none left free. */
 const PACKING_WEIGHT_SECONDS = 2;
 /** Penalty for service replicas, for each image that the machine holds. */
 const CACHED_IMAGE_PENALTY_SECONDS = 0.1;
@@ -14,10 +14,14 @@
 const PREFERRED_MACHINE_BONUS_SECONDS = 1;
 /** Penalty for an on-demand machine if the request may use spot machines. */
 const ON_DEMAND_PENALTY_SECONDS = 4;
-/** Penalty for an on-demand machine of the scarce zone if the job need not be spread over zones. */
+/** Penalty for an on-demand machine of the scarce zone if the request need not be spread over zones. */
 const SCARCE_ZONE_PENALTY_SECONDS = 6;
 
-/** Scores a machine by image fetch, packing and kind of machine. The unit is seconds; lower is better. */
+/**
+ * Scores a machine by its penalty, the image fetch, packing, the images that it holds, the preferred machine,
+ * its kind, and the scarce zone (see `findScarceZone`). The unit is seconds; lower is better. A capacity
+ * without a list of images is scored without an image fetch.
+ */
 export function score(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): number {
   let seconds = capacity.penaltySeconds;
   if (capacity.images && !capacity.images.has(request.image))
--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -1,4 +1,7 @@
-/** Equivalence classes of requests: if one request finds no capacity, equivalent ones need not search. */
+/**
+ * Equivalence classes of requests, so that a pass need not repeat a search for capacity that failed for an
+ * equivalent request.
+ */
 
 import type { ResourceRequest } from '../../model/placement.js';
 import { canWaitForSpot } from './capacity-filter.js';
@@ -6,10 +9,20 @@
 const keyCache = new WeakMap<ResourceRequest, string>();
 
 /**
- * Key of a request's equivalence class. Requests with the same key can use the same machines. As free
- * capacity only shrinks during a pass, the others need not search for what the first of them did not find.
- * Properties of a single request, such as machines that it excludes or capacity reserved for its job, are not
- * part of the key.
+ * Key of a request's equivalence class. Requests with the same key meet the same conditions on each machine,
+ * except for the machines that a request excludes and the capacity that is reserved for its job: neither is
+ * part of the key. Free capacity only shrinks during a pass, so if a request could not place all its tasks,
+ * equivalent ones later in the pass need not search.
+ *
+ * Callers must not record such a result of a request that excludes machines (`excludesAnyMachine`), and must
+ * not apply one to a request whose job has reserved capacity that the search would consider.
+ *
+ * The key serves searches of free capacity, of capacity being freed, and of tasks to preempt; callers append
+ * what else a search depends on. Priority is part of the key because requests of priority 0 may use capacity
+ * reserved for other jobs, and team and priority because both decide which tasks may be preempted. Gangs must
+ * not be looked up, since the key leaves out `isGang`; a request for single tasks of a gang may be.
+ *
+ * The key is cached per request object, so the properties that it contains must not change afterwards.
  */
 export function equivalenceKey(request: ResourceRequest): string {
   let key = keyCache.get(request);
--- a/src/scheduler/placement/fill.ts
+++ b/src/scheduler/placement/fill.ts
@@ -1,20 +1,20 @@
-/** Fills free capacity with tasks of one request: independently of each other, or all or none for a gang. */
+/** Fills free capacity with tasks of one request: as many as fit, or all or none for a gang. */
 
 import { slotsIn } from '../../model/resources.js';
 import { isFeasible, subtract } from './capacity-filter.js';
-import { type FillOptions, fillTasks } from './fill-tasks.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
+import { type FillOptions, fillPartially } from './partial-fill.js';
 
 /**
  * Places up to `count` tasks, all or none for a gang, and subtracts their demand from the capacities. Returns
- * the number of tasks left.
+ * the number of tasks that were not placed.
  */
 export function fill(
   capacities: readonly FreeCapacity[],
   demand: CapacityDemand,
   options: FillOptions,
 ): number {
-  if (!demand.request.isGang) return fillTasks(capacities, demand, options);
+  if (!demand.request.isGang) return fillPartially(capacities, demand, options);
   const chosen = chooseForGang(capacities, demand, options.scarceZone);
   if (!chosen) return demand.count;
   for (const capacity of chosen) {
@@ -25,8 +25,9 @@
 }
 
 /**
- * Chooses one capacity per task of a gang; null: not all tasks fit. Under zone affinity, tries each zone in
- * turn. Leaves the capacities unchanged.
+ * Chooses a capacity for each task of a gang; several tasks may share one. Null: not all tasks fit. Under
+ * zone affinity without a given zone, tries each zone in turn and chooses the first in which they all fit.
+ * Leaves the capacities unchanged.
  */
 export function chooseForGang(
   capacities: readonly FreeCapacity[],
@@ -44,7 +45,7 @@
     const originals = new Map(inZone.map((capacity) => [{ ...capacity }, capacity]));
     const chosen: FreeCapacity[] = [];
     const taskRequest = { ...request, isGang: false, zone };
-    const remaining = fillTasks(
+    const remaining = fillPartially(
       [...originals.keys()],
       { request: taskRequest, count },
       {
--- a/src/scheduler/placement/free-capacity.ts
+++ b/src/scheduler/placement/free-capacity.ts
@@ -21,15 +21,17 @@
   gpus: number;
   memoryGb: number;
   totalCpus: number;
-  /** Sizes in GB of the images that the machine holds, by image; null: it holds none yet. */
+  /** Sizes in GB of the images that the machine holds, by image; null: its images are not considered. */
   images: ReadonlyMap<string, number> | null;
   imageFetchGbPerSecond: number;
-  /** Added to the machine's score, for example if its heartbeats are late or jobs have failed on it. */
+  /** Added to the machine's score if its heartbeat is overdue or jobs have failed on it. */
   penaltySeconds: number;
+  /** The job for which tasks were preempted on the machine; null: none. See `Machine.reservation`. */
   reservation: { jobId: string; priority: number } | null;
   /**
-   * An on-demand machine without service replicas and outside the service reserve, while there is no shortage
-   * of capacity: work that can wait for spot machines stays off it, so that it can be returned.
+   * Whether this is an on-demand machine without service replicas and outside the service reserve, while
+   * there is no shortage of capacity: work that can wait for spot machines stays off it, so that it can be
+   * returned.
    */
   isSurplus: boolean;
 }
@@ -40,7 +42,10 @@
   count: number;
 }
 
-/** Capacity of an empty machine of this type; the name is empty for a machine that is not rented. */
+/**
+ * Capacity of a machine of this type without tasks, penalty or reservation; the name is empty for a machine
+ * that is not rented.
+ */
 export function emptyMachineCapacity(
   machineType: MachineType,
   machine: { name: string; zone: string; isSpot: boolean },
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -51,8 +51,9 @@
 
   /**
    * Subtracts what a gang can use from the capacities, within one zone if the gang has zone affinity. Returns
-   * the missing slots as a demand for single tasks in that zone, since capacity must be rented or freed
-   * there.
+   * the missing slots as a demand for single tasks, limited to that zone, since capacity must be rented or
+   * freed there. The demand has no slack: otherwise several tasks might be planned to run one after another
+   * on a rented slot, but the tasks of a gang run at the same time.
    */
   reserve(capacities: FreeCapacity[], demand: CapacityDemand, now: number): CapacityDemand {
     const { request, count } = demand;
@@ -76,6 +77,7 @@
     return { request: taskRequest, count: missing };
   }
 
+  /** The zone in which the gang reserves capacity; null: any. */
   private chooseZone(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
     const { request } = demand;
     if (!request.zoneAffinity || request.zone !== null) return request.zone;
@@ -87,8 +89,8 @@
   }
 
   /**
-   * The zone with the most slots for the gang. Free slots count fully, slots on booting machines less, and
-   * slots on machines yet to be rented least.
+   * The zone with the most slots for the gang, up to the number of its tasks. Free slots count fully, slots
+   * on booting machines less, and slots on machines yet to be rented least.
    */
   private bestZone(
     capacities: FreeCapacity[],
@@ -108,6 +110,7 @@
     return best?.zone ?? null;
   }
 
+  /** Zones of the machine types that the request allows. */
   private candidateZones(request: ResourceRequest): Set<string> {
     const zones = new Set<string>();
     for (const machineType of this.state.machineTypes.values())
@@ -116,6 +119,7 @@
     return zones;
   }
 
+  /** Slots on booting machines in the zone of the request. */
   private bootingSlots(request: ResourceRequest, now: number): number {
     this.bootingCapacities ??= bootingCapacities(this.state, now);
     return this.bootingCapacities
@@ -123,6 +127,7 @@
       .reduce((sum, capacity) => sum + slotsIn(capacity, request), 0);
   }
 
+  /** Whether some machine type with room for a task can be rented on demand in the zone of the request. */
   private canRent(request: ResourceRequest, now: number): boolean {
     for (const machineType of this.state.machineTypes.values()) {
       const zone = request.zone ?? '';
--- a/src/scheduler/placement/grant-issuer.ts
+++ b/src/scheduler/placement/grant-issuer.ts
@@ -12,6 +12,7 @@
 /** Issues grants, each with an allocation that holds its slot, and sends the grants of a pass together. */
 export class GrantIssuer {
   private lastGrantId = 0;
+  /** Grants issued since the last `sendAll`, by the instance that gets them. */
   private readonly unsent = new Map<string, Grant[]>();
 
   constructor(
@@ -38,6 +39,7 @@
     else this.unsent.set(instanceId, [grant]);
   }
 
+  /** Sends the grants issued since the last call, in one message per shard owner. */
   sendAll(): void {
     for (const [instanceId, grants] of this.unsent)
       this.options.send(instanceId, { type: 'grants', fencingToken: this.state.fencingToken, grants });
--- a/src/scheduler/placement/job-condition-times.ts
+++ b/src/scheduler/placement/job-condition-times.ts
@@ -16,6 +16,7 @@
     return since;
   }
 
+  /** Records that the condition does not hold for the job. */
   clear(jobId: string): void {
     this.since.delete(jobId);
   }
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -22,7 +22,10 @@
   attemptConflicts: AttemptConflicts;
 }
 
-/** Requests of current shard owners, by priority, guaranteed share, missed objectives and queue position. */
+/**
+ * Requests of current shard owners, by priority (0 first), guaranteed share (requests within it first),
+ * missed objectives (fewest first) and queue position.
+ */
 export function orderedRequests(
   state: ClusterState,
   history: RequestHistory,
@@ -45,6 +48,10 @@
   );
 }
 
+/**
+ * A copy of the request with the properties that the leader determines for this pass. The request itself if
+ * none of them differs.
+ */
 function adjustForPass(
   { request, isWithinGuarantee }: PassRequest,
   { nothingPlacedSince, attemptConflicts }: RequestHistory,
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -5,7 +5,7 @@
 import type { ClusterState } from '../cluster-state.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 import { AttemptConflicts } from './attempt-conflicts.js';
-import { BatchProfiles } from './batch-profiles.js';
+import { BatchForecasts } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
 import { GrantIssuer } from './grant-issuer.js';
@@ -26,7 +26,7 @@
   /** Until when jobs whose shard owner has declined grants get no new ones, in monotonic ms. */
   readonly declinedUntil = new Map<string, number>();
   private readonly context: PlacementContext;
-  private readonly batchProfiles: BatchProfiles;
+  private readonly batchForecasts: BatchForecasts;
   private readonly ungrantedTasks: UngrantedTasks;
   private readonly log: RateLimitedLog;
 
@@ -47,17 +47,17 @@
       gangReservations: new GangReservations(state),
       attemptConflicts: new AttemptConflicts(state, (reason) => options.raiseFencingToken(reason)),
     };
-    this.batchProfiles = new BatchProfiles(objectives);
+    this.batchForecasts = new BatchForecasts(objectives);
     this.ungrantedTasks = new UngrantedTasks(state, this.declinedUntil);
     this.log = new RateLimitedLog(options.log, options.clock);
   }
 
-  /** Replaces all requests of a shard owner. */
+  /** Replaces all requests of a shard owner, and sets how long each of them can wait. */
   setRequests(instanceId: string, requests: ResourceRequest[]): void {
-    const knownJobs = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
+    const previousJobs = new Set(this.state.requests.get(instanceId)?.map((request) => request.jobId));
     for (const request of requests)
       request.maxWaitSeconds = maxWaitSeconds(request, this.state.imageFetchSeconds(request));
-    this.batchProfiles.observe(requests, knownJobs);
+    this.batchForecasts.observe(requests, previousJobs);
     this.state.requests.set(instanceId, requests);
     for (const request of requests) if (request.isService) this.state.recordServiceProfile(request);
   }
@@ -70,8 +70,8 @@
     const placer = new RequestPlacer(this.context, { usage, now });
     const pass = new PlacementPass({
       requests,
-      batchProfiles: this.batchProfiles.byPriority(),
-      reservedJobsPerProfile: this.state.policy.reserveBatchJobs,
+      batchForecasts: this.batchForecasts.byPriority(),
+      reservedJobsPerClass: this.state.policy.reserveBatchJobs,
       placer,
       ungrantedTasks: this.ungrantedTasks,
       now,
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -1,6 +1,6 @@
 /** One pass over all requests, by priority, guaranteed share, missed objectives and queue position. */
 
-import type { BatchProfile } from './batch-profiles.js';
+import type { BatchForecast } from './batch-profiles.js';
 import type { CapacityDemand } from './free-capacity.js';
 import type { PassRequest } from './pass-requests.js';
 import type { RequestPlacer } from './request-placer.js';
@@ -10,10 +10,10 @@
 export interface PlacementPassInput {
   /** In the order in which they are served. */
   requests: readonly PassRequest[];
-  /** Highest priority first; the pass removes those it has handled. */
-  batchProfiles: BatchProfile[];
-  /** Number of jobs of average size for which capacity is set aside, per profile. */
-  reservedJobsPerProfile: number;
+  /** Highest priority first; the pass removes those for which it has set capacity aside. */
+  batchForecasts: BatchForecast[];
+  /** Number of jobs with the forecast task count for which capacity is set aside, per job class. */
+  reservedJobsPerClass: number;
   placer: RequestPlacer;
   ungrantedTasks: UngrantedTasks;
   now: number;
@@ -23,8 +23,9 @@
 export class PlacementPass {
   /** Jobs that have requests in this pass. */
   readonly waitingJobs = new Set<string>();
+  /** Jobs whose starved requests were placed before their turn. */
   private readonly servedEarly = new Set<string>();
-  /** Requests of the current group that were tried on warm machines only, with their remaining tasks. */
+  /** Requests of the current group that were placed on warm machines only, with their remaining tasks. */
   private deferred: { entry: PassRequest; count: number }[] = [];
 
   constructor(private readonly input: PlacementPassInput) {}
@@ -34,17 +35,17 @@
     for (const entry of this.input.requests) {
       if (previous && !isSameGroup(previous, entry)) this.placeDeferred();
       previous = entry;
-      this.reserveForBatchProfiles(entry.request.priority);
+      this.reserveForForecasts(entry.request.priority);
       this.serve(entry);
     }
     this.placeDeferred();
   }
 
   /**
-   * Serves a request in its turn. If it can wait, its turn is limited to warm machines, which already hold
-   * its image: an image fetch occupies a slot for about as long as a task does. The remaining tasks are
-   * placed after the other requests of the group, which share its priority and are all within or all beyond
-   * guaranteed shares.
+   * Serves a request in its turn. If it is neither a service nor a gang and can wait, its turn is limited to
+   * warm machines, which already hold its image: an image fetch occupies a slot for about as long as a task
+   * does. The remaining tasks are placed after the other requests of the group, which share its priority and
+   * are all within or all beyond guaranteed shares.
    */
   private serve(entry: PassRequest): void {
     const { request } = entry;
@@ -62,37 +63,38 @@
   }
 
   /**
-   * Sets capacity aside from requests of this priority for the next jobs of higher-priority classes that have
-   * a wait-time objective.
+   * Sets capacity aside for the forecast jobs of higher priority than this one, before requests of this
+   * priority are served. What concerns only the newest job of a class is left out: excluded and preferred
+   * machines, and the zones that its tasks already use.
    */
-  private reserveForBatchProfiles(priority: number): void {
-    const { batchProfiles, placer, reservedJobsPerProfile } = this.input;
+  private reserveForForecasts(priority: number): void {
+    const { batchForecasts, placer, reservedJobsPerClass } = this.input;
     for (
-      let profile = batchProfiles[0];
-      profile && profile.request.priority < priority;
-      profile = batchProfiles[0]
+      let forecast = batchForecasts[0];
+      forecast && forecast.request.priority < priority;
+      forecast = batchForecasts[0]
     ) {
-      batchProfiles.shift();
-      this.placeStarved(profile.request.priority);
+      batchForecasts.shift();
+      this.placeStarved(forecast.request.priority);
       const request: CapacityDemand['request'] = {
-        ...profile.request,
+        ...forecast.request,
         avoidedMachines: [],
         preferredMachine: '',
         zoneAllowance: null,
       };
-      placer.reserveCapacity({ request, count: Math.round(profile.meanTaskCount * reservedJobsPerProfile) });
+      placer.reserveCapacity({ request, count: Math.round(forecast.meanTaskCount * reservedJobsPerClass) });
     }
   }
 
   /**
-   * Places starved requests of lower priority than a profile before capacity is set aside for the profile:
+   * Places starved requests of lower priority than a forecast before capacity is set aside for the forecast:
    * otherwise they would wait forever beside free machines while the cloud has no more to rent.
    */
-  private placeStarved(profilePriority: number): void {
+  private placeStarved(forecastPriority: number): void {
     const { requests, ungrantedTasks, placer, now } = this.input;
     for (const entry of requests) {
       const { request } = entry;
-      if (!request.isStarved || request.priority <= profilePriority) continue;
+      if (!request.isStarved || request.priority <= forecastPriority) continue;
       const count = ungrantedTasks.countOf(request, now);
       if (count <= 0) continue;
       placer.place(entry, count);
@@ -101,6 +103,7 @@
   }
 }
 
+/** Whether two requests have the same priority and are both within or both beyond guaranteed shares. */
 function isSameGroup(one: PassRequest, other: PassRequest): boolean {
   return one.request.priority === other.request.priority && one.isWithinGuarantee === other.isWithinGuarantee;
 }
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -13,13 +13,14 @@
 const COST_PER_IMAGE_GB = 20;
 /** Cost of preempting a task, in CPU seconds, per level of its priority above the lowest. */
 const COST_PER_PRIORITY = 30;
+/** Priorities range from 0, the highest, to this one. */
 const LOWEST_PRIORITY = 3;
 
 /** A machine, and the tasks to preempt there so that one task of a request fits. */
 export interface PreemptionCandidate {
   machine: Machine;
   victims: Allocation[];
-  /** Lost work, image fetch and priorities of the victims, in CPU seconds. */
+  /** Image fetch, and lost work and priorities of all tasks that stop with the victims, in CPU seconds. */
   cost: number;
 }
 
@@ -59,7 +60,10 @@
     return candidates.sort((a, b) => b.cost - a.cost);
   }
 
-  /** The candidate on this machine; null: preempting tasks there does not help the request. */
+  /**
+   * The candidate on this machine. Null: preempting tasks there does not help the request, because it can't
+   * use the machine, too little can be preempted, or one of its tasks fits already.
+   */
   candidateOn(machine: Machine, query: PreemptionQuery): PreemptionCandidate | null {
     const { request, now } = query;
     const machineType = this.state.machineTypes.get(machine.machineType);
@@ -76,8 +80,8 @@
   }
 
   /**
-   * Subtracts the allocations of a machine from its capacity. Returns the tasks that may be preempted, by
-   * priority, lowest first, then most recently started first.
+   * Subtracts the allocations that use capacity from the capacity of the empty machine. Returns the tasks
+   * that may be preempted: those of the lowest priority first, then the most recently started first.
    */
   private preemptibleTasks(machine: Machine, capacity: FreeCapacity, query: PreemptionQuery): Allocation[] {
     const preemptible: Allocation[] = [];
@@ -95,7 +99,7 @@
     return preemptible.sort((a, b) => b.priority - a.priority || b.phaseSince - a.phaseSince);
   }
 
-  /** Chooses victims until one task fits, adding what they use back to the capacity. */
+  /** Chooses victims until one task fits or none is left, adding what they use back to the capacity. */
   private chooseVictims(
     preemptible: readonly Allocation[],
     capacity: FreeCapacity,
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -49,8 +49,10 @@
   }
 
   /**
-   * Whether this task may be preempted. `cpusAlreadyChosen`: CPUs of the victims already chosen from its
-   * team.
+   * Whether this task may be preempted for one task of the request. Between teams, it may if its team is over
+   * its guaranteed share of CPUs or the request is within its own team's share; both are required, and
+   * `canReclaimGuarantee`, unless the task has a lower priority than the request. `cpusAlreadyChosen`: CPUs
+   * of the victims that were already chosen from its team but are not yet subtracted from its usage.
    */
   canPreempt(
     { request, usage }: PreemptionQuery,
@@ -74,10 +76,10 @@
   }
 
   /**
-   * Whether a task of equal or higher priority may be preempted to reclaim the guaranteed share of another
-   * team. Not while many machines are booting: there will soon be capacity, and choosing victims for all
-   * waiting requests would take most of the leader's CPU time. Gangs are preempted last, since all tasks of a
-   * gang stop with one.
+   * Whether a task of equal or higher priority may be preempted to reclaim the guaranteed share of the
+   * request's team. Not while many machines are booting: there will soon be capacity, and choosing victims
+   * for all waiting requests would take most of the leader's CPU time. Gangs are preempted last, since all
+   * tasks of a gang stop with one.
    */
   private canReclaimGuarantee(request: ResourceRequest, allocation: Allocation): boolean {
     this.bootingShare ??=
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../cluster-state.js';
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
-import { avoidsAnyMachine } from './capacity-filter.js';
+import { excludesAnyMachine } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
 import type { CapacityDemand } from './free-capacity.js';
 import { type PreemptionCandidate, PreemptionCandidates } from './preemption-candidates.js';
@@ -64,7 +64,12 @@
       if (!waitingJobs.has(jobId)) this.lastFailedAt.delete(jobId);
   }
 
-  /** Preempts tasks so that up to `count` tasks of a request find capacity. Returns how many of them will. */
+  /**
+   * Preempts tasks so that up to `count` tasks of a request find capacity. Returns how many of them will,
+   * once the victims have stopped. Returns 0 without a search if the request can preempt nothing, if an
+   * equivalent one found too few victims in this pass, or if it is not urgent and a search for its job
+   * found none less than `RETRY_AFTER_MS` ago.
+   */
   preempt({ request, count }: CapacityDemand, { usage, now, warmOnly }: PreemptionScope): number {
     const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
     if (!isWithinGuarantee && !this.hasLowerPriorityWork(request)) return 0;
@@ -84,7 +89,7 @@
       const next = this.candidates.candidateOn(candidate.machine, query);
       if (next) insertByCost(candidates, next);
     }
-    if (satisfied < count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+    if (satisfied < count && !excludesAnyMachine(request)) this.exhaustedKeys.add(key);
     if (satisfied === 0) this.lastFailedAt.set(request.jobId, now);
     this.requestEvictions(victims, `room for ${request.jobId}`);
     return satisfied;
@@ -110,7 +115,10 @@
     for (const victim of candidate.victims) this.recordEvictions(victim, query, victims);
   }
 
-  /** Reserves freed capacity for the request: lower-priority work placed there would be preempted again. */
+  /**
+   * Reserves a machine for the request's job, in place of any earlier reservation: lower-priority work placed
+   * there would be preempted again.
+   */
   private reserve(machine: Machine, { request, now }: PreemptionQuery): void {
     machine.reservation = { jobId: request.jobId, priority: request.priority, until: now + RESERVATION_MS };
     this.state.machinesWithReservation.add(machine);
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -5,7 +5,7 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 import type { AttemptConflicts } from './attempt-conflicts.js';
 import { capacitiesBeingFreed } from './capacity-being-freed.js';
-import { avoidsAnyMachine, subtract } from './capacity-filter.js';
+import { excludesAnyMachine, subtract } from './capacity-filter.js';
 import { equivalenceKey } from './equivalence-key.js';
 import { fill } from './fill.js';
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
@@ -40,9 +40,11 @@
   private readonly now: number;
   private readonly scarceZone: string | null;
   private readonly capacities: FreeCapacity[];
+  /** The capacities in `capacities` whose machines hold an image, by image; built on first use. */
   private readonly capacitiesByImage = new Map<string, FreeCapacity[]>();
+  /** See `capacitiesBeingFreed`. Amounts that are free already are counted in `capacities` as well. */
   private readonly beingFreed: FreeCapacity[];
-  /** Equivalence classes of requests that find no more capacity in this pass. */
+  /** Keys of searches for capacity that equivalent requests need not repeat in this pass. */
   private readonly exhaustedKeys = new Set<string>();
   /** Jobs with reserved machines: they may find capacity where equivalent requests find none. */
   private readonly jobsWithReservation = new Set<string>();
@@ -68,7 +70,7 @@
     fill(this.capacities, demand, { scarceZone: this.scarceZone });
   }
 
-  /** Grants slots on warm machines, which hold the request's image. Returns the number of tasks left. */
+  /** Grants slots on warm machines, which hold the request's image. Returns the number not granted. */
   placeOnWarmMachines(entry: PassRequest, count: number): number {
     return this.grantFrom(this.warmCapacities(entry.request.image), entry, count);
   }
@@ -87,7 +89,7 @@
 
   /**
    * Places replicas on warm machines, also where capacity is being freed or tasks can be preempted: fetching
-   * the image delays a replica far more than waiting for a task to stop. Returns the number of tasks left.
+   * the image delays a replica far more than waiting for a task to stop. Returns the number not placed.
    */
   private placeReplicasOnWarmMachines(entry: PassRequest, count: number): number {
     const { request } = entry;
@@ -105,6 +107,10 @@
     return remaining;
   }
 
+  /**
+   * Records for the job whether any of its tasks found capacity: a granted slot or, for a replica, also warm
+   * capacity that is being freed or preempted.
+   */
   private recordOutcome(demand: CapacityDemand, remaining: number): void {
     const { nothingPlacedSince, attemptConflicts } = this.context;
     const { jobId } = demand.request;
@@ -117,7 +123,10 @@
     }
   }
 
-  /** Claims capacity that is already being freed before it preempts more tasks. */
+  /**
+   * Claims capacity that is already being freed, then preempts tasks if the request has waited long enough.
+   * Tasks that find no capacity in either way are added to `unplaced`.
+   */
   private waitOrPreempt(entry: PassRequest, count: number): void {
     const { request } = entry;
     const { now, usage } = this;
@@ -125,7 +134,7 @@
     let remaining = count;
     if (!this.exhaustedKeys.has(key)) {
       remaining = this.claimCapacityBeingFreed(this.beingFreed, { request, count });
-      if (remaining === count && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+      if (remaining === count && !excludesAnyMachine(request)) this.exhaustedKeys.add(key);
     }
     if (remaining <= 0) return;
     // Slots become free all the time: a short wait often avoids the loss of work that preemption causes.
@@ -168,8 +177,8 @@
   }
 
   /**
-   * Places tasks on capacity being freed, and returns the number of tasks left. The placed tasks count as
-   * usage: otherwise each further task would claim the same part of the guaranteed share.
+   * Claims capacity being freed for tasks; no slots are granted. Returns the number of tasks that found none.
+   * The others count as usage: otherwise each further task would claim the same part of the guaranteed share.
    */
   private claimCapacityBeingFreed(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
     return fill(beingFreed, demand, {
@@ -178,7 +187,7 @@
     });
   }
 
-  /** Grants slots for up to `count` tasks. Returns the number of tasks left. */
+  /** Grants up to `count` slots, none unless this controller leads. Returns the number not granted. */
   private grantFrom(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
     if (!this.holdsLeadership || count <= 0) return count;
@@ -193,23 +202,26 @@
         onPlaced: (capacity) => this.grantOn(capacity, entry),
       },
     );
-    // Under a zone allowance or zone affinity, tasks may be left for lack of an allowed zone, not of
-    // capacity.
+    // If some tasks find no slot, no machine can take another one, so the key is exhausted. But under a
+    // zone allowance or zone affinity, tasks may be left for lack of an allowed zone, not of capacity.
     const isExhausted = request.zoneAllowance || request.zoneAffinity ? remaining === count : remaining > 0;
-    if (key !== null && isExhausted && !avoidsAnyMachine(request)) this.exhaustedKeys.add(key);
+    if (key !== null && isExhausted && !excludesAnyMachine(request)) this.exhaustedKeys.add(key);
     return remaining;
   }
 
-  /** Key of the request in `exhaustedKeys`; null: results of equivalent requests do not apply to it. */
+  /**
+   * Key of the request in `exhaustedKeys`; null: results of equivalent requests do not apply to it. Warm
+   * machines get a key of their own, with the image.
+   */
   private exhaustedKeyFor(request: ResourceRequest, capacities: FreeCapacity[]): string | null {
     if (request.isGang || this.jobsWithReservation.has(request.jobId)) return null;
     return `${equivalenceKey(request)}|${capacities === this.capacities ? '' : request.image}`;
   }
 
-  /** Grants slots for all tasks of a gang, or for none. Returns the number of tasks left. */
+  /** Grants slots for all tasks of a gang, or for none. Returns the number of tasks not granted. */
   private grantToGang(capacities: FreeCapacity[], entry: PassRequest, count: number): number {
     const { request } = entry;
-    const chosen = this.context.attemptConflicts.chooseForGang(capacities, { request, count });
+    const chosen = this.context.attemptConflicts.chooseWithoutConflicts(capacities, { request, count });
     if (!chosen) return count;
     for (const capacity of chosen) {
       subtract(capacity, request);
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -1,9 +1,9 @@
-/** Finds the running tasks of each gang. */
+/** Finds the tasks that stop together because they belong to the same gang. */
 
 import type { Allocation } from '../allocation.js';
 import type { ClusterState } from '../cluster-state.js';
 
-/** Running tasks of each gang, indexed on first use in a pass. */
+/** Tasks of each gang that are to run and are not finalized, indexed on first use in a pass. */
 export class RunningGangs {
   private tasksByJob: Map<string, Allocation[]> | null = null;
 
--- a/src/scheduler/placement/scarce-zone.ts
+++ b/src/scheduler/placement/scarce-zone.ts
@@ -1,10 +1,12 @@
-/** Finds the zone whose on-demand machines are left to jobs that must be spread over zones. */
+/** Finds the zone whose on-demand machines are kept for jobs that must be spread over zones. */
 
 import type { ClusterState } from '../cluster-state.js';
 
 /**
- * The zone with the fewest machine types, then the fewest on-demand CPUs; null if no service must be spread
- * over zones or there is only one zone.
+ * The scarce zone, whose on-demand machines are kept for jobs that must be spread over zones. Of the
+ * services, only those that must be spread or are tied to a zone may use these machines. For any request that
+ * need not be spread, they get a score penalty. It is the zone with the fewest machine types, then the fewest
+ * on-demand CPUs; null if no service must be spread over zones or there are fewer than two zones.
  */
 export function findScarceZone(state: ClusterState): string | null {
   if (!hasSpreadService(state)) return null;
--- a/src/scheduler/placement/ungranted-tasks.ts
+++ b/src/scheduler/placement/ungranted-tasks.ts
@@ -5,7 +5,7 @@
 
 /**
  * Counts the tasks of a request minus those covered by open grants, whose placements are not stored yet as
- * far as the leader knows.
+ * far as the leader knows. Jobs whose shard owner has declined grants get none for a while.
  */
 export class UngrantedTasks {
   constructor(
@@ -15,7 +15,8 @@
   ) {}
 
   /**
-   * Grants up to `lastProcessedGrantId` are not subtracted: the shard owner no longer requests what they
+   * The number of tasks to grant now; 0 while the job gets no grants because its owner has declined some.
+   * Open grants up to `lastProcessedGrantId` are not subtracted: the shard owner no longer requests what they
    * cover. A gang with open grants needs no others, since all of its tasks are granted together.
    */
   countOf(request: ResourceRequest, now: number): number {
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -10,14 +10,16 @@
 /** Share of a wait-time or guarantee objective after which a waiting request preempts other tasks. */
 const PREEMPT_AFTER_SHARE = 0.25;
 /**
- * A request without a wait-time objective waits for this time, or for `maxWaitSeconds` if that is shorter,
- * before it preempts other tasks.
+ * A request to which neither a wait-time nor a guarantee objective applies waits for this time, or for
+ * `maxWaitSeconds` if that is shorter, before it preempts other tasks; it does not wait if that is null.
  */
-const MAX_PREEMPT_DELAY_SECONDS = 5;
+const DEFAULT_MAX_PREEMPT_DELAY_SECONDS = 5;
 
 /** Wait-time objectives of job classes, and the objective on how soon teams get their guaranteed share. */
 export class WaitObjectives {
+  /** The shortest wait-time objective of each job class. */
   private readonly secondsByClass = new Map<string, number>();
+  /** The shortest objective on how soon a team gets its guaranteed share. */
   private guaranteeSeconds = Number.POSITIVE_INFINITY;
 
   constructor(objectives: readonly ServiceLevelObjective[]) {
@@ -28,17 +30,18 @@
     }
   }
 
+  /** Whether the job class has a wait-time objective. */
   hasObjective(jobClass: string): boolean {
     return this.secondsByClass.has(jobClass);
   }
 
-  /** How long a request waits for slots to become free before other tasks are preempted for it. */
+  /** How long a request waits for slots to become free before other tasks are preempted; 0 for services. */
   preemptAfterMs(request: ResourceRequest, isWithinGuarantee: boolean): number {
     if (request.isService) return 0;
     const classSeconds = this.secondsOf(request.jobClass);
     const seconds = isWithinGuarantee ? Math.min(classSeconds, this.guaranteeSeconds) : classSeconds;
     if (Number.isFinite(seconds)) return seconds * 1000 * PREEMPT_AFTER_SHARE;
-    return Math.min(MAX_PREEMPT_DELAY_SECONDS, request.maxWaitSeconds ?? 0) * 1000;
+    return Math.min(DEFAULT_MAX_PREEMPT_DELAY_SECONDS, request.maxWaitSeconds ?? 0) * 1000;
   }
 
   private secondsOf(jobClass: string): number {
