--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -82,6 +82,7 @@
   return reservation !== null && reservation.jobId !== request.jobId && request.priority > 0;
 }
 
+/** Whether the capacity is kept for other work than this request, which may use it only if it is starved. */
 function isWithheld(capacity: FreeCapacity, request: ResourceRequest, scarceZone: string | null): boolean {
   // Jobs that must be spread over zones depend on the on-demand machines of the scarce zone, so among
   // services only those that must be spread or are tied to a zone may use them. Batch tasks may, since they
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -6,7 +6,7 @@
 import type { JobConditionTimes } from './job-condition-times.js';
 import type { UsageByTeam } from './usage-by-team.js';
 
-/** How long a job may find no capacity at all before it may use capacity that is kept for other work. */
+/** How long a job may find no capacity at all before it may use withheld capacity (see `isFeasible`). */
 const STARVED_AFTER_MS = 45_000;
 
 /** A queued request, adjusted for one placement pass. */
