--- a/src/scheduler/placement/equivalence-key.ts
+++ b/src/scheduler/placement/equivalence-key.ts
@@ -12,8 +12,9 @@
  * Key of a request's equivalence class. Requests with the same key meet the same conditions on each machine,
  * except for the machines that a request excludes and the capacity that is reserved for its job: neither is
  * part of the key. Free capacity only shrinks during a pass, so as soon as some tasks of a request find none,
- * equivalent requests later in the pass need not search. With `fill`, under a zone allowance or zone affinity,
- * this holds only if none of the tasks finds capacity: otherwise the rest may have lacked an allowed zone.
+ * equivalent requests later in the pass need not search. With `fill`, under a zone allowance or zone
+ * affinity, this holds only if none of the tasks finds capacity: otherwise the rest may have lacked an
+ * allowed zone.
  *
  * Callers must not record such a result of a request that excludes machines (`excludesAnyMachine`), and must
  * not apply one to a request whose job has reserved capacity that the search would consider.
