--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -6,7 +6,7 @@
 import type { JobConditionTimes } from './job-condition-times.js';
 import type { UsageByTeam } from './usage-by-team.js';
 
-/** How long a job may find no capacity at all before it may use capacity that is kept for other work. */
+/** How long a job may find no capacity at all before it may use withheld capacity (see `isFeasible`). */
 const STARVED_AFTER_MS = 45_000;
 
 /** A queued request, adjusted for one placement pass. */
@@ -22,7 +22,10 @@
   attemptConflicts: AttemptConflicts;
 }
 
-/** Requests of current shard owners, by priority, guaranteed share, missed objectives and queue position. */
+/**
+ * Requests of current shard owners, by priority (0 first), guaranteed share (requests within it first),
+ * missed objectives (fewest first) and queue position.
+ */
 export function orderedRequests(
   state: ClusterState,
   history: RequestHistory,
@@ -45,6 +48,10 @@
   );
 }
 
+/**
+ * A copy of the request with the properties that the leader determines for this pass. The request itself if
+ * none of them differs.
+ */
 function adjustForPass(
   { request, isWithinGuarantee }: PassRequest,
   { nothingPlacedSince, attemptConflicts }: RequestHistory,
