--- a/src/shard/allocation-event-handler.ts
+++ b/src/shard/allocation-event-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Handles the leader's reports about placements: running tasks, exited tasks, and placements finalized
- * otherwise.
+ * Handles the leader's reports about placements: phases of their tasks, and placements that are finalized
+ * although their worker does not list the task.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -45,7 +45,10 @@
     this.rateLimitedLog = new RateLimitedLog(options.log, options.clock);
   }
 
-  /** Handles an event. One that matches no stored placement only has an effect if it repeats an exit. */
+  /**
+   * Handles an event. One that matches no stored placement only has an effect if it repeats an exit whose
+   * outcome is stored.
+   */
   handle(event: AllocationEvent): void {
     const job = this.options.jobs.get(event.jobId);
     const placement = job?.placements.get(event.taskIndex);
@@ -103,7 +106,7 @@
   private countFinishedTask(job: OwnedJob, placement: Placement): void {
     const { transactions } = this.options;
     if (job.counter.add(placement.taskIndex)) job.isCounterDirty = true;
-    // A gang is done as soon as one of its tasks is: the others are counted now and finalized when their
+    // A gang is finished as soon as one of its tasks is: the others are counted now and finalized when their
     // exits are reported.
     if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.taskCount; task++) job.counter.add(task);
     transactions.scheduleWrite(job, job.counter.isComplete ? 0 : transactions.coalescingDelayMs());
@@ -111,7 +114,10 @@
     job.preferredMachine = placement.machine;
   }
 
-  /** Holds the job back for a pause that grows with its failures, and makes it avoid the machine. */
+  /**
+   * Counts a failure of the job, keeps it from requesting capacity for a time that grows with its failures,
+   * and makes it avoid the machine.
+   */
   private startBackoff(job: OwnedJob, placement: Placement, event: PhaseEvent): void {
     const { clock, updates, log } = this.options;
     const now = clock.now();
@@ -129,8 +135,9 @@
   }
 
   /**
-   * Ends a placement and schedules the write of its outcome. `isListed`: the worker still lists the task and
-   * may remove it once the outcome is stored.
+   * Ends a placement and schedules the write of its outcome. A task that is not counted as finished is put
+   * back to be placed again. If it belongs to a gang, the rest of the gang is stopped. `isListed`: the worker
+   * still lists the task and may remove it once the outcome is stored.
    */
   private finalize(job: OwnedJob, placement: Placement, { isListed }: { isListed: boolean }): void {
     const { jobs, transactions, stops, updates, tasksPerChunk } = this.options;
@@ -151,8 +158,8 @@
   }
 
   /**
-   * Repeats the `forget` for an exit that is reported again although its outcome is stored: the first one was
-   * lost with an earlier leader.
+   * Repeats the `forget` for an exit that is reported again although its outcome is stored: the first
+   * `forget` was lost with an earlier leader.
    */
   private onUnmatchedEvent(job: OwnedJob, event: PhaseEvent): void {
     if (event.phase !== 'exited' || job.isReloading || !this.isOutcomeStored(job, event)) return;
@@ -161,7 +168,10 @@
     );
   }
 
-  /** Whether the store has the outcome of this attempt and no change of its records is outstanding. */
+  /**
+   * Whether the outcome of this attempt is known to be stored: the task is finished, has no placement, or has
+   * one of a later attempt, and no change of its records is in flight or still to be written.
+   */
   private isOutcomeStored(job: OwnedJob, { taskIndex, attempt }: PhaseEvent): boolean {
     const isLatestAttempt = (job.latestAttempts.get(taskIndex) ?? 0) <= attempt;
     if (!job.counter.has(taskIndex) && isLatestAttempt && job.placements.has(taskIndex)) return false;
--- a/src/shard/cancellation-progress.ts
+++ b/src/shard/cancellation-coverage-tracker.ts
@@ -1,12 +1,15 @@
-/** Tracks up to which of the leader's timestamps all earlier cancellations have become stops here. */
+/**
+ * Determines up to which of the leader's timestamps a shard owner has turned all cancellations into stops.
+ */
 
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
 
 /**
- * Matches the leader's timestamps with later reads of the open jobs. A read that was sent after a
- * timestamp had arrived shows every cancellation that was stored before that timestamp was made.
+ * Matches the leader's timestamps with later reads of the open jobs. A read that was sent after a timestamp
+ * had arrived shows every cancellation that was stored before the leader made that timestamp. The caller must
+ * have turned the cancellations that the read shows into stops.
  */
-export class CancellationProgress {
+export class CancellationCoverageTracker {
   private readonly timestamps = new PeerTimestamps();
   private lastTaken = Number.NEGATIVE_INFINITY;
 
@@ -23,7 +26,7 @@
 
   /**
    * Returns the newest timestamp that had been received when a read was sent, or null if there is none or it
-   * was returned before.
+   * is not newer than the one returned last.
    */
   takeLatest(readSentAt: number): number | null {
     const latest = this.timestamps.latestReceivedBy(readSentAt);
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -5,7 +5,10 @@
 import { allowsZone, type OwnedJob } from './owned-job.js';
 import { countFittingTasks, type TeamUsage } from './team-usage.js';
 
-/** How long a job avoids a machine that has refused one of its tasks, or would have. */
+/**
+ * How long a job avoids a machine that has refused one of its tasks, or that lists exited attempts of all the
+ * tasks that could be placed on it and would therefore refuse them.
+ */
 export const AVOID_AFTER_REFUSAL_MS = 2000;
 
 /** Inputs of an assignment, and the callback that carries it out. */
@@ -18,8 +21,9 @@
 }
 
 /**
- * Assigns tasks of a job to its grants, within the quota of its team and the zones that the job allows.
- * Returns the grants that were used; the caller returns the others to the leader.
+ * Assigns tasks of a job to its grants, within the quota of its team and the zones that the job allows; a
+ * gang gets all of its tasks placed or none. Returns the grants that were used; the caller returns the others
+ * to the leader.
  */
 export function assignGrants(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
   if (job.spec.kind === 'gang') return placeGang(job, grants, options);
@@ -33,7 +37,7 @@
   });
 }
 
-/** Uses all of the grants for a gang, or none of them. */
+/** Places all tasks of a gang, one on each grant, or none of them. Returns the grants that were used. */
 function placeGang(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
   if (!canPlaceGang(job, grants, options.usage)) return [];
   const { tasks } = assignTasks(
@@ -50,8 +54,9 @@
 }
 
 /**
- * Whether the grants suffice for all tasks of a gang, within its quota and zones. A gang with only some of
- * its tasks placed would hold their capacity until it gives up waiting for the others.
+ * Whether there is exactly one grant for each task of a gang, none of its tasks is placed, and all of them
+ * fit into the team's quota and the zones that the gang allows. A gang with only some of its tasks placed
+ * would hold their capacity until it gives up waiting for the others.
  */
 function canPlaceGang(job: OwnedJob, grants: Grant[], usage: TeamUsage): boolean {
   const { spec } = job;
@@ -67,8 +72,8 @@
 }
 
 /**
- * Takes the next task to be placed, skipping tasks of which the machine lists an exited attempt; -1: none. If
- * only such tasks are left, the job avoids the machine for a while.
+ * Takes the next task to be placed; -1: none. Tasks of which the machine lists an exited attempt are skipped
+ * and put back. If only such tasks are available, the job avoids the machine for a while.
  */
 function takeNextTask(job: OwnedJob, { machine, exitedTasks }: Grant, nowMs: number): number {
   const isFinished = (task: number) => job.counter.has(task);
--- a/src/shard/grant-handler.ts
+++ b/src/shard/grant-handler.ts
@@ -1,11 +1,11 @@
-/** Processes the grants of the leader: places tasks on them and returns those that cannot be used. */
+/** Processes the grants of the leader: places tasks on them and releases those that cannot be used. */
 
 import type { Clock } from '../model/clock.js';
 import type { Grant } from '../model/placement.js';
 import { assignGrants } from './grant-assignment.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { hasUnconfirmedWrite, nextGangAttempt, type OwnedJob } from './owned-job.js';
+import { isStoredStateUncertain, nextGangAttempt, type OwnedJob } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import type { TeamUsage } from './team-usage.js';
 
@@ -24,7 +24,7 @@
 export class GrantHandler {
   constructor(private readonly options: GrantHandlerOptions) {}
 
-  /** Uses each grant for a task of its job, or returns it to the leader. */
+  /** Places a task of its job on each grant, or releases the grant to the leader. */
   processGrants(grants: readonly Grant[]): void {
     const { jobs, updates } = this.options;
     const grantsByJob = new Map<string, Grant[]>();
@@ -43,14 +43,15 @@
   }
 
   /**
-   * Removes the placements for which no write has been sent; called before a full sync, which voids their
-   * grants. Placements of a job with an indeterminate write stay and keep counting: if they were removed,
-   * their capacity would be granted to other jobs and the team would exceed its quota.
+   * Removes the unstored placements of jobs without a write in flight; called before a full sync, which voids
+   * their grants. Jobs that have a write in flight or are being reloaded keep all their placements, which
+   * continue to count toward the quota: some may be stored, and if they were removed, their capacity would be
+   * granted to other jobs and the team would exceed its quota.
    */
   discardUnsentPlacements(): void {
     const { jobs, transactions } = this.options;
     for (const job of jobs.values()) {
-      if (hasUnconfirmedWrite(job)) continue;
+      if (isStoredStateUncertain(job)) continue;
       for (const placement of [...job.placements.values()]) {
         if (placement.isStored) continue;
         jobs.removePlacement(job, placement, 'returned');
@@ -60,6 +61,10 @@
     }
   }
 
+  /**
+   * Places tasks of a job on grants and returns the grants that were used. None is used if the job may not
+   * start tasks, or while a full sync is not accepted, as its acceptance voids all earlier grants.
+   */
   private placeTasks(job: OwnedJob, grants: Grant[]): Grant[] {
     const { usage, updates, clock } = this.options;
     if (job.cancelled || job.isReloading || job.counter.isComplete || !updates.isSynced) return [];
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -4,7 +4,7 @@
 import type { Logger } from '../model/logger.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { hasUnconfirmedWrite, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
+import { isStoredStateUncertain, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
 /** Settings and dependencies of `JobStops`. */
@@ -33,7 +33,7 @@
     const { jobs, transactions, updates, log } = this.options;
     log.debug({ jobId: job.spec.id, placedTasks: job.placements.size }, 'job cancelled');
     for (const placement of [...job.placements.values()]) {
-      if (placement.isStored || hasUnconfirmedWrite(job)) {
+      if (placement.isStored || isStoredStateUncertain(job)) {
         this.stop(job, placement, 0);
         continue;
       }
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -15,23 +15,26 @@
 import type { WakeTimer } from './wake-timer.js';
 import type { WriteFence } from './write-fence.js';
 
-/** The key-value store accepts this many times as many preconditions as operations in a transaction. */
-const PRECONDITIONS_PER_OPERATION = 4;
+/** Maximum number of preconditions in a transaction, as a multiple of the maximum number of operations. */
+const MAX_PRECONDITIONS_PER_OPERATION = 4;
 /** Preconditions of a job in addition to one per operation: on its job record, its counter and its team. */
 const PRECONDITIONS_PER_JOB = 3;
 /**
- * Size of the operations of a transaction above which no further job is added. A transaction may have 64 KiB,
- * including its preconditions.
+ * Approximate length of the operations of a transaction, in characters, above which no further job is added.
+ * The last job may exceed it: a transaction may have 64 KiB, including its preconditions.
  */
-const MAX_BATCH_BYTES = 40_000;
-/** Length of an encoded put and delete without the key and the value. */
+const BATCH_LENGTH_THRESHOLD = 40_000;
+/** Length in characters of an encoded put and of an encoded delete, without the key and the value. */
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
-/** Pause of all writes after a transaction that was definitely not executed and is sent again. */
+/**
+ * Pause of all writes after a transaction that was refused, or failed only because the fence had moved. It
+ * was not executed, and its changes are written again by new transactions.
+ */
 const NOT_EXECUTED_PAUSE_MS = 100;
 /**
- * Pause of all writes after a transaction failed because a team has another owner, until the watch reports
- * the owner.
+ * Pause of all writes after a transaction that failed because a team has another owner. It gives the watch
+ * time to report that owner, but does not end early when the watch does.
  */
 const OWNERSHIP_CHANGED_PAUSE_MS = 200;
 /** Bounds of `coalescingDelayMs`. */
@@ -41,8 +44,8 @@
 const COALESCED_WRITES_SHARE = 0.2;
 
 /**
- * What a transaction writes. `progress`: placements and counters of unfinished jobs. `archive`: final
- * records, and the deletion of the records that they replace.
+ * What a transaction writes. `progress`: placement and counter records of jobs that cannot be archived yet.
+ * `archive`: final records, and the deletion of the records that they replace.
  */
 type WriteKind = 'progress' | 'archive';
 
@@ -63,15 +66,18 @@
   /** Returns the epoch of a team's shard, or undefined if this controller does not own it. */
   shardEpochOf(team: string): number | undefined;
   /** Returns whether this object is the current one for its job. Reloading a job replaces its object. */
-  isOwned(job: OwnedJob): boolean;
-  /** Called with the jobs of an unconfirmed write that are still owned. Their records must be read again. */
-  onUnconfirmed(jobs: OwnedJob[], write: UnconfirmedWrite): void;
+  isCurrent(job: OwnedJob): boolean;
+  /**
+   * Called after a transaction failed for another reason than a refusal or a moved fence, with its jobs that
+   * are still current. Their records must be read again.
+   */
+  onReloadNeeded(jobs: OwnedJob[], write: FailedWrite): void;
   wake(): void;
 }
 
-/** A transaction that is not confirmed as executed and cannot simply be sent again. */
-export interface UnconfirmedWrite {
-  /** Whether it may have been executed or may still be executed later. Otherwise it was not executed. */
+/** A transaction that failed, or may have, and whose changes cannot simply be written again. */
+export interface FailedWrite {
+  /** Whether it may have been executed or may still be executed later. Otherwise it certainly was not. */
   isIndeterminate: boolean;
   /** Revision of the write fence in its preconditions. */
   fenceRevision: number;
@@ -84,15 +90,19 @@
   jobs: OwnedJob[];
   writes: JobWrite[];
   teams: Set<string>;
-  bytes: number;
+  /** Approximate length of the encoded operations in characters. */
+  approximateLength: number;
 }
 
 /**
- * Writes the changes of a shard owner's jobs, many jobs per transaction. Each write has a precondition on the
- * revision that it replaces.
+ * Writes the changes of a shard owner's jobs, many jobs per transaction. Preconditions require that the write
+ * fence, the owner records of the teams, and the records of the jobs still have the known revisions.
  */
 export class JobTransactions {
-  /** Jobs with unwritten changes, and finished or cancelled jobs without a final record. */
+  /**
+   * Jobs with unwritten changes, and jobs to be archived. May also contain jobs with nothing left to write
+   * until `collectDueJobs` removes them.
+   */
   private readonly dirtyJobs = new Set<OwnedJob>();
   private readonly inFlight: Record<WriteKind, boolean> = { progress: false, archive: false };
   private pausedUntil = 0;
@@ -138,7 +148,7 @@
     }
     const fence = this.options.fence.precondition();
     if (!fence) return;
-    const dueJobs = this.listDueJobs(kind);
+    const dueJobs = this.collectDueJobs(kind);
     if (dueJobs.length === 0) return;
     const batch: Batch = {
       transaction: { preconditions: [fence], operations: [] },
@@ -146,27 +156,27 @@
       jobs: [],
       writes: [],
       teams: new Set(),
-      bytes: 0,
+      approximateLength: 0,
     };
     for (const job of dueJobs) if (!this.addJob(batch, job, kind)) break;
     if (batch.jobs.length > 0) this.sendBatch(batch, kind);
   }
 
   /**
-   * Returns the jobs with a write of this kind that is due, most urgent first. Also removes jobs without
-   * unwritten changes from `dirtyJobs`.
+   * Returns the jobs with a write of this kind that is due, most urgent first; if there are none, requests a
+   * wake-up for the next one. Also unschedules the jobs that have nothing to write.
    */
-  private listDueJobs(kind: WriteKind): OwnedJob[] {
+  private collectDueJobs(kind: WriteKind): OwnedJob[] {
     const now = this.options.clock.now();
     const dueJobs: OwnedJob[] = [];
     let nextDueAt = Number.POSITIVE_INFINITY;
     for (const job of this.dirtyJobs) {
       if (job.isReloading || job.isWriteInFlight) continue;
-      const needsFinalRecord = isReadyToArchive(job);
-      if (!needsFinalRecord && !job.isCounterDirty && job.dirtyChunks.size === 0) {
+      const needsArchiving = isReadyToArchive(job);
+      if (!needsArchiving && !job.isCounterDirty && job.dirtyChunks.size === 0) {
         job.writeDueAt = Number.POSITIVE_INFINITY;
         this.dirtyJobs.delete(job);
-      } else if (needsFinalRecord === (kind === 'archive')) {
+      } else if (needsArchiving === (kind === 'archive')) {
         if (job.writeDueAt <= now) dueJobs.push(job);
         else nextDueAt = Math.min(nextDueAt, job.writeDueAt);
       }
@@ -180,19 +190,22 @@
     );
   }
 
-  /** Adds the writes of a job to a batch. Returns false if the transaction is full. */
+  /**
+   * Adds the write of a job to a batch. Returns false if the batch is full and no further job should be
+   * tried; true also if this job was skipped because it has nothing to write or its write does not fit.
+   */
   private addJob(batch: Batch, job: OwnedJob, kind: WriteKind): boolean {
     const { transaction } = batch;
     const { tasksPerChunk, events } = this.options;
-    const maxOperations = this.remainingOperations(batch);
-    if (maxOperations < 1 || batch.bytes > MAX_BATCH_BYTES) return false;
-    const writeOptions = { maxOperations, tasksPerChunk, events };
+    const remainingOperations = this.remainingOperations(batch);
+    if (remainingOperations < 1 || batch.approximateLength > BATCH_LENGTH_THRESHOLD) return false;
+    const writeOptions = { remainingOperations, tasksPerChunk, events };
     const write = kind === 'archive' ? archiveWrite(job, writeOptions) : progressWrite(job, writeOptions);
     if (!write) return true;
     const writtenKeys = new Set(write.operations.map(({ key }) => key));
     for (const operation of write.operations) {
       const { key } = operation;
-      batch.bytes += encodedLength(operation);
+      batch.approximateLength += encodedLength(operation);
       transaction.preconditions.push({ key, modRevision: knownRevision(job, key) });
       transaction.operations.push(operation);
     }
@@ -212,7 +225,7 @@
   private remainingOperations({ transaction, teams }: Batch): number {
     const { maxTransactionOperations: maxOperations } = this.options;
     const remainingPreconditions =
-      maxOperations * PRECONDITIONS_PER_OPERATION - transaction.preconditions.length - teams.size;
+      maxOperations * MAX_PRECONDITIONS_PER_OPERATION - transaction.preconditions.length - teams.size;
     return Math.min(
       maxOperations - transaction.operations.length,
       remainingPreconditions - PRECONDITIONS_PER_JOB,
@@ -220,6 +233,8 @@
   }
 
   private sendBatch(batch: Batch, kind: WriteKind): void {
+    // A shard's epoch is the revision of the owner record. No record has revision -1, so a transaction for a
+    // team that is not owned would fail.
     for (const team of batch.teams)
       batch.transaction.preconditions.push({
         key: teamKey(team),
@@ -241,29 +256,30 @@
   private onResult(batch: Batch, result: Result<number>): void {
     for (const job of batch.jobs) {
       job.isWriteInFlight = false;
-      // `listDueJobs` examines the job again and removes it from `dirtyJobs` if nothing is left to write.
-      if (this.options.isOwned(job))
+      // `collectDueJobs` examines the job again and unschedules it if nothing is left to write.
+      if (this.options.isCurrent(job))
         this.scheduleWrite(job, job.isCounterDirty && !job.counter.isComplete ? this.coalescingDelayMs() : 0);
     }
     if (result.ok) {
-      for (const write of batch.writes) write.onStored(result.value);
+      for (const write of batch.writes) write.onExecuted(result.value);
     } else if (result.kind === 'refused' || this.options.fence.detectFenceOnlyConflict(result)) {
-      // The transaction was not executed, so its changes are still to be written.
+      // The transaction was not executed, so its changes are still to be written, by a new transaction.
       for (const write of batch.writes) write.onNotExecuted();
       this.pause(NOT_EXECUTED_PAUSE_MS);
-    } else this.onUnconfirmed(batch, result);
+    } else this.requestReload(batch, result);
   }
 
-  /** Has the records of the jobs read again after a transaction that failed or has an unknown outcome. */
-  private onUnconfirmed({ jobs, fenceRevision }: Batch, { kind, failedKeys = [] }: Failure): void {
+  /** Requests that the records of the jobs be read again, as the changes cannot simply be written again. */
+  private requestReload({ jobs, fenceRevision }: Batch, { kind, failedKeys = [] }: Failure): void {
     this.options.log.debug({ kind, failedKeys, jobs: jobs.map((job) => job.spec.id) }, 'write not confirmed');
-    // If only owner records have changed, another controller owns a team now, as the watch will report.
-    // Nothing of this transaction was stored.
+    // If the failed preconditions are all on owner records, another controller owns a team now, as the watch
+    // will report, and nothing of this transaction was stored. A conflict for which no failed keys are known
+    // is treated in the same way.
     if (kind === 'conflict' && failedKeys.every((key) => teamOfKey(key) !== null))
       this.pause(OWNERSHIP_CHANGED_PAUSE_MS);
     const isIndeterminate = kind !== 'conflict' && kind !== 'invalid';
-    const owned = jobs.filter((job) => this.options.isOwned(job));
-    this.options.onUnconfirmed(owned, { isIndeterminate, fenceRevision });
+    const currentJobs = jobs.filter((job) => this.options.isCurrent(job));
+    this.options.onReloadNeeded(currentJobs, { isIndeterminate, fenceRevision });
   }
 
   private pause(pauseMs: number): void {
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -1,4 +1,7 @@
-/** Builds the writes of one job: its counter and placements while it is unfinished, and its final record. */
+/**
+ * Builds the writes of one job: progress writes, which store its counter and placements, and archive writes,
+ * which replace all its records by its final record.
+ */
 
 import type { StoreOperation } from '../model/key-value-store.js';
 import type { PlacementEntry } from '../model/records.js';
@@ -7,16 +10,19 @@
 import { makeCounterRecord } from '../store/stored-job.js';
 import type { FinalizedPlacement, OwnedJob, Placement } from './owned-job.js';
 
-/** Callbacks for stored writes of a job. */
+/** Callbacks for executed writes of a job. */
 export interface WriteEvents {
   /** A placement is stored, so its task may be started. */
   onPlacementStored(job: OwnedJob, placement: Placement): void;
-  /** The outcome of a finalized placement is stored, so its worker may remove the attempt. */
+  /**
+   * The outcome of a finalized placement is stored (see `FinalizedPlacement`), or no longer needed because
+   * the job is being archived, so its worker may remove the attempt.
+   */
   onOutcomeStored(job: OwnedJob, finalized: FinalizedPlacement): void;
-  /** The stored counter shows all tasks of the job as finished. */
+  /** The stored counter record marks all tasks of the job as finished. */
   onCounterComplete(job: OwnedJob): void;
-  /** The final record is stored and all other records of the job are deleted. */
-  onFinalRecordStored(job: OwnedJob): void;
+  /** The job is archived: its final record is stored and all its other records are deleted. */
+  onJobArchived(job: OwnedJob): void;
 }
 
 /** The part of a transaction that writes one job. */
@@ -27,20 +33,28 @@
    *
    * @param revision - Store revision of the transaction
    */
-  onStored(revision: number): void;
-  /** Called when the transaction was not executed. Its changes become due to be written again. */
+  onExecuted(revision: number): void;
+  /**
+   * Called when the transaction was certainly not executed and the same changes may be written again; marks
+   * them as unwritten. Neither callback is called after any other failure: the job is then reloaded, which
+   * replaces its object.
+   */
   onNotExecuted(): void;
 }
 
 /** Limits and callbacks of a write of one job. */
 export interface JobWriteOptions {
-  /** Number of operations that fit into the rest of the transaction. */
-  maxOperations: number;
+  /** How many more operations the transaction can hold. */
+  remainingOperations: number;
+  /** Tasks per placement record. */
   tasksPerChunk: number;
   events: WriteEvents;
 }
 
-/** Returns the revision of a record of a job that the shard owner knows; 0 if there is no such record. */
+/**
+ * Returns the revision at which the shard owner knows a record of a job. As a precondition, 0 means that the
+ * record must not exist; it is returned for placement records that are not stored and for the final record.
+ */
 export function knownRevision(job: OwnedJob, key: string): number {
   const record = parseJobRecordKey(key);
   switch (record?.type) {
@@ -56,14 +70,15 @@
 }
 
 /**
- * Builds a write of the job's changed counter and of as many of its changed chunks of placements as fit.
- * Marks them as unchanged, which `onNotExecuted` reverts. Returns null if there is nothing to write.
+ * Builds a write of the job's changed counter record and of as many of its changed placement records as fit.
+ * Marks them as unchanged, which `onNotExecuted` reverts. Returns null if there is nothing to write or no
+ * room. Changed records that would be empty and do not exist need no write and are only marked as unchanged.
  */
 export function progressWrite(job: OwnedJob, options: JobWriteOptions): JobWrite | null {
-  const { maxOperations, tasksPerChunk } = options;
-  if (maxOperations < 1) return null;
+  const { remainingOperations, tasksPerChunk } = options;
+  if (remainingOperations < 1) return null;
   const includesCounter = job.isCounterDirty;
-  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, maxOperations - (includesCounter ? 1 : 0)));
+  const chunks = [...job.dirtyChunks].slice(0, Math.max(0, remainingOperations - (includesCounter ? 1 : 0)));
   const operations: StoreOperation[] = includesCounter ? [counterOperation(job)] : [];
   const newPlacements: Placement[] = [];
   for (const chunk of chunks) {
@@ -81,7 +96,7 @@
   const runningTasks = includesCounter ? job.runningTasks : null;
   return {
     operations,
-    onStored: (revision) =>
+    onExecuted: (revision) =>
       onChangesStored(job, { operations, newPlacements, outcomes, runningTasks, revision }, options.events),
     onNotExecuted: () => {
       job.outcomesInFlight = [];
@@ -92,7 +107,7 @@
   };
 }
 
-/** Changes of a job that were stored by one transaction. */
+/** Changes of a job that were stored by one executed transaction. */
 interface StoredChanges {
   operations: StoreOperation[];
   newPlacements: Placement[];
@@ -134,8 +149,8 @@
 }
 
 /**
- * Returns the put of the placement record of a chunk of tasks, its deletion if it would be empty, or null if
- * it would be empty and does not exist. Appends the placements that are not stored yet to `newPlacements`.
+ * Returns the put of the placement record with the index `chunk`, its deletion if it would be empty, or null
+ * if it would be empty and does not exist. Appends the placements that are not stored yet to `newPlacements`.
  */
 function chunkOperation(
   job: OwnedJob,
@@ -162,19 +177,24 @@
 }
 
 /**
- * Builds a write that replaces the records of a finished or cancelled job by its final record. If they do not
- * all fit into one transaction, placement records are deleted first, and the last transaction stores the
- * final record. Returns null if no part of this fits.
+ * Builds a write that archives a finished or cancelled job by replacing its records by its final record. If
+ * not all placement records can be deleted in one transaction, earlier transactions delete some of them,
+ * and the last one stores the final record. Returns null unless the operations for the final record and, if
+ * there are placement records, at least one deletion fit.
  */
 export function archiveWrite(
   job: OwnedJob,
-  { maxOperations, events }: Omit<JobWriteOptions, 'tasksPerChunk'>,
+  { remainingOperations, events }: Omit<JobWriteOptions, 'tasksPerChunk'>,
 ): JobWrite | null {
   const { id } = job.spec;
   const hasCounter = job.counterRevision > 0;
-  const finalOperationCount = 2 + (hasCounter ? 1 : 0);
-  if (maxOperations < finalOperationCount + Math.min(1, job.chunkRevisions.size)) return null;
-  const chunks = [...job.chunkRevisions.keys()].slice(0, Math.max(0, maxOperations - finalOperationCount));
+  // The put of the final record and the deletions of the job record and of the counter record.
+  const finalRecordOperations = 2 + (hasCounter ? 1 : 0);
+  if (remainingOperations < finalRecordOperations + Math.min(1, job.chunkRevisions.size)) return null;
+  const chunks = [...job.chunkRevisions.keys()].slice(
+    0,
+    Math.max(0, remainingOperations - finalRecordOperations),
+  );
   const isLastTransaction = chunks.length === job.chunkRevisions.size;
   const operations: StoreOperation[] = chunks.map((chunk) => ({
     type: 'delete',
@@ -189,15 +209,18 @@
   const outcomes = job.outcomesToStore;
   return {
     operations,
-    onStored: () => {
+    onExecuted: () => {
       for (const chunk of chunks) {
         job.chunkRevisions.delete(chunk);
         job.dirtyChunks.delete(chunk);
       }
+      // Also if some placement records remain: no attempt of a finished or cancelled job is started again,
+      // whatever its placement records contain.
       for (const outcome of outcomes) events.onOutcomeStored(job, outcome);
       job.outcomesToStore = [];
-      if (isLastTransaction) events.onFinalRecordStored(job);
+      if (isLastTransaction) events.onJobArchived(job);
     },
+    // An archive write marks nothing as written before it is executed.
     onNotExecuted: () => {},
   };
 }
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -6,8 +6,8 @@
 import type { Clock } from '../model/clock.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { ReleasedPlacement, ShardMessage } from '../model/shard-messages.js';
-import { CancellationProgress } from './cancellation-progress.js';
-import { fullSyncChunks, placementsToSync } from './full-sync.js';
+import { CancellationCoverageTracker } from './cancellation-coverage-tracker.js';
+import { fullSyncMessages, placementsToSync } from './full-sync.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import type { OwnedShards } from './owned-shards.js';
 import type { WakeTimer } from './wake-timer.js';
@@ -42,7 +42,7 @@
   /** Whether the leader has accepted the latest full sync. */
   isSynced = false;
   private needsFullSync = false;
-  private haveRequestsChanged = false;
+  private needsRequestRebuild = false;
   private lastRequestsJson = '';
   private nextRequestsAt = 0;
   /** The newest grant of the current leader that has been processed. */
@@ -53,14 +53,14 @@
   private placementsToSend: PlacementSpec[] = [];
   private placementsToRelease: ReleasedPlacement[] = [];
   private grantsToRelease: number[] = [];
-  private readonly cancellationProgress = new CancellationProgress();
+  private readonly coverageTracker = new CancellationCoverageTracker();
 
   constructor(private readonly options: LeaderUpdatesOptions) {}
 
   /** Switches to the leader with this higher token, which has no state of this owner yet. */
   setLeader(fencingToken: number): void {
     this.fencingToken = fencingToken;
-    this.cancellationProgress.reset();
+    this.coverageTracker.reset();
     this.lastProcessedGrantId = 0;
     this.resync();
   }
@@ -86,7 +86,7 @@
     // either.
     if (syncNumber !== undefined && syncNumber !== this.syncNumber) return false;
     this.isSynced = true;
-    this.haveRequestsChanged = true;
+    this.needsRequestRebuild = true;
     this.lastRequestsJson = '';
     return true;
   }
@@ -96,7 +96,7 @@
    * has been turned into stops.
    */
   onTimestamp(leaderTimestamp: number): void {
-    this.cancellationProgress.add(leaderTimestamp, this.options.clock.now());
+    this.coverageTracker.add(leaderTimestamp, this.options.clock.now());
   }
 
   /** Records a grant that has been received and is used or returned. */
@@ -121,7 +121,7 @@
 
   /** Has the resource requests rebuilt, since they may have changed. */
   invalidateRequests(): void {
-    this.haveRequestsChanged = true;
+    this.needsRequestRebuild = true;
   }
 
   /** Sends the collected changes, or a full sync if one is due. */
@@ -152,14 +152,14 @@
     this.isSynced = false;
     this.placementMessagesSent = 0;
     this.syncNumber++;
-    const chunks = fullSyncChunks({
+    const messages = fullSyncMessages({
       ...this.senderFields,
       syncNumber: this.syncNumber,
       shardEpochs: shards.loadedEpochs,
       placements: placementsToSync(jobs.values()),
       requests: this.options.listRequests(this.lastProcessedGrantId),
     });
-    for (const chunk of chunks) this.options.send(chunk);
+    for (const message of messages) this.options.send(message);
   }
 
   private sendPlacements(): void {
@@ -170,7 +170,7 @@
   }
 
   private sendCancellationCoverage(): void {
-    const leaderTimestamp = this.cancellationProgress.takeLatest(this.options.openJobsFreshAsOf());
+    const leaderTimestamp = this.coverageTracker.takeLatest(this.options.openJobsFreshAsOf());
     if (leaderTimestamp === null) return;
     this.options.send({
       type: 'cancellationCoverage',
@@ -195,13 +195,13 @@
   }
 
   private sendRequests(): void {
-    if (!this.haveRequestsChanged) return;
+    if (!this.needsRequestRebuild) return;
     const now = this.options.clock.now();
     if (now < this.nextRequestsAt) {
       this.options.wakeTimer.wakeAt(this.nextRequestsAt);
       return;
     }
-    this.haveRequestsChanged = false;
+    this.needsRequestRebuild = false;
     const requests = this.options.listRequests(this.lastProcessedGrantId);
     // A long list is sent less often: it is costly for both sides, and little capacity is freed in between.
     const intervalMs = MIN_REQUESTS_INTERVAL_MS + requests.length * REQUESTS_INTERVAL_MS_PER_REQUEST;
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -154,7 +154,7 @@
  * Returns whether placements of the job that are not known to be stored may be: a write is in flight, or the
  * records are being read again.
  */
-export function hasUnconfirmedWrite(job: OwnedJob): boolean {
+export function isStoredStateUncertain(job: OwnedJob): boolean {
   return job.isWriteInFlight || job.isReloading;
 }
 
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -59,7 +59,7 @@
 /** How many tasks a team runs, and how many its quota admits. */
 export interface TeamLoad {
   /** Placed tasks of its arrays and gangs. */
-  runningTasks: number;
+  placedBatchTasks: number;
   /** The most tasks of this job that the team's quota admits in parallel. */
   maxParallelTasks(spec: JobSpec): number;
   /** How many tasks of this job's size the team's quota admits in parallel; infinite without a quota. */
@@ -145,7 +145,7 @@
     wallMs: number,
     load: TeamLoad,
   ): { job: J; key: QueueKey }[] {
-    const waiting = queue.filter((job) => openTasks(job) > 0);
+    const waiting = queue.filter((job) => countUnplacedTasks(job) > 0);
     const keyed = waiting.map((job) => ({ job, key: this.keyOf(job, wallMs, load) }));
     if (!waiting.some((job) => indicatesOverload(job, wallMs, load))) return keyed;
     // The set of keys stays the same, so that the queue neither gains nor loses against queues of other
@@ -197,13 +197,13 @@
 
   /** Whether large jobs hold `LARGE_JOBS_MAX_SHARE` or more of the queue's placed tasks. */
   private isLargeJobShareReached(queue: readonly QueuedJob[]): boolean {
-    let running = 0;
-    let large = 0;
+    let placed = 0;
+    let placedOfLargeJobs = 0;
     for (const { spec, placedTasks } of queue) {
-      running += placedTasks;
-      if (this.sizes.isLarge(spec)) large += placedTasks;
+      placed += placedTasks;
+      if (this.sizes.isLarge(spec)) placedOfLargeJobs += placedTasks;
     }
-    return large >= LARGE_JOBS_MAX_SHARE * running && large > 0;
+    return placedOfLargeJobs >= LARGE_JOBS_MAX_SHARE * placed && placedOfLargeJobs > 0;
   }
 
   private keyOf(job: QueuedJob, wallMs: number, load: TeamLoad): QueueKey {
@@ -245,16 +245,20 @@
  */
 function estimateParallelTasks(spec: JobSpec, load: TeamLoad): number {
   const quotaTasks = spec.kind === 'gang' ? load.tasksAtQuota(spec) : 0;
-  return Math.max(MIN_PARALLEL_TASKS, load.runningTasks, Number.isFinite(quotaTasks) ? quotaTasks : 0);
+  return Math.max(MIN_PARALLEL_TASKS, load.placedBatchTasks, Number.isFinite(quotaTasks) ? quotaTasks : 0);
 }
 
-function openTasks(job: QueuedJob): number {
+function countUnplacedTasks(job: QueuedJob): number {
   return job.spec.taskCount - job.finishedTasks - job.placedTasks;
 }
 
 /** Whether the job has open tasks and is old enough to precede all younger ones. */
 function isAged(job: QueuedJob, wallMs: number): boolean {
-  return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS && openTasks(job) > 0;
+  return (
+    job.spec.kind !== 'service' &&
+    wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS &&
+    countUnplacedTasks(job) > 0
+  );
 }
 
 /**
@@ -274,7 +278,7 @@
 
 /** Estimates how long this many tasks of a job take at the team's present parallelism. */
 function estimateWorkSeconds(spec: JobSpec, tasks: number, load: TeamLoad): number {
-  const parallel = Math.max(MIN_PARALLEL_TASKS, load.runningTasks);
+  const parallel = Math.max(MIN_PARALLEL_TASKS, load.placedBatchTasks);
   return Math.max(MIN_WORK_SECONDS, (tasks * spec.estimatedRunSeconds) / parallel);
 }
 
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -67,9 +67,10 @@
 /** How many tasks to request for a job; 0: none. A gang requests all of its tasks or none. */
 function tasksToRequest(job: OwnedJob, fittingTasks: number, maxTasks: number): number {
   const { spec } = job;
-  const openTasks = spec.taskCount - job.counter.count - job.placements.size;
-  if (spec.kind === 'gang') return job.placements.size > 0 || fittingTasks < spec.taskCount ? 0 : openTasks;
-  const requestableTasks = Math.min(openTasks, fittingTasks, maxTasks);
+  const unplacedTasks = spec.taskCount - job.counter.count - job.placements.size;
+  if (spec.kind === 'gang')
+    return job.placements.size > 0 || fittingTasks < spec.taskCount ? 0 : unplacedTasks;
+  const requestableTasks = Math.min(unplacedTasks, fittingTasks, maxTasks);
   return job.failures >= THROTTLE_AFTER_FAILURES
     ? Math.min(requestableTasks, Math.max(0, 1 - job.placements.size))
     : requestableTasks;
@@ -134,8 +135,8 @@
  */
 function remainingTasks(job: OwnedJob): Pick<ResourceRequest, 'remainingTasks'> {
   const { spec, counter, placements, latestAttempts: attempts, fanOut } = job;
-  const openTasks = spec.taskCount - counter.count - placements.size;
-  if (spec.kind === 'gang' || openTasks > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
+  const unplacedTasks = spec.taskCount - counter.count - placements.size;
+  if (spec.kind === 'gang' || unplacedTasks > MAX_REMAINING_TASKS_LISTED || attempts.size === 0) return {};
   const remaining = fanOut.listAvailable((task) => counter.has(task) || placements.has(task));
   return remaining.some((task) => attempts.has(task)) ? { remainingTasks: remaining } : {};
 }
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -240,8 +240,8 @@
         removeArchivedJob: (jobId) => this.loader.removeArchivedJob(jobId),
       }),
       shardEpochOf: (team) => this.shards.epochOf(team),
-      isOwned: (job) => this.jobs.includes(job),
-      onUnconfirmed: (jobs, { isIndeterminate, fenceRevision }) => {
+      isCurrent: (job) => this.jobs.includes(job),
+      onReloadNeeded: (jobs, { isIndeterminate, fenceRevision }) => {
         if (isIndeterminate) this.usageLog.logIndeterminateWrite(jobs, fenceRevision);
         for (const job of jobs) this.loader.reload(job, isIndeterminate);
       },
--- a/src/shard/team-usage.ts
+++ b/src/shard/team-usage.ts
@@ -12,7 +12,7 @@
   cpus: number;
   gpus: number;
   /** Placed tasks of arrays and gangs. */
-  batchTasks: number;
+  placedBatchTasks: number;
 }
 
 /** Amounts of the resources that a quota limits: CPUs and GPUs. */
@@ -60,7 +60,7 @@
     const usage = this.usageOf(spec.team);
     usage.cpus += tasks * spec.cpus;
     usage.gpus += tasks * spec.gpus;
-    if (spec.kind !== 'service') usage.batchTasks += tasks;
+    if (spec.kind !== 'service') usage.placedBatchTasks += tasks;
     this.used.set(spec.team, usage);
   }
 
@@ -112,14 +112,14 @@
   loadOf(team: string): TeamLoad {
     const quota = this.quotaOf(team);
     return {
-      runningTasks: this.usageOf(team).batchTasks,
+      placedBatchTasks: this.usageOf(team).placedBatchTasks,
       maxParallelTasks: (spec) => Math.min(spec.taskCount, countFittingTasks(quota, spec)),
       tasksAtQuota: (spec) => countFittingTasks(quota, spec),
     };
   }
 
   private usageOf(team: string): Usage {
-    return this.used.get(team) ?? { cpus: 0, gpus: 0, batchTasks: 0 };
+    return this.used.get(team) ?? { cpus: 0, gpus: 0, placedBatchTasks: 0 };
   }
 }
 
--- a/src/shard/write-event-handler.ts
+++ b/src/shard/write-event-handler.ts
@@ -44,7 +44,7 @@
     this.options.log.debug({ jobId: job.spec.id }, 'job completed');
   }
 
-  onFinalRecordStored(job: OwnedJob): void {
+  onJobArchived(job: OwnedJob): void {
     const jobId = job.spec.id;
     this.options.removeArchivedJob(jobId);
     this.options.log.debug(
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -82,7 +82,7 @@
   onPlacementStored: () => {},
   onOutcomeStored: () => {},
   onCounterComplete: () => {},
-  onFinalRecordStored: () => {},
+  onJobArchived: () => {},
 };
 
 function steppingClock(): Clock {
@@ -222,7 +222,9 @@
     job.runningTasks = running;
     job.isCounterDirty = true;
     expect(
-      encodeOperations(progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events })?.operations),
+      encodeOperations(
+        progressWrite(job, { remainingOperations: 16, tasksPerChunk: 64, events })?.operations,
+      ),
     ).toBe(`[{"write":"open/wk-7/n","value":${text}}]`);
     const stored = decodeJob({
       'open/wk-7/a': `{"j":${ARRAY_TEXT.replace('"tasks":3', `"tasks":${taskCount}`)}}`,
@@ -252,7 +254,7 @@
     job.isCounterDirty = true;
     job.runningTasks = 1;
     job.dirtyChunks.add(0);
-    const write = progressWrite(job, { maxOperations: 16, tasksPerChunk: 64, events });
+    const write = progressWrite(job, { remainingOperations: 16, tasksPerChunk: 64, events });
     expect(encodeOperations(write?.operations)).toBe(
       `[{"write":"open/wk-000412/n","value":{"n":1,"r":1,"b":"2.1"}},{"write":"place/wk-000412/0","value":${placementsText}}]`,
     );
@@ -265,7 +267,7 @@
     job.dirtyChunks.add(1);
     job.chunkRevisions.set(1, 8);
     expect(
-      encodeOperations(progressWrite(job, { maxOperations: 16, tasksPerChunk: 1, events })?.operations),
+      encodeOperations(progressWrite(job, { remainingOperations: 16, tasksPerChunk: 1, events })?.operations),
     ).toBe(
       '[{"write":"place/wk-000412/2","value":{"t":{"2":[2,"vm-000232",4,"a"]}}},{"drop":"place/wk-000412/1"}]',
     );
@@ -318,7 +320,8 @@
 });
 
 describe('the final record of a job, end/<id>', () => {
-  const finalWrite = (job: OwnedJob): JobWrite | null => archiveWrite(job, { maxOperations: 16, events });
+  const finalWrite = (job: OwnedJob): JobWrite | null =>
+    archiveWrite(job, { remainingOperations: 16, events });
 
   test('is written when the job is done, and its working records are deleted', () => {
     const job = ownedJob(GANG_SPEC);
--- a/test/release-queue.test.ts
+++ b/test/release-queue.test.ts
@@ -8,7 +8,7 @@
 
 const simulation = new ClusterSimulation(31);
 const teamLoad = (runningTasks: number, limit = 20): TeamLoad => ({
-  runningTasks,
+  placedBatchTasks: runningTasks,
   maxParallelTasks: () => limit,
   tasksAtQuota: () => limit,
 });
