--- a/src/shard/allocation-event-handler.ts
+++ b/src/shard/allocation-event-handler.ts
@@ -170,7 +170,7 @@
 
   /**
    * Whether the outcome of this attempt is known to be stored: the task is finished, has no placement, or has
-   * one of a later attempt, and no change of its records is in flight or still to be written.
+   * had a later attempt, and no change of its records is in flight or still to be written.
    */
   private isOutcomeStored(job: OwnedJob, { taskIndex, attempt }: PhaseEvent): boolean {
     const isLatestAttempt = (job.latestAttempts.get(taskIndex) ?? 0) <= attempt;
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -1,6 +1,6 @@
 /**
  * Loads jobs from the key-value store into memory: all jobs of an acquired shard, jobs accepted since, and
- * jobs that must be read again after an unconfirmed write or because the watch has reported a newer counter.
+ * jobs that must be read again after a failed transaction or because a newer counter record was reported.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -44,6 +44,7 @@
   releaseWindow: number;
   /** Returns the cached records of the open jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
+  /** Schedules a flush of the shard owner. */
   wake(): void;
 }
 
@@ -68,9 +69,10 @@
   }
 
   /**
-   * Reads the stored records of a job again. After an indeterminate write, the read waits until that write
-   * can no longer be executed. Otherwise placements that the read does not show could still be stored later
-   * and exceed the team's quota or use another zone.
+   * Reads the stored records of a job again and replaces its object, or removes the job if it is no longer
+   * stored. After an indeterminate write, the read waits until that write can no longer be executed.
+   * Otherwise placements that the read does not show could still be stored later and exceed the team's quota
+   * or use another zone.
    */
   reload(job: OwnedJob, isIndeterminate = false): void {
     if (job.isReloading) return;
@@ -88,8 +90,8 @@
   }
 
   /**
-   * Removes a job whose final record is stored, or whose records no longer exist. Later reports of its
-   * records by a watch are ignored.
+   * Removes a job whose final record is stored, or whose records no longer exist, and remembers its id for a
+   * while, so that late reports of its records by a watch do not add it again.
    */
   removeArchivedJob(jobId: string): void {
     const { jobs, updates } = this.options;
@@ -102,7 +104,11 @@
     updates.invalidateRequests();
   }
 
-  /** Handles a put of a record of an open job, as reported by a watch or a listing. */
+  /**
+   * Handles a put of a record of an open job, as reported by a watch or a listing: reloads an owned job whose
+   * counter record is newer than known, stops one that has been cancelled, and adds an accepted job whose
+   * shard is loaded.
+   */
   onOpenJobChanged(item: StoredItem): void {
     const key = parseJobRecordKey(item.key);
     if (!key) return;
@@ -115,6 +121,7 @@
     const { modRevision } = item;
     switch (key.type) {
       case 'counter':
+        // While a write is in flight, the newer revision may be that write's own.
         if (modRevision > job.counterRevision && !job.isWriteInFlight && !job.isReloading) this.reload(job);
         return;
       case 'job':
@@ -142,8 +149,8 @@
 
   private onShardsRead(shards: OwnedShard[], storedJobs: Map<string, StoredJob>): void {
     for (const shard of shards) if (this.options.shards.includes(shard)) this.addShardJobs(shard, storedJobs);
-    // Jobs accepted after the listing was made were reported by the watch, but ignored as the shard was not
-    // loaded.
+    // The watch's reports of jobs accepted after the listing were ignored while the shard was not loaded, so
+    // the cached records are processed again.
     for (const [key, item] of this.options.openJobItems())
       if (parseJobRecordKey(key)?.type === 'job') this.onOpenJobChanged({ key, ...item });
     this.options.updates.requestFullSync();
@@ -159,7 +166,10 @@
     this.options.usageLog.logIfOverQuota(team);
   }
 
-  /** Adds a job from its stored records, replacing the object for the same job if there is one. */
+  /**
+   * Adds a job from its stored records, replacing the object for the same job if there is one. Does nothing
+   * if the job record was not found.
+   */
   private addStoredJob(stored: StoredJob): void {
     const { spec } = stored;
     if (!spec || stored.acceptedRevision === 0) return;
@@ -178,7 +188,7 @@
     if (isReadyToArchive(job)) transactions.scheduleWrite(job, 0);
   }
 
-  /** Reads the records of a job and retries until that succeeds or the job is no longer owned. */
+  /** Reads the records of a job and retries until that succeeds or the job is removed or replaced. */
   private readWithRetries(job: OwnedJob, onRead: (stored: StoredJob | undefined) => void): void {
     const { store, clock, jobs } = this.options;
     const { id } = job.spec;
--- a/src/shard/job-sizes.ts
+++ b/src/shard/job-sizes.ts
@@ -4,22 +4,25 @@
 
 /** Number of the latest jobs of a class with which jobs are compared. */
 const MAX_JOBS_PER_CLASS = 100;
-/** Quantile of the sizes in a class that a large job reaches. It must also exceed the median. */
+/** A large job reaches this quantile of the sizes in its class, and also exceeds the median. */
 const LARGE_QUANTILE = 0.75;
 const MEDIAN_QUANTILE = 0.5;
 
-/** A job is large if its size is at least `quantile` and greater than `median`. */
+/**
+ * Values of a class at the two quantiles. A job is large if its value is at least `quantile` and above
+ * `median`.
+ */
 interface SizeThreshold {
   quantile: number;
   median: number;
 }
 
-/** The number of tasks and the run times of the latest jobs of each class. */
+/** The latest jobs of each class, and the task counts and estimated run times above which a job is large. */
 export class JobSizes {
   private readonly latestJobs = new Map<string, JobSpec[]>();
   private readonly thresholds = new Map<string, { tasks: SizeThreshold; runSeconds: SizeThreshold }>();
 
-  /** Adds a job to the latest ones of its class. Services are not compared. */
+  /** Adds a job to the latest ones of its class. Services are ignored. */
   record(spec: JobSpec): void {
     if (spec.kind === 'service') return;
     const jobs = this.latestJobs.get(spec.jobClass) ?? [];
@@ -29,7 +32,10 @@
     this.thresholds.delete(spec.jobClass);
   }
 
-  /** Returns whether a job has many tasks, or long ones, for its class. */
+  /**
+   * Returns whether a job has many tasks, or long ones, for its class; false if none of the class is
+   * recorded.
+   */
   isLarge(spec: JobSpec): boolean {
     const { tasks, runSeconds } = this.thresholdsOf(spec.jobClass);
     return meetsThreshold(spec.taskCount, tasks) || meetsThreshold(spec.estimatedRunSeconds, runSeconds);
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -24,8 +24,8 @@
   constructor(private readonly options: JobStopsOptions) {}
 
   /**
-   * Stops a job whose record says that it is cancelled. Placements that cannot have been stored are removed
-   * at once.
+   * Stops all tasks of a job whose record says that it is cancelled. Placements that cannot have been stored
+   * are removed at once, and their grants are released.
    */
   cancel(job: OwnedJob): void {
     if (job.cancelled) return;
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Stops a task whose capacity the leader needs, with time to save its progress if it saves checkpoints. A
-   * gang is stopped as a whole.
+   * Stops a task at the leader's request, with time to save a checkpoint if it saves any. A gang is stopped
+   * as a whole. Ignored unless this attempt is placed and not being stopped yet.
    */
   evict({ jobId, taskIndex, attempt }: TaskAttempt, reason: string): void {
     const job = this.options.jobs.get(jobId);
@@ -63,13 +63,16 @@
     else this.stop(job, placement, graceSeconds);
   }
 
-  /** Stops all tasks of a gang. The gang can start again once all of them are finalized. */
+  /** Stops all tasks of a gang that are not being stopped yet. It can start again once all are finalized. */
   stopGang(job: OwnedJob, graceSeconds: number): void {
     for (const placement of job.placements.values())
       if (placement.desiredState === 'run') this.stop(job, placement, graceSeconds);
   }
 
-  /** Marks a placement as stopped. If it is not stored yet, the stop is sent once it is. */
+  /**
+   * Marks a placement as to be stopped. If it is not stored yet, the stop is sent without a grace period once
+   * it is.
+   */
   private stop(job: OwnedJob, placement: Placement, gracePeriodSeconds: number): void {
     placement.desiredState = 'stop';
     if (!placement.isStored) return;
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -39,9 +39,10 @@
 export class LeaderUpdates {
   /** Fencing token of the current leader; 0: no leader is known. */
   fencingToken = 0;
-  /** Whether the leader has accepted the latest full sync. */
+  /** Whether the leader has accepted the latest full sync, and `resync` has not been called since. */
   isSynced = false;
   private needsFullSync = false;
+  /** Whether the resource requests may have changed since they were last built. */
   private needsRequestRebuild = false;
   private lastRequestsJson = '';
   private nextRequestsAt = 0;
@@ -99,7 +100,7 @@
     this.coverageTracker.add(leaderTimestamp, this.options.clock.now());
   }
 
-  /** Records a grant that has been received and is used or returned. */
+  /** Records a received grant, on which a task is placed or which is released before the next requests. */
   onGrantProcessed(grantId: number): void {
     this.lastProcessedGrantId = Math.max(this.lastProcessedGrantId, grantId);
   }
@@ -109,12 +110,12 @@
     this.placementsToSend.push(placement);
   }
 
-  /** Releases an unused grant: the leader may grant its slot again. */
+  /** Releases an unused grant with the next `release` message: the leader may grant its slot again. */
   releaseGrant(grantId: number): void {
     this.grantsToRelease.push(grantId);
   }
 
-  /** Releases a placement that its worker does not list; the leader drops it. */
+  /** Releases a placement that its worker does not list, so that the leader drops it. */
   releasePlacement(placement: ReleasedPlacement): void {
     this.placementsToRelease.push(placement);
   }
@@ -143,6 +144,7 @@
     return { fencingToken: this.fencingToken, instanceId: this.options.instanceId };
   }
 
+  /** Sends a full sync, which replaces all changes that have been collected. */
   private sendFullSync(): void {
     const { jobs, shards } = this.options;
     this.needsFullSync = false;
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -20,7 +20,11 @@
   isRunning: boolean;
 }
 
-/** A finalized placement whose outcome must be stored. */
+/**
+ * A finalized placement whose outcome must be stored. The outcome is stored when the counter record marks the
+ * task as finished or, for a task to be run again, when its placement record has the attempt without a
+ * location.
+ */
 export interface FinalizedPlacement {
   placement: Placement;
   /** Whether its worker still lists it, and so is told to forget it once the outcome is stored. */
@@ -36,13 +40,15 @@
   jobRevision: number;
   counterRevision: number;
   cancelled: boolean;
+  /** The finished tasks: their number, and a bitmap by task index. */
   counter: DependencyCounter;
+  /** The tasks that have not been placed, or were put back, in the order in which they are placed. */
   fanOut: FanOut;
   /** Placements that are not finalized, by task index. */
   placements: Map<number, Placement>;
   /** Number of the latest attempt of each task that has had one, by task index. */
   latestAttempts: Map<number, number>;
-  /** Revisions of the placement records, by chunk. */
+  /** Revisions of the stored placement records, by chunk: each has the placements of a range of tasks. */
   chunkRevisions: Map<number, number>;
   /** Chunks whose placements have changed since they were written, and whether the counter has. */
   dirtyChunks: Set<number>;
@@ -51,13 +57,15 @@
   writeDueAt: number;
   /** Whether the job is part of a transaction in flight. */
   isWriteInFlight: boolean;
-  /** Whether the records are being read again. The job gets no writes, placements or requests meanwhile. */
+  /**
+   * Whether the records are being read again. The job gets no writes, new placements or requests meanwhile.
+   */
   isReloading: boolean;
   /** End of the backoff after a failure, in monotonic ms. Until then no capacity is requested. */
   backoffUntil: number;
   /** Number of failed attempts since a task last finished. */
   failures: number;
-  /** Machines that get no task of the job, each with the end of that time in monotonic ms. */
+  /** Machines that the job avoids, each with the end of that time in monotonic ms. */
   avoidedMachines: Map<string, number>;
   /** Machine on which the last finished task ran, preferred for the next one; empty if there is none. */
   preferredMachine: string;
@@ -118,7 +126,10 @@
   };
 }
 
-/** Returns the placements in the stored records that are on a machine, without those of finished tasks. */
+/**
+ * Returns the placements in the stored records that have a location, without those of finished tasks. Whether
+ * a task is running is taken from `previous`.
+ */
 export function placementsFromStore(
   job: OwnedJob,
   stored: StoredJob,
@@ -151,8 +162,8 @@
 }
 
 /**
- * Returns whether placements of the job that are not known to be stored may be: a write is in flight, or the
- * records are being read again.
+ * Returns whether placements of the job that are not known to be stored may in fact be: a write is in flight,
+ * or the records are being read again.
  */
 export function isStoredStateUncertain(job: OwnedJob): boolean {
   return job.isWriteInFlight || job.isReloading;
--- a/src/shard/owned-jobs.ts
+++ b/src/shard/owned-jobs.ts
@@ -36,6 +36,7 @@
     this.jobs.set(job.spec.id, job);
   }
 
+  /** Removes a job; its placements no longer count toward the usage of its team. */
   remove(job: OwnedJob): void {
     this.usage.remove(job.spec, 'released', job.placements.size);
     this.jobs.delete(job.spec.id);
--- a/src/shard/owned-shards.ts
+++ b/src/shard/owned-shards.ts
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Releases the shards whose epoch is missing or different in `epochs`, and acquires those that are not
-   * owned yet.
+   * Releases the shards whose epoch is missing or different in `epochs`, and acquires those in `epochs` that
+   * are not owned then. A shard with a different epoch is thus released and acquired again.
    *
    * @param epochs - Revision of the owner record that names this instance, by team
    */
--- a/src/shard/read-stored-jobs.ts
+++ b/src/shard/read-stored-jobs.ts
@@ -8,9 +8,9 @@
 export type StoredJobsCallback = (storedJobs: Map<string, StoredJob> | null) => void;
 
 /**
- * Reads the records of one job, or of all jobs if `jobId` is null. The job records are read before the
- * placements: the caller notices a cancellation made in between by the revision of the job record, and must
- * ensure that no other process stores placements in the meantime.
+ * Reads the records of one job, or of all jobs if `jobId` is null. The job and counter records are read
+ * before the placement records: the caller notices a cancellation made in between by the revision of the job
+ * record, and must ensure that no other process stores placements in the meantime.
  */
 export function readStoredJobs(
   store: KeyValueStore,
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -1,4 +1,4 @@
-/** Orders the jobs of each team for release by their age, objectives, sizes and estimated remaining work. */
+/** Orders jobs for release by priority, objectives, age, size and estimated remaining work. */
 
 import type { JobSpec } from '../model/job.js';
 import type { ServiceLevelObjective } from '../model/team.js';
@@ -8,7 +8,7 @@
 const MAX_SHIFT_MS = 60_000;
 /** Age after which a job no longer waits behind younger ones, unless its queue is overloaded. */
 const AGED_AFTER_MS = 120_000;
-/** A queue is overloaded if one of its jobs is not fully started after this time. */
+/** A queue is overloaded if a job in it without failures is not fully started after this time. */
 const OVERLOADED_AFTER_MS = 60_000;
 /** Completion objectives are ignored once a job is older than this multiple of the longest of them. */
 const OBJECTIVE_EXPIRY_FACTOR = 3;
@@ -45,22 +45,29 @@
   failures: number;
 }
 
-/** Sort key of a job within its priority: missed objectives first, then position; lower values go first. */
+/**
+ * Sort key of a job within its priority: compared by missed objectives, then by position; the lowest goes
+ * first. The keys of an overloaded queue are distributed among its jobs by response ratio instead.
+ */
 export interface QueueKey {
   /**
-   * 0 while the job can still meet its shortest completion objective or its deadline, one more for each that
-   * it can no longer meet; 0 again once the job is aged or its objectives have expired.
+   * If the job has a deadline: 1 if it can no longer meet it, otherwise 0. If it has none: the number of
+   * completion objectives of its class that it can no longer meet, shortest first; 0 for services and once
+   * the objectives have expired. Always 0 for an aged job.
    */
   missedObjectives: number;
-  /** Acceptance time of the job in wall-clock ms, shifted by its remaining work and its run time. */
+  /**
+   * Acceptance time of the job in wall-clock ms; except for services, shifted by its remaining work and its
+   * run time, or far ahead once it is aged.
+   */
   position: number;
 }
 
-/** How many tasks a team runs, and how many its quota admits. */
+/** How many tasks of a team are placed, and how many its quota admits. */
 export interface TeamLoad {
   /** Placed tasks of its arrays and gangs. */
   placedBatchTasks: number;
-  /** The most tasks of this job that the team's quota admits in parallel. */
+  /** `tasksAtQuota`, but at most the task count of this job. */
   maxParallelTasks(spec: JobSpec): number;
   /** How many tasks of this job's size the team's quota admits in parallel; infinite without a quota. */
   tasksAtQuota(spec: JobSpec): number;
@@ -100,7 +107,7 @@
     }
   }
 
-  /** The shortest completion objective of the job's class, if it has any. */
+  /** The shortest completion objective of the job's class, or undefined if the class has none. */
   shortestObjectiveSeconds(spec: JobSpec): number | undefined {
     return this.completionObjectives.get(spec.jobClass)?.[0];
   }
@@ -111,8 +118,9 @@
   }
 
   /**
-   * Returns the jobs with open tasks, sorted by priority and sort key. `jobs` are unfinished jobs of any
-   * teams; those without open tasks count toward the share of large jobs.
+   * Returns the jobs with unplaced tasks, sorted by priority and sort key. `jobs` must contain all jobs of
+   * the teams that are neither done nor cancelled: those without unplaced tasks count toward the share of
+   * large jobs.
    */
   sort<J extends QueuedJob>(
     jobs: readonly J[],
@@ -145,7 +153,7 @@
     wallMs: number,
     load: TeamLoad,
   ): { job: J; key: QueueKey }[] {
-    const waiting = queue.filter((job) => countUnplacedTasks(job) > 0);
+    const waiting = queue.filter((job) => unplacedOf(job) > 0);
     const keyed = waiting.map((job) => ({ job, key: this.keyOf(job, wallMs, load) }));
     if (!waiting.some((job) => indicatesOverload(job, wallMs, load))) return keyed;
     // The set of keys stays the same, so that the queue neither gains nor loses against queues of other
@@ -248,22 +256,19 @@
   return Math.max(MIN_PARALLEL_TASKS, load.placedBatchTasks, Number.isFinite(quotaTasks) ? quotaTasks : 0);
 }
 
-function countUnplacedTasks(job: QueuedJob): number {
+/** Counts the tasks of a job that are neither finished nor placed. */
+function unplacedOf(job: QueuedJob): number {
   return job.spec.taskCount - job.finishedTasks - job.placedTasks;
 }
 
-/** Whether the job has open tasks and is old enough to precede all younger ones. */
+/** Whether the job is not a service, has unplaced tasks and is older than `AGED_AFTER_MS`. */
 function isAged(job: QueuedJob, wallMs: number): boolean {
-  return (
-    job.spec.kind !== 'service' &&
-    wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS &&
-    countUnplacedTasks(job) > 0
-  );
+  return job.spec.kind !== 'service' && wallMs - job.spec.acceptedAtMs > AGED_AFTER_MS && unplacedOf(job) > 0;
 }
 
 /**
- * Whether the wait of this job shows that its queue is overloaded. Failing jobs do not count: they need a fix
- * by their users, not capacity.
+ * Whether the wait of this job shows that its queue is overloaded. Services do not count, and neither do jobs
+ * with failures: those need a fix by their users, not capacity.
  */
 function indicatesOverload(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
   if (job.spec.kind === 'service' || job.failures > 0) return false;
@@ -286,13 +291,19 @@
   return Math.max(0, (wallMs - spec.acceptedAtMs) / 1000);
 }
 
+/**
+ * Whether the job is not fully started and can still be within `FULL_START_TARGET_SECONDS` of its acceptance.
+ */
 function canFullyStartInTime(job: QueuedJob, wallMs: number, load: TeamLoad): boolean {
   const tasksToStart = tasksToFullStart(job, load);
   const startSeconds = estimateWorkSeconds(job.spec, tasksToStart, load);
   return tasksToStart > 0 && waitSeconds(job.spec, wallMs) + startSeconds <= FULL_START_TARGET_SECONDS;
 }
 
-/** The response ratio of a job: (wait + work) / work. */
+/**
+ * The response ratio of a job: (wait + work) / work. The work is that of the tasks still to be placed until
+ * it is fully started, or of `FULLY_STARTED_WORK_FACTOR` times all its tasks if it is fully started.
+ */
 function responseRatio(job: QueuedJob, wallMs: number, load: TeamLoad): number {
   const { spec } = job;
   const tasksToStart = tasksToFullStart(job, load);
--- a/src/shard/resource-requests.ts
+++ b/src/shard/resource-requests.ts
@@ -9,7 +9,9 @@
 
 /** The remaining tasks of a job are listed individually if there are no more than this. */
 const MAX_REMAINING_TASKS_LISTED = 16;
-/** A job with this many failures since a task last finished runs only one task at a time. */
+/**
+ * From this number of failures since a task last finished, a job that is not a gang gets one task at a time.
+ */
 const THROTTLE_AFTER_FAILURES = 3;
 
 /** The jobs, teams and limits that requests are built from. */
@@ -19,7 +21,10 @@
   teams: Iterable<string>;
   releaseQueue: ReleaseQueue;
   usage: TeamUsage;
-  /** The most tasks that one request asks for, which limits the pace of a large fan-out. */
+  /**
+   * Maximum number of tasks in one request, except those of gangs. It limits how fast a large job is
+   * released.
+   */
   maxTasksPerRequest: number;
   /** Monotonic time in ms. */
   nowMs: number;
@@ -31,7 +36,7 @@
 
 /**
  * Requests what the jobs of an owner would start now if there were capacity, in release order and within the
- * quotas of their teams.
+ * quotas of their teams. Jobs that are cancelled, being reloaded, finished or in backoff request nothing.
  */
 export function listRequests(input: RequestListInput): ResourceRequest[] {
   const { releaseQueue, usage, nowMs } = input;
@@ -64,7 +69,10 @@
   return requests;
 }
 
-/** How many tasks to request for a job; 0: none. A gang requests all of its tasks or none. */
+/**
+ * How many tasks to request for a job; 0: none. A gang requests all of its tasks, or none while some are
+ * still placed or the quota does not admit all.
+ */
 function tasksToRequest(job: OwnedJob, fittingTasks: number, maxTasks: number): number {
   const { spec } = job;
   const unplacedTasks = spec.taskCount - job.counter.count - job.placements.size;
@@ -111,7 +119,7 @@
   };
 }
 
-/** The zones that the job's next tasks may use, given its present placements. */
+/** The zones that the job's next tasks may use, and how many tasks in each, given its present placements. */
 function zoneConstraints(
   job: OwnedJob,
 ): Pick<ResourceRequest, 'zone' | 'zoneAllowance' | 'defaultZoneAllowance'> {
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -41,7 +41,10 @@
   maxTransactionOperations: number;
   /** Puts and deletes per second that the key-value store accepts from all controllers together. */
   writesPerSecond: number;
-  /** Maximum number of tasks in one resource request of a job. It limits how fast a large job is released. */
+  /**
+   * Maximum number of tasks in one request, except those of gangs. It limits how fast a large job is
+   * released.
+   */
   maxTasksPerRequest: number;
   /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
   evictionGraceMarginSeconds: number;
@@ -150,7 +153,10 @@
     this.options.wake();
   }
 
-  /** Sends the full state to the leader again, which may have missed a message. */
+  /**
+   * Sends a full sync to the leader, which may have missed a message; no other message is sent to the leader
+   * until it is accepted.
+   */
   resync(): void {
     this.updates.resync();
     this.options.wake();
@@ -188,7 +194,7 @@
     this.options.wake();
   }
 
-  /** Sends the reads, writes and messages that are due. Called after each batch of events. */
+  /** Sends the reads, writes and messages that are due, and logs usage. Called after each batch of events. */
   flush(): void {
     this.loader.loadShards();
     this.transactions.sendDueWrites();
--- a/src/shard/team-budget.ts
+++ b/src/shard/team-budget.ts
@@ -29,7 +29,7 @@
   /** The remaining quota, less what has been requested under this budget. */
   remaining: QuotaAmounts;
   usage: TeamUsage;
-  /** All unfinished jobs of the team. */
+  /** All jobs of the team that are neither done nor cancelled. */
   jobs: readonly QueuedJob[];
 }
 
@@ -42,13 +42,18 @@
 
   private constructor(private readonly team: TeamBudgetState) {}
 
-  /** `jobs`: all unfinished jobs of the team. Returns null if there is no such team. */
+  /**
+   * `jobs`: all jobs of the team that are neither done nor cancelled. Returns null if there is no such team.
+   */
   static forTeam(team: string, usage: TeamUsage, jobs: readonly QueuedJob[]): TeamBudget | null {
     const remaining = usage.remainingOf(team);
     return remaining && new TeamBudget({ name: team, remaining, usage, jobs });
   }
 
-  /** How many tasks of this job the budget admits. */
+  /**
+   * How many tasks of this job the budget admits. Jobs are visited in order of priority, so none has a higher
+   * priority than a reservation.
+   */
   tasksThatFit(spec: JobSpec): number {
     const { reservation } = this;
     const { remaining } = this.team;
@@ -66,7 +71,8 @@
   }
 
   /**
-   * Reserves quota for a gang that has waited long, unless it exceeds the whole quota of its team. Later jobs
+   * Reserves quota for a job if it is a gang that has waited long, has no task placed and does not exceed the
+   * whole quota of its team. Called for jobs for which nothing could be requested. Later jobs
    * of the same priority can use only what is not reserved, later jobs of lower priority only their
    * allowance. Only gangs of one priority reserve: that of the first gang that does.
    */
@@ -81,6 +87,7 @@
       lowerPriorityAllowance: this.initialLowerPriorityAllowance(spec.priority),
     };
     if (this.reservation.priority === spec.priority)
+      // A negative number of tasks adds their amounts.
       subtractTasks(this.reservation.amounts, spec, -spec.taskCount);
   }
 
--- a/src/shard/team-usage.ts
+++ b/src/shard/team-usage.ts
@@ -29,7 +29,7 @@
  */
 export type UsageCause = 'granted' | 'loaded' | 'exited' | 'lost' | 'returned' | 'released';
 
-/** Number of tasks added or removed, by cause. */
+/** Number of placements added or removed, by cause. */
 export type UsageChanges = Partial<Record<UsageCause, number>>;
 
 /**
@@ -42,7 +42,7 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** Adds placed tasks of a job. */
+  /** Adds placed tasks of a job; a negative number removes them. */
   add(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     if (tasks === 0) return;
     this.adjust(spec, tasks);
@@ -123,7 +123,10 @@
   }
 }
 
-/** How many tasks of a job fit into the available amounts. */
+/**
+ * How many tasks of a job fit into the available amounts; infinite if nothing limits them, negative if
+ * overdrawn.
+ */
 export function countFittingTasks(available: QuotaAmounts, spec: JobSpec): number {
   let tasks = Number.POSITIVE_INFINITY;
   if (spec.cpus > 0) tasks = Math.min(tasks, Math.floor(available.cpus / spec.cpus + EPSILON));
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -11,7 +11,7 @@
 const SUMMARY_INTERVAL_MS = 30_000;
 /** Changes of usage are collected and logged at most once in this time. */
 const CHANGES_INTERVAL_MS = 250;
-/** The most jobs named in one log line. */
+/** Maximum number of jobs named in one log line. */
 const MAX_JOBS_NAMED = 8;
 
 /** Logs changes by cause (debug), a regular summary (info), and indeterminate writes (info, rate-limited). */
@@ -47,7 +47,10 @@
       );
   }
 
-  /** Logs a transaction of unknown outcome: its placements count toward usage until the outcome is known. */
+  /**
+   * Logs a transaction of unknown outcome, with the number of unstored placements of its jobs: they count
+   * toward usage until the outcome is known.
+   */
   logIndeterminateWrite(jobs: readonly OwnedJob[], fenceRevision: number): void {
     const unstored = jobs.flatMap((job) =>
       [...job.placements.values()].filter((placement) => !placement.isStored),
@@ -58,7 +61,10 @@
     );
   }
 
-  /** Logs how many placements of an indeterminate write had been stored, by the reloaded records. */
+  /**
+   * Logs how many of the placements that were not known to be stored before a job was reloaded are stored,
+   * according to the reloaded records.
+   */
   logResolvedWrite(job: OwnedJob, previous: OwnedJob, reloadStartedMs: number): void {
     const stored = [...previous.placements.values()].filter(
       ({ taskIndex, attempt, isStored }) => !isStored && job.placements.get(taskIndex)?.attempt === attempt,
--- a/src/shard/wake-timer.ts
+++ b/src/shard/wake-timer.ts
@@ -2,7 +2,10 @@
 
 import type { Clock } from '../model/clock.js';
 
-/** Wakes the shard owner at the earliest of the requested times. */
+/**
+ * Wakes the shard owner at the earliest of the requested times. While a wake-up is pending, requests for
+ * later times are dropped: each component must request its time again when the shard owner is woken.
+ */
 export class WakeTimer {
   private nextWakeAt = 0;
 
--- a/src/shard/write-event-handler.ts
+++ b/src/shard/write-event-handler.ts
@@ -1,4 +1,6 @@
-/** Handles stored writes of jobs: informs the leader of placements and removes archived jobs. */
+/**
+ * Handles executed writes of jobs: informs the leader of placements and outcomes, and removes archived jobs.
+ */
 
 import { attemptKey } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -25,7 +25,7 @@
   store: KeyValueStore;
   clock: Clock;
   log: Logger;
-  /** Called when `precondition` no longer returns null. */
+  /** Called when `precondition` may no longer return null. */
   onReady(): void;
 }
 
@@ -68,8 +68,8 @@
 
   /**
    * Returns whether the fence was the only failed precondition of a transaction. Such a transaction was not
-   * executed and can be sent again unchanged. If the fence is among the failed preconditions, its revision
-   * becomes unknown.
+   * executed, and its changes can be written again unchanged. If the fence is among the failed preconditions,
+   * its revision becomes unknown.
    */
   detectFenceOnlyConflict(result: Result<unknown>): boolean {
     if (result.ok || result.kind !== 'conflict' || !result.failedKeys?.includes(this.options.key))
@@ -78,7 +78,10 @@
     return result.failedKeys.length === 1;
   }
 
-  /** Moves the fence and calls back once no transaction sent before this call can be executed any more. */
+  /**
+   * Moves the fence and calls back once no transaction sent before this call can be executed any more. A call
+   * during a move shares that move: no transaction is sent meanwhile, as `precondition` returns null.
+   */
   move(callback: () => void): void {
     this.moveCallbacks.push(callback);
     this.sendNextRequest();
