--- a/src/shard/grant-handler.ts
+++ b/src/shard/grant-handler.ts
@@ -43,10 +43,10 @@
   }
 
   /**
-   * Removes the unstored placements of jobs without a write in flight; called before a full sync, which voids
-   * their grants. Jobs that have a write in flight or are being reloaded keep all their placements, which
-   * continue to count toward the quota: some may be stored, and if they were removed, their capacity would be
-   * granted to other jobs and the team would exceed its quota.
+   * Removes the placements that cannot have been stored; called before a full sync, which voids their grants.
+   * Jobs that have a write in flight or are being reloaded keep all their placements, which continue to count
+   * toward the quota: some may be stored, and if they were removed, their capacity would be granted to other
+   * jobs and the team would exceed its quota.
    */
   discardUnsentPlacements(): void {
     const { jobs, transactions } = this.options;
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -96,7 +96,8 @@
 
 /**
  * Writes the changes of a shard owner's jobs, many jobs per transaction. Preconditions require that the write
- * fence, the owner records of the teams, and the records of the jobs still have the known revisions.
+ * fence, the owner records of the teams, the job and counter records of the jobs, and all records that are
+ * written still have the known revisions.
  */
 export class JobTransactions {
   /**
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -26,11 +26,9 @@
   wakeTimer: WakeTimer;
   /** Send time of the latest read of the open jobs whose changes have been delivered to this owner. */
   openJobsFreshAsOf(): number;
-  /**
-   * Builds the requests of all jobs. `lastProcessedGrantId`: the newest grant that they take into account.
-   */
+  /** Builds the requests of all jobs. All grants up to `lastProcessedGrantId` are taken into account. */
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
-  /** Removes placements for which no write has been sent, because a full sync voids their grants. */
+  /** Removes placements that cannot have been stored, because a full sync voids their grants. */
   discardUnsentPlacements(): void;
   send(message: ShardMessage): void;
 }
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -47,7 +47,7 @@
 
 /**
  * Sort key of a job within its priority: compared by missed objectives, then by position; the lowest goes
- * first. The keys of an overloaded queue are distributed among its jobs by response ratio instead.
+ * first. In an overloaded queue, the same keys are reassigned to the jobs by response ratio.
  */
 export interface QueueKey {
   /**
@@ -58,7 +58,7 @@
   missedObjectives: number;
   /**
    * Acceptance time of the job in wall-clock ms; except for services, shifted by its remaining work and its
-   * run time, or far ahead once it is aged.
+   * run time, or moved ahead by `AGED_JOB_ADVANCE_MS` once it is aged.
    */
   position: number;
 }
