--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -54,7 +54,7 @@
 
   constructor(private readonly options: JobLoaderOptions) {}
 
-  /** Starts to read the jobs of all shards that are not loaded, with one listing for all of them. */
+  /** Starts to read the jobs of all shards that are not loaded, with one listing of the jobs of all teams. */
   loadShards(): void {
     const { shards, fence, store, clock } = this.options;
     const pendingShards = shards.shardsToLoad();
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -28,8 +28,8 @@
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
 /**
- * Pause of all writes after a transaction that was refused, or failed only because the fence had moved. It
- * was not executed, and its changes are written again by new transactions.
+ * Pause of all writes after a transaction with the result `refused`, or that failed only because the fence
+ * had moved. It was not executed, and its changes are written again by new transactions.
  */
 const NOT_EXECUTED_PAUSE_MS = 100;
 /**
@@ -65,11 +65,11 @@
   tasksPerChunk: number;
   /** Returns the epoch of a team's shard, or undefined if this controller does not own it. */
   shardEpochOf(team: string): number | undefined;
-  /** Returns whether this object is the current one for its job. Reloading a job replaces its object. */
+  /** Returns whether this object is the current one for its job; see `OwnedJobs.includes`. */
   isCurrent(job: OwnedJob): boolean;
   /**
-   * Called after a transaction failed for another reason than a refusal or a moved fence, with its jobs that
-   * are still current. Their records must be read again.
+   * Called after a transaction failed for another reason than the result `refused` or a moved fence, with its
+   * jobs that are still current. Their records must be read again.
    */
   onReloadNeeded(jobs: OwnedJob[], write: FailedWrite): void;
   wake(): void;
@@ -220,8 +220,8 @@
   }
 
   /**
-   * Returns how many operations may still be added, with room left for the preconditions of one more job and
-   * of the teams in the transaction.
+   * Returns how many operations the next job may still add, with room left for the preconditions of one more
+   * job and of the teams in the transaction.
    */
   private remainingOperations({ transaction, teams }: Batch): number {
     const { maxTransactionOperations: maxOperations } = this.options;
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -112,7 +112,10 @@
     return this.completionObjectives.get(spec.jobClass)?.[0];
   }
 
-  /** Adds a job to the sizes that determine which jobs count as large in its class. */
+  /**
+   * Adds a job to the sizes that determine which jobs count as large in its class. It is called when a job is
+   * accepted or its shard is loaded, so a job counts again if its shard is loaded again.
+   */
   recordSize(spec: JobSpec): void {
     this.sizes.record(spec);
   }
