--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -48,8 +48,9 @@
   }
 
   /**
-   * Stops a task at the leader's request, with time to save a checkpoint if it saves any. A gang is stopped
-   * as a whole. Ignored unless this attempt is placed and not being stopped yet.
+   * Stops a task for the leader, which needs its capacity or drains its machine, with time to save a
+   * checkpoint if it saves any. A gang is stopped as a whole. Ignored unless this attempt is placed and not
+   * being stopped yet.
    */
   evict({ jobId, taskIndex, attempt }: TaskAttempt, reason: string): void {
     const job = this.options.jobs.get(jobId);
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -15,7 +15,10 @@
 import type { WakeTimer } from './wake-timer.js';
 import type { WriteFence } from './write-fence.js';
 
-/** Maximum number of preconditions in a transaction, as a multiple of the maximum number of operations. */
+/**
+ * Maximum number of preconditions that the key-value store accepts, as a multiple of the maximum number of
+ * operations.
+ */
 const MAX_PRECONDITIONS_PER_OPERATION = 4;
 /** Preconditions of a job in addition to one per operation: on its job record, its counter and its team. */
 const PRECONDITIONS_PER_JOB = 3;
