--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -4,7 +4,7 @@
 import type { Logger } from '../model/logger.js';
 import type { JobTransactions } from './job-transactions.js';
 import type { LeaderUpdates } from './leader-updates.js';
-import { hasUnconfirmedWrite, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
+import { isStoredStateUncertain, type OwnedJob, type Placement, toPlacementSpec } from './owned-job.js';
 import type { OwnedJobs } from './owned-jobs.js';
 
 /** Settings and dependencies of `JobStops`. */
@@ -24,8 +24,8 @@
   constructor(private readonly options: JobStopsOptions) {}
 
   /**
-   * Stops a job whose record says that it is cancelled. Placements that cannot have been stored are removed
-   * at once.
+   * Stops all tasks of a job whose record says that it is cancelled. Placements that cannot have been stored
+   * are removed at once, and their grants are released.
    */
   cancel(job: OwnedJob): void {
     if (job.cancelled) return;
@@ -33,7 +33,7 @@
     const { jobs, transactions, updates, log } = this.options;
     log.debug({ jobId: job.spec.id, placedTasks: job.placements.size }, 'job cancelled');
     for (const placement of [...job.placements.values()]) {
-      if (placement.isStored || hasUnconfirmedWrite(job)) {
+      if (placement.isStored || isStoredStateUncertain(job)) {
         this.stop(job, placement, 0);
         continue;
       }
@@ -48,8 +48,9 @@
   }
 
   /**
-   * Stops a task whose capacity the leader needs, with time to save its progress if it saves checkpoints. A
-   * gang is stopped as a whole.
+   * Stops a task for the leader, which needs its capacity or drains its machine, with time to save a
+   * checkpoint if it saves any. A gang is stopped as a whole. Ignored unless this attempt is placed and not
+   * being stopped yet.
    */
   evict({ jobId, taskIndex, attempt }: TaskAttempt, reason: string): void {
     const job = this.options.jobs.get(jobId);
@@ -63,13 +64,16 @@
     else this.stop(job, placement, graceSeconds);
   }
 
-  /** Stops all tasks of a gang. The gang can start again once all of them are finalized. */
+  /** Stops all tasks of a gang that are not being stopped yet. It can start again once all are finalized. */
   stopGang(job: OwnedJob, graceSeconds: number): void {
     for (const placement of job.placements.values())
       if (placement.desiredState === 'run') this.stop(job, placement, graceSeconds);
   }
 
-  /** Marks a placement as stopped. If it is not stored yet, the stop is sent once it is. */
+  /**
+   * Marks a placement as to be stopped. If it is not stored yet, the stop is sent without a grace period once
+   * it is.
+   */
   private stop(job: OwnedJob, placement: Placement, gracePeriodSeconds: number): void {
     placement.desiredState = 'stop';
     if (!placement.isStored) return;
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -6,8 +6,8 @@
 import type { Clock } from '../model/clock.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
 import type { ReleasedPlacement, ShardMessage } from '../model/shard-messages.js';
-import { CancellationProgress } from './cancellation-progress.js';
-import { fullSyncChunks, placementsToSync } from './full-sync.js';
+import { CancellationCoverageTracker } from './cancellation-coverage-tracker.js';
+import { fullSyncMessages, placementsToSync } from './full-sync.js';
 import type { OwnedJobs } from './owned-jobs.js';
 import type { OwnedShards } from './owned-shards.js';
 import type { WakeTimer } from './wake-timer.js';
@@ -26,11 +26,9 @@
   wakeTimer: WakeTimer;
   /** Send time of the latest read of the open jobs whose changes have been delivered to this owner. */
   openJobsFreshAsOf(): number;
-  /**
-   * Builds the requests of all jobs. `lastProcessedGrantId`: the newest grant that they take into account.
-   */
+  /** Builds the requests of all jobs. All grants up to `lastProcessedGrantId` are taken into account. */
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
-  /** Removes placements for which no write has been sent, because a full sync voids their grants. */
+  /** Removes placements that cannot have been stored, because a full sync voids their grants. */
   discardUnsentPlacements(): void;
   send(message: ShardMessage): void;
 }
@@ -39,10 +37,11 @@
 export class LeaderUpdates {
   /** Fencing token of the current leader; 0: no leader is known. */
   fencingToken = 0;
-  /** Whether the leader has accepted the latest full sync. */
+  /** Whether the leader has accepted the latest full sync, and `resync` has not been called since. */
   isSynced = false;
   private needsFullSync = false;
-  private haveRequestsChanged = false;
+  /** Whether the resource requests may have changed since they were last built. */
+  private needsRequestRebuild = false;
   private lastRequestsJson = '';
   private nextRequestsAt = 0;
   /** The newest grant of the current leader that has been processed. */
@@ -53,14 +52,14 @@
   private placementsToSend: PlacementSpec[] = [];
   private placementsToRelease: ReleasedPlacement[] = [];
   private grantsToRelease: number[] = [];
-  private readonly cancellationProgress = new CancellationProgress();
+  private readonly coverageTracker = new CancellationCoverageTracker();
 
   constructor(private readonly options: LeaderUpdatesOptions) {}
 
   /** Switches to the leader with this higher token, which has no state of this owner yet. */
   setLeader(fencingToken: number): void {
     this.fencingToken = fencingToken;
-    this.cancellationProgress.reset();
+    this.coverageTracker.reset();
     this.lastProcessedGrantId = 0;
     this.resync();
   }
@@ -86,7 +85,7 @@
     // either.
     if (syncNumber !== undefined && syncNumber !== this.syncNumber) return false;
     this.isSynced = true;
-    this.haveRequestsChanged = true;
+    this.needsRequestRebuild = true;
     this.lastRequestsJson = '';
     return true;
   }
@@ -96,10 +95,10 @@
    * has been turned into stops.
    */
   onTimestamp(leaderTimestamp: number): void {
-    this.cancellationProgress.add(leaderTimestamp, this.options.clock.now());
+    this.coverageTracker.add(leaderTimestamp, this.options.clock.now());
   }
 
-  /** Records a grant that has been received and is used or returned. */
+  /** Records a received grant, on which a task is placed or which is released before the next requests. */
   onGrantProcessed(grantId: number): void {
     this.lastProcessedGrantId = Math.max(this.lastProcessedGrantId, grantId);
   }
@@ -109,19 +108,19 @@
     this.placementsToSend.push(placement);
   }
 
-  /** Releases an unused grant: the leader may grant its slot again. */
+  /** Releases an unused grant with the next `release` message: the leader may grant its slot again. */
   releaseGrant(grantId: number): void {
     this.grantsToRelease.push(grantId);
   }
 
-  /** Releases a placement that its worker does not list; the leader drops it. */
+  /** Releases a placement that its worker does not list, so that the leader drops it. */
   releasePlacement(placement: ReleasedPlacement): void {
     this.placementsToRelease.push(placement);
   }
 
   /** Has the resource requests rebuilt, since they may have changed. */
   invalidateRequests(): void {
-    this.haveRequestsChanged = true;
+    this.needsRequestRebuild = true;
   }
 
   /** Sends the collected changes, or a full sync if one is due. */
@@ -143,6 +142,7 @@
     return { fencingToken: this.fencingToken, instanceId: this.options.instanceId };
   }
 
+  /** Sends a full sync, which replaces all changes that have been collected. */
   private sendFullSync(): void {
     const { jobs, shards } = this.options;
     this.needsFullSync = false;
@@ -152,14 +152,14 @@
     this.isSynced = false;
     this.placementMessagesSent = 0;
     this.syncNumber++;
-    const chunks = fullSyncChunks({
+    const messages = fullSyncMessages({
       ...this.senderFields,
       syncNumber: this.syncNumber,
       shardEpochs: shards.loadedEpochs,
       placements: placementsToSync(jobs.values()),
       requests: this.options.listRequests(this.lastProcessedGrantId),
     });
-    for (const chunk of chunks) this.options.send(chunk);
+    for (const message of messages) this.options.send(message);
   }
 
   private sendPlacements(): void {
@@ -170,7 +170,7 @@
   }
 
   private sendCancellationCoverage(): void {
-    const leaderTimestamp = this.cancellationProgress.takeLatest(this.options.openJobsFreshAsOf());
+    const leaderTimestamp = this.coverageTracker.takeLatest(this.options.openJobsFreshAsOf());
     if (leaderTimestamp === null) return;
     this.options.send({
       type: 'cancellationCoverage',
@@ -195,13 +195,13 @@
   }
 
   private sendRequests(): void {
-    if (!this.haveRequestsChanged) return;
+    if (!this.needsRequestRebuild) return;
     const now = this.options.clock.now();
     if (now < this.nextRequestsAt) {
       this.options.wakeTimer.wakeAt(this.nextRequestsAt);
       return;
     }
-    this.haveRequestsChanged = false;
+    this.needsRequestRebuild = false;
     const requests = this.options.listRequests(this.lastProcessedGrantId);
     // A long list is sent less often: it is costly for both sides, and little capacity is freed in between.
     const intervalMs = MIN_REQUESTS_INTERVAL_MS + requests.length * REQUESTS_INTERVAL_MS_PER_REQUEST;
--- a/src/shard/team-usage.ts
+++ b/src/shard/team-usage.ts
@@ -12,7 +12,7 @@
   cpus: number;
   gpus: number;
   /** Placed tasks of arrays and gangs. */
-  batchTasks: number;
+  placedBatchTasks: number;
 }
 
 /** Amounts of the resources that a quota limits: CPUs and GPUs. */
@@ -29,7 +29,7 @@
  */
 export type UsageCause = 'granted' | 'loaded' | 'exited' | 'lost' | 'returned' | 'released';
 
-/** Number of tasks added or removed, by cause. */
+/** Number of placements added or removed, by cause. */
 export type UsageChanges = Partial<Record<UsageCause, number>>;
 
 /**
@@ -42,7 +42,7 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** Adds placed tasks of a job. */
+  /** Adds placed tasks of a job; a negative number removes them. */
   add(spec: JobSpec, cause: UsageCause, tasks = 1): void {
     if (tasks === 0) return;
     this.adjust(spec, tasks);
@@ -60,7 +60,7 @@
     const usage = this.usageOf(spec.team);
     usage.cpus += tasks * spec.cpus;
     usage.gpus += tasks * spec.gpus;
-    if (spec.kind !== 'service') usage.batchTasks += tasks;
+    if (spec.kind !== 'service') usage.placedBatchTasks += tasks;
     this.used.set(spec.team, usage);
   }
 
@@ -112,18 +112,21 @@
   loadOf(team: string): TeamLoad {
     const quota = this.quotaOf(team);
     return {
-      runningTasks: this.usageOf(team).batchTasks,
+      placedBatchTasks: this.usageOf(team).placedBatchTasks,
       maxParallelTasks: (spec) => Math.min(spec.taskCount, countFittingTasks(quota, spec)),
       tasksAtQuota: (spec) => countFittingTasks(quota, spec),
     };
   }
 
   private usageOf(team: string): Usage {
-    return this.used.get(team) ?? { cpus: 0, gpus: 0, batchTasks: 0 };
+    return this.used.get(team) ?? { cpus: 0, gpus: 0, placedBatchTasks: 0 };
   }
 }
 
-/** How many tasks of a job fit into the available amounts. */
+/**
+ * How many tasks of a job fit into the available amounts; infinite if nothing limits them, negative if
+ * overdrawn.
+ */
 export function countFittingTasks(available: QuotaAmounts, spec: JobSpec): number {
   let tasks = Number.POSITIVE_INFINITY;
   if (spec.cpus > 0) tasks = Math.min(tasks, Math.floor(available.cpus / spec.cpus + EPSILON));
--- a/src/shard/write-event-handler.ts
+++ b/src/shard/write-event-handler.ts
@@ -1,4 +1,6 @@
-/** Handles stored writes of jobs: informs the leader of placements and removes archived jobs. */
+/**
+ * Handles executed writes of jobs: informs the leader of placements and outcomes, and removes archived jobs.
+ */
 
 import { attemptKey } from '../model/job.js';
 import type { Logger } from '../model/logger.js';
@@ -44,7 +46,7 @@
     this.options.log.debug({ jobId: job.spec.id }, 'job completed');
   }
 
-  onFinalRecordStored(job: OwnedJob): void {
+  onJobArchived(job: OwnedJob): void {
     const jobId = job.spec.id;
     this.options.removeArchivedJob(jobId);
     this.options.log.debug(
