--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -28,12 +28,12 @@
   silent_share: { field: 'maxUnresponsiveShare', range: { min: 0, max: 1 } },
   batch_tasks: { field: 'maxTasksPerRequest', range: { min: 1, max: 10000 } },
   parting_s: { field: 'rebalanceIntervalSeconds', range: { min: 1, max: 86400 } },
-  patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
+  patience_s: { field: 'rentalWaitFloorSeconds', range: { min: 0, max: 3600 } },
 };
 
 /** Variables of the expressions and the input fields that they are read from. All have type double. */
 const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
-  services: 'services',
+  services: 'serviceReplicas',
   service_cpus: 'serviceCpus',
   queued: 'queuedTasks',
   queued_cpus: 'queuedCpus',
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -30,7 +30,7 @@
   peerNames: readonly string[];
   records: SystemRecords;
   leadership: Leadership;
-  peers: PeerRegistry;
+  peerRegistry: PeerRegistry;
   messenger: PeerMessenger;
 }
 
@@ -142,7 +142,7 @@
    * the peer by `completeUntil`. Returns null if there is no such timestamp.
    */
   coverageForPeer(nodeName: string, coverage: LeaderCoverage | null): PeerHeartbeat['coverage'] {
-    const peer = this.options.peers.get(nodeName);
+    const peer = this.options.peerRegistry.get(nodeName);
     if (!coverage || !peer) return null;
     const timestamp = peer.timestamps.latestReceivedBy(coverage.completeUntil);
     if (timestamp === null) return null;
@@ -151,7 +151,7 @@
 
   /** Returns the newest timestamp received from a peer, or null if there is none. */
   latestTimestampFrom(nodeName: string): PeerHeartbeat['latestTimestamp'] {
-    const peer = this.options.peers.get(nodeName);
+    const peer = this.options.peerRegistry.get(nodeName);
     const timestamp = peer?.timestamps.latestReceivedBy(Number.POSITIVE_INFINITY) ?? null;
     return peer && timestamp !== null ? { instanceId: peer.instanceId, timestamp } : null;
   }
--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -26,7 +26,7 @@
 import { ShardAssignment } from './shard-assignment.js';
 import { StoreContact } from './store-contact.js';
 import { SystemRecords } from './system-records.js';
-import { WorkerHeartbeats } from './worker-heartbeats.js';
+import { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
 /** Maximum time that a watch of the open jobs waits for a change. */
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
@@ -37,7 +37,7 @@
 
 /** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
 const IDLE_CLUSTER: PolicyInput = {
-  services: 0,
+  serviceReplicas: 0,
   serviceCpus: 0,
   queuedTasks: 0,
   queuedCpus: 0,
@@ -66,16 +66,16 @@
   readonly lease: NodeLease;
   readonly leadership: Leadership;
   readonly election: LeaderElection;
-  readonly peers = new PeerRegistry();
+  readonly peerRegistry = new PeerRegistry();
   readonly messenger: PeerMessenger;
-  readonly coordinator: CancellationCoordinator;
+  readonly cancellationCoordinator: CancellationCoordinator;
   readonly imageReplication: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
   readonly shardOwner: ShardOwner;
-  readonly workerHeartbeats: WorkerHeartbeats;
-  readonly peerHeartbeats: PeerHeartbeatSender;
-  readonly peerMessages: PeerMessageHandler;
+  readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
+  readonly peerHeartbeatSender: PeerHeartbeatSender;
+  readonly peerMessageHandler: PeerMessageHandler;
   private readonly teams: Map<string, Team>;
   private readonly store: KeyValueStore;
   private readonly cloud: CloudProvider;
@@ -96,20 +96,20 @@
     this.leadership = this.createLeadership();
     this.election = this.createElection();
     this.messenger = this.createMessenger();
-    this.coordinator = this.createCoordinator();
+    this.cancellationCoordinator = this.createCancellationCoordinator();
     this.imageReplication = new ImageReplication(this.messenger, this.leadership);
     this.assignment = this.createAssignment();
     this.machineTypes = this.createMachineTypes();
     this.shardOwner = this.createShardOwner();
-    this.workerHeartbeats = this.createWorkerHeartbeats();
-    this.peerHeartbeats = this.createPeerHeartbeats();
-    this.peerMessages = this.createPeerMessages();
+    this.workerHeartbeatHandler = this.createWorkerHeartbeatHandler();
+    this.peerHeartbeatSender = this.createPeerHeartbeatSender();
+    this.peerMessageHandler = this.createPeerMessageHandler();
     this.api = this.createApi();
   }
 
-  private onLeadingStarted(scheduler: Scheduler): void {
+  private onTermStarted(scheduler: Scheduler): void {
     scheduler.setOwners(this.records.shardOwners());
-    this.assignment.onLeadingStarted();
+    this.assignment.onTermStarted();
     this.machineTypes.refreshNow();
   }
 
@@ -173,12 +173,12 @@
       log,
       createScheduler: (fencingToken) => this.createScheduler(fencingToken),
       onLeaderKnown: (fencingToken) => this.shardOwner.setLeader(fencingToken),
-      onStarted: (scheduler) => this.onLeadingStarted(scheduler),
+      onTermStarted: (scheduler) => this.onTermStarted(scheduler),
     });
   }
 
   private createScheduler(fencingToken: number): Scheduler {
-    const { options, leadership, coordinator } = this;
+    const { options, leadership, cancellationCoordinator } = this;
     const { clock } = options;
     return new Scheduler({
       instanceId: options.instanceId,
@@ -203,10 +203,10 @@
         if (leadership.leadsUnder(fencingToken))
           leadership.stepDown(`higher fencing token ${higherToken} seen`);
       },
-      latestCoverage: () => coordinator.latestCoverage,
-      isCancelled: (jobId) => coordinator.isCancelled(jobId),
-      knownCancellationPeriod: (now) => coordinator.knownCancellationPeriod(now),
-      recentlyHeardPeers: () => this.peers.countRecentlyHeard(clock.now()),
+      latestCoverage: () => cancellationCoordinator.latestCoverage,
+      isCancelled: (jobId) => cancellationCoordinator.isCancelled(jobId),
+      knownCancellationPeriod: (now) => cancellationCoordinator.knownCancellationPeriod(now),
+      recentlyHeardPeers: () => this.peerRegistry.countRecentlyHeard(clock.now()),
       resign: (reason) => this.election.resign(fencingToken, reason),
       raiseFencingToken: (reason) => this.election.raiseFencingToken(fencingToken, reason),
     });
@@ -242,15 +242,22 @@
     });
   }
 
-  private createCoordinator(): CancellationCoordinator {
+  private createCancellationCoordinator(): CancellationCoordinator {
     const { instanceId, peerNames } = this.options;
-    const { records, leadership, peers, messenger } = this;
-    return new CancellationCoordinator({ instanceId, peerNames, records, leadership, peers, messenger });
+    const { records, leadership, peerRegistry, messenger } = this;
+    return new CancellationCoordinator({
+      instanceId,
+      peerNames,
+      records,
+      leadership,
+      peerRegistry,
+      messenger,
+    });
   }
 
   private createAssignment(): ShardAssignment {
     const { instanceId, storeLimits, clock, log } = this.options;
-    const { teams, store, records, lease, leadership, peers, storeContact } = this;
+    const { teams, store, records, lease, leadership, peerRegistry, storeContact } = this;
     return new ShardAssignment({
       instanceId,
       teams,
@@ -261,7 +268,7 @@
       records,
       lease,
       leadership,
-      peers,
+      peerRegistry,
       storeContact,
     });
   }
@@ -299,43 +306,43 @@
     });
   }
 
-  private createWorkerHeartbeats(): WorkerHeartbeats {
+  private createWorkerHeartbeatHandler(): WorkerHeartbeatHandler {
     const { nodeName, workerTiming, clock } = this.options;
-    const { leadership, peers, storeContact, coordinator } = this;
-    return new WorkerHeartbeats({
+    const { leadership, peerRegistry, storeContact, cancellationCoordinator } = this;
+    return new WorkerHeartbeatHandler({
       nodeName,
       workerTiming,
       clock,
       leadership,
-      peers,
+      peerRegistry,
       storeContact,
-      coordinator,
+      cancellationCoordinator,
     });
   }
 
-  private createPeerHeartbeats(): PeerHeartbeatSender {
-    const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this;
+  private createPeerHeartbeatSender(): PeerHeartbeatSender {
+    const { leadership, storeContact, cancellationCoordinator, workerHeartbeatHandler, messenger } = this;
     return new PeerHeartbeatSender({
       peerNames: this.options.peerNames,
       leadership,
       storeContact,
-      coordinator,
-      workerHeartbeats,
+      cancellationCoordinator,
+      workerHeartbeatHandler: workerHeartbeatHandler,
       messenger,
     });
   }
 
-  private createPeerMessages(): PeerMessageHandler {
+  private createPeerMessageHandler(): PeerMessageHandler {
     const { nodeName, instanceId, clock } = this.options;
-    const { records, leadership, peers, coordinator, imageReplication, shardOwner } = this;
+    const { records, leadership, peerRegistry, cancellationCoordinator, imageReplication, shardOwner } = this;
     return new PeerMessageHandler({
       nodeName,
       instanceId,
       clock,
       records,
       leadership,
-      peers,
-      coordinator,
+      peerRegistry,
+      cancellationCoordinator,
       imageReplication,
       shardOwner,
     });
@@ -343,14 +350,14 @@
 
   private createApi(): JobApi {
     const { log } = this.options;
-    const { store, openJobs, teams, machineTypes, coordinator } = this;
+    const { store, openJobs, teams, machineTypes, cancellationCoordinator } = this;
     return new JobApi({
       store,
       openJobs,
       teams,
       machineTypes: () => machineTypes.machineTypes,
       log,
-      onCancelled: (jobId) => coordinator.announce(jobId),
+      onCancelled: (jobId) => cancellationCoordinator.announce(jobId),
     });
   }
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -69,7 +69,7 @@
 
   /** Handles a worker's heartbeat synchronously. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
-    return this.components.workerHeartbeats.handle(heartbeat);
+    return this.components.workerHeartbeatHandler.handle(heartbeat);
   }
 
   /**
@@ -111,10 +111,10 @@
         this.tick();
         break;
       case 'peerMessage':
-        this.components.peerMessages.onMessage(event.message);
+        this.components.peerMessageHandler.onMessage(event.message);
         break;
       case 'peerConnection':
-        if (event.isUp) this.components.peerMessages.onConnected(event.nodeName);
+        if (event.isUp) this.components.peerMessageHandler.onConnected(event.nodeName);
         break;
     }
   }
@@ -127,23 +127,26 @@
   private tick(): void {
     const now = this.options.clock.now();
     const { lease, election, assignment, machineTypes, leadership } = this.components;
-    const { coordinator, imageReplication, peerHeartbeats } = this.components;
+    const { cancellationCoordinator, imageReplication, peerHeartbeatSender } = this.components;
     lease.renew(now);
     election.campaignIfVacant(now);
     election.deleteStaleRecord(now);
     assignment.assign(now);
     machineTypes.refresh(now);
     leadership.scheduler?.tick();
-    const coverage = coordinator.updateCoverage(now);
+    const coverage = cancellationCoordinator.updateCoverage(now);
     imageReplication.sendChanges();
-    peerHeartbeats.send(now, coverage);
+    peerHeartbeatSender.send(now, coverage);
   }
 
   /**
    * Returns whether a recently heard peer's last store contact is over `lagMs` newer than this controller's.
    */
   private lagsBehindPeers(lagMs: number): boolean {
-    const { peers, storeContact } = this.components;
-    return peers.hasPeerWithStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
+    const { peerRegistry, storeContact } = this.components;
+    return peerRegistry.hasPeerWithStoreContactAfter(
+      storeContact.lastContactAt + lagMs,
+      this.options.clock.now(),
+    );
   }
 }
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -75,7 +75,8 @@
     const { record, modRevision } = current;
     if (record.instanceId === instanceId) {
       // This controller was elected, but the response to its campaign was lost.
-      if (lease.isGranted) leadership.start(record, modRevision, 'election confirmed by the leader record');
+      if (lease.isGranted)
+        leadership.startTerm(record, modRevision, 'election confirmed by the leader record');
       return;
     }
     if (leadership.scheduler && record.fencingToken > leadership.scheduler.fencingToken)
@@ -164,7 +165,7 @@
       URGENCY.lease,
       (result) => {
         this.campaignInFlight = false;
-        if (result.ok) leadership.start(record, result.value, reason);
+        if (result.ok) leadership.startTerm(record, result.value, reason);
       },
     );
   }
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -14,7 +14,7 @@
   /** Called when a leader becomes known whose fencing token is at least as high as any known before. */
   onLeaderKnown(fencingToken: number): void;
   /** Called when a term of this controller has started and it is recorded as the known leader. */
-  onStarted(scheduler: Scheduler): void;
+  onTermStarted(scheduler: Scheduler): void;
 }
 
 /** Starts and ends this controller's terms as leader; the election decides when. */
@@ -45,7 +45,7 @@
   }
 
   /** Start time of the latest term of this process. */
-  get leadingSince(): number {
+  get latestTermStartedAt(): number {
     return this.startedAtMs;
   }
 
@@ -66,7 +66,7 @@
    * Starts a term that this controller was elected for. Ignored if the term is not newer than the earlier
    * ones of this process, or is older than that of the known leader.
    */
-  start(record: LeaderRecord, recordRevision: number, reason: string): void {
+  startTerm(record: LeaderRecord, recordRevision: number, reason: string): void {
     const { fencingToken } = record;
     if (this.currentScheduler && this.currentScheduler.fencingToken >= fencingToken) return;
     if (fencingToken < this.knownLeader.fencingToken || fencingToken <= this.lastTermToken) return;
@@ -77,7 +77,7 @@
     const scheduler = this.options.createScheduler(fencingToken);
     this.currentScheduler = scheduler;
     this.setLeader(record);
-    this.options.onStarted(scheduler);
+    this.options.onTermStarted(scheduler);
   }
 
   /** Ends the current term, if this controller leads. The leader record is not deleted. */
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -8,15 +8,15 @@
 import type { Leadership } from './leadership.js';
 import type { PeerMessenger } from './peer-messenger.js';
 import type { StoreContact } from './store-contact.js';
-import type { WorkerHeartbeats } from './worker-heartbeats.js';
+import type { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
 /** Settings and dependencies of the peer heartbeat sender. */
 export interface PeerHeartbeatSenderOptions {
   peerNames: readonly string[];
   leadership: Leadership;
   storeContact: StoreContact;
-  coordinator: CancellationCoordinator;
-  workerHeartbeats: WorkerHeartbeats;
+  cancellationCoordinator: CancellationCoordinator;
+  workerHeartbeatHandler: WorkerHeartbeatHandler;
   messenger: PeerMessenger;
 }
 
@@ -28,9 +28,10 @@
    * Sends a heartbeat to each peer. `coverage` is the leader's coverage; null if this controller has none.
    */
   send(now: number, coverage: LeaderCoverage | null): void {
-    const { leadership, storeContact, coordinator, workerHeartbeats, messenger } = this.options;
+    const { leadership, storeContact, cancellationCoordinator, workerHeartbeatHandler, messenger } =
+      this.options;
     const { leader } = leadership;
-    const redirectedMachines = workerHeartbeats.takeRedirectedMachines(MAX_MACHINES_PER_MESSAGE);
+    const redirectedMachines = workerHeartbeatHandler.takeRedirectedMachines(MAX_MACHINES_PER_MESSAGE);
     for (const nodeName of this.options.peerNames)
       messenger.send(nodeName, {
         type: 'heartbeat',
@@ -39,9 +40,9 @@
         storeContactAgeMs: Math.max(0, storeContact.ageMs(now)),
         redirectedMachines: nodeName === leader.nodeName ? redirectedMachines : [],
         timestamp: now,
-        latestTimestamp: coordinator.latestTimestampFrom(nodeName),
-        cancellationsAnnounced: coordinator.announcedCount,
-        coverage: coordinator.coverageForPeer(nodeName, coverage),
+        latestTimestamp: cancellationCoordinator.latestTimestampFrom(nodeName),
+        cancellationsAnnounced: cancellationCoordinator.announcedCount,
+        coverage: cancellationCoordinator.coverageForPeer(nodeName, coverage),
       });
   }
 }
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -16,8 +16,8 @@
   clock: Clock;
   records: SystemRecords;
   leadership: Leadership;
-  peers: PeerRegistry;
-  coordinator: CancellationCoordinator;
+  peerRegistry: PeerRegistry;
+  cancellationCoordinator: CancellationCoordinator;
   imageReplication: ImageReplication;
   shardOwner: ShardOwner;
 }
@@ -28,10 +28,10 @@
 
   /** Handles a message, unless a later one from the same peer has been handled before. */
   onMessage(message: PeerMessage): void {
-    const { instanceId, leadership, coordinator, imageReplication, shardOwner } = this.options;
+    const { instanceId, leadership, cancellationCoordinator, imageReplication, shardOwner } = this.options;
     const { body } = message;
     const now = this.options.clock.now();
-    const peer = this.options.peers.record(message, now);
+    const peer = this.options.peerRegistry.recordIfNew(message, now);
     if (!peer) return;
     switch (body.type) {
       case 'heartbeat':
@@ -41,7 +41,7 @@
         imageReplication.apply(body.added, body.removedMachines);
         break;
       case 'cancelled':
-        coordinator.onPeerCancellation(message, body, now);
+        cancellationCoordinator.onPeerCancellation(message, body, now);
         break;
       case 'toLeader':
         if (body.recipient === instanceId) leadership.scheduler?.onShardMessage(body.message);
@@ -73,12 +73,12 @@
     now: number;
   }): void {
     const { message, heartbeat, peer, now } = received;
-    const { leadership, peers, coordinator } = this.options;
+    const { leadership, peerRegistry, cancellationCoordinator } = this.options;
     this.stepDownForNewerLeader(heartbeat);
     peer.timestamps.add(heartbeat.timestamp, now);
-    coordinator.onPeerHeartbeat(message, heartbeat, now);
+    cancellationCoordinator.onPeerHeartbeat(message, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
-    peers.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
+    peerRegistry.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
   private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
--- a/src/controller/peer-messenger.ts
+++ b/src/controller/peer-messenger.ts
@@ -1,7 +1,7 @@
 /** Sends messages to peers, and between shard owners and the leader on any node. */
 
 import type { PeerMessageBody, PeerTransport } from '../model/peer-message.js';
-import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from '../model/shard-messages.js';
 import type { EventQueue } from './event-queue.js';
 import type { Leadership } from './leadership.js';
 import type { SystemRecords } from './system-records.js';
@@ -40,7 +40,7 @@
   }
 
   /** Sends a message from this controller's shard owner to the leader; dropped if no leader is known. */
-  sendToLeader(message: ShardMessage): void {
+  sendToLeader(message: ShardOwnerMessage): void {
     const { instanceId, queue, leadership } = this.options;
     const { leader } = leadership;
     if (leader.instanceId === instanceId)
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -55,7 +55,7 @@
    * Records the receipt of a message. Returns null if the message must not be handled, because a later
    * message or a later process of the peer has been heard before.
    */
-  record(message: PeerMessage, now: number): Peer | null {
+  recordIfNew(message: PeerMessage, now: number): Peer | null {
     const known = this.peers.get(message.nodeName);
     const isSameProcess = known?.instanceId === message.instanceId;
     // A message delayed on an older connection must not override a later one.
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -35,7 +35,7 @@
   records: SystemRecords;
   lease: NodeLease;
   leadership: Leadership;
-  peers: PeerRegistry;
+  peerRegistry: PeerRegistry;
   storeContact: StoreContact;
 }
 
@@ -72,18 +72,19 @@
   }
 
   /** Called when a term of this controller has started: assigns shards, then delays the next rebalancing. */
-  onLeadingStarted(): void {
+  onTermStarted(): void {
     this.assign(this.options.clock.now());
-    this.nextRebalanceAt = this.options.leadership.leadingSince + FIRST_REBALANCE_DELAY_MS;
+    this.nextRebalanceAt = this.options.leadership.latestTermStartedAt + FIRST_REBALANCE_DELAY_MS;
   }
 
   private eligibleOwners(scheduler: Scheduler, now: number): ShardCounts {
-    const { instanceId: self, records, peers, leadership } = this.options;
+    const { instanceId: self, records, peerRegistry, leadership } = this.options;
     const counts: ShardCounts = new Map();
     for (const [instanceId, nodeName] of records.liveInstances()) {
-      const peer = peers.get(nodeName);
+      const peer = peerRegistry.get(nodeName);
       // A new leader has heard no peers yet; a node record shows that its controller was alive recently.
-      const isPresumedAlive = instanceId === self || now - leadership.leadingSince < MAX_PEER_SILENCE_MS;
+      const isPresumedAlive =
+        instanceId === self || now - leadership.latestTermStartedAt < MAX_PEER_SILENCE_MS;
       if (
         isPresumedAlive ||
         (peer?.instanceId === instanceId &&
@@ -105,7 +106,7 @@
     if (now < (this.unreachableUntil.get(instanceId) ?? 0)) return true;
     if (
       storeContact.ageMs(now) > MAX_STORE_CONTACT_AGE_MS ||
-      now - leadership.leadingSince < MAX_COVERAGE_SILENCE_MS
+      now - leadership.latestTermStartedAt < MAX_COVERAGE_SILENCE_MS
     )
       return false;
     for (const [team, owner] of records.shardOwners()) {
--- a/src/controller/worker-heartbeats.ts
+++ b/src/controller/worker-heartbeat-handler.ts
@@ -14,21 +14,21 @@
 const ISOLATED_AFTER_MS = 2500;
 
 /** Settings and dependencies of the handling of workers' heartbeats. */
-export interface WorkerHeartbeatsOptions {
+export interface WorkerHeartbeatHandlerOptions {
   nodeName: string;
   workerTiming: WorkerTiming;
   clock: Clock;
   leadership: Leadership;
-  peers: PeerRegistry;
+  peerRegistry: PeerRegistry;
   storeContact: StoreContact;
-  coordinator: CancellationCoordinator;
+  cancellationCoordinator: CancellationCoordinator;
 }
 
 /** Responds to workers, and records which machines were redirected to the leader. */
-export class WorkerHeartbeats {
+export class WorkerHeartbeatHandler {
   private readonly redirectedMachines = new Set<string>();
 
-  constructor(private readonly options: WorkerHeartbeatsOptions) {}
+  constructor(private readonly options: WorkerHeartbeatHandlerOptions) {}
 
   /** Handles a heartbeat synchronously, because the response contains the worker's commands. */
   handle(heartbeat: Heartbeat): HeartbeatResult {
@@ -49,12 +49,12 @@
   }
 
   private respondAsFollower(heartbeat: Heartbeat): HeartbeatResult {
-    const { leadership, peers, nodeName, clock } = this.options;
+    const { leadership, peerRegistry, nodeName, clock } = this.options;
     const { leader } = leadership;
     if (this.mayRenewWhileIsolated(heartbeat, clock.now()))
       return { type: 'accepted', fencingToken: leader.fencingToken, commands: [] };
     this.redirectedMachines.add(heartbeat.machine);
-    const hint = peers.leaderHint;
+    const hint = peerRegistry.leaderHint;
     const latestLeaderName = hint.fencingToken > leader.fencingToken ? hint.nodeName : leader.nodeName;
     return {
       type: 'redirected',
@@ -70,9 +70,9 @@
    * but not this controller, long before this controller lost the leader.
    */
   private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
-    const { leadership, coordinator, workerTiming } = this.options;
+    const { leadership, cancellationCoordinator, workerTiming } = this.options;
     if (heartbeat.fencingToken > leadership.leader.fencingToken || !this.isIsolated(now)) return false;
-    return allowsLeaseRenewal(coordinator.latestCoverage, {
+    return allowsLeaseRenewal(cancellationCoordinator.latestCoverage, {
       machine: heartbeat.machine,
       now,
       windowMs: renewalWindowMs(workerTiming),
@@ -85,16 +85,16 @@
    * has reported a newer one.
    */
   private isIsolated(now: number): boolean {
-    const { leadership, peers, storeContact } = this.options;
+    const { leadership, peerRegistry, storeContact } = this.options;
     const { leader } = leadership;
-    const leaderPeer = peers.get(leader.nodeName);
+    const leaderPeer = peerRegistry.get(leader.nodeName);
     if (!leaderPeer || leaderPeer.instanceId !== leader.instanceId) return false;
     if (
-      peers.leaderHint.fencingToken > leader.fencingToken ||
+      peerRegistry.leaderHint.fencingToken > leader.fencingToken ||
       storeContact.ageMs(now) < ISOLATED_AFTER_MS ||
       now - leaderPeer.lastHeardAt < ISOLATED_AFTER_MS
     )
       return false;
-    return !peers.hasPeerWithRecentStoreContact(ISOLATED_AFTER_MS, now);
+    return !peerRegistry.hasPeerWithRecentStoreContact(ISOLATED_AFTER_MS, now);
   }
 }
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -1,7 +1,7 @@
 /** Messages between controllers. */
 
 import type { ImageLocation } from './image-location.js';
-import type { LeaderMessage, ShardMessage } from './shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from './shard-messages.js';
 
 /** The message that a controller sends to each peer at regular intervals. */
 export interface PeerHeartbeat {
@@ -36,7 +36,7 @@
   /** From the leader: newly learned image locations, and machines that were removed with their images. */
   | { type: 'images'; added: ImageLocation[]; removedMachines: string[] }
   /** From a shard owner to the leader; ignored unless the recipient's instance still leads. */
-  | { type: 'toLeader'; recipient: string; message: ShardMessage }
+  | { type: 'toLeader'; recipient: string; message: ShardOwnerMessage }
   /** From the leader to the instance of a shard owner. */
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -5,7 +5,7 @@
 /** The cluster values that policy expressions can refer to. */
 export interface PolicyInput {
   /** Number of service replicas. */
-  services: number;
+  serviceReplicas: number;
   serviceCpus: number;
   queuedTasks: number;
   queuedCpus: number;
@@ -42,7 +42,7 @@
   /** Seconds between two rebalances of the teams' shards among the controllers. */
   rebalanceIntervalSeconds: number;
   /** Seconds that work may wait for capacity held by running tasks before machines are rented for it. */
-  minRentalWaitSeconds: number;
+  rentalWaitFloorSeconds: number;
 }
 
 /** Evaluates all policy expressions. */
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -14,7 +14,7 @@
  * Messages from a shard owner to the leader. `fencingToken` identifies the leader that a message is meant
  * for; `shardEpochs` has, for each team, the revision of the owner record that the sender acts under.
  */
-export type ShardMessage =
+export type ShardOwnerMessage =
   /**
    * All placements and requests of the sender, in chunks. The leader applies a sync when it has received all
    * its chunks.
--- a/src/model/task-assignment.ts
+++ b/src/model/task-assignment.ts
@@ -7,19 +7,19 @@
  */
 export function assignTasks(
   tasks: readonly number[],
-  refusedTasks: readonly (ReadonlySet<number> | undefined)[],
+  refusedTasksBySlot: readonly (ReadonlySet<number> | undefined)[],
 ): TaskAssignment {
-  const matching = new Matching(tasks, refusedTasks);
-  const slots = refusedTasks.map((_, slot) => slot);
-  slots.sort((a, b) => (refusedTasks[b]?.size ?? 0) - (refusedTasks[a]?.size ?? 0));
+  const matching = new Matching(tasks, refusedTasksBySlot);
+  const slots = refusedTasksBySlot.map((_, slot) => slot);
+  slots.sort((a, b) => (refusedTasksBySlot[b]?.size ?? 0) - (refusedTasksBySlot[a]?.size ?? 0));
   const unassignedSlots = slots.filter((slot) => !matching.assign(slot));
-  return { tasks: matching.taskOf, unassignedSlots };
+  return { taskBySlot: matching.taskOf, unassignedSlots };
 }
 
 /** The result of `assignTasks`. */
 export interface TaskAssignment {
   /** The task of each slot; undefined: no acceptable task was left. */
-  tasks: readonly (number | undefined)[];
+  taskBySlot: readonly (number | undefined)[];
   /** Indices of the slots without a task. */
   unassignedSlots: readonly number[];
 }
@@ -32,19 +32,19 @@
 
   constructor(
     private readonly tasks: readonly number[],
-    private readonly refusedTasks: readonly (ReadonlySet<number> | undefined)[],
+    private readonly refusedTasksBySlot: readonly (ReadonlySet<number> | undefined)[],
   ) {
-    this.taskOf = refusedTasks.map(() => undefined);
+    this.taskOf = refusedTasksBySlot.map(() => undefined);
   }
 
   assign(slot: number): boolean {
-    const freeTask = this.findFreeTask(slot);
-    if (freeTask === undefined) return this.augment(slot);
-    this.match(slot, freeTask);
+    const unmatchedTask = this.findUnmatchedTask(slot);
+    if (unmatchedTask === undefined) return this.augment(slot);
+    this.match(slot, unmatchedTask);
     return true;
   }
 
-  private findFreeTask(slot: number): number | undefined {
+  private findUnmatchedTask(slot: number): number | undefined {
     for (let index = this.firstUnmatched; index < this.tasks.length; index++) {
       const task = this.tasks[index];
       if (task === undefined) break;
@@ -63,9 +63,9 @@
     const reachedFrom = new Map<number, number>();
     const queue = [startSlot];
     for (const slot of queue) {
-      const freeTask = this.findFreeTask(slot);
-      if (freeTask !== undefined) {
-        this.applyPath(slot, freeTask, reachedFrom);
+      const unmatchedTask = this.findUnmatchedTask(slot);
+      if (unmatchedTask !== undefined) {
+        this.applyPath(slot, unmatchedTask, reachedFrom);
         return true;
       }
       for (const task of this.tasks) {
@@ -88,13 +88,13 @@
    * Applies an augmenting path backwards from its last slot: that slot takes the unmatched task, and each
    * slot before it takes the task that the next slot gives up.
    */
-  private applyPath(lastSlot: number, freeTask: number, reachedFrom: ReadonlyMap<number, number>): void {
+  private applyPath(lastSlot: number, unmatchedTask: number, reachedFrom: ReadonlyMap<number, number>): void {
     let slot: number | undefined = lastSlot;
-    let task: number | undefined = freeTask;
+    let task: number | undefined = unmatchedTask;
     while (slot !== undefined && task !== undefined) {
-      const previousTask = this.taskOf[slot];
+      const givenUpTask = this.taskOf[slot];
       this.match(slot, task);
-      task = previousTask;
+      task = givenUpTask;
       slot = reachedFrom.get(slot);
     }
   }
@@ -105,6 +105,6 @@
   }
 
   private accepts(slot: number, task: number): boolean {
-    return !this.refusedTasks[slot]?.has(task);
+    return !this.refusedTasksBySlot[slot]?.has(task);
   }
 }
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -295,7 +295,7 @@
       }
     const bootSeconds = this.options.machineTypes().map((machineType) => machineType.bootSeconds);
     return {
-      services: this.totals.replicas,
+      serviceReplicas: this.totals.replicas,
       serviceCpus: this.totals.replicaCpus,
       queuedTasks: queued,
       queuedCpus,
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -136,7 +136,7 @@
       : (request.maxWaitSeconds ?? 0) - offerStartupSeconds;
   // Capacity that becomes free before a machine rented now would be up is as good as that machine.
   const waitSeconds = Math.max(
-    state.policy.minRentalWaitSeconds,
+    state.policy.rentalWaitFloorSeconds,
     offerStartupSeconds * STARTUP_TIME_SHARE,
     spareSeconds,
   );
--- a/src/scheduler/owners/shard-owner-handler.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -2,7 +2,7 @@
 
 import { attemptKey } from '../../model/job.js';
 import type { PlacementSpec } from '../../model/placement.js';
-import type { ShardMessage } from '../../model/shard-messages.js';
+import type { ShardOwnerMessage } from '../../model/shard-messages.js';
 import type { ClusterState } from '../cluster-state.js';
 import type { PlacementEngine } from '../placement/placement-engine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
@@ -15,8 +15,8 @@
 /** How long a job gets no grants after its owner declined one: its request is about to change. */
 const DECLINED_PAUSE_MS = 300;
 
-type CoverageMessage = Extract<ShardMessage, { type: 'cancellationCoverage' }>;
-type ReleaseMessage = Extract<ShardMessage, { type: 'release' }>;
+type CoverageMessage = Extract<ShardOwnerMessage, { type: 'cancellationCoverage' }>;
+type ReleaseMessage = Extract<ShardOwnerMessage, { type: 'release' }>;
 
 /** Applies shard owners' messages to the cluster state, and requests a full sync if messages were lost. */
 export class ShardOwnerHandler {
@@ -85,7 +85,7 @@
   }
 
   /** Handles a message. Returns whether it may have changed something that matters to a placement pass. */
-  handle(message: ShardMessage): boolean {
+  handle(message: ShardOwnerMessage): boolean {
     if (message.fencingToken !== this.state.fencingToken) return false;
     switch (message.type) {
       case 'fullSync':
--- a/src/scheduler/owners/sync-assembly.ts
+++ b/src/scheduler/owners/sync-assembly.ts
@@ -1,10 +1,10 @@
 /** Assembles the chunks of full syncs. */
 
 import type { PlacementSpec } from '../../model/placement.js';
-import type { ShardMessage } from '../../model/shard-messages.js';
+import type { ShardOwnerMessage } from '../../model/shard-messages.js';
 
 /** One chunk of a shard owner's full sync. */
-export type SyncChunk = Extract<ShardMessage, { type: 'fullSync' }>;
+export type SyncChunk = Extract<ShardOwnerMessage, { type: 'fullSync' }>;
 
 /** The result of adding a chunk: the sync is complete, still partial, or void because a chunk was lost. */
 export type AssemblyResult =
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Policy } from '../model/policy.js';
-import type { ShardMessage } from '../model/shard-messages.js';
+import type { ShardOwnerMessage } from '../model/shard-messages.js';
 import type { Heartbeat } from '../model/worker-messages.js';
 import { ClusterState } from './cluster-state.js';
 import { FailureDetector } from './failure-detector.js';
@@ -116,7 +116,7 @@
   }
 
   /** Handles a message of a shard owner. Messages that were meant for another leader are ignored. */
-  onShardMessage(message: ShardMessage): void {
+  onShardMessage(message: ShardOwnerMessage): void {
     if (!this.shardOwnerHandler.handle(message)) return;
     this.state.isDirty = true;
     this.options.wake();
--- a/src/shard/full-sync.ts
+++ b/src/shard/full-sync.ts
@@ -1,7 +1,7 @@
 /** Builds full syncs: an owner's whole state in chunks, which the leader applies once it has all of them. */
 
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { ShardMessage } from '../model/shard-messages.js';
+import type { ShardOwnerMessage } from '../model/shard-messages.js';
 import { type OwnedJob, toPlacementSpec } from './owned-job.js';
 
 /** The most placements in one chunk, which limits the size of a message. */
@@ -37,7 +37,7 @@
 }
 
 /** The messages of a full sync; the last chunk contains the requests. */
-export function fullSyncChunks({ placements, requests, ...sync }: FullSync): ShardMessage[] {
+export function fullSyncChunks({ placements, requests, ...sync }: FullSync): ShardOwnerMessage[] {
   const chunkCount = Math.max(1, Math.ceil(placements.length / MAX_PLACEMENTS_PER_CHUNK));
   return Array.from({ length: chunkCount }, (_, chunkIndex) => {
     const start = chunkIndex * MAX_PLACEMENTS_PER_CHUNK;
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -36,7 +36,7 @@
 /** Uses all of the grants for a gang, or none of them. */
 function placeGang(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
   if (!canPlaceGang(job, grants, options.usage)) return [];
-  const { tasks } = assignTasks(
+  const { taskBySlot: tasks } = assignTasks(
     Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
     grants.map((grant) => grant.exitedTasks && new Set(grant.exitedTasks)),
   );
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -5,7 +5,7 @@
 
 import type { Clock } from '../model/clock.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { ReleasedPlacement, ShardMessage } from '../model/shard-messages.js';
+import type { ReleasedPlacement, ShardOwnerMessage } from '../model/shard-messages.js';
 import { CancellationProgress } from './cancellation-progress.js';
 import { fullSyncChunks, placementsToSync } from './full-sync.js';
 import type { OwnedJobs } from './owned-jobs.js';
@@ -32,7 +32,7 @@
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
   /** Removes placements for which no write has been sent, because a full sync voids their grants. */
   discardUnsentPlacements(): void;
-  send(message: ShardMessage): void;
+  send(message: ShardOwnerMessage): void;
 }
 
 /** Collects changes and sends them to the leader at the end of each batch of events. */
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -9,7 +9,7 @@
 import type { KeyValueStore, StoredItem } from '../model/key-value-store.js';
 import type { Logger } from '../model/logger.js';
 import type { ResourceRequest } from '../model/placement.js';
-import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from '../model/shard-messages.js';
 import type { ServiceLevelObjective, Team } from '../model/team.js';
 import { fenceKey } from '../store/keyspace.js';
 import type { CachedItem } from '../store/prefix-copy.js';
@@ -59,7 +59,7 @@
   /** Reads the open jobs again if the last read is old enough. */
   refreshOpenJobs(): void;
   /** Sends a message to the leader. */
-  send(message: ShardMessage): void;
+  send(message: ShardOwnerMessage): void;
   /** Schedules a call of `flush`. */
   wake(): void;
 }
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -7,7 +7,7 @@
 import type { ExitReason, TaskAttempt } from '../model/job.js';
 import type { PeerMessage, PeerMessageBody } from '../model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { LeaderMessage, ShardMessage } from '../model/shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from '../model/shard-messages.js';
 import {
   type Codec,
   checked,
@@ -121,7 +121,7 @@
 
 const grantIds = checked<number[]>('a list', Array.isArray);
 
-const shardMessage = taggedUnion<ShardMessage>('k', {
+const shardOwnerMessage = taggedUnion<ShardOwnerMessage>('k', {
   fullSync: {
     tagValue: 'sync',
     fields: {
@@ -253,7 +253,7 @@
   },
   toLeader: {
     tagValue: 'owner',
-    fields: { type: 'k', recipient: 'to', message: requiredField('m', shardMessage) },
+    fields: { type: 'k', recipient: 'to', message: requiredField('m', shardOwnerMessage) },
   },
   toShardOwner: {
     tagValue: 'scheduler',
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -4,7 +4,7 @@
 import { CancellationLog } from '../src/controller/cancellation-log.js';
 import { allowsLeaseRenewal, PeerTimestamps, renewalWindowMs } from '../src/model/cancellation-coverage.js';
 import type { KeyValueStore } from '../src/model/key-value-store.js';
-import type { ShardMessage } from '../src/model/shard-messages.js';
+import type { ShardOwnerMessage } from '../src/model/shard-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
 import { jobRecord } from '../src/store/record-codec.js';
 import { isLeader, leaderOf, runFor, workersOfJob } from './simulation/cluster-queries.js';
@@ -126,9 +126,9 @@
     const controller = simulation.controllers.get(
       simulation.nodeNames.find((nodeName) => nodeName !== previousLeader && nodeName !== newLeader())!,
     )!.controller as unknown as {
-      components: { coordinator: { announce(jobId: string): void } };
+      components: { cancellationCoordinator: { announce(jobId: string): void } };
     };
-    controller.components.coordinator.announce(ids[0]!);
+    controller.components.cancellationCoordinator.announce(ids[0]!);
     runFor(simulation, simulation.config.cancellationSeconds * 2500);
     expect(workersOfJob(simulation, ids[0]!)).toEqual([]);
     expect(
@@ -258,7 +258,7 @@
 });
 
 test('a cancellation takes effect while its job is being reloaded, and the reload does not revert it', () => {
-  const sent: ShardMessage[] = [];
+  const sent: ShardOwnerMessage[] = [];
   const pendingLists: { prefix: string; callback: Parameters<KeyValueStore['list']>[1] }[] = [];
   let now = 0;
   const store: Partial<KeyValueStore> = {
--- a/test/forms/peer-message-examples.ts
+++ b/test/forms/peer-message-examples.ts
@@ -4,7 +4,7 @@
 import type { TaskPhase } from '../../src/model/job.js';
 import type { PeerMessage, PeerMessageBody } from '../../src/model/peer-message.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from '../../src/model/placement.js';
-import type { LeaderMessage, ShardMessage } from '../../src/model/shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from '../../src/model/shard-messages.js';
 
 /**
  * Expected encoding of each example by title: the encoded value as JSON, and its MessagePack bytes in base64.
@@ -160,7 +160,7 @@
     removedMachines: ['vm-000007'],
   },
 };
-const OWNER_MESSAGES: Record<string, ShardMessage> = {
+const OWNER_MESSAGES: Record<string, ShardOwnerMessage> = {
   fullSync: {
     type: 'fullSync',
     fencingToken: 7,
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -282,10 +282,10 @@
   maxUnresponsiveShare: 0.5,
   maxTasksPerRequest: 8.5,
   rebalanceIntervalSeconds: 9.5,
-  minRentalWaitSeconds: 10.5,
+  rentalWaitFloorSeconds: 10.5,
 };
 const POLICY_INPUT: PolicyInput = {
-  services: 1,
+  serviceReplicas: 1,
   serviceCpus: 2,
   queuedTasks: 3,
   queuedCpus: 4,
--- a/test/forms/stored-records.test.ts
+++ b/test/forms/stored-records.test.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 import type { StoreOperation } from '../../src/model/key-value-store.js';
 import type { MachineType } from '../../src/model/machine-type.js';
-import type { ShardMessage } from '../../src/model/shard-messages.js';
+import type { ShardOwnerMessage } from '../../src/model/shard-messages.js';
 import type { Team } from '../../src/model/team.js';
 import { archiveWrite, type JobWrite, progressWrite, type WriteEvents } from '../../src/shard/job-writes.js';
 import { createOwnedJob, type OwnedJob, type Placement } from '../../src/shard/owned-job.js';
@@ -278,7 +278,7 @@
         ['place/wk-000412/0', placementsText],
       ]),
     );
-    const sent: ShardMessage[] = [];
+    const sent: ShardOwnerMessage[] = [];
     const owner = new ShardOwner(
       shardOwnerOptions({
         teams: new Map([[TEAM.name, TEAM]]),
--- a/test/gang-quotas.test.ts
+++ b/test/gang-quotas.test.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import type { KeyValueStore } from '../src/model/key-value-store.js';
 import type { Grant } from '../src/model/placement.js';
-import type { ShardMessage } from '../src/model/shard-messages.js';
+import type { ShardOwnerMessage } from '../src/model/shard-messages.js';
 import type { Team } from '../src/model/team.js';
 import type { QueuedJob } from '../src/shard/release-queue.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
@@ -57,8 +57,8 @@
 });
 
 /** Creates the shard owner of team red with these jobs loaded. Its state service never answers a write. */
-function createOwner(specs: JobSpec[]): { owner: ShardOwner; sentMessages: ShardMessage[] } {
-  const sentMessages: ShardMessage[] = [];
+function createOwner(specs: JobSpec[]): { owner: ShardOwner; sentMessages: ShardOwnerMessage[] } {
+  const sentMessages: ShardOwnerMessage[] = [];
   const items = specs.map((spec, index) => ({
     key: `open/${spec.id}/a`,
     value: jobRecord.encode({ spec }),
@@ -76,7 +76,7 @@
   const options = {
     teams: new Map([['red', TEAM]]),
     store,
-    send: (message: ShardMessage) => sentMessages.push(message),
+    send: (message: ShardOwnerMessage) => sentMessages.push(message),
   };
   const owner = new ShardOwner(shardOwnerOptions(options));
   owner.setShards(new Map([['red', 1]]));
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -6,7 +6,7 @@
 import { Controller } from '../src/controller/controller.js';
 import type { JobSpec } from '../src/model/job.js';
 import type { KeyValueStore } from '../src/model/key-value-store.js';
-import type { ShardMessage } from '../src/model/shard-messages.js';
+import type { ShardOwnerMessage } from '../src/model/shard-messages.js';
 import type { TaskStatus, WorkerCommand } from '../src/model/worker-messages.js';
 import { ShardOwner } from '../src/shard/shard-owner.js';
 import { jobRecord } from '../src/store/record-codec.js';
@@ -54,7 +54,7 @@
   } as Partial<KeyValueStore> as KeyValueStore;
 }
 
-function createOwner(specs: JobSpec[], send: (message: ShardMessage) => void): ShardOwner {
+function createOwner(specs: JobSpec[], send: (message: ShardOwnerMessage) => void): ShardOwner {
   let now = 0;
   const clock = {
     now: () => (now += 400),
--- a/test/refusals.test.ts
+++ b/test/refusals.test.ts
@@ -60,7 +60,7 @@
     fc.property(cases, (refusedLists) => {
       const refusedTasks = refusedLists.map((list) => new Set(list));
       const tasks = refusedLists.map((_, task) => task);
-      const { tasks: assigned, unassignedSlots } = assignTasks(tasks, refusedTasks);
+      const { taskBySlot: assigned, unassignedSlots } = assignTasks(tasks, refusedTasks);
       const assignedTasks = assigned.filter((task) => task !== undefined);
       expect(new Set(assignedTasks).size).toBe(assignedTasks.length);
       for (const [slot, task] of assigned.entries())
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -65,7 +65,7 @@
 test('policy: the default is valid, and unknown keys and wrong types are reported with their line', () => {
   const policyText = readFileSync(new URL('../deploy/policy.toml', import.meta.url), 'utf8');
   const policyInput = {
-    services: 100,
+    serviceReplicas: 100,
     serviceCpus: 200,
     queuedTasks: 3,
     queuedCpus: 9,
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -26,7 +26,7 @@
   maxUnresponsiveShare: 0.5,
   maxTasksPerRequest: 10,
   rebalanceIntervalSeconds: 30,
-  minRentalWaitSeconds: 10,
+  rentalWaitFloorSeconds: 10,
 };
 
 /**
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -5,7 +5,7 @@
 import type { LogFields, Logger } from '../../src/model/logger.js';
 import type { Grant } from '../../src/model/placement.js';
 import type { Result } from '../../src/model/result.js';
-import type { ShardMessage } from '../../src/model/shard-messages.js';
+import type { ShardOwnerMessage } from '../../src/model/shard-messages.js';
 import type { Team } from '../../src/model/team.js';
 import { ShardOwner, type ShardOwnerOptions } from '../../src/shard/shard-owner.js';
 import { jobRecord } from '../../src/store/record-codec.js';
@@ -49,7 +49,7 @@
 export class ShardOwnerHarness {
   readonly simulator = new Simulator(1);
   readonly store = new FakeStore(this.simulator);
-  readonly sentMessages: ShardMessage[] = [];
+  readonly sentMessages: ShardOwnerMessage[] = [];
   readonly logLines: { fields: LogFields; message: string }[] = [];
   readonly owner: ShardOwner;
   /** For each of the next transactions, in order, how its response is lost; null: it is not. */
