--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -19,7 +19,7 @@
 /** Dependencies and callbacks of the job API. */
 export interface JobApiOptions {
   store: KeyValueStore;
-  /** Local copy of the records under `open/`. */
+  /** Cache of the records under `open/`. */
   openJobs: WatchCache;
   teams: ReadonlyMap<string, Team>;
   /** Returns the machine types that the cloud offers; empty until they are known. */
@@ -69,7 +69,11 @@
 
   constructor(private readonly options: JobApiOptions) {}
 
-  /** Accepts a job once its record is stored. A repeated submission gets the state of the accepted job. */
+  /**
+   * Accepts a job once its record is stored. A repeated submission gets the state of the accepted job. A job
+   * that can never run is rejected, and a job is not accepted while the machine types are not known or the
+   * store does not respond.
+   */
   submitJob(spec: JobSpec, callback: ApiResponseCallback): void {
     const { teams, openJobs } = this.options;
     const areMachineTypesKnown = this.options.machineTypes().length > 0;
@@ -83,6 +87,7 @@
       return;
     }
     if (openJobs.isFailing) {
+      // Probes the store, so that later submissions are accepted once it responds again.
       openJobs.requestRead();
       callback(STORE_UNREACHABLE);
       return;
@@ -100,7 +105,11 @@
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
 
-  /** Returns why the job can never run; null if its team's quota and an allowed machine type suffice. */
+  /**
+   * Returns why the job can never run: its team is unknown, the tasks that must run at the same time exceed
+   * the team's quota (one task of an array job, all tasks of any other job), or no machine type that the job
+   * allows has room for a task in a zone that it allows. Null: it can run.
+   */
   private rejectionReason(spec: JobSpec): string | null {
     const team = this.options.teams.get(spec.team);
     if (!team) return `unknown team ${spec.team}`;
@@ -212,7 +221,7 @@
     });
   }
 
-  /** Looks up a job in the copy of the open jobs, just after a read; null if it is not there. */
+  /** Looks up a job in the cache of the open jobs, just after a read; null if it is not there. */
   private lookUpOpenJob(jobId: string): JobLookup | null {
     // A cancellation may have been confirmed while the read was in progress, which made the job final.
     const final = this.finalRecords.get(jobId);
@@ -269,6 +278,9 @@
     return { type: 'job', created: false, state, finishedTasks, runningTasks: running };
   }
 
+  /**
+   * Caches the final record of a job, announces it if it is cancelled, and returns the response to the user.
+   */
   private cacheFinalRecord(jobId: string, final: FinalRecord): ApiResponse {
     this.finalRecords.set(jobId, final);
     if (!final.isDone) this.options.onCancelled(jobId);
@@ -291,7 +303,10 @@
   );
 }
 
-/** Returns whether all tasks are finished. The bitmap decides; the count only avoids needless decoding. */
+/**
+ * Returns whether all tasks are finished, which never holds for a service. The bitmap decides; the count only
+ * avoids needless decoding.
+ */
 function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * Exchanges job cancellations and cancellation coverage between controllers. A worker's lease is renewed only
- * as far as the coverage allows, so no task runs for longer than `cancellationSeconds` after the cancellation
- * of its job was confirmed to the user.
+ * Exchanges job cancellations and cancellation coverage between controllers. Coverage states up to which time
+ * all cancellations have been turned into stop commands. A worker's lease is renewed only as far as the
+ * coverage allows, so no task runs for longer than `cancellationSeconds` after the cancellation of its job
+ * was confirmed to the user.
  */
 
 import type { CancellationCoverage } from '../model/cancellation-coverage.js';
@@ -67,8 +68,9 @@
   }
 
   /**
-   * Announces a cancellation that is about to be confirmed to a user. The current leader and any later one
-   * can then stop the job's tasks at once, before the shard owner has read the cancellation from the store.
+   * Announces a cancellation that is about to be confirmed to a user, unless it was known before. The current
+   * leader and any later one can then stop the job's tasks at once, before the shard owner has read the
+   * cancellation from the store.
    */
   announce(jobId: string): void {
     if (!this.log.recordOwn(jobId)) return;
@@ -139,7 +141,8 @@
 
   /**
    * Converts the leader's coverage to a peer's own clock, as the newest timestamp that had been received from
-   * the peer by `completeUntil`. Returns null if there is no such timestamp.
+   * the peer by `completeUntil`. Returns null if there is no such timestamp, if no message of the peer has
+   * been received, or if `coverage` is null.
    */
   coverageForPeer(nodeName: string, coverage: LeaderCoverage | null): PeerHeartbeat['coverage'] {
     const peer = this.options.peerRegistry.get(nodeName);
@@ -156,6 +159,10 @@
     return peer && timestamp !== null ? { instanceId: peer.instanceId, timestamp } : null;
   }
 
+  /**
+   * Retains a coverage unless the retained one reaches further; one that reaches equally far replaces it,
+   * because its pending machines are more recent.
+   */
   private retainIfNewer(coverage: CancellationCoverage): void {
     if (!this.retainedCoverage || coverage.completeUntil >= this.retainedCoverage.completeUntil)
       this.retainedCoverage = coverage;
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -33,7 +33,8 @@
 export class CancellationLog {
   private ownAnnouncements = 0;
   private readonly cancelledJobs = new Set<string>();
-  private readonly peers = new Map<string, PeerProgress>();
+  /** By node name of the peer. */
+  private readonly progressByNode = new Map<string, PeerProgress>();
 
   constructor(private readonly peerNames: readonly string[]) {}
 
@@ -66,7 +67,7 @@
   ): void {
     const { cancellationNumber } = announcement;
     this.addJob(announcement.jobId);
-    const peer = this.peers.get(process.nodeName);
+    const peer = this.progressByNode.get(process.nodeName);
     // A missed cancellation stays unknown here until its shard owner has read it from the store.
     if (peer?.instanceId === process.instanceId && cancellationNumber === peer.receivedCount + 1)
       peer.receivedCount = cancellationNumber;
@@ -75,7 +76,8 @@
 
   /**
    * Applies a peer's heartbeat: how many cancellations the peer has announced, and the newest timestamp that
-   * it had received from this process by then (null if none).
+   * it had received from this process by then (null if none). If announcements have been missed, or the
+   * peer's process is new, its tracking is restarted.
    */
   recordHeartbeat(
     process: PeerProcess,
@@ -83,7 +85,7 @@
     now: number,
   ): void {
     const { announced, latestTimestamp } = heartbeat;
-    const peer = this.peers.get(process.nodeName);
+    const peer = this.progressByNode.get(process.nodeName);
     if (peer?.instanceId !== process.instanceId || peer.receivedCount !== announced)
       this.resetPeer(process, announced, now);
     else if (latestTimestamp !== null)
@@ -98,7 +100,7 @@
     let since = Number.NEGATIVE_INFINITY;
     let until = now;
     for (const nodeName of this.peerNames) {
-      const peer = this.peers.get(nodeName);
+      const peer = this.progressByNode.get(nodeName);
       if (!peer) return { since: now, until: Number.NEGATIVE_INFINITY };
       since = Math.max(since, peer.completeSinceMs);
       until = Math.min(until, peer.completeUntilMs);
@@ -108,7 +110,7 @@
 
   /** Restarts the tracking of a peer, whose earlier announcements may have been missed. */
   private resetPeer({ nodeName, instanceId }: PeerProcess, receivedCount: number, now: number): void {
-    this.peers.set(nodeName, {
+    this.progressByNode.set(nodeName, {
       instanceId,
       completeSinceMs: now,
       receivedCount,
--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -1,4 +1,10 @@
-/** Creates the components of a controller and connects them to each other. */
+/**
+ * Creates the components of a controller and connects them to each other.
+ *
+ * Every controller has a shard owner, which manages the jobs of the teams whose shards it owns (a shard is
+ * all jobs of one team), and serves users and workers. The controller that leads also has a scheduler, which
+ * grants capacity to the shard owners of all controllers.
+ */
 
 import { JobApi } from '../api/job-api.js';
 import { cancellationReadIntervalMs } from '../model/cancellation-coverage.js';
@@ -28,14 +34,21 @@
 import { SystemRecords } from './system-records.js';
 import { WorkerHeartbeatHandler } from './worker-heartbeat-handler.js';
 
-/** Maximum time that a watch of the open jobs waits for a change. */
+/** Maximum time that one watch request for the open jobs (a long poll) waits for a change. */
 const OPEN_JOBS_WATCH_WAIT_MS = 10000;
-/** Minimum interval between watches of the open jobs, which change several times a second. */
+/** Minimum time between two watch requests for the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
-/** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+/**
+ * Added to the checkpoint save time of an evicted task to obtain its grace period. A task that saves no
+ * checkpoints gets no grace period.
+ */
 const EVICTION_GRACE_MARGIN_SECONDS = 1;
 
-/** Policy input of an idle cluster, used to read `maxTasksPerRequest`, which does not depend on load. */
+/**
+ * Policy input with which `maxTasksPerRequest` is evaluated: an idle cluster, with times that are examples
+ * and not those of the settings. It is evaluated only once, at startup, so an expression that depends on the
+ * cluster's state always has its value for this input.
+ */
 const IDLE_CLUSTER: PolicyInput = {
   serviceReplicas: 0,
   serviceCpus: 0,
@@ -53,28 +66,35 @@
 
 /**
  * The components of one controller. Each mutable field belongs to one component, and only that component
- * changes it. Components are created after those they depend on; a component that is created later, or that
- * may call back, is passed as a function.
+ * changes it. A component gets those created before it as objects; it reaches the ones created after it
+ * through functions, which are called only once all components exist.
  */
 export class ControllerComponents {
   /** Serves users' requests. */
   readonly api: JobApi;
   readonly queue: EventQueue;
   readonly storeContact: StoreContact;
+  /** Records about the cluster that all controllers share: leader, nodes, shard owners and machine types. */
   readonly records: SystemRecords;
+  /** Cache of the records under `open/`: accepted jobs and their counters of finished tasks. */
   readonly openJobs: WatchCache;
   readonly lease: NodeLease;
   readonly leadership: Leadership;
   readonly election: LeaderElection;
+  /** What is known about the other controllers from their messages. */
   readonly peerRegistry = new PeerRegistry();
+  /** Sends messages to the other controllers. */
   readonly messenger: PeerMessenger;
   readonly cancellationCoordinator: CancellationCoordinator;
   readonly imageReplication: ImageReplication;
   readonly assignment: ShardAssignment;
   readonly machineTypes: MachineTypeCatalog;
   readonly shardOwner: ShardOwner;
+  /** Responds to the heartbeats of workers. */
   readonly workerHeartbeatHandler: WorkerHeartbeatHandler;
+  /** Sends heartbeats to the other controllers. */
   readonly peerHeartbeatSender: PeerHeartbeatSender;
+  /** Handles the messages of the other controllers. */
   readonly peerMessageHandler: PeerMessageHandler;
   private readonly teams: Map<string, Team>;
   private readonly store: KeyValueStore;
@@ -133,8 +153,8 @@
   }
 
   /**
-   * Creates the copy of the open jobs. It is watched while this controller owns a shard; otherwise the API
-   * refreshes it on request.
+   * Creates the cache of the open jobs. It watches for changes while this controller owns a shard; otherwise
+   * only reads refresh it: those for users' requests, and a periodic one.
    */
   private createOpenJobs(): WatchCache {
     return new WatchCache({
@@ -145,6 +165,8 @@
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
       isWatchEnabled: false,
       onChange: (key, value, modRevision) => {
+        // Deletions need no handling: the records of an open job are deleted only by its shard owner, when it
+        // archives the job.
         if (value !== undefined) this.shardOwner.onOpenJobChanged({ key, value, modRevision });
       },
     });
@@ -189,6 +211,7 @@
       cloudCallsPerSecond: options.cloudCallsPerSecond,
       imageLocations: this.imageReplication.locations,
       objectives: options.objectives,
+      // Fencing tokens start at 1, so this token is that of the first leader that the cluster has ever had.
       isFirstLeader: fencingToken === 1,
       clock,
       log: options.log,
@@ -295,6 +318,8 @@
       openJobItems: () => openJobs.items,
       openJobsFreshAsOf: () => openJobs.freshAsOf,
       refreshOpenJobs: () => {
+        // Cancellations are stored in the records of the open jobs, so the age of the last read limits how
+        // recent the cancellation coverage can be.
         if (clock.now() - openJobs.freshAsOf >= cancellationReadIntervalMs(workerTiming))
           openJobs.requestRead();
       },
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -22,12 +22,12 @@
 
 const TICK_INTERVAL_MS = 500;
 /**
- * Users that cannot be served here are directed to another controller if this one's last store contact lags
- * behind a peer's by more than this.
+ * Users that cannot be served here are directed to another controller if this one's last store contact is
+ * older than a peer's by more than this.
  */
 const USER_REDIRECT_LAG_MS = 700;
 /**
- * A controller is not ready if its last store contact lags behind a peer's by more than this share of its
+ * A controller is not ready if its last store contact is older than a peer's by more than this share of its
  * lease's time to live.
  */
 const READINESS_LAG_SHARE = 0.6;
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Returns whether the stored records have been read and this controller does not lag behind its peers in
-   * contact with the store.
+   * Returns whether the shared records and the open jobs have been read and this controller does not lag
+   * behind its peers in contact with the store.
    */
   isReady(): boolean {
     if (!this.components.records.isReady || !this.components.openJobs.isReady) return false;
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Returns whether users that cannot be served here should ask another controller. The lag that this takes
-   * is shorter than the one that makes this controller unready.
+   * Returns whether users that cannot be served here should ask another controller: this one is not ready, or
+   * it lags behind a peer in contact with the store. The lag that this takes is shorter than the one that
+   * makes this controller unready.
    */
   shouldRedirectUsers(): boolean {
     return !this.isReady() || this.lagsBehindPeers(USER_REDIRECT_LAG_MS);
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -10,15 +10,19 @@
 import type { NodeLease } from './node-lease.js';
 import type { SystemRecords } from './system-records.js';
 
-/** Minimum interval between two campaigns of one controller, and the maximum random time added to it. */
+/** Minimum interval between two campaigns of one controller. */
 const MIN_CAMPAIGN_INTERVAL_MS = 300;
+/** Maximum random time that is added to the interval between campaigns. */
 const CAMPAIGN_JITTER_MS = 300;
 /**
- * Once the leader record is deleted, each controller waits for a random time below the first value before it
- * campaigns, and checks after the second whether to campaign.
+ * Once the leader record is deleted, each controller waits for a random time below this before it campaigns.
  */
 const FIRST_CAMPAIGN_JITTER_MS = 100;
-const FIRST_CAMPAIGN_DEADLINE_MS = 110;
+/**
+ * Time after the deletion of the leader record at which each controller checks whether to campaign; more than
+ * the random wait.
+ */
+const FIRST_CAMPAIGN_CHECK_DELAY_MS = 110;
 /** How long a controller that has resigned does not campaign, so that another one is elected. */
 const RESIGNATION_PAUSE_MS = 20000;
 /** Minimum interval between raises of the fencing token: each makes all shard owners resend a full sync. */
@@ -49,7 +53,10 @@
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
-  /** Campaigns if there is no leader and this controller is eligible. */
+  /**
+   * Campaigns if there is no leader, unless this controller holds no lease, has not read the shared records,
+   * or has campaigned or resigned too recently.
+   */
   campaignIfVacant(now: number): void {
     const { lease, records } = this.options;
     if (
@@ -74,7 +81,8 @@
     }
     const { record, modRevision } = current;
     if (record.instanceId === instanceId) {
-      // This controller was elected, but the response to its campaign was lost.
+      // Without effect if the term has started already. Otherwise this controller was elected, but the
+      // response to its campaign was lost or has not arrived yet.
       if (lease.isGranted)
         leadership.startTerm(record, modRevision, 'election confirmed by the leader record');
       return;
@@ -98,9 +106,10 @@
   }
 
   /**
-   * Deletes a leader record that still names this instance after it has resigned, because the first deletion
-   * was lost. While the record exists no leader can be elected, and it does not expire because this
-   * controller keeps renewing the lease that the record is attached to.
+   * Deletes a leader record that still names this instance after it has stepped down, because a deletion was
+   * lost or not sent. While the record exists no leader can be elected, and it does not expire because this
+   * controller keeps renewing the lease that the record is attached to. A record with a token above
+   * `latestTermToken` is not stale: it belongs to a term that has not started here yet.
    */
   deleteStaleRecord(now: number): void {
     const { records, leadership, instanceId } = this.options;
@@ -124,7 +133,8 @@
 
   /**
    * Has the current leader elected again under a higher fencing token, so that workers drop any command that
-   * is still in transit under the current one.
+   * is still in transit under the current one. Ignored if this controller no longer leads under
+   * `fencingToken`, while a campaign is in flight, and for a while after the last raise.
    */
   raiseFencingToken(fencingToken: number, reason: string): void {
     const { leadership, clock } = this.options;
@@ -139,7 +149,7 @@
     leadership.stepDown('leader record gone');
     // Randomized so that the controllers do not all campaign at the same time.
     this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_JITTER_MS;
-    clock.after(FIRST_CAMPAIGN_DEADLINE_MS, () =>
+    clock.after(FIRST_CAMPAIGN_CHECK_DELAY_MS, () =>
       queue.push({ type: 'callback', run: () => this.campaignIfVacant(clock.now()) }),
     );
   }
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -13,11 +13,15 @@
   createScheduler(fencingToken: number): Scheduler;
   /** Called when a leader becomes known whose fencing token is at least as high as any known before. */
   onLeaderKnown(fencingToken: number): void;
-  /** Called when a term of this controller has started and it is recorded as the known leader. */
+  /** Called when a term of this controller has started and the controller is recorded as the known leader. */
   onTermStarted(scheduler: Scheduler): void;
 }
 
-/** Starts and ends this controller's terms as leader; the election decides when. */
+/**
+ * Starts and ends this controller's terms as leader, which the election decides on. A term lasts from an
+ * election of this controller until it steps down or is elected again; each has its own fencing token and
+ * scheduler.
+ */
 export class Leadership {
   private currentScheduler: Scheduler | null = null;
   private knownLeader: LeaderRecord = { instanceId: '', nodeName: '', fencingToken: 0 };
@@ -44,7 +48,7 @@
     return this.lastTermToken;
   }
 
-  /** Start time of the latest term of this process. */
+  /** Start time of the latest term of this process; 0 if it has never led. */
   get latestTermStartedAt(): number {
     return this.startedAtMs;
   }
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -14,7 +14,10 @@
 const REFRESH_INTERVAL_MS = 30000;
 /** Interval between requests while no machine types are known, when nothing can be scheduled. */
 const FIRST_REFRESH_INTERVAL_MS = 1500;
-/** A controller that does not lead stops asking the cloud after this long without contact with the store. */
+/**
+ * A controller that neither leads nor knows any machine types stops asking the cloud after this long without
+ * contact with the store.
+ */
 const MAX_STORE_SILENCE_MS = 1e5;
 
 /** Dependencies of the machine type catalog. */
@@ -57,13 +60,19 @@
     });
   }
 
-  /** Requests the machine types regardless of the interval, so that a new leader stores them. */
+  /**
+   * Requests the machine types regardless of the interval, so that a new leader stores them. While a request
+   * is in flight no other is sent; its result serves the same purpose.
+   */
   refreshNow(): void {
     this.requestedAt = Number.NEGATIVE_INFINITY;
     this.refresh(this.options.clock.now());
   }
 
-  /** Adopts the stored machine types, unless this controller leads and asks the cloud itself. */
+  /**
+   * Adopts the stored machine types, unless there are none or this controller leads and asks the cloud
+   * itself.
+   */
   onRecordChanged(): void {
     if (this.options.leadership.scheduler) return;
     const stored = this.options.records.machineTypes();
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -16,6 +16,7 @@
   log: Logger;
   /** Returns whether the shared records have been read. */
   isReady(): boolean;
+  /** Called each time a lease has been granted and the node record has been written. */
   onJoined(): void;
   /**
    * Called when the store no longer knows the lease and has removed all records attached to it. A new lease
@@ -77,7 +78,10 @@
     this.join();
   }
 
-  /** Revokes the lease of this node's previous instance, once and no other lease, and acquires a new one. */
+  /**
+   * Acquires a lease. The first time, the lease of this node's previous process is revoked before that, if
+   * there was one; no other lease is ever revoked.
+   */
   private join(): void {
     const { nodeName, instanceId, store } = this.options;
     this.requestInFlight = true;
--- a/src/controller/peer-heartbeat-sender.ts
+++ b/src/controller/peer-heartbeat-sender.ts
@@ -26,6 +26,8 @@
 
   /**
    * Sends a heartbeat to each peer. `coverage` is the leader's coverage; null if this controller has none.
+   * The machines redirected since the last call are reported to the leader only, and to nobody if no leader
+   * is known.
    */
   send(now: number, coverage: LeaderCoverage | null): void {
     const { leadership, storeContact, cancellationCoordinator, workerHeartbeatHandler, messenger } =
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -26,7 +26,7 @@
 export class PeerMessageHandler {
   constructor(private readonly options: PeerMessageHandlerOptions) {}
 
-  /** Handles a message, unless a later one from the same peer has been handled before. */
+  /** Handles a message, unless a later message or a later process of the same peer has been heard before. */
   onMessage(message: PeerMessage): void {
     const { instanceId, leadership, cancellationCoordinator, imageReplication, shardOwner } = this.options;
     const { body } = message;
@@ -54,7 +54,8 @@
 
   /**
    * Handles a new connection to a peer. Messages in transit on an earlier connection may be lost, so the
-   * complete state is exchanged again.
+   * complete state is sent again: from this controller's shard owner to the peer if the peer leads; if this
+   * controller leads, from the peer's shard owner to this controller, and the image locations to the peer.
    */
   onConnected(nodeName: string): void {
     const { records, leadership, imageReplication, shardOwner } = this.options;
@@ -81,6 +82,11 @@
     peerRegistry.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
+  /**
+   * Steps down if the peer knows a leader with a higher fencing token. The token of this node itself does not
+   * count: the peer may have read the leader record of this controller's next term before this controller has
+   * the response to its own campaign.
+   */
   private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
     if (
--- a/src/controller/peer-messenger.ts
+++ b/src/controller/peer-messenger.ts
@@ -1,4 +1,7 @@
-/** Sends messages to peers, and between shard owners and the leader on any node. */
+/**
+ * Sends this controller's messages: to peers, and between its shard owner or scheduler and their counterparts
+ * on any controller, including this one.
+ */
 
 import type { PeerMessageBody, PeerTransport } from '../model/peer-message.js';
 import type { LeaderMessage, ShardOwnerMessage } from '../model/shard-messages.js';
@@ -15,16 +18,22 @@
   queue: EventQueue;
   records: SystemRecords;
   leadership: Leadership;
+  /** Passes a message to this controller's shard owner, which is created after the messenger. */
   deliverToShardOwner(message: LeaderMessage): void;
 }
 
-/** Sends this controller's messages, numbered so that peers can detect late and repeated ones. */
+/**
+ * Sends messages to peers, numbered so that they can detect late and repeated ones. Messages to this
+ * controller itself are queued as events without a number.
+ */
 export class PeerMessenger {
   private lastSequence = 0;
 
   constructor(private readonly options: PeerMessengerOptions) {}
 
-  /** Sends one message to a peer. It may be lost or delayed. */
+  /**
+   * Sends one message to a peer. It is dropped if the peer is not reachable now, and may be lost or delayed.
+   */
   send(nodeName: string, body: PeerMessageBody): void {
     this.options.transport.send(nodeName, {
       nodeName: this.options.nodeName,
@@ -39,7 +48,10 @@
     for (const nodeName of this.options.peerNames) this.send(nodeName, body);
   }
 
-  /** Sends a message from this controller's shard owner to the leader; dropped if no leader is known. */
+  /**
+   * Sends a message from this controller's shard owner to the leader. It is dropped if no leader is known, or
+   * if the recipient no longer leads when it arrives.
+   */
   sendToLeader(message: ShardOwnerMessage): void {
     const { instanceId, queue, leadership } = this.options;
     const { leader } = leadership;
@@ -50,8 +62,8 @@
   }
 
   /**
-   * Sends a message from this controller as the leader to a shard owner; dropped if the owner has no node
-   * record.
+   * Sends a message from this controller as the leader to the shard owner of an instance. It is dropped if no
+   * live node record names the instance.
    */
   sendToShardOwner(instanceId: string, message: LeaderMessage): void {
     const { queue, records, deliverToShardOwner } = this.options;
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -27,7 +27,9 @@
 /** A peer counts as recently heard for this long after its last message. */
 const RECENTLY_HEARD_MS = 3000;
 
-/** Keeps the state reported by the latest process of each peer, and rejects late and repeated messages. */
+/**
+ * Keeps the state reported by the latest process of each peer, and filters out late and repeated messages.
+ */
 export class PeerRegistry {
   private readonly peers = new Map<string, Peer>();
   private readonly supersededInstances = new Set<string>();
@@ -52,8 +54,8 @@
   }
 
   /**
-   * Records the receipt of a message. Returns null if the message must not be handled, because a later
-   * message or a later process of the peer has been heard before.
+   * Records the receipt of a message and returns its sender. Returns null and records nothing if the message
+   * must not be handled, because a later message or a later process of the peer has been heard before.
    */
   recordIfNew(message: PeerMessage, now: number): Peer | null {
     const known = this.peers.get(message.nodeName);
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -55,7 +55,10 @@
 
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Moves the shards that need another owner, if this controller leads. */
+  /**
+   * Assigns the shards whose owner is missing or not eligible, or else moves one shard if rebalancing is due.
+   * Does nothing unless this controller leads and is eligible as an owner itself.
+   */
   assign(now: number): void {
     const { leadership, records, lease, instanceId } = this.options;
     const { scheduler } = leadership;
@@ -77,6 +80,7 @@
     this.nextRebalanceAt = this.options.leadership.latestTermStartedAt + FIRST_REBALANCE_DELAY_MS;
   }
 
+  /** Returns the instances that are eligible as owners, each with a count of 0. */
   private eligibleOwners(scheduler: Scheduler, now: number): ShardCounts {
     const { instanceId: self, records, peerRegistry, leadership } = this.options;
     const counts: ShardCounts = new Map();
@@ -98,8 +102,9 @@
 
   /**
    * Returns whether a shard owner has reported no cancellation coverage for too long although the store
-   * responds. Such an owner may still be heard, but messages to it may not arrive. Its teams cannot start any
-   * task and eventually lose their workers' leases, so its shards are moved to other controllers.
+   * responds and this controller has led for long enough; it then counts as unreachable for a while. Such an
+   * owner may still be heard, but messages to it may not arrive. The tasks of its teams are not started and
+   * eventually lose their workers' leases, so its shards are moved to other controllers.
    */
   private isUnreachable(scheduler: Scheduler, instanceId: string, now: number): boolean {
     const { records, leadership, storeContact, teams, log } = this.options;
@@ -160,6 +165,10 @@
     return least;
   }
 
+  /**
+   * Writes the new owners, at most as many as one transaction may contain. Their present owners are suspended
+   * before; if the write fails, full syncs of all owners are requested, which end the suspension.
+   */
   private writeOwners(
     scheduler: Scheduler,
     owners: Map<string, ShardOwnership>,
--- a/src/controller/system-records.ts
+++ b/src/controller/system-records.ts
@@ -23,7 +23,7 @@
 } from '../store/record-codec.js';
 import { WatchCache } from '../store/watch-cache.js';
 
-/** Maximum time that a watch waits for a change. */
+/** Maximum time that one watch request (a long poll) waits for a change. */
 const WATCH_WAIT_MS = 10000;
 
 /** The controller that owns a shard. `shardEpoch` is the revision of the owner record that names it. */
@@ -41,8 +41,8 @@
 }
 
 /**
- * A watched copy of the shared records. It may lag behind the store, so every write that is based on it has
- * revisions as preconditions.
+ * A cache of the shared records, kept current by watches. It may lag behind the store, so every write that is
+ * based on it has revisions as preconditions.
  */
 export class SystemRecords {
   private readonly cache: WatchCache;
@@ -117,7 +117,10 @@
     return owners;
   }
 
-  /** Returns the node names of the live controllers, by instance. */
+  /**
+   * Returns the node names of the live controllers by instance: those whose node record exists. The record of
+   * a failed controller exists until its lease ends.
+   */
   liveInstances(): Map<string, string> {
     const nodeNames = new Map<string, string>();
     for (const [key, item] of this.cache.items) {
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -62,8 +62,8 @@
 /**
  * States that for every cancellation stored before `completeUntil` (on the clock of the process that holds
  * this object), the job's tasks have ended or are being stopped on one of `pendingMachines` (null: on any
- * machine). The leader computes it and sends it to the other controllers. It remains true after a change of
- * leader.
+ * machine). The leader computes it from the watermarks of all teams and sends it to the other controllers. It
+ * remains true after a change of leader.
  */
 export interface CancellationCoverage {
   completeUntil: number;
--- a/src/model/cloud-provider.ts
+++ b/src/model/cloud-provider.ts
@@ -21,12 +21,14 @@
  * been executed.
  */
 export interface CloudProvider {
+  /** Reads the machine types that can be rented. */
   listMachineTypes(callback: ResultCallback<MachineType[]>): void;
   /**
    * Rents machines. The result names them; there may be fewer than requested. Fails as `notFound` if none are
    * available.
    */
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void;
+  /** Deletes machines by name. */
   deleteMachines(names: string[], callback: ResultCallback<null>): void;
   /** Reads one page of the list: the machines whose names sort after `afterName`. */
   listMachines(
--- a/src/model/controller-service.ts
+++ b/src/model/controller-service.ts
@@ -12,11 +12,11 @@
  * Handles users' requests about jobs. Failures are responses as well: `unavailable` asks the user to retry.
  */
 export interface JobService {
-  /** Accepts or rejects a job. If the job is already known, the response has its state. */
+  /** Accepts or rejects a job. If the job was accepted before, the response has its state. */
   submitJob(spec: JobSpec, callback: ApiResponseCallback): void;
   /** Gets the state of a job. */
   getJob(id: string, callback: ApiResponseCallback): void;
-  /** Cancels a job unless it is done. */
+  /** Cancels a job unless it is done or cancelled already, and responds with its state. */
   cancelJob(id: string, callback: ApiResponseCallback): void;
 }
 
@@ -27,6 +27,6 @@
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult;
   /** Returns whether this controller can serve users' requests, for health checks. */
   isReady(): boolean;
-  /** Returns whether another controller can serve the users that this one can't serve. */
+  /** Returns whether users that cannot be served here should ask another controller. */
   shouldRedirectUsers(): boolean;
 }
--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -44,8 +44,8 @@
 }
 
 /**
- * The inputs that have not been started, in release order: returned inputs first, then the ones after a
- * cursor. The cursor never runs further than `window` ahead of the first input that is not counted.
+ * The inputs that have not been started, in release order: those that were put back first, then the ones
+ * after a cursor. The cursor never runs further than `window` ahead of the first input that is not counted.
  */
 export class FanOut {
   private next = 0;
@@ -81,7 +81,10 @@
     return -1;
   }
 
-  /** Returns the inputs that may be taken now, in the order in which `takeNext` would return them. */
+  /**
+   * Returns the inputs that may be taken now, without taking them, in the order in which `takeNext` would
+   * return them.
+   */
   listAvailable(isTaken: (input: number) => boolean): number[] {
     const available = this.returnedInOrder.filter((input) => !isTaken(input));
     for (let input = this.next; input < this.size && input - this.firstUncounted < this.window; input++)
@@ -89,7 +92,10 @@
     return available;
   }
 
-  /** Returns an input that lost its slot, so that it is taken before the inputs after the cursor. */
+  /**
+   * Puts back an input that was taken and has lost its slot, so that it is taken again before the inputs
+   * after the cursor.
+   */
   putBack(input: number): void {
     if (input >= this.next || this.returned.has(input)) return;
     this.returned.add(input);
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -75,14 +75,18 @@
 /** One of the values of `URGENCY`. */
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
 
-/** Operations of the key-value store. Each calls back exactly once. */
+/**
+ * Operations of the key-value store. Each calls back exactly once. Preconditions that do not hold fail as
+ * `conflict`; see `Failure` in result.ts for the other failures.
+ */
 export interface KeyValueStore {
   /** Reads a key; the result is null if the key does not exist. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void;
+  /** Reads one page of a list of keys. */
   list(request: ListRequest, callback: ResultCallback<ListPage>): void;
   /**
-   * Executes a transaction; the result is its store revision. Fails as `conflict` with the keys whose
-   * preconditions did not hold.
+   * Executes a transaction; the result is its store revision, which becomes the `modRevision` of the keys
+   * that it wrote. Fails as `conflict` with the keys whose preconditions did not hold.
    */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void;
   /** Grants a lease; the result is its id. */
@@ -92,8 +96,9 @@
   /** Ends a lease and deletes its keys. Fails as `notFound` if it had already ended. */
   revokeLease(leaseId: number, callback: ResultCallback<null>): void;
   /**
-   * Waits for changes. Fails as `notFound` if the store no longer keeps all changes since that revision; the
-   * keys must then be listed again.
+   * Requests the changes since a revision: a long poll, which responds once there is a change or after
+   * `waitMs`. The caller repeats it to keep watching. Fails as `notFound` if the store no longer keeps all
+   * changes since that revision; the keys must then be listed again.
    */
   watch(request: WatchRequest, callback: ResultCallback<WatchResponse>): void;
 }
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -11,7 +11,10 @@
   fencingToken: number;
   /** Milliseconds since the sender made the latest of its requests to which the store has responded. */
   storeContactAgeMs: number;
-  /** To the leader: machines whose heartbeats the sender has redirected since its last peer heartbeat. */
+  /**
+   * To the leader: machines whose heartbeats the sender has redirected since its last peer heartbeat; empty
+   * to any other peer.
+   */
   redirectedMachines: string[];
   /** The time of sending on the sender's clock. */
   timestamp: number;
@@ -20,8 +23,10 @@
   /** Number of cancellations that the sender has announced. */
   cancellationsAnnounced: number;
   /**
-   * From the leader: its cancellation coverage. It is expressed as the newest timestamp of the recipient's
-   * instance within it; see `CancellationCoverage` in cancellation-coverage.ts.
+   * From the leader: its cancellation coverage; null from other controllers, and while there is none. It is
+   * expressed as the newest timestamp of the recipient's instance within it; see `CancellationCoverage` in
+   * cancellation-coverage.ts. `pendingMachines` is null if there are too many to list, which stands for any
+   * machine.
    */
   coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
 }
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -1,47 +1,89 @@
 /**
- * The operators' policy, set by expressions. `src/config/policy.ts` reads them and maps the operators' names.
+ * The operators' policy: parameters that are set by expressions over values of the cluster.
+ * `src/config/policy.ts` reads and compiles the expressions, and maps the operators' names to the fields
+ * here.
  */
 
-/** The cluster values that policy expressions can refer to. */
+/**
+ * The values that policy expressions can refer to; all are numbers. Those that describe the cluster are what
+ * the leader knows at the time of evaluation.
+ */
 export interface PolicyInput {
-  /** Number of service replicas. */
+  /** Number of service replicas that hold capacity on a machine. */
   serviceReplicas: number;
+  /** CPUs that these replicas hold. */
   serviceCpus: number;
+  /**
+   * Number of tasks in the current resource requests of all shard owners. Except for gangs, a request covers
+   * at most `maxTasksPerRequest` tasks of its job, and never more than the team's quota leaves room for, so a
+   * long queue counts only in part.
+   */
   queuedTasks: number;
+  /** CPUs that these tasks need. */
   queuedCpus: number;
+  /** Number of tasks of array and gang jobs that hold capacity on a machine. */
   runningBatchTasks: number;
+  /** Number of machines that the leader knows of, including those that boot or are being deleted. */
   machines: number;
   heartbeatIntervalSeconds: number;
   leaseSeconds: number;
+  /**
+   * Boot time of the machine type that boots fastest; in the evaluation of `maxIdleSeconds`, that of the
+   * machine's own type.
+   */
   bootSeconds: number;
 }
 
 /** The results of the policy expressions. */
 export interface Policy {
-  /** Number of service replicas, beyond the running ones, for which free capacity is kept. */
+  /** Number of service replicas, beyond those that hold capacity, for which free capacity is kept. */
   reserveReplicas: number;
-  /** Free capacity kept for job classes with an objective on waiting time, in multiples of their mean job. */
+  /**
+   * Free capacity kept from lower-priority work for array job classes with an objective on waiting time, in
+   * multiples of the mean number of tasks of a class's jobs.
+   */
   reserveBatchJobs: number;
-  /** Seconds that a machine may be idle before it is returned. */
+  /**
+   * Seconds that a machine may be idle before it is deleted, unless queued work or the reserve needs it. Half
+   * of that applies to a surplus machine: one that is not a spot machine and not set aside for the reserve,
+   * while capacity has not been short recently.
+   */
   maxIdleSeconds: number;
   /** Seconds over which the boot and image fetch times of a rented machine are amortized. */
   amortizationSeconds: number;
   /** The same for machines rented for services, whose replicas stay longer. */
   serviceAmortizationSeconds: number;
-  /** Multiple of the machine type's boot time after which a machine that is still not up is deleted. */
+  /**
+   * Multiple of the machine type's boot time after which a machine that is still not up is deleted, unless
+   * tasks are placed on it or it was heard recently.
+   */
   maxBootTimeFactor: number;
-  /** Seconds without a heartbeat after which a machine is deleted to finalize its tasks. */
+  /**
+   * Seconds without a heartbeat after which a machine that does not answer direct commands either may be
+   * deleted, which finalizes its tasks. A machine that seems not to receive the responses to its heartbeats
+   * counts as unresponsive, too. The failure detector (src/scheduler/failure-detector.ts) keeps the machine
+   * nevertheless while this controller or the network seems to be at fault, or while its replicas would find
+   * no capacity elsewhere.
+   */
   unresponsiveSeconds: number;
   /**
-   * Share of the machines that may become unresponsive at once before the controller suspects a fault of its
-   * own.
+   * Share of the machines that may be unresponsive at once before the controller suspects a fault of its own.
+   * It does so only if the unresponsive machines also outnumber the others and a small fixed number, and
+   * peers cannot confirm that the machines are at fault.
    */
   maxUnresponsiveShare: number;
-  /** Maximum number of tasks of one job per resource request. */
+  /**
+   * Maximum number of tasks of one job per resource request; a gang requests all its tasks at once. Evaluated
+   * only once, at startup.
+   */
   maxTasksPerRequest: number;
-  /** Seconds between two rebalances of the teams' shards among the controllers. */
+  /** Minimum time between two rebalances of the teams' shards among the controllers, in seconds. */
   rebalanceIntervalSeconds: number;
-  /** Seconds that work may wait for capacity held by running tasks before machines are rented for it. */
+  /**
+   * Lower bound of the seconds that a request may wait for capacity held by running tasks before machines are
+   * rented for it. A request may wait longer if its objective allows it. A fixed maximum applies to both.
+   * Only array jobs that may use spot machines wait; machines for other work are rented without this wait.
+   */
   rentalWaitFloorSeconds: number;
 }
 
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -1,4 +1,8 @@
-/** Messages between the shard owners and the leader. */
+/**
+ * Messages between the shard owners and the leader. The shard owner of a controller manages the jobs of the
+ * teams whose shards the controller owns; the leader's scheduler grants it capacity. The types are named by
+ * the sender; the peer messages that carry them (peer-message.ts) are named by the recipient.
+ */
 
 import type { TaskAttempt } from './job.js';
 import type { AllocationEvent, Grant, PlacementSpec, ResourceRequest } from './placement.js';
@@ -44,8 +48,9 @@
       grants: number[];
     }
   /**
-   * All cancellations stored before the leader's timestamp have been turned into stops, which the leader gets
-   * with that full sync and the `placementMessages` messages of type `placements` sent since.
+   * All cancellations of the teams in `shardEpochs` that were stored before the leader's timestamp have been
+   * turned into stops, which the leader gets with that full sync and the `placementMessages` messages of type
+   * `placements` sent since.
    */
   | {
       type: 'cancellationCoverage';
@@ -70,6 +75,7 @@
   | { type: 'grants'; fencingToken: number; grants: Grant[] }
   /** A time on the leader's clock, which the shard owner returns in a `cancellationCoverage`. */
   | { type: 'timestamp'; fencingToken: number; leaderTimestamp: number }
+  /** What has happened to placements of the recipient. */
   | { type: 'allocationEvents'; fencingToken: number; events: AllocationEvent[] }
   /** Tasks to stop, because the leader needs their resources or drains their machine. */
   | { type: 'evict'; fencingToken: number; tasks: TaskAttempt[]; reason: string };
--- a/src/model/task-assignment.ts
+++ b/src/model/task-assignment.ts
@@ -1,9 +1,13 @@
-/** Assigns the tasks of a gang to slots on machines that may refuse some of the tasks. */
+/**
+ * Assigns the tasks of a gang to slots. A slot is room for one task on a machine; a machine refuses a task of
+ * which it still lists an exited attempt.
+ */
 
 /**
- * Assigns tasks to slots so that no slot gets a task that it refuses: a maximum bipartite matching by
- * augmenting paths. `refusedTasks` lists the tasks that each slot refuses. Slots with the most refusals are
- * assigned first, so augmenting paths are rarely longer than one step.
+ * Assigns tasks to slots so that no slot gets a task that it refuses, and as many slots as possible get one:
+ * a maximum bipartite matching by augmenting paths. `refusedTasksBySlot` has one entry per slot: the tasks
+ * that its machine refuses; undefined: none. Slots with the most refusals are assigned first, so augmenting
+ * paths are rarely longer than one step.
  */
 export function assignTasks(
   tasks: readonly number[],
@@ -18,7 +22,7 @@
 
 /** The result of `assignTasks`. */
 export interface TaskAssignment {
-  /** The task of each slot; undefined: no acceptable task was left. */
+  /** The task of each slot, by slot index; undefined: no acceptable task was left. */
   taskBySlot: readonly (number | undefined)[];
   /** Indices of the slots without a task. */
   unassignedSlots: readonly number[];
@@ -27,7 +31,10 @@
 class Matching {
   readonly taskOf: (number | undefined)[];
   private readonly slotOf = new Map<number, number>();
-  /** All tasks before this index are matched. A matched task may move to another slot but stays matched. */
+  /**
+   * All entries of `tasks` before this index are matched. A matched task may move to another slot but stays
+   * matched.
+   */
   private firstUnmatched = 0;
 
   constructor(
@@ -37,6 +44,7 @@
     this.taskOf = refusedTasksBySlot.map(() => undefined);
   }
 
+  /** Matches a slot with a task; returns false if that is not possible. */
   assign(slot: number): boolean {
     const unmatchedTask = this.findUnmatchedTask(slot);
     if (unmatchedTask === undefined) return this.augment(slot);
@@ -44,6 +52,7 @@
     return true;
   }
 
+  /** Returns an unmatched task that the slot accepts; undefined if there is none. */
   private findUnmatchedTask(slot: number): number | undefined {
     for (let index = this.firstUnmatched; index < this.tasks.length; index++) {
       const task = this.tasks[index];
@@ -56,8 +65,9 @@
   }
 
   /**
-   * Searches breadth-first for an augmenting path: a slot gives up its task if it can take an unmatched one
-   * instead.
+   * Searches breadth-first for an augmenting path and applies it: the slot takes the task of another slot,
+   * which in turn takes an unmatched task or the task of yet another slot, and so on. Returns false if there
+   * is none.
    */
   private augment(startSlot: number): boolean {
     const reachedFrom = new Map<number, number>();
@@ -86,7 +96,8 @@
 
   /**
    * Applies an augmenting path backwards from its last slot: that slot takes the unmatched task, and each
-   * slot before it takes the task that the next slot gives up.
+   * slot before it takes the task that the next slot has given up. `reachedFrom` maps each slot of the path
+   * to the one before it.
    */
   private applyPath(lastSlot: number, unmatchedTask: number, reachedFrom: ReadonlyMap<number, number>): void {
     let slot: number | undefined = lastSlot;
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -53,7 +53,10 @@
     this.readWhenDue();
   }
 
-  /** Schedules a read without a caller, unless a read is in flight or scheduled. */
+  /**
+   * Schedules a read without a caller, unless one is in flight or scheduled. Dropped while the copy is being
+   * listed.
+   */
   request(): void {
     if (this.waiting.length > 0 || this.isReading) return;
     this.waiting.push(() => {});
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -19,11 +19,11 @@
   prefix: string;
   store: KeyValueStore;
   clock: Clock;
-  /** Maximum time that a watch waits for a change. */
+  /** Maximum time that one watch request (a long poll) waits for a change. */
   watchWaitMs: number;
   /**
-   * Minimum time between two watches, so that not every change under a busy prefix costs a request of its
-   * own.
+   * Minimum time between two watch requests, so that not every change under a busy prefix costs a request of
+   * its own.
    */
   minWatchIntervalMs: number;
   /**
@@ -35,8 +35,9 @@
 }
 
 /**
- * A cache of all keys under a prefix. While watching is enabled, the copy may lag by the duration of one
- * watch; `linearizableRead` brings it up to the state at the time of the call.
+ * A cache of all keys under a prefix: a local copy ({@link PrefixCopy}), and the requests that fill it and
+ * keep it up to date. While watching is enabled, the copy may lag by the duration of one watch;
+ * `linearizableRead` brings it up to the state at the time of the call.
  */
 export class WatchCache {
   private readonly copy: PrefixCopy;
@@ -74,7 +75,10 @@
     return this.reads.isFailing;
   }
 
-  /** Fills the copy and keeps it up to date from then on. */
+  /**
+   * Starts to fill the copy. Once filled, it is kept up to date by watches while they are enabled, and by a
+   * periodic read otherwise.
+   */
   start(): void {
     this.listing.start();
     this.readWhileIdle();
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -1,15 +1,23 @@
-/** The cloud's protocol: machine types, rentals, deletions and machine lists. */
+/**
+ * The cloud's protocol: machine types, rentals, deletions and machine lists. In the cloud's terms, a `bark`
+ * is a machine type, a `trunk` a machine, a `slope` a zone, and `windfall` means spot.
+ */
 
 import type { RentalRequest } from '../model/cloud-provider.js';
 import type { ListedMachine, MachineType } from '../model/machine-type.js';
 import { asFiniteNumber, asNonEmptyString, isJsonObject } from './json.js';
 
-/** Defaults for properties of a machine type that the cloud does not specify. */
+/** Image fetch rate of a machine type for which the cloud states none. */
 const DEFAULT_IMAGE_FETCH_GB_PER_SECOND = 0.1;
+/** Price of a machine type for which the cloud states none. */
 const DEFAULT_HOURLY_PRICE = 1;
+/** Boot time of a machine type for which the cloud states none. */
 const DEFAULT_BOOT_SECONDS = 30;
 
-/** Decodes the machine types in a response; types without a name, CPUs or memory are skipped. */
+/**
+ * Decodes the machine types in a response; types without a name, CPUs or memory are skipped. A malformed
+ * response yields an empty list, like one without any type: the caller then keeps the types that it knows.
+ */
 export function decodeMachineTypes(encoded: unknown): MachineType[] {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.barks)) return [];
   return encoded.barks.map(decodeMachineType).filter((machineType) => machineType !== null);
@@ -43,8 +51,8 @@
 }
 
 /**
- * Decodes a page in a response, or returns null if it is malformed. Machines without a name or a known phase
- * are skipped.
+ * Decodes a page in a response, or returns null if it is malformed: unlike an empty list of types, an empty
+ * page would be taken for the end of the list. Machines without a name or a known phase are skipped.
  */
 export function decodeMachinePage(encoded: unknown): MachinePage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.trunks)) return null;
@@ -64,11 +72,15 @@
     zone: asNonEmptyString(encoded.slope) ?? '',
     isSpot: encoded.windfall === true,
     phase,
+    // A machine of unknown age counts as just rented, so that it gets its full boot time.
     ageSeconds: asFiniteNumber(encoded.age_s) ?? 0,
   };
 }
 
-/** Decodes the names of the rented machines, or returns null if the response is malformed. */
+/**
+ * Decodes the names of the rented machines, or returns null if the response is malformed. Entries that are
+ * not strings are skipped.
+ */
 export function decodeRentedMachines(encoded: unknown): string[] | null {
   return isJsonObject(encoded) && Array.isArray(encoded.trunks) ? stringsIn(encoded.trunks) : null;
 }
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -1,6 +1,7 @@
 /**
  * The protocol of the state service, which provides the key-value store: items, pages, transactions, leases
- * and watches.
+ * and watches. In the protocol's terms, a `ring` is a store revision, a `mark` the revision of one key, a
+ * `tenure` a lease id, and the `log` the changes reported by a watch.
  */
 
 import type {
--- a/src/wire/user-messages.ts
+++ b/src/wire/user-messages.ts
@@ -1,4 +1,8 @@
-/** The protocol for users: job submissions and job states. */
+/**
+ * The protocol for users: job submissions and job states. In the protocol's terms, a `sapling` is a task, a
+ * `grove` a job class, a `crew` a team, a `seed` a container image, a `bark` a machine type and a `slope` a
+ * zone; `windfall` means spot. `SUBMITTED_FIELDS` has the other names.
+ */
 
 import type { ApiResponse, JobState } from '../model/api-response.js';
 import type { JobKind, JobSpec, Priority } from '../model/job.js';
--- a/src/wire/worker-messages.ts
+++ b/src/wire/worker-messages.ts
@@ -1,4 +1,10 @@
-/** The protocol for workers: heartbeats, responses to them and direct commands. */
+/**
+ * The protocol for workers: heartbeats, responses to them and direct commands. In the protocol's terms, a
+ * `trunk` is a machine, a `bark` a machine type, a `slope` a zone, a `sapling` a task and a `sprout` an
+ * attempt; `season` is the worker epoch, `tally` the sequence number, `crook` the fencing token, `felling_s`
+ * the eviction notice, `blight` the exit reason, `pruning_s` the grace period, `keeper` the leader, and
+ * `windfall` means spot.
+ */
 
 import type { ExitReason, TaskPhase } from '../model/job.js';
 import type { CommandBatch } from '../model/worker-command-port.js';
@@ -32,7 +38,8 @@
 
 /**
  * Decodes a worker's heartbeat, or returns null if it is malformed. A task list with a malformed entry
- * invalidates the whole heartbeat, because a task missing from the list would be taken for gone.
+ * invalidates the whole heartbeat, because a task missing from the list would be taken for gone. A worker
+ * that has seen no fencing token may leave it out.
  */
 export function decodeHeartbeat(encoded: unknown): Heartbeat | null {
   if (!isJsonObject(encoded)) return null;
@@ -86,6 +93,7 @@
     taskIndex,
     attempt,
     phase,
+    // An unknown exit reason counts as an error.
     exitReason: phase === 'exited' ? (lookUp(EXIT_REASONS, encoded.blight) ?? 'error') : null,
     checkpointSaved: encoded.stored === true,
   };
