--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -29,6 +29,7 @@
   onCancelled(jobId: string): void;
 }
 
+/** The records of an open job, with their revisions. */
 interface OpenJob {
   job: JobRecord;
   jobRevision: number;
@@ -70,9 +71,9 @@
   constructor(private readonly options: JobApiOptions) {}
 
   /**
-   * Accepts a job once its record is stored. A repeated submission gets the state of the accepted job. A job
-   * that can never run is rejected, and a job is not accepted while the machine types are not known or the
-   * store does not respond.
+   * Accepts a job once its record is stored. A job that can never run is rejected, unless it was accepted
+   * before: a repeated submission gets the state of the accepted job. While the machine types are unknown or
+   * the store does not respond, the response is `unavailable`.
    */
   submitJob(spec: JobSpec, callback: ApiResponseCallback): void {
     const { teams, openJobs } = this.options;
@@ -150,7 +151,7 @@
 
   /**
    * Responds with the state of the job if it was accepted before, whatever the repeated submission contains,
-   * and with `fallback` if it was not.
+   * and with `fallback` if it was not. If that cannot be read from the store, the response is `unavailable`.
    */
   private respondWithExistingJobOr(
     jobId: string,
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -59,7 +59,10 @@
     return true;
   }
 
-  /** Records a cancellation announced by a peer. Each process numbers its announcements from 1. */
+  /**
+   * Records a cancellation announced by a peer. Each process numbers its announcements from 1. If one has
+   * been missed, the tracking of the peer is restarted.
+   */
   recordFromPeer(
     process: PeerProcess,
     announcement: { jobId: string; cancellationNumber: number },
--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -81,7 +81,7 @@
   readonly lease: NodeLease;
   readonly leadership: Leadership;
   readonly election: LeaderElection;
-  /** What is known about the other controllers from their messages. */
+  /** The latest state reported by each of the other controllers. */
   readonly peerRegistry = new PeerRegistry();
   /** Sends messages to the other controllers. */
   readonly messenger: PeerMessenger;
--- a/src/controller/controller-options.ts
+++ b/src/controller/controller-options.ts
@@ -20,12 +20,20 @@
   peerNames: string[];
   teams: Team[];
   workerTiming: WorkerTiming;
+  /**
+   * Limits of the store: the size of a value, the puts and deletes in one transaction, and those per second
+   * from all controllers together.
+   */
   storeLimits: { maxValueKb: number; maxTransactionOperations: number; writesPerSecond: number };
   /** Maximum lag of the cloud's machine list behind changes that the cloud has already confirmed. */
   machineListLagSeconds: number;
+  /** Calls per second that the cloud accepts. */
   cloudCallsPerSecond: number;
   objectives: ServiceLevelObjective[];
-  /** Time to live of the controller's lease, in ms; its absence can go unnoticed for this long. */
+  /**
+   * Time to live of the controller's lease, in ms. A controller that has failed counts as live until its
+   * lease ends.
+   */
   leaseTtlMs: number;
   policy: PolicyFn;
   clock: Clock;
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -26,7 +26,10 @@
       this.messenger.broadcast({ type: 'images', ...changes });
   }
 
-  /** Sends all known image locations to a peer, which may have missed any of them. */
+  /**
+   * Sends all known image locations to a peer, which may have missed any of them. To be called only on the
+   * leader.
+   */
   sendAll(nodeName: string): void {
     const allLocations = this.locations.all();
     for (let start = 0; start < allLocations.length; start += MAX_IMAGE_LOCATIONS_PER_MESSAGE)
--- a/src/controller/worker-heartbeat-handler.ts
+++ b/src/controller/worker-heartbeat-handler.ts
@@ -1,4 +1,7 @@
-/** Responses to workers' heartbeats: from the scheduler on the leader, a redirect to the leader elsewhere. */
+/**
+ * Responses to workers' heartbeats: from the scheduler on the leader, elsewhere a redirect to the leader or,
+ * on a controller that is isolated together with its workers, a lease renewal.
+ */
 
 import { allowsLeaseRenewal, renewalWindowMs } from '../model/cancellation-coverage.js';
 import type { Clock } from '../model/clock.js';
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -1,6 +1,11 @@
 /**
  * Tracks up to which time all stored cancellations have been turned into stop commands. Workers' leases are
  * renewed only up to that time. See docs/design.md.
+ *
+ * The leader keeps a watermark for each team, which the shard owner advances ({@link
+ * CancellationWatermarks}). The coverage of all teams ({@link CancellationCoverage}) is sent to the other
+ * controllers. Both can be extended by the period for which the cancellations announced between controllers
+ * are known completely (`CancellationLog` in src/controller/cancellation-log.ts).
  */
 
 import type { WorkerTiming } from './worker-timing.js';
@@ -46,7 +51,7 @@
     if (this.entries.length > MAX_TIMESTAMPS) this.entries.shift();
   }
 
-  /** Discards all timestamps; call it when the following ones come from a different process. */
+  /** Discards all timestamps. The caller must do this before it adds timestamps of a different process. */
   clear(): void {
     this.entries = [];
   }
@@ -117,8 +122,8 @@
   }
 
   /**
-   * Returns whether every `placements` message that the shard owner has sent since its last full sync was
-   * received.
+   * Returns whether the shard owner's last full sync that was applied has this number, and as many
+   * `placements` messages as stated have been received since: all that it has sent.
    */
   isComplete(instanceId: string, syncNumber: number, placementMessages: number): boolean {
     const sync = this.syncs.get(instanceId);
--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -15,6 +15,7 @@
     this.bits = new Uint8Array((inputCount + 7) >> 3);
   }
 
+  /** Returns whether an input has been counted. */
   has(input: number): boolean {
     return ((this.bits[input >> 3] ?? 0) & (1 << (input & 7))) !== 0;
   }
@@ -27,6 +28,7 @@
     return true;
   }
 
+  /** Whether all inputs have been counted. */
   get isComplete(): boolean {
     return this.count >= this.inputCount;
   }
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -67,8 +67,14 @@
 }
 
 /**
- * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that serve users
- * cost at most one write each, so they precede placements, whose transactions use up the write budget.
+ * Urgency of a request to the key-value store; a lower number is more urgent.
+ * - `lease`: leases, elections, owners of shards, and cancellations.
+ * - `user`: submissions, listings, watches, and the reads of a write fence and of a job that is to be
+ *   cancelled. They cost at most one write each, so they precede placements, whose transactions use up the
+ *   write budget.
+ * - `placement`: placements and counters of unfinished jobs, write fences, and machine types.
+ * - `read`: reads of the final state of a job for its user.
+ * - `archive`: final records of jobs.
  */
 export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, archive: 4 } as const;
 
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -40,9 +40,9 @@
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
   /** From the leader: newly learned image locations, and machines that were removed with their images. */
   | { type: 'images'; added: ImageLocation[]; removedMachines: string[] }
-  /** From a shard owner to the leader; ignored unless the recipient's instance still leads. */
+  /** From a shard owner to the leader's instance, `recipient`; ignored unless that instance still leads. */
   | { type: 'toLeader'; recipient: string; message: ShardOwnerMessage }
-  /** From the leader to the instance of a shard owner. */
+  /** From the leader to the shard owner of the instance `recipient`. */
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
 /**
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -75,7 +75,7 @@
   | { type: 'grants'; fencingToken: number; grants: Grant[] }
   /** A time on the leader's clock, which the shard owner returns in a `cancellationCoverage`. */
   | { type: 'timestamp'; fencingToken: number; leaderTimestamp: number }
-  /** What has happened to placements of the recipient. */
+  /** Changes to placements of the recipient that the leader has observed. */
   | { type: 'allocationEvents'; fencingToken: number; events: AllocationEvent[] }
   /** Tasks to stop, because the leader needs their resources or drains their machine. */
   | { type: 'evict'; fencingToken: number; tasks: TaskAttempt[]; reason: string };
