--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -54,8 +54,8 @@
   constructor(private readonly options: LeaderElectionOptions) {}
 
   /**
-   * Campaigns if there is no leader, unless this controller holds no lease, has not read the shared records,
-   * or has campaigned or resigned too recently.
+   * Campaigns if there is no leader. A controller does not campaign without a lease that may still be valid,
+   * before it has read the shared records, or too soon after its last campaign or its resignation.
    */
   campaignIfVacant(now: number): void {
     const { lease, records } = this.options;
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -35,7 +35,7 @@
     if (!peer) return;
     switch (body.type) {
       case 'heartbeat':
-        this.onHeartbeat({ message, heartbeat: body, peer, now });
+        this.onHeartbeat({ sender: message, heartbeat: body, peer, now });
         break;
       case 'images':
         imageReplication.apply(body.added, body.removedMachines);
@@ -68,24 +68,24 @@
   }
 
   private onHeartbeat(received: {
-    message: PeerMessage;
+    sender: PeerMessage;
     heartbeat: PeerHeartbeat;
     peer: Peer;
     now: number;
   }): void {
-    const { message, heartbeat, peer, now } = received;
+    const { sender, heartbeat, peer, now } = received;
     const { leadership, peerRegistry, cancellationCoordinator } = this.options;
     this.stepDownForNewerLeader(heartbeat);
     peer.timestamps.add(heartbeat.timestamp, now);
-    cancellationCoordinator.onPeerHeartbeat(message, heartbeat, now);
+    cancellationCoordinator.onPeerHeartbeat(sender, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
     peerRegistry.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
   /**
-   * Steps down if the peer knows a leader with a higher fencing token. The token of this node itself does not
-   * count: the peer may have read the leader record of this controller's next term before this controller has
-   * the response to its own campaign.
+   * Steps down if the peer knows a leader on another node with a higher fencing token. A higher token of this
+   * node is no reason: the peer may have read the leader record of this controller's next term before this
+   * controller has the response to its own campaign.
    */
   private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -57,7 +57,8 @@
 
   /**
    * Assigns the shards whose owner is missing or not eligible, or else moves one shard if rebalancing is due.
-   * Does nothing unless this controller leads and is eligible as an owner itself.
+   * Does nothing unless this controller leads, may still hold its lease and is eligible as an owner itself,
+   * and while an earlier assignment is being written.
    */
   assign(now: number): void {
     const { leadership, records, lease, instanceId } = this.options;
@@ -103,8 +104,8 @@
   /**
    * Returns whether a shard owner has reported no cancellation coverage for too long although the store
    * responds and this controller has led for long enough; it then counts as unreachable for a while. Such an
-   * owner may still be heard, but messages to it may not arrive. The tasks of its teams are not started and
-   * eventually lose their workers' leases, so its shards are moved to other controllers.
+   * owner may still be heard, but messages to it may not arrive. Its teams cannot start any task, and their
+   * workers' leases are eventually not renewed, so its shards are moved to other controllers.
    */
   private isUnreachable(scheduler: Scheduler, instanceId: string, now: number): boolean {
     const { records, leadership, storeContact, teams, log } = this.options;
