--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -19,7 +19,7 @@
 /** Dependencies and callbacks of the job API. */
 export interface JobApiOptions {
   store: KeyValueStore;
-  /** Local copy of the records under `open/`. */
+  /** Cache of the records under `open/`. */
   openJobs: WatchCache;
   teams: ReadonlyMap<string, Team>;
   /** Returns the machine types that the cloud offers; empty until they are known. */
@@ -29,6 +29,7 @@
   onCancelled(jobId: string): void;
 }
 
+/** The records of an open job, with their revisions. */
 interface OpenJob {
   job: JobRecord;
   jobRevision: number;
@@ -69,7 +70,11 @@
 
   constructor(private readonly options: JobApiOptions) {}
 
-  /** Accepts a job once its record is stored. A repeated submission gets the state of the accepted job. */
+  /**
+   * Accepts a job once its record is stored. A job that can never run is rejected, unless it was accepted
+   * before: a repeated submission gets the state of the accepted job. While the machine types are unknown or
+   * the store does not respond, the response is `unavailable`.
+   */
   submitJob(spec: JobSpec, callback: ApiResponseCallback): void {
     const { teams, openJobs } = this.options;
     const areMachineTypesKnown = this.options.machineTypes().length > 0;
@@ -83,6 +88,7 @@
       return;
     }
     if (openJobs.isFailing) {
+      // Probes the store, so that later submissions are accepted once it responds again.
       openJobs.requestRead();
       callback(STORE_UNREACHABLE);
       return;
@@ -100,7 +106,11 @@
     this.tryCancel(jobId, CANCEL_RETRIES, callback);
   }
 
-  /** Returns why the job can never run; null if its team's quota and an allowed machine type suffice. */
+  /**
+   * Returns why the job can never run: its team is unknown, the tasks that must run at the same time exceed
+   * the team's quota (one task of an array job, all tasks of any other job), or no machine type that the job
+   * allows has room for a task in a zone that it allows. Null: it can run.
+   */
   private rejectionReason(spec: JobSpec): string | null {
     const team = this.options.teams.get(spec.team);
     if (!team) return `unknown team ${spec.team}`;
@@ -141,7 +151,7 @@
 
   /**
    * Responds with the state of the job if it was accepted before, whatever the repeated submission contains,
-   * and with `fallback` if it was not.
+   * and with `fallback` if it was not. If that cannot be read from the store, the response is `unavailable`.
    */
   private respondWithExistingJobOr(
     jobId: string,
@@ -212,7 +222,7 @@
     });
   }
 
-  /** Looks up a job in the copy of the open jobs, just after a read; null if it is not there. */
+  /** Looks up a job in the cache of the open jobs, just after a read; null if it is not there. */
   private lookUpOpenJob(jobId: string): JobLookup | null {
     // A cancellation may have been confirmed while the read was in progress, which made the job final.
     const final = this.finalRecords.get(jobId);
@@ -269,6 +279,9 @@
     return { type: 'job', created: false, state, finishedTasks, runningTasks: running };
   }
 
+  /**
+   * Caches the final record of a job, announces it if it is cancelled, and returns the response to the user.
+   */
   private cacheFinalRecord(jobId: string, final: FinalRecord): ApiResponse {
     this.finalRecords.set(jobId, final);
     if (!final.isDone) this.options.onCancelled(jobId);
@@ -291,7 +304,10 @@
   );
 }
 
-/** Returns whether all tasks are finished. The bitmap decides; the count only avoids needless decoding. */
+/**
+ * Returns whether all tasks are finished, which never holds for a service. The bitmap decides; the count only
+ * avoids needless decoding.
+ */
 function isComplete(spec: JobSpec, counter: CounterRecord): boolean {
   if (spec.kind === 'service' || counter.finishedTasks < spec.taskCount) return false;
   const finished = new DependencyCounter(spec.taskCount);
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * Exchanges job cancellations and cancellation coverage between controllers. A worker's lease is renewed only
- * as far as the coverage allows, so no task runs for longer than `cancellationSeconds` after the cancellation
- * of its job was confirmed to the user.
+ * Exchanges job cancellations and cancellation coverage between controllers. Coverage states up to which time
+ * all cancellations have been turned into stop commands. A worker's lease is renewed only as far as the
+ * coverage allows, so no task runs for longer than `cancellationSeconds` after the cancellation of its job
+ * was confirmed to the user.
  */
 
 import type { CancellationCoverage } from '../model/cancellation-coverage.js';
@@ -30,7 +31,7 @@
   peerNames: readonly string[];
   records: SystemRecords;
   leadership: Leadership;
-  peers: PeerRegistry;
+  peerRegistry: PeerRegistry;
   messenger: PeerMessenger;
 }
 
@@ -67,8 +68,9 @@
   }
 
   /**
-   * Announces a cancellation that is about to be confirmed to a user. The current leader and any later one
-   * can then stop the job's tasks at once, before the shard owner has read the cancellation from the store.
+   * Announces a cancellation that is about to be confirmed to a user, unless it was known before. The current
+   * leader and any later one can then stop the job's tasks at once, before the shard owner has read the
+   * cancellation from the store.
    */
   announce(jobId: string): void {
     if (!this.log.recordOwn(jobId)) return;
@@ -139,10 +141,11 @@
 
   /**
    * Converts the leader's coverage to a peer's own clock, as the newest timestamp that had been received from
-   * the peer by `completeUntil`. Returns null if there is no such timestamp.
+   * the peer by `completeUntil`. Returns null if there is no such timestamp, if no message of the peer has
+   * been received, or if `coverage` is null.
    */
   coverageForPeer(nodeName: string, coverage: LeaderCoverage | null): PeerHeartbeat['coverage'] {
-    const peer = this.options.peers.get(nodeName);
+    const peer = this.options.peerRegistry.get(nodeName);
     if (!coverage || !peer) return null;
     const timestamp = peer.timestamps.latestReceivedBy(coverage.completeUntil);
     if (timestamp === null) return null;
@@ -151,11 +154,15 @@
 
   /** Returns the newest timestamp received from a peer, or null if there is none. */
   latestTimestampFrom(nodeName: string): PeerHeartbeat['latestTimestamp'] {
-    const peer = this.options.peers.get(nodeName);
+    const peer = this.options.peerRegistry.get(nodeName);
     const timestamp = peer?.timestamps.latestReceivedBy(Number.POSITIVE_INFINITY) ?? null;
     return peer && timestamp !== null ? { instanceId: peer.instanceId, timestamp } : null;
   }
 
+  /**
+   * Retains a coverage unless the retained one reaches further; one that reaches equally far replaces it,
+   * because its pending machines are more recent.
+   */
   private retainIfNewer(coverage: CancellationCoverage): void {
     if (!this.retainedCoverage || coverage.completeUntil >= this.retainedCoverage.completeUntil)
       this.retainedCoverage = coverage;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -22,12 +22,12 @@
 
 const TICK_INTERVAL_MS = 500;
 /**
- * Users that cannot be served here are directed to another controller if this one's last store contact lags
- * behind a peer's by more than this.
+ * Users that cannot be served here are directed to another controller if this one's last store contact is
+ * older than a peer's by more than this.
  */
 const USER_REDIRECT_LAG_MS = 700;
 /**
- * A controller is not ready if its last store contact lags behind a peer's by more than this share of its
+ * A controller is not ready if its last store contact is older than a peer's by more than this share of its
  * lease's time to live.
  */
 const READINESS_LAG_SHARE = 0.6;
@@ -69,12 +69,12 @@
 
   /** Handles a worker's heartbeat synchronously. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
-    return this.components.workerHeartbeats.handle(heartbeat);
+    return this.components.workerHeartbeatHandler.handle(heartbeat);
   }
 
   /**
-   * Returns whether the stored records have been read and this controller does not lag behind its peers in
-   * contact with the store.
+   * Returns whether the shared records and the open jobs have been read and this controller does not lag
+   * behind its peers in contact with the store.
    */
   isReady(): boolean {
     if (!this.components.records.isReady || !this.components.openJobs.isReady) return false;
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Returns whether users that cannot be served here should ask another controller. The lag that this takes
-   * is shorter than the one that makes this controller unready.
+   * Returns whether users that cannot be served here should ask another controller: this one is not ready, or
+   * it lags behind a peer in contact with the store. The lag that this takes is shorter than the one that
+   * makes this controller unready.
    */
   shouldRedirectUsers(): boolean {
     return !this.isReady() || this.lagsBehindPeers(USER_REDIRECT_LAG_MS);
@@ -111,10 +112,10 @@
         this.tick();
         break;
       case 'peerMessage':
-        this.components.peerMessages.onMessage(event.message);
+        this.components.peerMessageHandler.onMessage(event.message);
         break;
       case 'peerConnection':
-        if (event.isUp) this.components.peerMessages.onConnected(event.nodeName);
+        if (event.isUp) this.components.peerMessageHandler.onConnected(event.nodeName);
         break;
     }
   }
@@ -127,23 +128,26 @@
   private tick(): void {
     const now = this.options.clock.now();
     const { lease, election, assignment, machineTypes, leadership } = this.components;
-    const { coordinator, imageReplication, peerHeartbeats } = this.components;
+    const { cancellationCoordinator, imageReplication, peerHeartbeatSender } = this.components;
     lease.renew(now);
     election.campaignIfVacant(now);
     election.deleteStaleRecord(now);
     assignment.assign(now);
     machineTypes.refresh(now);
     leadership.scheduler?.tick();
-    const coverage = coordinator.updateCoverage(now);
+    const coverage = cancellationCoordinator.updateCoverage(now);
     imageReplication.sendChanges();
-    peerHeartbeats.send(now, coverage);
+    peerHeartbeatSender.send(now, coverage);
   }
 
   /**
    * Returns whether a recently heard peer's last store contact is over `lagMs` newer than this controller's.
    */
   private lagsBehindPeers(lagMs: number): boolean {
-    const { peers, storeContact } = this.components;
-    return peers.hasPeerWithStoreContactAfter(storeContact.lastContactAt + lagMs, this.options.clock.now());
+    const { peerRegistry, storeContact } = this.components;
+    return peerRegistry.hasPeerWithStoreContactAfter(
+      storeContact.lastContactAt + lagMs,
+      this.options.clock.now(),
+    );
   }
 }
--- a/src/controller/peer-message-handler.ts
+++ b/src/controller/peer-message-handler.ts
@@ -16,8 +16,8 @@
   clock: Clock;
   records: SystemRecords;
   leadership: Leadership;
-  peers: PeerRegistry;
-  coordinator: CancellationCoordinator;
+  peerRegistry: PeerRegistry;
+  cancellationCoordinator: CancellationCoordinator;
   imageReplication: ImageReplication;
   shardOwner: ShardOwner;
 }
@@ -26,22 +26,22 @@
 export class PeerMessageHandler {
   constructor(private readonly options: PeerMessageHandlerOptions) {}
 
-  /** Handles a message, unless a later one from the same peer has been handled before. */
+  /** Handles a message, unless a later message or a later process of the same peer has been heard before. */
   onMessage(message: PeerMessage): void {
-    const { instanceId, leadership, coordinator, imageReplication, shardOwner } = this.options;
+    const { instanceId, leadership, cancellationCoordinator, imageReplication, shardOwner } = this.options;
     const { body } = message;
     const now = this.options.clock.now();
-    const peer = this.options.peers.record(message, now);
+    const peer = this.options.peerRegistry.recordIfNew(message, now);
     if (!peer) return;
     switch (body.type) {
       case 'heartbeat':
-        this.onHeartbeat({ message, heartbeat: body, peer, now });
+        this.onHeartbeat({ sender: message, heartbeat: body, peer, now });
         break;
       case 'images':
         imageReplication.apply(body.added, body.removedMachines);
         break;
       case 'cancelled':
-        coordinator.onPeerCancellation(message, body, now);
+        cancellationCoordinator.onPeerCancellation(message, body, now);
         break;
       case 'toLeader':
         if (body.recipient === instanceId) leadership.scheduler?.onShardMessage(body.message);
@@ -54,7 +54,8 @@
 
   /**
    * Handles a new connection to a peer. Messages in transit on an earlier connection may be lost, so the
-   * complete state is exchanged again.
+   * complete state is sent again: from this controller's shard owner to the peer if the peer leads; if this
+   * controller leads, from the peer's shard owner to this controller, and the image locations to the peer.
    */
   onConnected(nodeName: string): void {
     const { records, leadership, imageReplication, shardOwner } = this.options;
@@ -67,20 +68,25 @@
   }
 
   private onHeartbeat(received: {
-    message: PeerMessage;
+    sender: PeerMessage;
     heartbeat: PeerHeartbeat;
     peer: Peer;
     now: number;
   }): void {
-    const { message, heartbeat, peer, now } = received;
-    const { leadership, peers, coordinator } = this.options;
+    const { sender, heartbeat, peer, now } = received;
+    const { leadership, peerRegistry, cancellationCoordinator } = this.options;
     this.stepDownForNewerLeader(heartbeat);
     peer.timestamps.add(heartbeat.timestamp, now);
-    coordinator.onPeerHeartbeat(message, heartbeat, now);
+    cancellationCoordinator.onPeerHeartbeat(sender, heartbeat, now);
     leadership.scheduler?.onMachinesRedirected(heartbeat.redirectedMachines);
-    peers.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
+    peerRegistry.recordLeaderHint({ nodeName: heartbeat.leaderName, fencingToken: heartbeat.fencingToken });
   }
 
+  /**
+   * Steps down if the peer knows a leader on another node with a higher fencing token. A higher token of this
+   * node is no reason: the peer may have read the leader record of this controller's next term before this
+   * controller has the response to its own campaign.
+   */
   private stepDownForNewerLeader(heartbeat: PeerHeartbeat): void {
     const { nodeName, leadership } = this.options;
     if (
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -35,7 +35,7 @@
   records: SystemRecords;
   lease: NodeLease;
   leadership: Leadership;
-  peers: PeerRegistry;
+  peerRegistry: PeerRegistry;
   storeContact: StoreContact;
 }
 
@@ -55,7 +55,11 @@
 
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Moves the shards that need another owner, if this controller leads. */
+  /**
+   * Assigns the shards whose owner is missing or not eligible, or else moves one shard if rebalancing is due.
+   * Does nothing unless this controller leads, may still hold its lease and is eligible as an owner itself,
+   * and while an earlier assignment is being written.
+   */
   assign(now: number): void {
     const { leadership, records, lease, instanceId } = this.options;
     const { scheduler } = leadership;
@@ -72,18 +76,20 @@
   }
 
   /** Called when a term of this controller has started: assigns shards, then delays the next rebalancing. */
-  onLeadingStarted(): void {
+  onTermStarted(): void {
     this.assign(this.options.clock.now());
-    this.nextRebalanceAt = this.options.leadership.leadingSince + FIRST_REBALANCE_DELAY_MS;
+    this.nextRebalanceAt = this.options.leadership.latestTermStartedAt + FIRST_REBALANCE_DELAY_MS;
   }
 
+  /** Returns the instances that are eligible as owners, each with a count of 0. */
   private eligibleOwners(scheduler: Scheduler, now: number): ShardCounts {
-    const { instanceId: self, records, peers, leadership } = this.options;
+    const { instanceId: self, records, peerRegistry, leadership } = this.options;
     const counts: ShardCounts = new Map();
     for (const [instanceId, nodeName] of records.liveInstances()) {
-      const peer = peers.get(nodeName);
+      const peer = peerRegistry.get(nodeName);
       // A new leader has heard no peers yet; a node record shows that its controller was alive recently.
-      const isPresumedAlive = instanceId === self || now - leadership.leadingSince < MAX_PEER_SILENCE_MS;
+      const isPresumedAlive =
+        instanceId === self || now - leadership.latestTermStartedAt < MAX_PEER_SILENCE_MS;
       if (
         isPresumedAlive ||
         (peer?.instanceId === instanceId &&
@@ -97,15 +103,16 @@
 
   /**
    * Returns whether a shard owner has reported no cancellation coverage for too long although the store
-   * responds. Such an owner may still be heard, but messages to it may not arrive. Its teams cannot start any
-   * task and eventually lose their workers' leases, so its shards are moved to other controllers.
+   * responds and this controller has led for long enough; it then counts as unreachable for a while. Such an
+   * owner may still be heard, but messages to it may not arrive. Its teams cannot start any task, and their
+   * workers' leases are eventually not renewed, so its shards are moved to other controllers.
    */
   private isUnreachable(scheduler: Scheduler, instanceId: string, now: number): boolean {
     const { records, leadership, storeContact, teams, log } = this.options;
     if (now < (this.unreachableUntil.get(instanceId) ?? 0)) return true;
     if (
       storeContact.ageMs(now) > MAX_STORE_CONTACT_AGE_MS ||
-      now - leadership.leadingSince < MAX_COVERAGE_SILENCE_MS
+      now - leadership.latestTermStartedAt < MAX_COVERAGE_SILENCE_MS
     )
       return false;
     for (const [team, owner] of records.shardOwners()) {
@@ -159,6 +166,10 @@
     return least;
   }
 
+  /**
+   * Writes the new owners, at most as many as one transaction may contain. Their present owners are suspended
+   * before; if the write fails, full syncs of all owners are requested, which end the suspension.
+   */
   private writeOwners(
     scheduler: Scheduler,
     owners: Map<string, ShardOwnership>,
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -1,6 +1,11 @@
 /**
  * Tracks up to which time all stored cancellations have been turned into stop commands. Workers' leases are
  * renewed only up to that time. See docs/design.md.
+ *
+ * The leader keeps a watermark for each team, which the shard owner advances ({@link
+ * CancellationWatermarks}). The coverage of all teams ({@link CancellationCoverage}) is sent to the other
+ * controllers. Both can be extended by the period for which the cancellations announced between controllers
+ * are known completely (`CancellationLog` in src/controller/cancellation-log.ts).
  */
 
 import type { WorkerTiming } from './worker-timing.js';
@@ -46,7 +51,7 @@
     if (this.entries.length > MAX_TIMESTAMPS) this.entries.shift();
   }
 
-  /** Discards all timestamps; call it when the following ones come from a different process. */
+  /** Discards all timestamps. The caller must do this before it adds timestamps of a different process. */
   clear(): void {
     this.entries = [];
   }
@@ -62,8 +67,8 @@
 /**
  * States that for every cancellation stored before `completeUntil` (on the clock of the process that holds
  * this object), the job's tasks have ended or are being stopped on one of `pendingMachines` (null: on any
- * machine). The leader computes it and sends it to the other controllers. It remains true after a change of
- * leader.
+ * machine). The leader computes it from the watermarks of all teams and sends it to the other controllers. It
+ * remains true after a change of leader.
  */
 export interface CancellationCoverage {
   completeUntil: number;
@@ -117,8 +122,8 @@
   }
 
   /**
-   * Returns whether every `placements` message that the shard owner has sent since its last full sync was
-   * received.
+   * Returns whether the shard owner's last full sync that was applied has this number, and as many
+   * `placements` messages as stated have been received since: all that it has sent.
    */
   isComplete(instanceId: string, syncNumber: number, placementMessages: number): boolean {
     const sync = this.syncs.get(instanceId);
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -67,22 +67,32 @@
 }
 
 /**
- * Urgency of a request to the key-value store, most urgent first. Submissions and the reads that serve users
- * cost at most one write each, so they precede placements, whose transactions use up the write budget.
+ * Urgency of a request to the key-value store; a lower number is more urgent.
+ * - `lease`: leases, elections, owners of shards, and cancellations.
+ * - `user`: submissions, listings, watches, and the reads of a write fence and of a job that is to be
+ *   cancelled. They cost at most one write each, so they precede placements, whose transactions use up the
+ *   write budget.
+ * - `placement`: placements and counters of unfinished jobs, write fences, and machine types.
+ * - `read`: reads of the final state of a job for its user.
+ * - `archive`: final records of jobs.
  */
 export const URGENCY = { lease: 0, user: 1, placement: 2, read: 3, archive: 4 } as const;
 
 /** One of the values of `URGENCY`. */
 export type Urgency = (typeof URGENCY)[keyof typeof URGENCY];
 
-/** Operations of the key-value store. Each calls back exactly once. */
+/**
+ * Operations of the key-value store. Each calls back exactly once. Preconditions that do not hold fail as
+ * `conflict`; see `Failure` in result.ts for the other failures.
+ */
 export interface KeyValueStore {
   /** Reads a key; the result is null if the key does not exist. */
   get(key: string, urgency: Urgency, callback: ResultCallback<StoredItem | null>): void;
+  /** Reads one page of a list of keys. */
   list(request: ListRequest, callback: ResultCallback<ListPage>): void;
   /**
-   * Executes a transaction; the result is its store revision. Fails as `conflict` with the keys whose
-   * preconditions did not hold.
+   * Executes a transaction; the result is its store revision, which becomes the `modRevision` of the keys
+   * that it wrote. Fails as `conflict` with the keys whose preconditions did not hold.
    */
   compareAndSwap(transaction: Transaction, urgency: Urgency, callback: ResultCallback<number>): void;
   /** Grants a lease; the result is its id. */
@@ -92,8 +102,9 @@
   /** Ends a lease and deletes its keys. Fails as `notFound` if it had already ended. */
   revokeLease(leaseId: number, callback: ResultCallback<null>): void;
   /**
-   * Waits for changes. Fails as `notFound` if the store no longer keeps all changes since that revision; the
-   * keys must then be listed again.
+   * Requests the changes since a revision: a long poll, which responds once there is a change or after
+   * `waitMs`. The caller repeats it to keep watching. Fails as `notFound` if the store no longer keeps all
+   * changes since that revision; the keys must then be listed again.
    */
   watch(request: WatchRequest, callback: ResultCallback<WatchResponse>): void;
 }
--- a/src/model/peer-message.ts
+++ b/src/model/peer-message.ts
@@ -1,7 +1,7 @@
 /** Messages between controllers. */
 
 import type { ImageLocation } from './image-location.js';
-import type { LeaderMessage, ShardMessage } from './shard-messages.js';
+import type { LeaderMessage, ShardOwnerMessage } from './shard-messages.js';
 
 /** The message that a controller sends to each peer at regular intervals. */
 export interface PeerHeartbeat {
@@ -11,7 +11,10 @@
   fencingToken: number;
   /** Milliseconds since the sender made the latest of its requests to which the store has responded. */
   storeContactAgeMs: number;
-  /** To the leader: machines whose heartbeats the sender has redirected since its last peer heartbeat. */
+  /**
+   * To the leader: machines whose heartbeats the sender has redirected since its last peer heartbeat; empty
+   * to any other peer.
+   */
   redirectedMachines: string[];
   /** The time of sending on the sender's clock. */
   timestamp: number;
@@ -20,8 +23,10 @@
   /** Number of cancellations that the sender has announced. */
   cancellationsAnnounced: number;
   /**
-   * From the leader: its cancellation coverage. It is expressed as the newest timestamp of the recipient's
-   * instance within it; see `CancellationCoverage` in cancellation-coverage.ts.
+   * From the leader: its cancellation coverage; null from other controllers, and while there is none. It is
+   * expressed as the newest timestamp of the recipient's instance within it; see `CancellationCoverage` in
+   * cancellation-coverage.ts. `pendingMachines` is null if there are too many to list, which stands for any
+   * machine.
    */
   coverage: { instanceId: string; timestamp: number; pendingMachines: string[] | null } | null;
 }
@@ -35,9 +40,9 @@
   | { type: 'cancelled'; jobId: string; cancellationNumber: number }
   /** From the leader: newly learned image locations, and machines that were removed with their images. */
   | { type: 'images'; added: ImageLocation[]; removedMachines: string[] }
-  /** From a shard owner to the leader; ignored unless the recipient's instance still leads. */
-  | { type: 'toLeader'; recipient: string; message: ShardMessage }
-  /** From the leader to the instance of a shard owner. */
+  /** From a shard owner to the leader's instance, `recipient`; ignored unless that instance still leads. */
+  | { type: 'toLeader'; recipient: string; message: ShardOwnerMessage }
+  /** From the leader to the shard owner of the instance `recipient`. */
   | { type: 'toShardOwner'; recipient: string; message: LeaderMessage };
 
 /**
--- a/src/shard/full-sync.ts
+++ b/src/shard/full-sync.ts
@@ -4,7 +4,7 @@
  */
 
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { ShardMessage } from '../model/shard-messages.js';
+import type { ShardOwnerMessage } from '../model/shard-messages.js';
 import { type OwnedJob, toPlacementSpec } from './owned-job.js';
 
 /** Maximum number of placements in one message of a full sync, which limits its size. */
@@ -44,7 +44,7 @@
 }
 
 /** Returns the messages of a full sync, at least one; the last one contains the requests. */
-export function fullSyncMessages({ placements, requests, ...sync }: FullSync): ShardMessage[] {
+export function fullSyncMessages({ placements, requests, ...sync }: FullSync): ShardOwnerMessage[] {
   const chunkCount = Math.max(1, Math.ceil(placements.length / MAX_PLACEMENTS_PER_MESSAGE));
   return Array.from({ length: chunkCount }, (_, chunkIndex) => {
     const start = chunkIndex * MAX_PLACEMENTS_PER_MESSAGE;
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -40,7 +40,7 @@
 /** Places all tasks of a gang, one on each grant, or none of them. Returns the grants that were used. */
 function placeGang(job: OwnedJob, grants: Grant[], options: GrantAssignmentOptions): Grant[] {
   if (!canPlaceGang(job, grants, options.usage)) return [];
-  const { tasks } = assignTasks(
+  const { taskBySlot: tasks } = assignTasks(
     Array.from({ length: job.spec.taskCount }, (_, taskIndex) => taskIndex),
     grants.map((grant) => grant.exitedTasks && new Set(grant.exitedTasks)),
   );
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -5,7 +5,7 @@
 
 import type { Clock } from '../model/clock.js';
 import type { PlacementSpec, ResourceRequest } from '../model/placement.js';
-import type { ReleasedPlacement, ShardMessage } from '../model/shard-messages.js';
+import type { ReleasedPlacement, ShardOwnerMessage } from '../model/shard-messages.js';
 import { CancellationCoverageTracker } from './cancellation-coverage-tracker.js';
 import { fullSyncMessages, placementsToSync } from './full-sync.js';
 import type { OwnedJobs } from './owned-jobs.js';
@@ -30,7 +30,7 @@
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
   /** Removes placements that cannot have been stored, because a full sync voids their grants. */
   discardUnsentPlacements(): void;
-  send(message: ShardMessage): void;
+  send(message: ShardOwnerMessage): void;
 }
 
 /** Collects changes and sends them to the leader at the end of each batch of events. */
