--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -82,7 +82,7 @@
   return { ok: false, issue: value === undefined ? 'missing' : 'must be a number or an expression' };
 }
 
-/** Names a key together with its line number, if a line of the text starts with the key. */
+/** Names a key together with the number of the first line that starts with it, if there is one. */
 function describeKey(text: string, key: string): string {
   const line = text.split('\n').findIndex((lineText) => lineText.trimStart().startsWith(key));
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -12,6 +12,9 @@
 /** Minimum of `cancel_s` minus `lease_s`: leaves time to read the stored cancellations several times. */
 const MIN_CANCELLATION_WINDOW_S = 2;
 
+/**
+ * Another controller, which the settings call a sibling; `peer_addr` is where it accepts peer connections.
+ */
 const PeerSchema = v.object({ host_name: NonEmptyString, area: NonEmptyString, peer_addr: Address });
 
 /** Guaranteed and maximum CPUs and GPUs of a team; 0: no guarantee, or no maximum. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -11,19 +11,25 @@
 import type { Logger } from './model/logger.js';
 import type { PolicyFn } from './model/policy.js';
 import { CloudClient } from './transport/cloud-client.js';
-import { createRequestHandler } from './transport/http-api.js';
 import { HttpServer } from './transport/http-server.js';
 import { InboundConnections } from './transport/inbound-connections.js';
 import { PeerConnections } from './transport/peer-connections.js';
+import { createRequestHandler } from './transport/request-handler.js';
 import { computeSocketBudget } from './transport/socket-budget.js';
 import { StoreClient } from './transport/store-client.js';
 import { systemClock } from './transport/system-clock.js';
 import { createUserApi } from './transport/user-api.js';
 import { WorkerClient } from './transport/worker-client.js';
 
-/** Resolved relative to the bundle, which, like this file, is in a directory next to `deploy/`. */
+/**
+ * Default of `--policy`: the policy file of the installation. The path is relative to the running module,
+ * whose directory, `src/` or that of the bundle, is next to `deploy/`.
+ */
 const DEFAULT_POLICY_FILE = new URL('../deploy/policy.toml', import.meta.url);
-/** Time to live of a controller's lease in the key-value store. A failure goes unnoticed until it expires. */
+/**
+ * Time to live of a controller's lease in the key-value store. The failure of a controller can go unnoticed
+ * until its lease expires.
+ */
 const CONTROLLER_LEASE_TTL_MS = 3500;
 
 interface Configuration {
@@ -38,8 +44,8 @@
   };
 }
 
-/** Controller options that are derived from the settings. */
-type ControllerParameters = Pick<
+/** The controller options that are taken from the settings. */
+type DerivedControllerOptions = Pick<
   ControllerOptions,
   | 'nodeName'
   | 'peerNames'
@@ -51,7 +57,11 @@
   | 'objectives'
 >;
 
-function toControllerParameters(settings: Settings): ControllerParameters {
+/**
+ * Maps the settings to controller options. The peers of a controller, which are the other controllers, are
+ * named `siblings` in the settings.
+ */
+function deriveControllerOptions(settings: Settings): DerivedControllerOptions {
   const { teams, workers, state, cloud, objectives } = settings.params;
   return {
     nodeName: settings.host_name,
@@ -95,15 +105,17 @@
   log,
 }: ControllerDependencies): Controller {
   const { services, params } = settings;
+  // The callbacks may use `controller`, which is declared below: they are called for network events only,
+  // which occur after this function has returned.
   const peerTransport = new PeerConnections({
     bind: settings.mesh_addr,
-    peers: settings.siblings.map((peer) => ({ nodeName: peer.host_name, address: peer.peer_addr })),
+    peerAddresses: settings.siblings.map((peer) => ({ nodeName: peer.host_name, address: peer.peer_addr })),
     log,
     onMessage: (message) => controller.push({ type: 'peerMessage', message }),
     onConnectionChange: (nodeName, isUp) => controller.push({ type: 'peerConnection', nodeName, isUp }),
   });
   const controller: Controller = new Controller({
-    ...toControllerParameters(settings),
+    ...deriveControllerOptions(settings),
     instanceId: `${settings.host_name}.${randomBytes(6).toString('hex')}`,
     leaseTtlMs: CONTROLLER_LEASE_TTL_MS,
     policy,
@@ -123,7 +135,7 @@
 
 interface HttpServerDependencies {
   controller: Controller;
-  /** `HOST:PORT`. */
+  /** Address to listen on for workers, users and health checks, `HOST:PORT`. */
   bind: string;
   maxConnections: number;
   log: Logger;
@@ -150,6 +162,7 @@
   const controller = createController({ settings, policy, maxWorkerConnections: budget.workers, log });
   controller.start();
   startHttpServer({ controller, bind: settings.bind, maxConnections: budget.inbound, log });
+  // The HTTP server may not be listening yet; if it fails to listen, that is logged and the process exits.
   log.info({ bind: settings.bind, peerBind: settings.mesh_addr }, 'controller started');
 }
 
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -21,7 +21,7 @@
 const RATE_LIMIT_SHARE = 0.85;
 /** Burst size in seconds of the rate limit. The cloud allows bursts of twice this size. */
 const BURST_SECONDS = 1;
-/** Interval at which the queue is checked while calls are waiting. */
+/** Interval at which the queue is drained while calls are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 50;
 
 /** Queue order, lowest value first. Deletions come first: unneeded machines are billed by the second. */
@@ -56,7 +56,10 @@
     this.tokens = callsPerSecond * BURST_SECONDS;
   }
 
-  /** Lists the machine types with their current prices. Fails as `refused`. */
+  /**
+   * Lists the machine types with their current prices. Fails as `refused`. A malformed response with status
+   * 200 gives an empty list.
+   */
   listMachineTypes(callback: ResultCallback<MachineType[]>): void {
     const onReply = (reply: HttpReply) =>
       callback(
@@ -72,7 +75,7 @@
    * - `notFound` if the cloud has no capacity for the request;
    * - `invalid` if the cloud rejects the request;
    * - `indeterminate` if no response arrives;
-   * - `refused` otherwise.
+   * - `refused` otherwise, also if a response with status 200 cannot be decoded.
    */
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void {
     this.enqueue({
--- a/src/transport/concurrency-limit.ts
+++ b/src/transport/concurrency-limit.ts
@@ -58,7 +58,9 @@
     return true;
   }
 
-  /** Ends a request that got its response at `now` after `latencyMs`, and adjusts the limit; monotonic ms. */
+  /**
+   * Ends a request whose response arrived at `now` (monotonic ms) after `latencyMs`, and adjusts the limit.
+   */
   release(now: number, latencyMs: number): void {
     const inFlightBefore = this.inFlight;
     this.inFlight--;
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -27,10 +27,10 @@
 }
 
 /**
- * Tracks the accepted connections of one server. Near the connection limit, the kind of client that exceeds
- * its share is disconnected after each response (`Connection: close`), and each new connection closes the
- * least recently used idle connection of that kind or without any request. Neither users nor workers can lock
- * the others out.
+ * Tracks the accepted connections of one server. Near the connection limit, users are disconnected after each
+ * response (`Connection: close`) if they exceed their share, and workers otherwise. In addition, each new
+ * connection closes the least recently used idle connection of that kind or without any request, if it has
+ * been idle for `MIN_IDLE_MS`. Neither users nor workers can lock the others out.
  */
 export class InboundConnections {
   /** In order of last use, the least recently used first. */
@@ -87,7 +87,7 @@
 
   /** Whether a connection that requested `path` is to be closed after the response. */
   shouldClose(path: string): boolean {
-    return this.isNearlyFull() && classifyClient(path) === this.kindOverShare();
+    return this.isNearlyFull() && classifyClient(path) === this.kindToDisconnect();
   }
 
   private remove(socket: Socket): void {
@@ -100,16 +100,17 @@
     return this.openConnections.size >= this.maxConnections * (1 - FREE_SHARE);
   }
 
-  private kindOverShare(): 'worker' | 'user' {
+  /** The kind of client that is disconnected near the connection limit; never health checks. */
+  private kindToDisconnect(): 'worker' | 'user' {
     return this.countByKind.user > this.maxConnections * USER_SHARE ? 'user' : 'worker';
   }
 
   private closeLeastRecentlyUsed(): void {
     const now = this.now();
-    const kindOverShare = this.kindOverShare();
+    const kindToDisconnect = this.kindToDisconnect();
     for (const [socket, { kind, isServing, lastUsedAt }] of this.openConnections) {
       if (now - lastUsedAt < MIN_IDLE_MS) return;
-      if (isServing || (kind !== null && kind !== kindOverShare)) continue;
+      if (isServing || (kind !== null && kind !== kindToDisconnect)) continue;
       socket.destroy();
       return;
     }
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -14,7 +14,7 @@
 const INITIAL_RECONNECT_DELAY_MS = 200;
 const MAX_RECONNECT_DELAY_MS = 1000;
 const RECONNECT_DELAY_FACTOR = 1.5;
-/** Heartbeats are sent far more often, so an inbound connection that is silent for this long is dead. */
+/** Peer heartbeats are sent far more often, so an inbound connection that is silent for this long is dead. */
 const RECEIVE_TIMEOUT_MS = 15_000;
 
 /** Node name and address of another controller. */
@@ -28,7 +28,7 @@
 export interface PeerConnectionsOptions {
   /** Address to listen on for other controllers, `HOST:PORT`. */
   bind: string;
-  peers: readonly PeerAddress[];
+  peerAddresses: readonly PeerAddress[];
   log: Logger;
   /** Called for each message received, from any peer. */
   onMessage: (message: PeerMessage) => void;
@@ -47,18 +47,18 @@
   private readonly packr = new Packr();
 
   constructor(private readonly options: PeerConnectionsOptions) {
-    const { bind, peers, log, onConnectionChange } = options;
+    const { bind, peerAddresses, log, onConnectionChange } = options;
     const server = net.createServer((socket) => this.acceptConnection(socket));
     server.on('error', (error) => log.error({ err: String(error) }, 'peer server failed'));
     server.listen(parseAddress(bind));
-    for (const { nodeName, address } of peers)
+    for (const { nodeName, address } of peerAddresses)
       this.outbound.set(
         nodeName,
         new OutboundConnection(address, (isUp) => onConnectionChange(nodeName, isUp)),
       );
   }
 
-  /** Sends a message to a peer; drops it if there is no connection. */
+  /** Sends a message to a peer. Drops it if there is no connection or too much unsent data on it. */
   send(nodeName: string, message: PeerMessage): void {
     const connection = this.outbound.get(nodeName);
     if (connection?.isWritable()) connection.write(this.packr.pack(encodePeerMessage(message)));
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -11,14 +11,17 @@
   controllerCount: number;
 }
 
-/** Maximum wait of requests at least as urgent as placements. Users give up after five seconds. */
+/** Maximum wait of requests with urgency `user` or `placement`. Users give up after five seconds. */
 const MAX_URGENT_WAIT_MS = 3000;
-/** Maximum wait of requests that are less urgent than placements. */
-const MAX_WAIT_MS = 1500;
+/** Maximum wait of requests with urgency `read` or `archive`. */
+const MAX_NON_URGENT_WAIT_MS = 1500;
 
-/** Sum of the minimum shares of all controllers: a share never falls below an equal part of it. */
+/** Sum of the minimum shares of all controllers: no share falls below an equal part of this sum. */
 const MIN_SHARE_TOTAL = 0.8;
-/** Initial share as a multiple of an equal split of the limits: the other controllers may be idle. */
+/**
+ * Initial share as a multiple of an equal split of the limits, because the other controllers may be idle. It
+ * is capped at `MAX_INITIAL_SHARE`.
+ */
 const INITIAL_SHARE_FACTOR = 2;
 const MAX_INITIAL_SHARE = 0.8;
 const MAX_SHARE = 0.9;
@@ -33,12 +36,12 @@
  * leaves a negative balance.
  */
 const LARGE_TRANSACTION_SECONDS = 0.5;
-/** Maximum time for which a refill adds tokens, so that a jump of the wall clock has a bounded effect. */
+/** Maximum time for which one refill adds tokens, so that a jump of the wall clock has a bounded effect. */
 const MAX_REFILL_MS = 2000;
-/** Interval at which the queues are checked while requests are waiting. */
+/** Interval at which the queues are drained while requests are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 10;
 
-/** Receives true if the request may be sent now, and false if it was not admitted and must not be sent. */
+/** Receives true if the request may be sent now, and false if it was rejected and must not be sent. */
 export type AcquireCallback = (acquired: boolean) => void;
 
 interface QueuedRequest {
@@ -50,8 +53,9 @@
 
 /**
  * Token buckets for requests and for writes, with one queue per urgency. The share of the store's limits is
- * adaptive: it starts above an equal split, shrinks whenever the store throttles a request and grows back
- * slowly. Lease requests never wait.
+ * adaptive: it starts at `INITIAL_SHARE_FACTOR` times an equal split but at most at `MAX_INITIAL_SHARE`,
+ * shrinks whenever the store throttles a request, and otherwise grows slowly up to `MAX_SHARE`. Lease
+ * requests never wait.
  */
 export class RateLimiter {
   private readonly minShare: number;
@@ -63,7 +67,7 @@
   /** When the buckets were last refilled; wall-clock ms. */
   private refilledAt = Date.now();
   private drainTimer: NodeJS.Timeout | null = null;
-  /** Waiting requests by urgency. */
+  /** Waiting requests by urgency, most urgent first. The queue of lease requests is always empty. */
   private readonly queues: Readonly<Record<Urgency, QueuedRequest[]>> = {
     [URGENCY.lease]: [],
     [URGENCY.user]: [],
@@ -88,17 +92,18 @@
   }
 
   /**
-   * Requests admission of one request with `writes` put and delete operations. `onAcquire` is called exactly
-   * once: synchronously if the request may be sent now or would wait too long, otherwise from a timer.
+   * Acquires the tokens for one request with `writes` put and delete operations. `onAcquire` is called
+   * exactly once: synchronously if the request may be sent now or is expected to wait too long, otherwise
+   * from a timer.
    */
   acquire(urgency: Urgency, writes: number, onAcquire: AcquireCallback): void {
     this.refillTokens();
-    const mayPass = this.countQueuedAtOrAbove(urgency) === 0 && this.canAfford(writes);
-    if (urgency === URGENCY.lease || mayPass) {
-      this.spendTokens(writes, onAcquire);
+    const canSendNow = this.countQueuedAtLeastAsUrgent(urgency) === 0 && this.canAfford(writes);
+    if (urgency === URGENCY.lease || canSendNow) {
+      this.grantTokens(writes, onAcquire);
       return;
     }
-    const maxWaitMs = urgency <= URGENCY.placement ? MAX_URGENT_WAIT_MS : MAX_WAIT_MS;
+    const maxWaitMs = urgency <= URGENCY.placement ? MAX_URGENT_WAIT_MS : MAX_NON_URGENT_WAIT_MS;
     // Rejects a request early if it is expected to exceed its maximum wait.
     if (this.expectedWaitMs(urgency, writes) > maxWaitMs) {
       onAcquire(false);
@@ -116,11 +121,15 @@
     return this.limits.writesPerSecond * this.share;
   }
 
-  /** Estimates the wait of a new request of this urgency from the current queues and share. */
+  /**
+   * Estimates the wait in ms of a new request of this urgency from the current queues, tokens and share. A
+   * negative balance lengthens the estimate if it is one of request tokens, but not if it is one of write
+   * tokens.
+   */
   private expectedWaitMs(urgency: Urgency, ownWrites: number): number {
     let requests = 1;
     let writes = ownWrites;
-    for (const queue of this.queuesAtOrAbove(urgency))
+    for (const queue of this.queuesAtLeastAsUrgent(urgency))
       for (const queued of queue) {
         requests++;
         writes += queued.writes;
@@ -132,15 +141,18 @@
     return seconds * 1000;
   }
 
-  /** Returns the queues of this urgency and of all higher ones, most urgent first. */
-  private queuesAtOrAbove(urgency: Urgency): QueuedRequest[][] {
+  /**
+   * Returns the queues of this urgency and of all more urgent ones, most urgent first. Urgencies are numbered
+   * from 0, the most urgent, and `Object.values` returns the values of integer keys in ascending order.
+   */
+  private queuesAtLeastAsUrgent(urgency: Urgency): QueuedRequest[][] {
     return Object.values(this.queues).slice(0, urgency + 1);
   }
 
-  /** Counts the waiting requests of this urgency and of all higher ones. */
-  private countQueuedAtOrAbove(urgency: Urgency): number {
+  /** Counts the waiting requests of this urgency and of all more urgent ones. */
+  private countQueuedAtLeastAsUrgent(urgency: Urgency): number {
     let total = 0;
-    for (const queue of this.queuesAtOrAbove(urgency)) total += queue.length;
+    for (const queue of this.queuesAtLeastAsUrgent(urgency)) total += queue.length;
     return total;
   }
 
@@ -149,7 +161,8 @@
     return writes === 0 || this.writeTokens >= Math.min(writes, this.writeRate() * LARGE_TRANSACTION_SECONDS);
   }
 
-  private spendTokens(writes: number, onAcquire: AcquireCallback): void {
+  /** Takes the tokens for a request, even if that leaves a negative balance, and lets it be sent. */
+  private grantTokens(writes: number, onAcquire: AcquireCallback): void {
     this.requestTokens -= 1;
     this.writeTokens -= writes;
     onAcquire(true);
@@ -174,7 +187,11 @@
     }, QUEUE_POLL_INTERVAL_MS);
   }
 
-  /** Admits queued requests, most urgent first, until the tokens do not suffice for the next one. */
+  /**
+   * Grants tokens to queued requests, most urgent first, until they do not suffice for the next one. Rejects
+   * the expired requests that it comes to; those behind a request that must wait are rejected in a later
+   * call.
+   */
   private drainQueues(): void {
     this.refillTokens();
     const now = Date.now();
@@ -190,7 +207,7 @@
           return;
         }
         queue.shift();
-        this.spendTokens(next.writes, next.onAcquire);
+        this.grantTokens(next.writes, next.onAcquire);
       }
     }
   }
--- a/src/transport/http-api.ts
+++ b/src/transport/request-handler.ts
@@ -9,44 +9,54 @@
 import { HEARTBEAT_PATH } from './http-paths.js';
 import type { HttpResponse, RequestHandler } from './http-server.js';
 
-/** The only request headers that the user API reads. */
+/**
+ * Request headers that are passed on to the user API; all others are dropped. Its routes read none of them.
+ */
 const FORWARDED_HEADERS = ['content-type', 'accept'];
 
 /** Dependencies of {@link createRequestHandler}. */
 export interface RequestHandlerOptions {
+  /** Serves user requests and health checks. */
   userApi: Hono;
   controller: ControllerService;
   log: Logger;
 }
 
 /**
- * Creates a handler that serves heartbeats directly and passes every other request to the user API. Hundreds
- * of heartbeats arrive per second, and creating web `Request` and `Response` objects would cost more than the
- * rest of their handling.
+ * Creates a handler that serves heartbeats directly and passes every other request, including health checks,
+ * to the user API. Hundreds of heartbeats arrive per second, and creating web `Request` and `Response`
+ * objects would cost more than the rest of their handling.
  */
 export function createRequestHandler(options: RequestHandlerOptions): RequestHandler {
   const { userApi, controller, log } = options;
-  return (message, respond) => {
-    if (message.method === 'POST' && message.path === HEARTBEAT_PATH)
-      return respond(respondToHeartbeat(controller, log, message.body ?? ''));
+  return (request, respond) => {
+    if (request.method === 'POST' && request.path === HEARTBEAT_PATH)
+      return respond(respondToHeartbeat(controller, log, request.body ?? ''));
+    // Also called if the user API fails to respond or its response cannot be read.
     const rejectMalformed = (error: unknown) => {
-      log.info({ err: String(error), method: message.method }, 'request rejected as malformed');
+      log.info({ err: String(error), method: request.method }, 'request rejected as malformed');
       respond({ status: 400, body: '{"error":"malformed request"}' });
     };
-    const headers = selectForwardedHeaders(message.rawHeaders);
-    let request: Request;
+    const headers = selectForwardedHeaders(request.rawHeaders);
+    let webRequest: Request;
     try {
-      request = toWebRequest(message, headers);
+      webRequest = toWebRequest(request, headers);
     } catch (error) {
       return rejectMalformed(error);
     }
-    Promise.resolve(userApi.fetch(request))
-      .then(async (response) => respond(await fromWebResponse(message.method, response)))
+    Promise.resolve(userApi.fetch(webRequest))
+      .then(async (response) => respond(await fromWebResponse(request.method, response)))
       .catch(rejectMalformed);
   };
 }
 
-/** Decodes a heartbeat and builds the response: commands for the worker, or a redirect to the leader. */
+/**
+ * Decodes a heartbeat, passes it to the controller and builds the response:
+ * - 200 with commands for the worker, whose lease is renewed;
+ * - 421 with a redirect to the leader, or to any other controller if the leader is unknown;
+ * - 503 if the controller cannot renew the lease at this time;
+ * - 400 if the heartbeat is malformed.
+ */
 export function respondToHeartbeat(controller: ControllerService, log: Logger, text: string): HttpResponse {
   const body = parseJson(text);
   const heartbeat = decodeHeartbeat(body);
@@ -84,7 +94,7 @@
   return headers;
 }
 
-/** Converts a parsed message to a web request. Throws if the method or the path is not valid for one. */
+/** Converts a request to a web `Request`. Throws if the method or the path is not valid for one. */
 function toWebRequest({ method, path, body }: HttpMessage, headers: Headers): Request {
   // The URL constructor needs a host; routing ignores it.
   const url = new URL(path, 'http://localhost');
@@ -92,6 +102,10 @@
   return new Request(url, { method, headers, ...(hasBody ? { body: body ?? '' } : {}) });
 }
 
+/**
+ * Converts a web `Response`. Of its headers only `Retry-After` and `Connection: close` are kept. The response
+ * to a `HEAD` request gets an empty body.
+ */
 async function fromWebResponse(method: string, response: Response): Promise<HttpResponse> {
   const headers: Record<string, string> = {};
   const retryAfter = response.headers.get('retry-after');
--- a/src/transport/socket-budget.ts
+++ b/src/transport/socket-budget.ts
@@ -19,7 +19,10 @@
 const MIN_WORKER_CONNECTIONS = 4;
 const MIN_INBOUND_CONNECTIONS = 16;
 
-/** Computes the budget from the file descriptor limit (setting `limits.fd_limit`) and the number of peers. */
+/**
+ * Computes the budget from the file descriptor limit (setting `limits.fd_limit`) and the number of peers. The
+ * minimum numbers of connections apply even if their sum exceeds the limit.
+ */
 export function computeSocketBudget(fdLimit: number, peerCount: number): SocketBudget {
   const available =
     fdLimit - RESERVED_DESCRIPTORS - STORE_AND_CLOUD_CONNECTIONS - CONNECTIONS_PER_PEER * peerCount;
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -57,7 +57,7 @@
     maxUnresponsiveShare: 0.4,
     maxIdleSeconds: 1e6,
   });
-  harness.peers.count = 2;
+  harness.recentlyHeardPeers.count = 2;
   const allMachines = machineNames(20);
   for (let i = 0; i < 30; i++) runOneSecond(harness, allMachines);
   for (let i = 0; i < 20 && harness.resignationReasons.length === 0; i++) {
@@ -76,7 +76,7 @@
       maxUnresponsiveShare: 0.4,
       maxIdleSeconds: 1e6,
     });
-    harness.peers.count = peerCount;
+    harness.recentlyHeardPeers.count = peerCount;
     harness.rentals.isAnswered = true;
     for (let i = 0; i < 30; i++) runOneSecond(harness, machineNames(20));
     // The machines become unresponsive one after the other, as their heartbeats come due.
@@ -130,7 +130,7 @@
 
 test('machines of a partitioned zone are deleted only once their replicas can no longer run', () => {
   const harness = new SchedulerHarness(5, { unresponsiveSeconds: 6, maxIdleSeconds: 1e6 });
-  harness.peers.count = 1;
+  harness.recentlyHeardPeers.count = 1;
   harness.rentals.isAnswered = true;
   const reachable = machineNames(8);
   const cutOff = machineNames(4, 8);
--- a/test/forms/cloud-messages.test.ts
+++ b/test/forms/cloud-messages.test.ts
@@ -25,9 +25,9 @@
   );
 const deleteMachines = (status: number) =>
   call<null>(status, '{}', (callback) => cloud.deleteMachines(['vm-000231', 'vm-000232'], callback));
-const listMachines = (status: number, text: string, since = 'vm-000230') =>
+const listMachines = (status: number, text: string, afterName = 'vm-000230') =>
   call<{ machines: ListedMachine[]; hasMore: boolean }>(status, text, (callback) =>
-    cloud.listMachines(since, callback),
+    cloud.listMachines(afterName, callback),
   );
 
 const G8_TYPE: MachineType = {
--- a/test/forms/peer-messages.test.ts
+++ b/test/forms/peer-messages.test.ts
@@ -74,7 +74,7 @@
     await new Promise<void>((resolve) => {
       const connections: PeerConnections = new PeerConnections({
         bind: '127.0.0.1:0',
-        peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
+        peerAddresses: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
         log,
         onMessage: () => {},
         onConnectionChange: (_nodeName, isUp) => {
@@ -99,7 +99,7 @@
     await new Promise<void>((resolve) => {
       new PeerConnections({
         bind: `127.0.0.1:${port}`,
-        peers: [],
+        peerAddresses: [],
         log,
         onMessage: (message) => {
           received.push(message);
--- a/test/forms/recording-store.ts
+++ b/test/forms/recording-store.ts
@@ -2,24 +2,27 @@
 import { decodeListPage, decodeStoredItem, encodeTransaction } from '../../src/wire/store-messages.js';
 
 /**
- * A fake key-value store that holds encoded values by key and records each transaction in its encoded form.
+ * A fake key-value store that serves fixed values. It records each transaction in its encoded form without
+ * executing it, and every transaction succeeds. A watch that waits for changes never gets a response.
  */
 export class RecordingStore {
   readonly transactions: string[] = [];
   readonly revokedLeases: number[] = [];
 
-  constructor(readonly records: Map<string, string>) {}
+  /** @param storedValues - JSON texts of the stored values by key */
+  constructor(readonly storedValues: Map<string, string>) {}
 
+  /** The store as the code under test accesses it. */
   readonly port: KeyValueStore = {
     get: (key, _urgency, callback) => {
-      const valueText = this.records.get(key);
+      const valueText = this.storedValues.get(key);
       callback({
         ok: true,
         value: valueText === undefined ? null : decodeStoredItem(JSON.parse(this.itemText(key, valueText))),
       });
     },
     list: ({ prefix }, callback) => {
-      const items = [...this.records].filter(([key]) => key.startsWith(prefix)).sort();
+      const items = [...this.storedValues].filter(([key]) => key.startsWith(prefix)).sort();
       const pageText = `{"items":[${items.map(([key, value]) => this.itemText(key, value)).join()}],"has_next":false,"ring":50}`;
       callback({ ok: true, value: decodeListPage(JSON.parse(pageText))! });
     },
@@ -28,9 +31,9 @@
       callback({ ok: true, value: 51 });
     },
     grantLease: (_ttlMs, callback) => callback({ ok: true, value: 7 }),
-    keepLeaseAlive: (_lease, callback) => callback({ ok: true, value: null }),
-    revokeLease: (lease, callback) => {
-      this.revokedLeases.push(lease);
+    keepLeaseAlive: (_leaseId, callback) => callback({ ok: true, value: null }),
+    revokeLease: (leaseId, callback) => {
+      this.revokedLeases.push(leaseId);
       callback({ ok: true, value: null });
     },
     watch: ({ waitMs }, callback) => {
--- a/test/forms/settings.test.ts
+++ b/test/forms/settings.test.ts
@@ -70,7 +70,7 @@
   },
 };
 
-function errorsOf(check: () => unknown): string[] {
+function issuesOf(check: () => unknown): string[] {
   try {
     check();
   } catch (error) {
@@ -80,10 +80,10 @@
   return [];
 }
 
-/** Returns the errors of the settings after a line, which must exist, has been replaced. */
-function errorsWithLine(line: string, replacement: string): string[] {
+/** Returns the issues of the settings after a line, which must exist, has been replaced. */
+function issuesWithLine(line: string, replacement: string): string[] {
   expect(SETTINGS_TEXT).toContain(`\n${line}\n`);
-  return errorsOf(() => parseSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${replacement}\n`)));
+  return issuesOf(() => parseSettings(SETTINGS_TEXT.replace(`\n${line}\n`, `\n${replacement}\n`)));
 }
 
 describe('settings', () => {
@@ -143,7 +143,7 @@
     ['mem_mb = 300.5', 'params.limits.mem_mb: Invalid key: Expected "mem_mb" but received undefined'],
     ['fd_limit = 1000', 'params.limits.fd_limit: Invalid key: Expected "fd_limit" but received undefined'],
   ])('are rejected if a line is missing: %s', (line, error) => {
-    expect(errorsWithLine(line, '')).toEqual([error]);
+    expect(issuesWithLine(line, '')).toEqual([error]);
   });
 
   test.each([
@@ -240,7 +240,7 @@
     ['share = 0.9', 'share = ""', 'params.objectives.0.share: Invalid type: Expected number but received ""'],
     ['cancel_s = 60.5', 'cancel_s = 32.4', 'params.workers: cancel_s must exceed lease_s by at least 2 s'],
   ])('are rejected if a value is invalid: %s', (line, replacement, error) => {
-    expect(errorsWithLine(line, replacement).join('\n')).toBe(error);
+    expect(issuesWithLine(line, replacement).join('\n')).toBe(error);
   });
 
   test('may omit siblings, objectives, and all fields of an objective but its kind', () => {
@@ -255,7 +255,7 @@
   });
 
   test('are rejected if they are not TOML', () => {
-    expect(errorsOf(() => parseSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
+    expect(issuesOf(() => parseSettings('= 1'))[0]).toMatch(/^settings are not TOML: /);
   });
 });
 
@@ -335,7 +335,7 @@
     ['patience_s', 'policy.patience_s: missing'],
   ])('is rejected without %s', (name, error) => {
     const text = lines.filter((line) => !line.startsWith(`${name} =`)).join('\n');
-    expect(errorsOf(() => compilePolicy(text))).toEqual([error]);
+    expect(issuesOf(() => compilePolicy(text))).toEqual([error]);
   });
 
   test.each([
@@ -371,6 +371,6 @@
     ],
     ['idle_s = "1 +"', ['policy.idle_s (line 3): Unexpected token: EOF  >    1 | 1 +             ^']],
   ])('is rejected with %s', (replacement, error) => {
-    expect(errorsOf(() => compilePolicy(POLICY_TEXT.replace('idle_s = 3.5', replacement)))).toEqual(error);
+    expect(issuesOf(() => compilePolicy(POLICY_TEXT.replace('idle_s = 3.5', replacement)))).toEqual(error);
   });
 });
--- a/test/forms/user-messages.test.ts
+++ b/test/forms/user-messages.test.ts
@@ -3,8 +3,8 @@
 import type { ApiResponse } from '../../src/model/api-response.js';
 import type { Clock } from '../../src/model/clock.js';
 import type { JobSpec } from '../../src/model/job.js';
-import { createRequestHandler } from '../../src/transport/http-api.js';
 import type { HttpResponse } from '../../src/transport/http-server.js';
+import { createRequestHandler } from '../../src/transport/request-handler.js';
 import { createUserApi } from '../../src/transport/user-api.js';
 import { decodeSubmission, encodeJobStatus } from '../../src/wire/user-messages.js';
 
--- a/test/forms/worker-messages.test.ts
+++ b/test/forms/worker-messages.test.ts
@@ -4,7 +4,7 @@
 import type { ExitReason, TaskPhase } from '../../src/model/job.js';
 import type { Result } from '../../src/model/result.js';
 import type { Heartbeat, WorkerCommand } from '../../src/model/worker-messages.js';
-import { respondToHeartbeat } from '../../src/transport/http-api.js';
+import { respondToHeartbeat } from '../../src/transport/request-handler.js';
 import { WorkerClient } from '../../src/transport/worker-client.js';
 import { decodeHeartbeat } from '../../src/wire/worker-messages.js';
 import { RecordingServer } from './recording-server.js';
--- a/test/http-api.test.ts
+++ b/test/http-api.test.ts
@@ -2,8 +2,8 @@
 
 import { beforeAll, expect, test } from 'vitest';
 import type { Clock } from '../src/model/clock.js';
-import { createRequestHandler } from '../src/transport/http-api.js';
 import type { HttpResponse, RequestHandler } from '../src/transport/http-server.js';
+import { createRequestHandler } from '../src/transport/request-handler.js';
 import { createUserApi } from '../src/transport/user-api.js';
 import { runFor } from './simulation/cluster-queries.js';
 import { ClusterSimulation } from './simulation/cluster-simulation.js';
--- a/test/peer-connections.test.ts
+++ b/test/peer-connections.test.ts
@@ -28,7 +28,7 @@
   const received: number[] = [];
   const connections = new PeerConnections({
     bind: '127.0.0.1:0',
-    peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
+    peerAddresses: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
     log,
     onMessage: () => {},
     onConnectionChange: (nodeName, isUp) => changes.push(`${nodeName} ${isUp ? 'up' : 'down'}`),
@@ -64,7 +64,7 @@
   const changes: boolean[] = [];
   const connections = new PeerConnections({
     bind: '127.0.0.1:0',
-    peers: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
+    peerAddresses: [{ nodeName: 'stand-2', address: `127.0.0.1:${port}` }],
     log,
     onMessage: () => {},
     onConnectionChange: (_nodeName, isUp) => changes.push(isUp),
--- a/test/simulation/cluster-config.ts
+++ b/test/simulation/cluster-config.ts
@@ -10,7 +10,7 @@
   nodeNames: string[];
   /** Interval of the heartbeats of workers. */
   heartbeatIntervalSeconds: number;
-  /** A worker whose lease was not renewed for this time ends its tasks. */
+  /** A worker whose lease was not renewed for this time ends its tasks and starts a new epoch. */
   leaseSeconds: number;
   /** Time after the confirmed cancellation of a job within which its tasks must have ended. */
   cancellationSeconds: number;
--- a/test/simulation/controller-ports.ts
+++ b/test/simulation/controller-ports.ts
@@ -63,7 +63,7 @@
           deliver(() => callback({ ok: false, kind: 'indeterminate' })),
         );
       if (simulator.chance(cluster.delayedWriteShare)) {
-        // The write is executed after newer ones.
+        // The write may be executed after newer ones.
         simulator.scheduleAfter(simulator.between(2000, 12000), execute);
         return failAfterDeadline();
       }
@@ -74,9 +74,10 @@
       call((reply) => reply(execute()), callback);
     },
     grantLease: (ttlMs, callback) => call((reply) => reply(store.grantLease(nodeName, ttlMs)), callback),
-    keepLeaseAlive: (lease, callback) =>
-      call((reply) => reply(store.keepLeaseAlive(nodeName, lease)), callback),
-    revokeLease: (lease, callback) => call((reply) => reply(store.revokeLease(nodeName, lease)), callback),
+    keepLeaseAlive: (leaseId, callback) =>
+      call((reply) => reply(store.keepLeaseAlive(nodeName, leaseId)), callback),
+    revokeLease: (leaseId, callback) =>
+      call((reply) => reply(store.revokeLease(nodeName, leaseId)), callback),
     watch: ({ prefix, sinceRevision, waitMs }, callback) =>
       call(
         (reply) => store.watch(nodeName, { prefix, sinceRevision, waitMs }, reply),
@@ -90,7 +91,7 @@
 function prepareTransaction({ cluster, quotaChecker, nodeName }: StorePortOptions, transaction: Transaction) {
   const copy = JSON.parse(JSON.stringify(transaction)) as Transaction;
   return () =>
-    quotaChecker.checkTransaction(copy, () => cluster.store.compareAndSwap(nodeName, copy, cluster.config));
+    quotaChecker.executeAndCheck(copy, () => cluster.store.compareAndSwap(nodeName, copy, cluster.config));
 }
 
 /** The workers as one controller reaches them with direct commands. */
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -12,8 +12,9 @@
 const LIST_DELAY_MS = 3000;
 const SNAPSHOT_INTERVAL_MS = 1000;
 const MAX_SNAPSHOTS = 30;
-/** Shares of the rented machines that never boot, and on which every task fails. */
+/** Share of the rented machines that never boot. */
 const NEVER_BOOTS_SHARE = 0.1;
+/** Share of the machines that boot on which every task fails, see `onFaultyMachine`. */
 const FAULTY_SHARE = 0.05;
 
 /** Type and zone of a machine, and whether it is a spot instance. */
@@ -88,13 +89,14 @@
           for (const name of names) this.environment.onMachineDeleted(name);
           return { ok: true, value: null };
         }, callback),
-      listMachines: (since, callback) => call(() => ({ ok: true, value: this.list(since) }), callback),
+      listMachines: (afterName, callback) =>
+        call(() => ({ ok: true, value: this.list(afterName) }), callback),
     };
   }
 
   /** Rents up to `count` machines. A repeated claim returns the same names and rents nothing. */
-  private rentMachines(claimId: string, count: number, description: MachineDescription): Result<string[]> {
-    const previousNames = this.namesByClaim.get(claimId);
+  private rentMachines(claim: string, count: number, description: MachineDescription): Result<string[]> {
+    const previousNames = this.namesByClaim.get(claim);
     if (previousNames) return { ok: true, value: previousNames };
     const names: string[] = [];
     const { zonesWithoutCapacity } = this.environment.config;
@@ -102,7 +104,7 @@
     while (names.length < count && this.rentedMachines.size < this.capacity && zoneHasCapacity)
       names.push(this.rentMachine(description));
     if (names.length === 0) return { ok: false, kind: 'notFound' };
-    this.namesByClaim.set(claimId, names);
+    this.namesByClaim.set(claim, names);
     return { ok: true, value: names };
   }
 
@@ -128,11 +130,17 @@
     return name;
   }
 
-  private list(since: string): { machines: ListedMachine[]; hasMore: boolean } {
+  /**
+   * Lists the machines whose names sort after `afterName`, from a snapshot of at least `LIST_DELAY_MS` ago.
+   */
+  private list(afterName: string): { machines: ListedMachine[]; hasMore: boolean } {
     const visibleSnapshot = this.snapshots
       .filter(({ takenAt }) => takenAt <= this.environment.simulator.now - LIST_DELAY_MS)
       .at(-1);
-    return { machines: (visibleSnapshot?.machines ?? []).filter(({ name }) => name > since), hasMore: false };
+    return {
+      machines: (visibleSnapshot?.machines ?? []).filter(({ name }) => name > afterName),
+      hasMore: false,
+    };
   }
 
   /** Takes a snapshot of the rented machines, now and after each `SNAPSHOT_INTERVAL_MS`. */
--- a/test/simulation/fake-store.ts
+++ b/test/simulation/fake-store.ts
@@ -40,13 +40,16 @@
 
 /** Interval at which expired leases are removed. */
 const LEASE_EXPIRY_INTERVAL_MS = 50;
-/** Interval at which a watch that should end is retried while its node is refused. */
+/** Interval at which the end of a watch whose wait time is over is tried again while its node is refused. */
 const REFUSED_WATCH_RETRY_MS = 500;
 /** When the event log exceeds `MAX_EVENTS`, it is trimmed to the latest `EVENTS_AFTER_TRIM`. */
 const MAX_EVENTS = 20_000;
 const EVENTS_AFTER_TRIM = 10_000;
 
-/** Implements the protocol of the key-value store, including its HTTP statuses. */
+/**
+ * Implements the protocol of the key-value store, including its HTTP statuses. A transaction that exceeds the
+ * store's limits is a fault of the controller, and throws.
+ */
 export class FakeStore {
   readonly records = new Map<string, StoredRecord>();
   storeRevision = 1;
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -21,13 +21,17 @@
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 /** Minimum time between a heartbeat and an early one that reports changes. */
 const MIN_HEARTBEAT_GAP_MS = 500;
-/** Delays after which results and commands for a hung machine are tried again. */
+/** Interval at which timers and responses that come due on a hung machine are tried again. */
 const HANG_RETRY_MS = 100;
+/** Interval at which direct commands to a hung machine are tried again. */
 const HANG_COMMAND_RETRY_MS = 200;
+/** Interval at which a waiting task of a gang checks whether the other tasks are ready. */
 const GANG_WAIT_POLL_MS = 200;
+/** Interval at which a running task of a gang checks whether another task is lost. */
 const GANG_LOSS_POLL_MS = 500;
 /** A task of a gang exits if the other tasks are not ready within this time. */
 const GANG_WAIT_TIMEOUT_MS = 15_000;
+/** Run time of a task that fails. */
 const FAILURE_DELAY_MS = 300;
 /** Sums of decimal amounts are compared with this tolerance. */
 const EPSILON = 1e-9;
--- a/test/simulation/invariant-checker.ts
+++ b/test/simulation/invariant-checker.ts
@@ -85,6 +85,7 @@
       this.cluster.reportViolation(`wrong_place: ${spec.id} not spread`);
   }
 
+  /** Checks the CPU quotas of the teams; other resources are not checked. */
   private checkQuota(cpusByTeam: ReadonlyMap<string, number>): void {
     for (const { name, maxCpus } of this.cluster.config.teams)
       if (maxCpus > 0 && (cpusByTeam.get(name) ?? 0) > maxCpus + EPSILON)
--- a/test/simulation/output-digest.ts
+++ b/test/simulation/output-digest.ts
@@ -104,13 +104,13 @@
         recordCall('grant', ttlMs);
         port.grantLease(ttlMs, callback);
       },
-      keepLeaseAlive: (lease, callback) => {
-        recordCall('touch', lease);
-        port.keepLeaseAlive(lease, callback);
+      keepLeaseAlive: (leaseId, callback) => {
+        recordCall('touch', leaseId);
+        port.keepLeaseAlive(leaseId, callback);
       },
-      revokeLease: (lease, callback) => {
-        recordCall('end', lease);
-        port.revokeLease(lease, callback);
+      revokeLease: (leaseId, callback) => {
+        recordCall('end', leaseId);
+        port.revokeLease(leaseId, callback);
       },
       watch: (request, callback) => {
         recordCall('watch', [request.prefix, request.sinceRevision, request.waitMs]);
@@ -136,9 +136,9 @@
         recordCall('remove', encodeDeletionRequest(names));
         port.deleteMachines(names, callback);
       },
-      listMachines: (since, callback) => {
-        recordCall('list', since);
-        port.listMachines(since, callback);
+      listMachines: (afterName, callback) => {
+        recordCall('list', afterName);
+        port.listMachines(afterName, callback);
       },
     };
   }
--- a/test/simulation/quota-checker.ts
+++ b/test/simulation/quota-checker.ts
@@ -1,32 +1,34 @@
-/** Checks the quotas against stored placements. */
+/** Checks the CPU quotas of teams against stored placements. */
 
 import type { Transaction } from '../../src/model/key-value-store.js';
 import type { SimulatedCluster } from './simulated-cluster.js';
 
 /**
- * Stored placement of a task: its attempt and, until the placement is finalized, its machine, epoch and zone.
+ * Encoded form of a `PlacementEntry`: the attempt of a task and, until it is finalized, its machine, epoch
+ * and zone.
  */
-type StoredPlacement =
+type EncodedPlacement =
   | [attempt: number]
   | [attempt: number, machine: string, workerEpoch: number, zone: string];
-/** Value of a `place/<id>/<chunk>` record: placements by task index. */
-interface StoredPlacements {
-  t: Record<string, StoredPlacement>;
+/** Encoded form of a `PlacementRecord`, `place/<job>/<chunk>`: placements by task index. */
+interface EncodedPlacementRecord {
+  t: Record<string, EncodedPlacement>;
 }
 
 /** Sums of decimal amounts are compared with this tolerance. */
 const EPSILON = 1e-9;
 
 /**
- * Checks each transaction when the store executes it, even if that is late: the placements that it adds and
- * the tasks already on machines must together fit within the quota of the team. This detects a violation
- * before any of the tasks has started.
+ * Checks each transaction when the store executes it, even if its response deadline has passed: the
+ * placements that it adds and the tasks that occupy machines must together fit within the CPU quota of the
+ * team. Tasks that still fetch their image do not count as occupying one. This detects a violation before any
+ * of the added tasks has started.
  */
 export class QuotaChecker {
   constructor(private readonly cluster: SimulatedCluster) {}
 
   /** Executes a transaction and checks the placements that it has added. */
-  checkTransaction<T extends { status: number }>(transaction: Transaction, execute: () => T): T {
+  executeAndCheck<T extends { status: number }>(transaction: Transaction, execute: () => T): T {
     const placementOperations = transaction.operations.filter(
       (operation) => operation.type === 'put' && operation.key.startsWith('place/'),
     );
@@ -37,12 +39,12 @@
     return response;
   }
 
-  private storedTasks(key: string): Record<string, StoredPlacement> {
+  private storedTasks(key: string): Record<string, EncodedPlacement> {
     const stored = this.cluster.store.records.get(key);
-    return stored ? (JSON.parse(stored.value) as StoredPlacements).t : {};
+    return stored ? (JSON.parse(stored.value) as EncodedPlacementRecord).t : {};
   }
 
-  private checkChunk(key: string, previousTasks: Record<string, StoredPlacement>): void {
+  private checkChunk(key: string, previousTasks: Record<string, EncodedPlacement>): void {
     const id = key.split('/')[1] ?? '';
     const spec = this.cluster.jobs.get(id)?.spec;
     const maxCpus = this.cluster.config.teams.find((team) => team.name === spec?.team)?.maxCpus ?? 0;
--- a/test/simulation/scheduler-harness.ts
+++ b/test/simulation/scheduler-harness.ts
@@ -39,7 +39,8 @@
   readonly tokenRaiseReasons: string[] = [];
   readonly deletedMachines: string[] = [];
   readonly resignationReasons: string[] = [];
-  readonly peers = { count: 0 };
+  /** Number of peers that the scheduler is told it has recently heard from. */
+  readonly recentlyHeardPeers = { count: 0 };
   /** Jobs that the scheduler knows to be stored as cancelled, regardless of what their owner has read. */
   readonly cancelledJobs = new Set<string>();
   /**
@@ -109,7 +110,7 @@
       latestCoverage: () => null,
       isCancelled: (id) => this.cancelledJobs.has(id),
       knownCancellationPeriod: (at) => ({ since: at, until: Number.NEGATIVE_INFINITY }),
-      recentlyHeardPeers: () => this.peers.count,
+      recentlyHeardPeers: () => this.recentlyHeardPeers.count,
       resign: (reason) => this.resignationReasons.push(reason),
       raiseFencingToken: (reason) => this.tokenRaiseReasons.push(reason),
     };
@@ -127,7 +128,7 @@
         this.deletedMachines.push(...names);
         if (this.rentals.isAnswered) callback({ ok: true, value: null });
       },
-      listMachines: (_since, callback) =>
+      listMachines: (_afterName, callback) =>
         callback({ ok: true, value: { machines: this.listedMachines, hasMore: false } }),
     };
   }
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -2,7 +2,10 @@
 
 import type { Simulator } from './simulated-time.js';
 
-/** Effect of a cut link: it holds packets back until it heals, or resets connections. */
+/**
+ * Effect of cutting a link, which simulates a network partition between two nodes. `hold`: messages are held
+ * back until the link is restored. `reset`: connections are reset, so that messages are lost.
+ */
 export type CutMode = 'hold' | 'reset';
 /** The response to a call or, if none was received, whether the request may have been sent. */
 export type CallResult<T> = { received: true; value: T } | { received: false; mayHaveBeenSent: boolean };
@@ -12,7 +15,10 @@
   from: string;
   to: string;
   deliver(): void;
-  /** The connection was reset before it arrived. */
+  /**
+   * Called if the link is cut in mode `reset` when the message is sent. Not called for a message to a node of
+   * `unreachableInbound`, which is dropped silently.
+   */
   onLost?(): void;
 }
 
@@ -27,14 +33,15 @@
 
 interface CutLink {
   mode: CutMode;
-  queuedMessages: (() => void)[];
+  /** Functions that send the messages held back. */
+  heldMessages: (() => void)[];
 }
 
-/** The links between nodes, with small delays. Links can be cut; nodes can be slowed down or unreachable. */
+/** The links between nodes, with small delays. Links can be cut; nodes can be slow or unreachable. */
 export class SimulatedNetwork {
   /** Nodes that no message reaches, although the messages that they send arrive. */
   readonly unreachableInbound = new Set<string>();
-  /** Nodes that can't open connections, although others can reach them. */
+  /** Nodes whose calls fail, although others can reach them. One-way messages from them still arrive. */
   readonly unreachableOutbound = new Set<string>();
   /** Factor that multiplies the delay of messages from a node. */
   readonly slowdowns = new Map<string, number>();
@@ -44,18 +51,18 @@
 
   constructor(private readonly simulator: Simulator) {}
 
-  /** Cuts the link between two nodes, in both directions. */
+  /** Cuts the link between two nodes, in both directions. A link that is already cut keeps its mode. */
   cut(node: string, other: string, mode: CutMode): void {
     const key = linkKey(node, other);
-    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, queuedMessages: [] });
+    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, heldMessages: [] });
   }
 
-  /** Restores a link and sends the messages that it held back. */
+  /** Restores a link, however often it was cut, and sends the messages that it held back. */
   heal(node: string, other: string): void {
     const key = linkKey(node, other);
     const link = this.cutLinks.get(key);
     this.cutLinks.delete(key);
-    for (const resend of link?.queuedMessages ?? []) resend();
+    for (const sendHeld of link?.heldMessages ?? []) sendHeld();
   }
 
   /** Returns how the link between two nodes is cut; null if it is not. */
@@ -73,7 +80,7 @@
       return;
     }
     if (link) {
-      link.queuedMessages.push(() => this.send(message));
+      link.heldMessages.push(() => this.send(message));
       return;
     }
     const direction = `${from}>${to}`;
@@ -95,13 +102,14 @@
       isComplete = true;
       onResult(result);
     };
-    const onLost = () => complete({ received: false, mayHaveBeenSent: true });
+    const completeWithoutResponse = () => complete({ received: false, mayHaveBeenSent: true });
     if (this.unreachableOutbound.has(from)) {
       simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
       return;
     }
     const cutMode = this.cutModeOf(from, to);
-    // During a `hold` cut, half of the calls use an open connection and are held back; others cannot connect.
+    // During a `hold` cut, half of the calls cannot connect and fail here. The others use a connection that
+    // is already open: `send` holds them back.
     if (cutMode === 'hold' && simulator.chance(0.5)) {
       simulator.scheduleAfter(deadlineMs, () => complete({ received: false, mayHaveBeenSent: false }));
       return;
@@ -110,10 +118,15 @@
       simulator.scheduleAfter(2, () => complete({ received: false, mayHaveBeenSent: simulator.chance(0.3) }));
       return;
     }
-    simulator.scheduleAfter(deadlineMs, onLost);
+    simulator.scheduleAfter(deadlineMs, completeWithoutResponse);
     const reply = (value: T) =>
-      this.send({ from: to, to: from, deliver: () => complete({ received: true, value }), onLost });
-    this.send({ from, to, deliver: () => serve(reply), onLost });
+      this.send({
+        from: to,
+        to: from,
+        deliver: () => complete({ received: true, value }),
+        onLost: completeWithoutResponse,
+      });
+    this.send({ from, to, deliver: () => serve(reply), onLost: completeWithoutResponse });
   }
 }
 
