--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -52,7 +52,8 @@
 
 /**
  * Parses the process arguments and runs the command. Issues of the command line, settings or policy go to
- * standard error, one per line, and the process exits with code 2. Other errors are rethrown.
+ * standard error, one per line, and the process exits with code 2. After printing help, it exits with code 0.
+ * Other errors are rethrown.
  */
 export function runCommandLine(handlers: CommandHandlers): void {
   try {
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -31,7 +31,9 @@
   patience_s: { field: 'minRentalWaitSeconds', range: { min: 0, max: 3600 } },
 };
 
-/** Variables of the expressions and the input fields that they are read from. All have type double. */
+/**
+ * Variables of the expressions, all of type double, and the fields of the policy input that they stand for.
+ */
 const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
   services: 'services',
   service_cpus: 'serviceCpus',
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -125,6 +125,7 @@
       const { method, path, body, onReply } = this.queue.shift() as QueuedCall;
       this.tokens -= 1;
       this.client.call({ method, path, body, timeoutMs: CALL_TIMEOUT_MS }, (reply) => {
+        // The cloud has throttled the call, so the tokens that are left are dropped.
         if (reply.status === 429) this.tokens = Math.min(this.tokens, 0);
         onReply(reply);
       });
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -65,7 +65,10 @@
   timeoutStartedAt: number;
 }
 
-/** Serves the requests of each connection in order, and closes connections that have timed out. */
+/**
+ * Serves the requests of each connection in order, and closes connections that have timed out. A connection
+ * does not time out while a request is being served.
+ */
 export class HttpServer {
   /** The listening socket. */
   readonly server: net.Server;
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -32,7 +32,9 @@
   log: Logger;
   /** Called for each message received, from any peer. */
   onMessage: (message: PeerMessage) => void;
-  /** Called when the connection to a peer is established or lost. Messages sent before may be lost. */
+  /**
+   * Called when the outbound connection to a peer is established or lost. Messages sent before may be lost.
+   */
   onConnectionChange: (nodeName: string, isUp: boolean) => void;
 }
 
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -124,7 +124,10 @@
     this.executeOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /** Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. */
+  /**
+   * Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. A
+   * watch has the urgency of user requests, and is not retried when it is throttled.
+   */
   watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchResponse>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -9,7 +9,10 @@
 
 /** Timeout of a call, including the wait for a connection. */
 const CALL_TIMEOUT_MS = 2000;
-/** Idle time after which a connection is closed, because sockets are needed for heartbeats and users. */
+/**
+ * Time since the start of its last call after which an idle connection is closed, because sockets are needed
+ * for heartbeats and users.
+ */
 const IDLE_TIMEOUT_MS = 30_000;
 /** Interval at which waiting calls and idle connections are checked. */
 const MAINTENANCE_INTERVAL_MS = 500;
@@ -20,7 +23,7 @@
   /** Uses a single socket. */
   client: HttpClient;
   callsInProgress: number;
-  /** When a call last used the connection; wall-clock ms. */
+  /** When a call last started on the connection; wall-clock ms. */
   lastUsedAt: number;
 }
 
@@ -103,7 +106,10 @@
     return connection;
   }
 
-  /** Closes the least recently used connection without a call if it has been idle for `minIdleMs`. */
+  /**
+   * Closes the least recently used connection without a call if its last call started at least `minIdleMs`
+   * ago. Returns whether it has closed one.
+   */
   private closeLeastRecentlyUsed(now: number, minIdleMs: number): boolean {
     for (const [address, connection] of this.connections) {
       if (connection.callsInProgress > 0) continue;
@@ -115,6 +121,7 @@
     return false;
   }
 
+  /** Sends or expires waiting calls, commands first, until the first call that must keep waiting. */
   private sendWaiting(): void {
     const now = Date.now();
     for (const queue of [this.waitingCommands, this.waitingQueries])
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -47,6 +47,7 @@
     this.cut(others.map((other) => [this.nodeName, other]));
   }
 
+  /** Tells all live controllers that the connections between them have been established again. */
   private reconnectPeers(): void {
     const { nodeNames, controllers } = this.simulation;
     for (const nodeName of nodeNames)
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * Keeps the teams with a quota at it while some transactions get no response and are executed at once or
- * late. Even seeds add one other fault.
+ * Keeps each team that has a quota at its limit while some transactions get no response and are executed at
+ * once or late. Even seeds add one other fault.
  */
 export function runIndeterminateWritesScenario(seed: number): ClusterSimulation {
   const teams = CLUSTER_CONFIG.teams.map((team) => ({ ...team, maxCpus: team.maxCpus / 2 }));
--- a/test/simulation/shard-owner-harness.ts
+++ b/test/simulation/shard-owner-harness.ts
@@ -1,4 +1,4 @@
-/** Runs a shard owner without the rest of the cluster. */
+/** Runs a shard owner, which manages the jobs of its teams, without the rest of the cluster. */
 
 import type { JobSpec } from '../../src/model/job.js';
 import type { KeyValueStore, Transaction } from '../../src/model/key-value-store.js';
@@ -44,7 +44,8 @@
 export type LostResponse = 'carried out at once' | 'carried out late';
 
 /**
- * The shard owner of one team with a fake store. Tests can lose responses to transactions and delay reads.
+ * The owner of one team's shard, which consists of the team's jobs, with a fake store. Tests can lose
+ * responses to transactions and delay reads.
  */
 export class ShardOwnerHarness {
   readonly simulator = new Simulator(1);
--- a/test/simulation/simulated-cluster.ts
+++ b/test/simulation/simulated-cluster.ts
@@ -50,7 +50,7 @@
   duplicatesMessages = false;
   /** Share of transactions that get no response and are executed 2 to 12 s later. */
   delayedWriteShare = 0;
-  /** Share of transactions that are executed at once but whose response is lost. */
+  /** Share of the transactions outside `delayedWriteShare` that are executed but whose response is lost. */
   lostResponseShare = 0;
   /** Maximum random delay added to each list request to the key-value store. */
   maxReadDelayMs = 0;
--- a/test/simulation/simulated-network.ts
+++ b/test/simulation/simulated-network.ts
@@ -33,8 +33,8 @@
 
 interface CutLink {
   mode: CutMode;
-  /** Functions that send the messages held back. */
-  heldMessages: (() => void)[];
+  /** Functions that send the messages that the cut holds back. */
+  pendingMessages: (() => void)[];
 }
 
 /** The links between nodes, with small delays. Links can be cut; nodes can be slow or unreachable. */
@@ -54,7 +54,7 @@
   /** Cuts the link between two nodes, in both directions. A link that is already cut keeps its mode. */
   cut(node: string, other: string, mode: CutMode): void {
     const key = linkKey(node, other);
-    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, heldMessages: [] });
+    if (!this.cutLinks.has(key)) this.cutLinks.set(key, { mode, pendingMessages: [] });
   }
 
   /** Restores a link, however often it was cut, and sends the messages that it held back. */
@@ -62,7 +62,7 @@
     const key = linkKey(node, other);
     const link = this.cutLinks.get(key);
     this.cutLinks.delete(key);
-    for (const sendHeld of link?.heldMessages ?? []) sendHeld();
+    for (const sendPending of link?.pendingMessages ?? []) sendPending();
   }
 
   /** Returns how the link between two nodes is cut; null if it is not. */
@@ -80,7 +80,7 @@
       return;
     }
     if (link) {
-      link.heldMessages.push(() => this.send(message));
+      link.pendingMessages.push(() => this.send(message));
       return;
     }
     const direction = `${from}>${to}`;
--- a/test/simulation/simulated-users.ts
+++ b/test/simulation/simulated-users.ts
@@ -11,7 +11,9 @@
 const REQUEST_DEADLINE_MS = 5000;
 /** Time until a request to a node without a running controller fails. */
 const CONNECTION_REFUSED_MS = 5;
-/** A submission or cancellation that is not answered is repeated at this interval. */
+/**
+ * A submission or cancellation that is not answered is repeated at this interval, up to `MAX_RETRIES` times.
+ */
 const RETRY_INTERVAL_MS = 1000;
 const MAX_RETRIES = 60;
 /** More CPUs than any machine has. */
@@ -65,7 +67,7 @@
     );
   }
 
-  /** Cancels an accepted job, with retries until that is answered. */
+  /** Cancels an accepted job, once, with retries until the cancellation is answered. */
   cancelJob(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (!job?.accepted || job.cancelRequested) return;
--- a/test/simulation/starvation-checker.ts
+++ b/test/simulation/starvation-checker.ts
@@ -36,7 +36,10 @@
   }
 }
 
-/** Reports accepted jobs that keep waiting, or never start, although they could run. */
+/**
+ * Reports accepted jobs with tasks that have been waiting for more than `MAX_WAIT_MS` although they could
+ * run.
+ */
 export class StarvationChecker {
   /** Time since which each job has been waiting although it could run. */
   private readonly waitingSince = new Map<string, number>();
