--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -31,7 +31,9 @@
   patience_s: { field: 'rentalWaitFloorSeconds', range: { min: 0, max: 3600 } },
 };
 
-/** Variables of the expressions and the input fields that they are read from. All have type double. */
+/**
+ * Variables of the expressions, all of type double, and the fields of the policy input that they stand for.
+ */
 const VARIABLES: Readonly<Record<string, keyof PolicyInput>> = {
   services: 'serviceReplicas',
   service_cpus: 'serviceCpus',
@@ -82,7 +84,7 @@
   return { ok: false, issue: value === undefined ? 'missing' : 'must be a number or an expression' };
 }
 
-/** Names a key together with its line number, if a line of the text starts with the key. */
+/** Names a key together with the number of the first line that starts with it, if there is one. */
 function describeKey(text: string, key: string): string {
   const line = text.split('\n').findIndex((lineText) => lineText.trimStart().startsWith(key));
   return `policy.${key}${line < 0 ? '' : ` (line ${line + 1})`}`;
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -26,7 +26,7 @@
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
 const MAX_REQUEST_CONNECTIONS = 16;
-/** Separate limit: a watch occupies its connection until its response. */
+/** Separate limit: a watch is a long-poll request, which occupies its connection until its response. */
 const MAX_WATCH_CONNECTIONS = 8;
 const CALL_TIMEOUT_MS = 1500;
 /** Added to the wait time of a watch to allow for the transfer of its response. */
@@ -124,7 +124,10 @@
     this.executeOnLease({ method: 'DELETE', path: `/grants/${leaseId}` }, callback);
   }
 
-  /** Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. */
+  /**
+   * Waits up to `waitMs` for changes after `sinceRevision`; 0 returns existing changes without waiting. A
+   * watch has the urgency of user requests, and is not retried when it is throttled.
+   */
   watch({ prefix, sinceRevision, waitMs }: WatchRequest, callback: ResultCallback<WatchResponse>): void {
     const path = `/watch?prefix=${encodeURIComponent(prefix)}&since=${sinceRevision}&wait_ms=${waitMs}`;
     const timeoutMs = waitMs === 0 ? CALL_TIMEOUT_MS : waitMs + WATCH_RESPONSE_MARGIN_MS;
