--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -130,7 +130,7 @@
       allocation.evictionRequestedAt = now;
       this.evictions.add(allocation);
       const machine = this.machines.get(allocation.machine);
-      if (machine) this.markChanged(machine);
+      if (machine) this.invalidateTotals(machine);
       const instanceId = this.owners.get(allocation.team)?.instanceId;
       if (!instanceId) continue;
       const tasks = tasksByOwner.get(instanceId) ?? [];
@@ -203,12 +203,12 @@
     machine.allocations.delete(allocation.key);
     this.evictions.delete(allocation);
     if (allocation.desiredState === 'granted') this.grants.remove(allocation);
-    this.markChanged(machine);
+    this.invalidateTotals(machine);
   }
 
   /**
-   * Marks the tasks of a job for stopping. The job is stored as cancelled, so this is correct whoever owns
-   * its shard. Returns the machines on which its tasks may run, once for each of its tasks.
+   * Sets the desired state of a job's tasks to `stop`. The job is stored as cancelled, so this is correct
+   * whoever owns its shard. Returns the machines on which its tasks may run, once for each of its tasks.
    */
   cancel(jobId: string): Machine[] {
     const affected: Machine[] = [];
@@ -221,8 +221,8 @@
         )
           continue;
         allocation.gracePeriodSeconds = 0;
-        this.leaseRenewal.markForStop(machine, allocation);
-        this.markChanged(machine);
+        this.leaseRenewal.stopAllocation(machine, allocation);
+        this.invalidateTotals(machine);
         affected.push(machine);
       }
     return affected;
@@ -242,9 +242,9 @@
     return machine;
   }
 
-  /** Marks a machine as changed: the next refresh recomputes its totals, and a placement pass is due. */
-  markChanged(machine: Machine): void {
-    this.fleetTotals.markChanged(machine);
+  /** Invalidates the totals of a machine: the next refresh recomputes them, and a placement pass is due. */
+  invalidateTotals(machine: Machine): void {
+    this.fleetTotals.invalidateTotals(machine);
     this.isDirty = true;
   }
 
--- a/src/scheduler/machines/machine-deletion.ts
+++ b/src/scheduler/machines/machine-deletion.ts
@@ -88,7 +88,7 @@
     }
     this.state.machines.delete(name);
     this.state.exitedAttempts.update(machine, []);
-    this.state.markChanged(machine);
+    this.state.invalidateTotals(machine);
     this.state.rentalBackoff.onFreed(machine);
   }
 }
--- a/src/scheduler/machines/machine-draining.ts
+++ b/src/scheduler/machines/machine-draining.ts
@@ -28,7 +28,7 @@
       if (allocation.desiredState !== 'run') continue;
       allocation.evictionRequestedAt = 0;
       const machine = this.state.machines.get(allocation.machine);
-      if (machine) this.state.markChanged(machine);
+      if (machine) this.state.invalidateTotals(machine);
     }
   }
 
--- a/src/scheduler/owners/placement-handler.ts
+++ b/src/scheduler/owners/placement-handler.ts
@@ -32,14 +32,14 @@
       return null;
     }
     const machine = this.state.getOrCreateMachine(placement.machine);
-    this.state.markChanged(machine);
+    this.state.invalidateTotals(machine);
     this.removeGrantOf(placement, machine);
     const allocation = this.upsert(placement, machine);
     if (
       allocation.desiredState === 'stop' ||
       (allocation.desiredState === 'run' && this.options.isCancelled(allocation.jobId))
     )
-      this.state.leaseRenewal.markForStop(machine, allocation);
+      this.state.leaseRenewal.stopAllocation(machine, allocation);
     if (isForgotten(machine, allocation)) {
       this.state.removeAllocation(machine, allocation);
       return null;
--- a/src/scheduler/owners/shard-owner-handler.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -134,7 +134,7 @@
   /** Applies a full sync: `lastChunk` identifies it, and `placements` are those of all its chunks. */
   private applyFullSync(lastChunk: SyncChunk, placements: PlacementSpec[]): void {
     const { instanceId, syncNumber } = lastChunk;
-    const teams = this.markSynced(lastChunk);
+    const teams = this.recordSyncedTeams(lastChunk);
     this.options.log.debug(
       { instanceId, teams: [...teams], placements: placements.length },
       'full sync applied',
@@ -157,8 +157,8 @@
         if (teams.has(allocation.team)) this.components.events.emitStatus(machine, allocation);
   }
 
-  /** Marks the teams that the sender owns under the epochs it names as synced, and returns them. */
-  private markSynced({ instanceId, shardEpochs }: SyncChunk): Set<string> {
+  /** Records as synced the teams that the sender owns under the epochs it names, and returns them. */
+  private recordSyncedTeams({ instanceId, shardEpochs }: SyncChunk): Set<string> {
     const teams = new Set<string>();
     for (const [team, shardEpoch] of Object.entries(shardEpochs)) {
       const owner = this.state.owners.get(team);
--- a/src/scheduler/placement/grant-issuer.ts
+++ b/src/scheduler/placement/grant-issuer.ts
@@ -52,7 +52,7 @@
     allocation.key = `grant#${grantId}`;
     allocation.desiredState = 'granted';
     machine.allocations.set(allocation.key, allocation);
-    this.state.markChanged(machine);
+    this.state.invalidateTotals(machine);
     this.state.machinesByGrant.set(grantId, machine);
     const openGrants = this.state.openGrants.get(jobId);
     if (openGrants) openGrants.add(grantId);
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -122,7 +122,7 @@
   private reserve(machine: Machine, { request, now }: PreemptionQuery): void {
     machine.reservation = { jobId: request.jobId, priority: request.priority, until: now + RESERVATION_MS };
     this.state.machinesWithReservation.add(machine);
-    this.state.markChanged(machine);
+    this.state.invalidateTotals(machine);
   }
 
   /** Records the eviction of a task and of all tasks that stop with it; adds the new ones to `victims`. */
@@ -132,7 +132,7 @@
       allocation.evictionRequestedAt = now;
       this.state.evictions.add(allocation);
       const machine = this.state.machines.get(allocation.machine);
-      if (machine) this.state.markChanged(machine);
+      if (machine) this.state.invalidateTotals(machine);
       const used = usage.get(allocation.team);
       if (used) used.cpus -= allocation.cpus;
       victims.push(allocation);
--- a/src/scheduler/state/fleet-totals.ts
+++ b/src/scheduler/state/fleet-totals.ts
@@ -52,8 +52,8 @@
     private readonly machines: ReadonlyMap<string, Machine>,
   ) {}
 
-  /** Marks a machine as changed: the next `refresh` recomputes its totals. */
-  markChanged(machine: Machine): void {
+  /** Invalidates the totals of a machine: the next `refresh` recomputes them. */
+  invalidateTotals(machine: Machine): void {
     this.changedMachines.add(machine);
   }
 
--- a/src/scheduler/state/lease-renewal-guard.ts
+++ b/src/scheduler/state/lease-renewal-guard.ts
@@ -57,8 +57,8 @@
     return false;
   }
 
-  /** Marks an allocation for stopping. */
-  markForStop(machine: Machine, allocation: Allocation): void {
+  /** Sets the desired state of an allocation to `stop`, and records its machine as having pending stops. */
+  stopAllocation(machine: Machine, allocation: Allocation): void {
     allocation.desiredState = 'stop';
     this.machinesWithPendingStops.add(machine);
   }
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -28,7 +28,7 @@
   )
     return;
   allocation.isFinalized = true;
-  state.markChanged(machine);
+  state.invalidateTotals(machine);
 }
 
 /**
@@ -45,5 +45,5 @@
   )
     return;
   allocation.isFinalized = true;
-  state.markChanged(machine);
+  state.invalidateTotals(machine);
 }
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -41,7 +41,7 @@
    */
   private reconcile(machine: Machine, heartbeat: Heartbeat, heartbeatSequence: number): void {
     this.updateMachine(machine, heartbeat);
-    this.state.markChanged(machine);
+    this.state.invalidateTotals(machine);
     machine.tasks.clear();
     this.state.exitedAttempts.update(machine, heartbeat.tasks);
     for (const status of heartbeat.tasks)
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -293,7 +293,7 @@
   harness.scheduler.flush();
   expect(candidateChecks).toBeGreaterThan(0);
   expect(candidateChecks).toBeLessThanOrEqual(2 * allMachines.length);
-  // The next pass is due in a second: until then a heartbeat only marks its own machine as changed.
+  // The next pass is due in a second: until then a heartbeat only invalidates the totals of its own machine.
   internals.state.fleetTotals.changedMachines.clear();
   let capacityChecks = 0;
   const machineCapacities = internals.state.capacities;
