--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -9,11 +9,14 @@
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /**
- * How long exited attempts alone may block a job before a higher fencing token is requested, under which
- * workers remove these attempts.
+ * How long exited attempts alone may keep a job from being placed before a higher fencing token is requested,
+ * under which workers remove these attempts.
  */
 const RAISE_TOKEN_AFTER_MS = 15_000;
-/** Rounds of choosing machines for a gang before all machines that list its exited attempts are excluded. */
+/**
+ * Rounds of choosing machines for a gang before all machines that list exited attempts of its tasks are
+ * excluded.
+ */
 const MAX_MATCHING_ROUNDS = 8;
 
 /**
@@ -25,7 +28,7 @@
  * none is refused, since one refusal ends the attempt of the whole gang.
  */
 export class AttemptConflicts {
-  /** For each job that exited attempts alone keep from being placed: since when they do, in monotonic ms. */
+  /** For each job that is kept from being placed by exited attempts alone: since when, in monotonic ms. */
   private readonly blockedSince = new Map<string, number>();
   /** Names of the machines found in this pass whose exited attempts alone prevent placement. */
   private blockingMachines = new Set<string>();
--- a/src/scheduler/placement/batch-profiles.ts
+++ b/src/scheduler/placement/batch-profiles.ts
@@ -39,7 +39,10 @@
     }
   }
 
-  /** All forecasts, highest priority first (0 is the highest), by the priority of the newest request. */
+  /**
+   * All forecasts of the next batch jobs, highest priority first (0 is the highest), by the priority of the
+   * newest request of the class.
+   */
   byPriority(): BatchForecast[] {
     return [...this.forecasts.values()].sort((a, b) => a.request.priority - b.request.priority);
   }
--- a/src/scheduler/placement/capacity-filter.ts
+++ b/src/scheduler/placement/capacity-filter.ts
@@ -50,7 +50,8 @@
 }
 
 /**
- * Whether a request excludes any machine. If it finds no capacity, equivalent requests may still find some.
+ * Whether a request excludes any machine. If such a request finds no capacity, equivalent requests that
+ * exclude other machines or none may still find some.
  */
 export function excludesAnyMachine(request: ResourceRequest): boolean {
   return request.avoidedMachines.length > 0 || request.refusingMachines !== undefined;
--- a/src/scheduler/placement/capacity-score.ts
+++ b/src/scheduler/placement/capacity-score.ts
@@ -4,7 +4,7 @@
 import type { ResourceRequest } from '../../model/placement.js';
 import type { FreeCapacity } from './free-capacity.js';
 
-// All weights are in seconds, so that they compare with the time that fetching an image takes.
+// All weights of the score are in seconds, so that they compare with the time that fetching an image takes.
 
 /** Penalty for a machine with all its CPUs left free, compared with one with none left free. */
 const PACKING_WEIGHT_SECONDS = 2;
--- a/src/scheduler/placement/free-capacity.ts
+++ b/src/scheduler/placement/free-capacity.ts
@@ -12,7 +12,7 @@
 
 /** Free capacity of one machine. Placement subtracts from it, so each pass works on its own copies. */
 export interface FreeCapacity {
-  /** Empty for a machine that is not rented yet. */
+  /** Name of the machine; empty if it is not rented yet. */
   machineName: string;
   machineType: string;
   zone: string;
@@ -24,14 +24,14 @@
   /** Sizes in GB of the images that the machine holds, by image; null: its images are not considered. */
   images: ReadonlyMap<string, number> | null;
   imageFetchGbPerSecond: number;
-  /** Added to the machine's score if its heartbeat is overdue or jobs have failed on it. */
+  /** Penalty added to the machine's placement score if its heartbeat is overdue or jobs have failed on it. */
   penaltySeconds: number;
   /** The job for which tasks were preempted on the machine; null: none. See `Machine.reservation`. */
   reservation: { jobId: string; priority: number } | null;
   /**
-   * Whether this is an on-demand machine without service replicas and outside the service reserve, while
-   * there is no shortage of capacity: work that can wait for spot machines stays off it, so that it can be
-   * returned.
+   * Whether this is an on-demand machine without service replicas and outside the service reserve (the
+   * capacity kept available for new replicas), while there is no shortage of capacity: work that can wait for
+   * spot machines stays off it, so that it can be returned.
    */
   isSurplus: boolean;
 }
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -9,7 +9,10 @@
 
 /** How long a waiting gang keeps the zone in which it reserves capacity before it chooses again. */
 const KEEP_ZONE_MS = 20_000;
-/** Weights of slots on booting machines and on machines yet to be rented, relative to free slots. */
+/**
+ * Weights of slots on booting machines and on machines yet to be rented, relative to free slots, when the
+ * zone for a gang is chosen.
+ */
 const BOOTING_SLOT_WEIGHT = 0.75;
 const RENTABLE_SLOT_WEIGHT = 0.5;
 
@@ -77,7 +80,7 @@
     return { request: taskRequest, count: missing };
   }
 
-  /** The zone in which the gang reserves capacity; null: any. */
+  /** The zone in which a waiting gang reserves capacity; null: any zone. */
   private chooseZone(capacities: FreeCapacity[], demand: CapacityDemand, now: number): string | null {
     const { request } = demand;
     if (!request.zoneAffinity || request.zone !== null) return request.zone;
--- a/src/scheduler/placement/partial-fill.ts
+++ b/src/scheduler/placement/partial-fill.ts
@@ -16,7 +16,10 @@
 
 /** Options for filling free capacity. */
 export interface FillOptions {
-  /** See `findScarceZone`; null: none. */
+  /**
+   * Zone whose on-demand machines are kept for jobs that must be spread over zones (see `findScarceZone`);
+   * null: no zone is scarce.
+   */
   scarceZone: string | null;
   /** Called for each placed task, after its demand was subtracted from the capacity. */
   onPlaced?: (capacity: FreeCapacity) => void;
@@ -40,7 +43,10 @@
   private readonly count: number;
   private readonly scarceZone: string | null;
   private readonly zoneAllowance: Record<string, number> | null;
-  /** The request with its remaining zone allowance and, under zone affinity, the zone of the first task. */
+  /**
+   * The filled request with its remaining zone allowance and, under zone affinity, the zone of the first
+   * task.
+   */
   private readonly constrained: ResourceRequest;
   /** Number of tasks placed by this fill, by capacity. */
   private readonly placedCounts = new Map<FreeCapacity, number>();
@@ -69,10 +75,10 @@
   }
 
   /**
-   * Limits on the tasks per machine, tried in turn; each counts the tasks placed under the earlier ones too.
-   * Replicas are spread over several machines: fewer are lost with a machine, and more machines hold the
-   * image for the next replicas. If they don't all fit that way, the rest is placed without a limit. The
-   * service reserve, which `ServiceReserve` requests with an empty job id, is spare capacity rather than
+   * Limits on the tasks per machine, tried in turn; each limit counts the tasks placed under the earlier
+   * limits too. Replicas are spread over several machines: fewer are lost with a machine, and more machines
+   * hold the image for the next replicas. If they don't all fit that way, the rest is placed without a limit.
+   * The service reserve, which `ServiceReserve` requests with an empty job id, is spare capacity rather than
    * replicas of one job, and is not spread.
    */
   private perMachineLimits(): number[] {
--- a/src/scheduler/placement/pass-requests.ts
+++ b/src/scheduler/placement/pass-requests.ts
@@ -15,7 +15,10 @@
   isWithinGuarantee: boolean;
 }
 
-/** State from earlier passes by which requests are adjusted. */
+/**
+ * Unsuccessful placements in earlier passes: since when jobs have found no capacity, and which machines
+ * refuse their tasks. The requests of a pass are adjusted by them.
+ */
 export interface RequestHistory {
   /** Start times of the periods in which no task of a job has found capacity. */
   nothingPlacedSince: JobConditionTimes;
@@ -49,8 +52,8 @@
 }
 
 /**
- * A copy of the request with the properties that the leader determines for this pass. The request itself if
- * none of them differs.
+ * A copy of the request with the properties that the leader determines for this pass; the request itself if
+ * none of these properties differs.
  */
 function adjustForPass(
   { request, isWithinGuarantee }: PassRequest,
--- a/src/scheduler/placement/placement-engine.ts
+++ b/src/scheduler/placement/placement-engine.ts
@@ -18,10 +18,12 @@
 import { UngrantedTasks } from './ungranted-tasks.js';
 import { maxWaitSeconds, WaitObjectives } from './wait-objectives.js';
 
-/** Minimum time between updates of the scarce zone: each looks at every machine. */
+/**
+ * Minimum time between updates of the scarce zone (see `findScarceZone`): each update looks at every machine.
+ */
 const SCARCE_ZONE_INTERVAL_MS = 1000;
 
-/** Runs placement passes and keeps the state that they share. */
+/** Runs placement passes and keeps the state that the passes share. */
 export class PlacementEngine {
   /** Until when jobs whose shard owner has declined grants get no new ones, in monotonic ms. */
   readonly declinedUntil = new Map<string, number>();
--- a/src/scheduler/placement/placement-pass.ts
+++ b/src/scheduler/placement/placement-pass.ts
@@ -8,9 +8,12 @@
 
 /** Input of a placement pass. */
 export interface PlacementPassInput {
-  /** In the order in which they are served. */
+  /** Requests of all shard owners, in the order in which they are served. */
   requests: readonly PassRequest[];
-  /** Highest priority first; the pass removes those for which it has set capacity aside. */
+  /**
+   * Forecasts of batch jobs, highest priority first; the pass removes those for which it has set capacity
+   * aside.
+   */
   batchForecasts: BatchForecast[];
   /** Number of jobs with the forecast task count for which capacity is set aside, per job class. */
   reservedJobsPerClass: number;
@@ -23,7 +26,9 @@
 export class PlacementPass {
   /** Jobs that have requests in this pass. */
   readonly waitingJobs = new Set<string>();
-  /** Jobs whose starved requests were placed before their turn. */
+  /**
+   * Jobs placed before their turn because they were starved: none of their tasks had found capacity for long.
+   */
   private readonly servedEarly = new Set<string>();
   /** Requests of the current group that were placed on warm machines only, with their remaining tasks. */
   private deferred: { entry: PassRequest; count: number }[] = [];
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -20,15 +20,18 @@
 export interface PreemptionCandidate {
   machine: Machine;
   victims: Allocation[];
-  /** Image fetch, and lost work and priorities of all tasks that stop with the victims, in CPU seconds. */
+  /**
+   * Cost of the image fetch, the lost work and the priorities of all tasks that stop with the victims, in CPU
+   * seconds.
+   */
   cost: number;
 }
 
 /** Finds preemption candidates, using an index of machines that is built once per pass. */
 export class PreemptionCandidates {
   /**
-   * Usable machines with preemptible tasks, by held image; null: all of them. Empty until first used in a
-   * pass.
+   * Usable machines with preemptible tasks, by the image that they hold; under the key null, all of them. The
+   * index is empty until it is first used in a pass.
    */
   private readonly machinesByImage = new Map<string | null, Machine[]>();
 
@@ -86,7 +89,8 @@
   private preemptibleTasks(machine: Machine, capacity: FreeCapacity, query: PreemptionQuery): Allocation[] {
     const preemptible: Allocation[] = [];
     for (const allocation of machine.allocations.values()) {
-      // Includes tasks being stopped: what they free was already offered as capacity being freed.
+      // Tasks being stopped count as using capacity here: what they free was already offered as capacity
+      // being freed.
       if (!usesCapacity(allocation)) continue;
       subtract(capacity, allocation);
       if (
--- a/src/scheduler/placement/preemption-rules.ts
+++ b/src/scheduler/placement/preemption-rules.ts
@@ -23,7 +23,7 @@
 /** The request that tasks are preempted for, and the state that the rules depend on. */
 export interface PreemptionQuery {
   request: ResourceRequest;
-  /** Updated while victims are chosen. */
+  /** Usage of all teams, updated while victims are chosen. */
   usage: UsageByTeam;
   now: number;
 }
@@ -77,9 +77,9 @@
 
   /**
    * Whether a task of equal or higher priority may be preempted to reclaim the guaranteed share of the
-   * request's team. Not while many machines are booting: there will soon be capacity, and choosing victims
-   * for all waiting requests would take most of the leader's CPU time. Gangs are preempted last, since all
-   * tasks of a gang stop with one.
+   * request's team. No task may be while many machines are booting: there will soon be capacity, and choosing
+   * victims for all waiting requests would take most of the leader's CPU time. Gangs are preempted last,
+   * since all tasks of a gang stop with one.
    */
   private canReclaimGuarantee(request: ResourceRequest, allocation: Allocation): boolean {
     this.bootingShare ??=
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -16,17 +16,22 @@
 
 /** Pause after a search for victims that found none: each search looks at every task of the fleet. */
 const RETRY_AFTER_MS = 1000;
-/** Services and requests of at least this priority search in every pass: for them every second counts. */
+/**
+ * Services and requests of at least this priority search for tasks to preempt in every placement pass, since
+ * every second counts for them; other requests pause for `RETRY_AFTER_MS` after a failed search.
+ */
 const URGENT_PRIORITY = 1;
 /** How long capacity that was freed for a job is reserved for it. */
 const RESERVATION_MS = 5000;
 
 /** Team usage, time and machines that a search for victims works with. */
 export interface PreemptionScope {
-  /** Updated with the CPUs of the victims, and with the tasks that they are preempted for. */
+  /**
+   * Usage of all teams, updated with the CPUs of the victims and with the tasks that they are preempted for.
+   */
   usage: UsageByTeam;
   now: number;
-  /** Searches only warm machines, which hold the request's image. */
+  /** Whether to search only warm machines, which hold the request's image. */
   warmOnly: boolean;
 }
 
@@ -73,7 +78,8 @@
   preempt({ request, count }: CapacityDemand, { usage, now, warmOnly }: PreemptionScope): number {
     const isWithinGuarantee = this.state.isWithinGuarantee(usage.get(request.team), request.team, request);
     if (!isWithinGuarantee && !this.hasLowerPriorityWork(request)) return 0;
-    // Each search looks at every machine: if one finds too few victims, equivalent requests need not search.
+    // Each search for victims looks at every machine: if a search finds too few, equivalent requests need not
+    // search.
     const key = `${equivalenceKey(request)}|${isWithinGuarantee}|${warmOnly ? request.image : ''}`;
     if (this.exhaustedKeys.has(key)) return 0;
     // If every job has its own task size, no requests are equivalent, so failed searches also pause per job.
--- a/src/scheduler/placement/request-placer.ts
+++ b/src/scheduler/placement/request-placer.ts
@@ -17,7 +17,7 @@
 import { addUsage, type UsageByTeam } from './usage-by-team.js';
 import type { WaitObjectives } from './wait-objectives.js';
 
-/** Components and state that passes share. */
+/** Components and state that all placement passes share. */
 export interface PlacementContext {
   options: SchedulerOptions;
   state: ClusterState;
@@ -42,11 +42,14 @@
   private readonly capacities: FreeCapacity[];
   /** The capacities in `capacities` whose machines hold an image, by image; built on first use. */
   private readonly capacitiesByImage = new Map<string, FreeCapacity[]>();
-  /** See `capacitiesBeingFreed`. Amounts that are free already are counted in `capacities` as well. */
+  /**
+   * Capacities of machines on which tasks are being stopped (see `capacitiesBeingFreed`). Amounts that are
+   * free already are counted in `capacities` as well.
+   */
   private readonly beingFreed: FreeCapacity[];
   /** Keys of searches for capacity that equivalent requests need not repeat in this pass. */
   private readonly exhaustedKeys = new Set<string>();
-  /** Jobs with reserved machines: they may find capacity where equivalent requests find none. */
+  /** Jobs with reserved machines: their requests may find capacity where equivalent requests find none. */
   private readonly jobsWithReservation = new Set<string>();
   private readonly holdsLeadership: boolean;
 
@@ -65,7 +68,10 @@
     this.holdsLeadership = options.holdsLeadership();
   }
 
-  /** Sets aside the capacity that these tasks would take, so that requests served later do not get it. */
+  /**
+   * Sets aside the capacity that the tasks of a demand would take, so that requests served later do not get
+   * it.
+   */
   reserveCapacity(demand: CapacityDemand): void {
     fill(this.capacities, demand, { scarceZone: this.scarceZone });
   }
@@ -178,7 +184,8 @@
 
   /**
    * Claims capacity being freed for tasks; no slots are granted. Returns the number of tasks that found none.
-   * The others count as usage: otherwise each further task would claim the same part of the guaranteed share.
+   * The tasks that found some count as usage of their team: otherwise each further task would claim the same
+   * part of the guaranteed share.
    */
   private claimCapacityBeingFreed(beingFreed: FreeCapacity[], demand: CapacityDemand): number {
     return fill(beingFreed, demand, {
--- a/src/scheduler/placement/running-gangs.ts
+++ b/src/scheduler/placement/running-gangs.ts
@@ -9,12 +9,12 @@
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Clears the index of the previous pass. */
+  /** Clears the index of gang tasks that the previous pass built. */
   beginPass(): void {
     this.tasksByJob = null;
   }
 
-  /** The tasks that stop together with this one: all tasks of its gang, or only the task itself. */
+  /** The tasks that stop together with a task: all tasks of its gang, or only the task itself. */
   tasksStoppedWith(allocation: Allocation): readonly Allocation[] {
     if (!allocation.isGang) return [allocation];
     this.tasksByJob ??= this.indexByJob();
--- a/src/scheduler/placement/ungranted-tasks.ts
+++ b/src/scheduler/placement/ungranted-tasks.ts
@@ -4,8 +4,9 @@
 import type { ClusterState } from '../cluster-state.js';
 
 /**
- * Counts the tasks of a request minus those covered by open grants, whose placements are not stored yet as
- * far as the leader knows. Jobs whose shard owner has declined grants get none for a while.
+ * Counts the tasks of a request minus those covered by open grants, that is, grants whose placements are not
+ * stored yet as far as the leader knows. Jobs whose shard owner has declined grants get no new grants for a
+ * while.
  */
 export class UngrantedTasks {
   constructor(
--- a/src/scheduler/placement/wait-objectives.ts
+++ b/src/scheduler/placement/wait-objectives.ts
@@ -5,7 +5,7 @@
 
 /** Share of an objective that is kept as a safety margin. */
 export const OBJECTIVE_MARGIN_SHARE = 0.2;
-/** Multiple of the estimated run time that is allowed for the run: estimates may be too low. */
+/** Multiple of the estimated run time that is allowed for the run of a task: estimates may be too low. */
 const RUN_TIME_SAFETY_FACTOR = 1.75;
 /** Share of a wait-time or guarantee objective after which a waiting request preempts other tasks. */
 const PREEMPT_AFTER_SHARE = 0.25;
