--- a/src/scheduler/fleet/fleet-manager.ts
+++ b/src/scheduler/fleet/fleet-manager.ts
@@ -99,12 +99,12 @@
   }
 
   /**
-   * Determines the demand for which machines are rented. Also records which machines hold the reserve, and
-   * whether capacity is short.
+   * Determines the demand for which machines are rented. Also records which machines hold the service
+   * reserve, and whether capacity is short.
    */
   private rentalDemand(now: number, unplaced: CapacityDemand[]): CapacityDemand[] {
     const { scarceZone } = this.state;
-    // The reserve may include capacity of batch work that would be preempted for services.
+    // The service reserve may include capacity of batch work that would be preempted for services.
     const capacities = this.state.preemptibleCapacities(now);
     // Services that fit by preempting batch work need no new machine; the preempted work may need one.
     const stillUnplaced = unplaced
@@ -123,7 +123,10 @@
     return [...unmetDemand, ...replacements, ...missingReserve, ...spotReplacementDemand(this.state, now)];
   }
 
-  /** Records which machines hold the reserve; returns the part of it that finds no capacity. */
+  /**
+   * Records which machines hold the service reserve (the capacity kept available for new replicas); returns
+   * the part of it that finds no capacity.
+   */
   private placeReserve(capacities: FreeCapacity[]): CapacityDemand[] {
     const { scarceZone } = this.state;
     const reserveMachines = new Set<string>();
--- a/src/scheduler/fleet/idle-machines.ts
+++ b/src/scheduler/fleet/idle-machines.ts
@@ -16,7 +16,7 @@
 
 /** How long a new leader waits for heartbeats before it returns machines. */
 const MIN_LEADERSHIP_MS = 5000;
-/** Heartbeat intervals within which a new leader hears from every machine that is up. */
+/** Number of heartbeat intervals within which a new leader hears from every machine that is up. */
 const AWAITED_HEARTBEATS = 4;
 /** A machine heard from within this time may be starting up. */
 const RECENTLY_HEARD_MS = 10_000;
@@ -25,7 +25,10 @@
 const DEFAULT_IDLE_MS = 60_000;
 /** A surplus machine is returned after this share of the maximum idle time. */
 const SURPLUS_IDLE_SHARE = 0.5;
-/** Added to the score of idle machines, so that the reserve uses them last. */
+/**
+ * Penalty added to the placement score of idle machines, so that the service reserve (the capacity kept
+ * available for new replicas) uses them last.
+ */
 const IDLE_PENALTY_SECONDS = 1000;
 
 /** Queues a machine for deletion; the reason is logged. */
@@ -112,7 +115,7 @@
     }
   }
 
-  /** Keeps idle machines that the reserve needs in addition to the machines in use. */
+  /** Keeps idle machines that the service reserve needs in addition to the machines in use. */
   private keepForReserve(idle: Map<string, Machine>, now: number): void {
     const capacities = this.state.preemptibleCapacities(now);
     for (const capacity of capacities)
--- a/src/scheduler/fleet/machine-renter.ts
+++ b/src/scheduler/fleet/machine-renter.ts
@@ -13,7 +13,10 @@
 
 /** Rents machines, and tracks the orders whose result is not known yet. */
 export class MachineRenter {
-  /** Orders whose call is in flight or will be retried, by claim. */
+  /**
+   * Rental orders whose call to the cloud is in flight or will be retried, by claim (the id that all calls of
+   * an order share).
+   */
   private readonly inFlight = new Map<string, RentalOrder>();
   private claimCount = 0;
 
@@ -69,7 +72,8 @@
     for (const name of names) {
       if (this.state.deletedMachines.has(name)) continue;
       const machine = this.state.getOrCreateMachine(name);
-      // Described already: the worker's first heartbeat or the cloud's list arrived before this response.
+      // The record of a rented machine may have its type and zone already, if the worker's first heartbeat or
+      // the cloud's list arrived before the response to the rental.
       if (machine.machineType !== '') continue;
       machine.machineType = machineType;
       machine.zone = zone;
@@ -82,8 +86,8 @@
   }
 
   /**
-   * Retries under the same claim: the cloud then returns the machines already rented under it and rents no
-   * more.
+   * Retries a rental under the same claim: the cloud then returns the machines already rented under it and
+   * rents no more.
    */
   private retryLater(request: RentalRequest, attempt: number): void {
     this.options.clock.after(RETRY_DELAY_STEP_MS * attempt, () => {
--- a/src/scheduler/fleet/rental-backoff.ts
+++ b/src/scheduler/fleet/rental-backoff.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Exponential backoff per machine type, zone, and spot or on-demand. Times are in ms on this controller's
- * clock.
+ * Exponential backoff of rental requests per machine type, zone, and spot or on-demand. Times are in ms on
+ * this controller's clock.
  */
 export class RentalBackoff {
   private readonly blocked = new Map<string, { until: number; backoffMs: number }>();
--- a/src/scheduler/fleet/rental-planner.ts
+++ b/src/scheduler/fleet/rental-planner.ts
@@ -10,14 +10,15 @@
 import { offerKey } from './rental-backoff.js';
 import { cheapestOffer, type PricingInput, type RentalOffer, startupSeconds } from './rental-pricing.js';
 
-/** Machines that one call to the cloud may request. */
+/** Maximum number of machines that one call to the cloud may request. */
 const MAX_MACHINES_PER_CALL = 50;
-/** Offers that one plan may choose for one request. */
+/** Maximum number of offers that one rental plan may choose for one request. */
 const MAX_OFFERS_PER_REQUEST = 64;
-/** Most tasks that one slot is planned to run, one after another. */
+/** Maximum number of tasks that one slot of a rented machine is planned to run, one after another. */
 const MAX_RUNS_PER_SLOT = 8;
 /**
- * Multiple of its estimated run time that each of these tasks is planned to take: estimates may be too low.
+ * Multiple of its estimated run time that each task is planned to take when one slot runs several tasks one
+ * after another: estimates may be too low.
  */
 const CONSECUTIVE_RUN_MARGIN = 1.3;
 /**
@@ -226,8 +227,8 @@
 }
 
 /**
- * Tasks of the demands from this index on that could share a machine rented for the request, in multiples of
- * its CPUs.
+ * Number of tasks of the demands from this index on that could share a machine rented for the request, in
+ * multiples of the request's CPUs.
  */
 function similarTaskCount(
   request: ResourceRequest,
--- a/src/scheduler/fleet/rental-pricing.ts
+++ b/src/scheduler/fleet/rental-pricing.ts
@@ -15,7 +15,7 @@
   now: number;
   /** Time over which the cost of boot and image fetch is amortized. */
   amortizationSeconds: number;
-  /** Amortization time for services, which run longer. */
+  /** Time over which the cost of boot and image fetch is amortized for services, which run longer. */
   serviceAmortizationSeconds: number;
   scarceZone: string | null;
 }
@@ -93,8 +93,8 @@
 }
 
 /**
- * Values of `isSpot` to consider. Spot machines come first, so that they win over on-demand machines of
- * equal cost.
+ * Values of `isSpot` to consider when offers for a request are compared. Spot machines come first, so that
+ * they win over on-demand machines of equal cost.
  */
 function spotChoices(request: ResourceRequest): readonly boolean[] {
   if (request.spotOnly) return SPOT_ONLY;
--- a/src/scheduler/fleet/replica-consolidation.ts
+++ b/src/scheduler/fleet/replica-consolidation.ts
@@ -16,21 +16,25 @@
 const MIN_LEADERSHIP_MS = 30_000;
 /** How long a replica must have run before it is moved. */
 const MIN_RUN_MS = 35_000;
-/** Moves earned at each search per running replica, and the most that can be saved up. */
+/** Number of replica moves that each search earns per running replica, and the most that can be saved up. */
 const MOVE_CREDIT_PER_REPLICA = 0.004;
 const MAX_MOVE_CREDIT = 8;
 /** Machines considered for draining in one search. */
 const MAX_CANDIDATES = 60;
-/** No machine is chosen while one in this many, rounded up, is still draining. */
+/**
+ * No machine is chosen for draining while one in this many machines of the fleet, rounded up, is still
+ * draining.
+ */
 const MACHINES_PER_DRAINING = 60;
 /**
- * Images that halve the gain of draining a machine: the more images it holds, the more it is worth keeping.
+ * Number of held images that halves the gain of draining a machine: the more images it holds, the more it is
+ * worth keeping.
  */
 const IMAGES_HALVING_GAIN = 10;
 
 /**
- * Counts of one search. `candidates` is the number of machines found, of which some are skipped; each of the
- * others is counted under its result.
+ * Counts of one search for machines to drain. `candidates` is the number of machines found, of which some are
+ * skipped; each of the others is counted under its result.
  */
 export interface ConsolidationOutcome {
   candidates: number;
@@ -47,7 +51,10 @@
   gain: number;
 }
 
-/** State of one search: capacity left, and demand that must still fit, after the candidates chosen so far. */
+/**
+ * State of one search for machines to drain: capacity left, and demand that must still fit, after the
+ * candidates chosen so far.
+ */
 interface ConsolidationSearch {
   capacities: FreeCapacity[];
   reserve: CapacityDemand[];
@@ -72,7 +79,7 @@
     private readonly reserve: ServiceReserve,
   ) {}
 
-  /** Outcome of the last search; null if there was none. */
+  /** Outcome of the last search for machines to drain; null if there was none. */
   get lastOutcome(): ConsolidationOutcome | null {
     return this.outcome;
   }
@@ -168,8 +175,9 @@
   }
 
   /**
-   * Finds capacity elsewhere for all replicas of the machine that neither the reserve nor the warm demand
-   * needs. The search is updated only if the result is `drained`.
+   * Finds capacity elsewhere for all replicas of a machine, without using capacity that the service reserve
+   * or the warm demand (slots on machines that hold a service's image) needs. The search is updated only if
+   * the result is `drained`.
    */
   private tryPlaceReplicas(
     { machine, replicas }: Candidate,
--- a/src/scheduler/fleet/service-reserve.ts
+++ b/src/scheduler/fleet/service-reserve.ts
@@ -10,7 +10,10 @@
 /** A service profile that was not recorded again for this long requires no machine with its image. */
 const MAX_PROFILE_AGE_MS = 600_000;
 
-/** The service reserve, expressed as demand of hypothetical requests. */
+/**
+ * The service reserve, the capacity to keep available for new replicas, expressed as demand of hypothetical
+ * requests.
+ */
 export class ServiceReserve {
   constructor(
     private readonly options: SchedulerOptions,
@@ -50,8 +53,8 @@
   }
 
   /**
-   * Slots on machines that already hold a service's image, as its next replicas will need them: its share of
-   * the reserve, by its number of running replicas, and at least one.
+   * Demand for slots on machines that already hold a service's image, as the service's next replicas will
+   * need them: its share of the reserve, by its number of running replicas, and at least one.
    */
   warmDemand(now: number): CapacityDemand[] {
     const running = this.runningReplicasByImage();
--- a/src/scheduler/fleet/unreachable-machines.ts
+++ b/src/scheduler/fleet/unreachable-machines.ts
@@ -16,7 +16,7 @@
  * replicas.
  */
 export class UnreachableMachines {
-  /** By machine name: replicas that have no capacity elsewhere yet. */
+  /** Replicas on unreachable machines that have no capacity elsewhere yet, by machine name. */
   private readonly replicasToReplace = new Map<string, CapacityDemand[]>();
 
   constructor(
@@ -51,7 +51,10 @@
     return true;
   }
 
-  /** Replicas to rent capacity for. Drops machines that no longer exist or are reachable again. */
+  /**
+   * Replicas of unreachable machines to rent capacity for. Drops machines that no longer exist or are
+   * reachable again.
+   */
   replacementDemand(now: number): CapacityDemand[] {
     for (const name of this.replicasToReplace.keys()) {
       const machine = this.state.machines.get(name);
--- a/src/scheduler/fleet/waitable-demand.ts
+++ b/src/scheduler/fleet/waitable-demand.ts
@@ -17,13 +17,13 @@
  */
 const STARTUP_TIME_SHARE = 0.7;
 /**
- * Least remaining run time, as a share of the estimate: a task that has exceeded its estimate is likely to go
- * on.
+ * Minimum remaining run time assumed for a running task, as a share of its estimate: a task that has exceeded
+ * its estimate is likely to go on.
  */
 const MIN_REMAINING_SHARE = 0.3;
 /**
- * Multiples of the estimated run time and of the startup time that must be left if waiting for capacity
- * fails.
+ * Multiples of the estimated run time and of the startup time that must be left until the objective if
+ * waiting for capacity fails.
  */
 const RUN_TIME_MARGIN = 1.2;
 const STARTUP_TIME_MARGIN = 1.5;
@@ -70,7 +70,7 @@
     if (freed && second <= MAX_WAIT_SECONDS) freed[second] = (freed[second] ?? 0) + cpus;
   }
 
-  /** Assigns tasks to CPUs that become free within this time; returns how many tasks are left. */
+  /** Assigns tasks of a demand to CPUs that become free within `seconds`; returns how many tasks are left. */
   takeWithin({ request, count }: CapacityDemand, seconds: number): number {
     const remainingDemand = { request, count };
     for (let second = 0; second <= seconds && remainingDemand.count > 0; second++)
--- a/src/scheduler/machines/machine-list.ts
+++ b/src/scheduler/machines/machine-list.ts
@@ -7,22 +7,22 @@
 
 const LIST_RETRY_MS = 2000;
 /**
- * Minimum polling interval, and the interval as a share of the list's lag: reading the list more often shows
- * nothing new.
+ * Minimum interval at which the cloud's machine list is polled, and the interval as a share of the list's
+ * lag: reading the list more often shows nothing new.
  */
 const MIN_LIST_INTERVAL_MS = 3000;
 const LIST_INTERVAL_SHARE_OF_LAG = 0.5;
 /** Minimum time between two probes of a machine that is listed but not up. */
 const PROBE_INTERVAL_MS = 2000;
 
-/** Actions that the list may require, carried out by other components. */
+/** Actions that the cloud's machine list may require, carried out by other components. */
 export interface MachineListActions {
   /** Calls the worker directly. */
   probe(machine: Machine): void;
   deleteMachine(machine: Machine, reason: string): void;
 }
 
-/** Reads the list periodically, page by page. */
+/** Reads the cloud's machine list periodically, page by page. */
 export class MachineList {
   private inFlight = false;
   private nextReadAt = 0;
@@ -33,7 +33,7 @@
     private readonly actions: MachineListActions,
   ) {}
 
-  /** Starts to read the list if it is due. */
+  /** Starts to read the cloud's machine list if the next read is due. */
   refresh(now: number): void {
     if (this.inFlight || now < this.nextReadAt || !this.options.holdsLeadership()) return;
     this.inFlight = true;
--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -50,7 +50,10 @@
     this.state.blockingMachines = this.blockingMachines;
   }
 
-  /** Machines that would refuse, or are assumed to refuse, every remaining task of a request; null: none. */
+  /**
+   * Machines that would refuse, or are assumed to refuse, every remaining task of a request; null: no machine
+   * would.
+   */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.exitedAttempts.machinesOf(request.jobId))
@@ -92,7 +95,7 @@
     return choose();
   }
 
-  /** For each capacity, the tasks of the job that its machine would refuse. */
+  /** Returns, for each capacity, the tasks of the job that the capacity's machine would refuse. */
   private refusedTasksByCapacity(
     capacities: FreeCapacity[],
     jobId: string,
--- a/src/scheduler/placement/gang-reservations.ts
+++ b/src/scheduler/placement/gang-reservations.ts
@@ -37,7 +37,7 @@
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Ends the reservations of the previous pass. */
+  /** Ends the capacity reservations that gangs made in the previous pass. */
   beginPass(): void {
     this.machinesForGangs.clear();
     this.bootingCapacities = null;
--- a/src/scheduler/placement/partial-fill.ts
+++ b/src/scheduler/placement/partial-fill.ts
@@ -48,9 +48,9 @@
    * task.
    */
   private readonly constrained: ResourceRequest;
-  /** Number of tasks placed by this fill, by capacity. */
+  /** Number of tasks that this fill has placed on each capacity. */
   private readonly placedCounts = new Map<FreeCapacity, number>();
-  /** Number of tasks not placed yet. */
+  /** Number of tasks of the request that this fill has not placed yet. */
   private remaining: number;
 
   constructor(
--- a/src/scheduler/placement/preemption-candidates.ts
+++ b/src/scheduler/placement/preemption-candidates.ts
@@ -41,12 +41,15 @@
     private readonly gangs: RunningGangs,
   ) {}
 
-  /** Clears the index of the previous pass. */
+  /** Clears the index of machines that the previous pass built. */
   beginPass(): void {
     this.machinesByImage.clear();
   }
 
-  /** Candidates on all machines, or only on warm ones, which hold the request's image; cheapest last. */
+  /**
+   * Preemption candidates on all machines, or only on warm ones, which hold the request's image; cheapest
+   * last.
+   */
   findAll(query: PreemptionQuery, warmOnly: boolean): PreemptionCandidate[] {
     const { request } = query;
     const candidates: PreemptionCandidate[] = [];
@@ -64,8 +67,8 @@
   }
 
   /**
-   * The candidate on this machine. Null: preempting tasks there does not help the request, because it can't
-   * use the machine, too little can be preempted, or one of its tasks fits already.
+   * The preemption candidate on one machine. Null: preempting tasks there does not help the request, because
+   * it can't use the machine, too little can be preempted, or one of its tasks fits already.
    */
   candidateOn(machine: Machine, query: PreemptionQuery): PreemptionCandidate | null {
     const { request, now } = query;
--- a/src/scheduler/placement/preemption.ts
+++ b/src/scheduler/placement/preemption.ts
@@ -55,7 +55,7 @@
     this.candidates = new PreemptionCandidates(state, this.rules, this.gangs);
   }
 
-  /** Clears the results of the previous pass. */
+  /** Clears the exhausted equivalence classes and the cached values of the previous pass. */
   beginPass(): void {
     this.exhaustedKeys.clear();
     this.rules.beginPass();
@@ -63,7 +63,7 @@
     this.candidates.beginPass();
   }
 
-  /** Drops the failed searches of jobs that no longer wait. */
+  /** Drops the records of failed searches for victims of jobs that no longer wait. */
   endPass(waitingJobs: ReadonlySet<string>): void {
     for (const jobId of this.lastFailedAt.keys())
       if (!waitingJobs.has(jobId)) this.lastFailedAt.delete(jobId);
--- a/src/scheduler/workers/direct-commands.ts
+++ b/src/scheduler/workers/direct-commands.ts
@@ -11,8 +11,8 @@
 import type { WorkerCommands } from './worker-commands.js';
 
 /**
- * How long starts on a machine may be indeterminate while a stop waits for one of them. After that the
- * fencing token is raised, which voids them.
+ * How long starts on a machine may be indeterminate (sent without a response, so that they may still arrive)
+ * while a stop waits for one of them. After that the fencing token is raised, which voids them.
  */
 const MAX_INDETERMINATE_MS = 10_000;
 
@@ -51,7 +51,7 @@
     let commands = machine.isUp ? this.components.commands.commandsFor(machine, null) : [];
     // A stop is safe without leadership: a worker that has seen a higher fencing token drops it.
     if (!this.options.holdsLeadership()) commands = commands.filter((command) => command.type === 'stop');
-    // Exited attempts use no capacity: they can be forgotten with the next response or command.
+    // Exited attempts use no capacity: `forget` commands for them can wait for the next response or command.
     if (commands.every((command) => command.type === 'forget')) return;
     this.call(machine, commands);
   }
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Clears the in-flight flags of a call's starts. `isIndeterminate`: the call brought no response, so its
-   * starts may have been executed or may still arrive, and are recorded as indeterminate.
+   * Clears the in-flight flags of the starts that a direct call carried. `isIndeterminate`: the call brought
+   * no response, so its starts may have been executed or may still arrive, and are recorded as indeterminate.
    */
   private recordStartOutcomes(
     { machine, workerEpoch, startKeys }: DirectCall,
--- a/src/scheduler/workers/finalization.ts
+++ b/src/scheduler/workers/finalization.ts
@@ -32,9 +32,9 @@
 }
 
 /**
- * Finalizes an attempt that its worker listed as exited and no longer lists: the worker was told to forget it
- * while no owner claimed it. If its owner claims the attempt only now, a start would run it a second time,
- * next to its successor.
+ * Finalizes an attempt that its worker listed as exited and no longer lists: the worker was told to forget
+ * the attempt while no owner claimed it. If its owner claims the attempt only now, a start would run it a
+ * second time, next to its successor.
  */
 export function finalizeIfForgotten(state: ClusterState, machine: Machine, allocation: Allocation): void {
   if (
--- a/src/scheduler/workers/heartbeat-handler.ts
+++ b/src/scheduler/workers/heartbeat-handler.ts
@@ -82,8 +82,8 @@
 }
 
 /**
- * Whether this heartbeat or a later one, or any message of a later epoch, has been received before. Unlike
- * `isNewestMessage`, this disregards responses to direct commands in the same epoch.
+ * Whether a heartbeat is stale: the same heartbeat or a later one, or any message of a later epoch, has been
+ * received before. Unlike `isNewestMessage`, this disregards responses to direct commands in the same epoch.
  */
 function isStale(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
--- a/src/scheduler/workers/reconciler.ts
+++ b/src/scheduler/workers/reconciler.ts
@@ -22,7 +22,10 @@
     this.taskPhaseTracker = new TaskPhaseTracker(options, state);
   }
 
-  /** Applies a heartbeat. Its worker waits for the response to it, and for none to an earlier heartbeat. */
+  /**
+   * Applies a heartbeat. The worker that sent it waits for the response to it, and for none to an earlier
+   * heartbeat.
+   */
   reconcileHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     this.reconcile(machine, heartbeat, heartbeat.sequence);
   }
@@ -36,8 +39,8 @@
   }
 
   /**
-   * Commands in the responses to heartbeats before `heartbeatSequence` were executed or dropped; -1: not
-   * known.
+   * Applies a status reported by a worker. `heartbeatSequence`: commands in the responses to heartbeats
+   * before this one were executed or dropped; -1 if that is not known of any response.
    */
   private reconcile(machine: Machine, heartbeat: Heartbeat, heartbeatSequence: number): void {
     this.updateMachine(machine, heartbeat);
@@ -147,8 +150,8 @@
 }
 
 /**
- * Clears the record of the response that carried the allocation's start, once that response was handled or
- * dropped.
+ * Clears the record of the heartbeat response that carried the allocation's start command, once that response
+ * was handled or dropped.
  */
 function clearHandledStart(allocation: Allocation, heartbeatSequence: number): void {
   if (heartbeatSequence > allocation.startHeartbeatSequence) allocation.startHeartbeatSequence = -1;
--- a/src/scheduler/workers/response-loss-detector.ts
+++ b/src/scheduler/workers/response-loss-detector.ts
@@ -10,7 +10,7 @@
  * receive the renewals that were sent.
  */
 const EARLY_RESTART_LEASE_SHARE = 0.5;
-/** Missed responses in a row at which they are logged; a single one may have other causes. */
+/** Number of missed responses in a row at which they are logged; a single one may have other causes. */
 const MISSED_RESPONSES_TO_LOG = 2;
 
 /**
@@ -21,7 +21,11 @@
 export class ResponseLossDetector {
   constructor(private readonly options: Pick<SchedulerOptions, 'workerTiming' | 'log' | 'fencingToken'>) {}
 
-  /** Checks a heartbeat that follows one whose response renewed the lease. */
+  /**
+   * Checks whether a heartbeat shows that responses to earlier heartbeats were missed or have arrived, and
+   * counts the missed responses of its machine. Must be called only if the response to the previous heartbeat
+   * renewed the lease.
+   */
   check(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.heartbeatSequence < 0) return;
     const evidence = this.deliveryEvidence(machine, heartbeat, now);
--- a/src/scheduler/workers/slow-machine-detector.ts
+++ b/src/scheduler/workers/slow-machine-detector.ts
@@ -4,11 +4,15 @@
 import type { Machine } from '../machine.js';
 import type { SchedulerOptions } from '../scheduler-options.js';
 
-/** Weights of the newest run and of the previous mean, for all earlier runs, in a machine's moving mean. */
+/**
+ * Weights of the newest run and of the previous mean, which covers all earlier runs, in the moving mean of a
+ * machine's slowdown.
+ */
 const NEWEST_RUN_WEIGHT = 0.3;
 const EARLIER_RUNS_WEIGHT = 0.7;
 /**
- * Runs from which a machine's mean counts toward the median, and from which the machine can be quarantined.
+ * Number of measured runs from which a machine's mean slowdown counts toward the median of the fleet, and
+ * number from which the machine can be quarantined.
  */
 const MIN_RUNS_FOR_MEDIAN = 3;
 const MIN_RUNS_TO_QUARANTINE = 4;
--- a/src/scheduler/workers/task-phase-tracker.ts
+++ b/src/scheduler/workers/task-phase-tracker.ts
@@ -11,8 +11,8 @@
 import { SlowMachineDetector } from './slow-machine-detector.js';
 
 /**
- * Different jobs that must fail on a machine before the fault is attributed to the machine rather than to the
- * jobs. Failures do not expire: a job counts until one of its tasks is done on the machine.
+ * Number of different jobs that must fail on a machine before the fault is attributed to the machine rather
+ * than to the jobs. Failures do not expire: a job counts until one of its tasks is done on the machine.
  */
 const FAILED_JOBS_TO_QUARANTINE = 2;
 
@@ -40,7 +40,8 @@
   }
 
   private recordImage(machine: Machine, allocation: Allocation): void {
-    // Deleted first, so that the image becomes the last entry, which is the most recently used one.
+    // The image is deleted before it is set, so that it becomes the last entry, which is the most recently
+    // used one.
     machine.images.delete(allocation.image);
     machine.images.set(allocation.image, allocation.imageGb);
     this.options.imageLocations.add(machine.name, allocation.image, allocation.imageGb);
--- a/src/scheduler/workers/worker-commands.ts
+++ b/src/scheduler/workers/worker-commands.ts
@@ -11,7 +11,10 @@
  * are added. Stops are not limited, and `forget` commands for allocations are not counted.
  */
 const SOFT_COMMAND_LIMIT = 200;
-/** Exited attempts of a machine that are forgotten together, and how long one waits for others. */
+/**
+ * Number of exited attempts of a machine that are forgotten together, and how long one of them waits for
+ * others.
+ */
 const FORGET_BATCH_SIZE = 4;
 const MAX_FORGET_DELAY_MS = 20_000;
 /**
@@ -20,8 +23,8 @@
  */
 const LISTED_ATTEMPTS_THRESHOLD = 300;
 /**
- * Grace period for unknown tasks: an owner may still be storing the placement, or reporting it to a new
- * leader.
+ * Grace period before a task that a worker lists without an allocation is stopped or forgotten as unknown: an
+ * owner may still be storing its placement, or reporting the placement to a new leader.
  */
 const UNKNOWN_TASK_GRACE_MS = 3000;
 
@@ -137,8 +140,8 @@
 
   /**
    * Whether an unknown task may be stopped, or forgotten if it has exited. No owner claims it if it is still
-   * unknown some time after all owners are synced. A task of a cancelled job may be stopped before that, and
-   * forgotten as soon as all owners are synced.
+   * unknown some time after all owners are synced (this leader has applied a full sync of each). A task of a
+   * cancelled job may be stopped before that, and forgotten as soon as all owners are synced.
    */
   private mayEndUnknownTask(status: TaskStatus, unknownSince: number, allSynced: boolean): boolean {
     const isCancelled = this.options.isCancelled(status.jobId);
@@ -148,7 +151,10 @@
     return now - unknownSince >= UNKNOWN_TASK_GRACE_MS && now - this.state.startedAt >= UNKNOWN_TASK_GRACE_MS;
   }
 
-  /** Whether the attempt may be forgotten. A start that may still arrive would run it again after that. */
+  /**
+   * Whether the worker may be told to forget an allocation's attempt. A start command that may still arrive
+   * would run the attempt again after that.
+   */
   private canForgetAllocation(machine: Machine, allocation: Allocation): boolean {
     const status = machine.tasks.get(allocation.key);
     return (
