--- a/src/scheduler/placement/attempt-conflicts.ts
+++ b/src/scheduler/placement/attempt-conflicts.ts
@@ -9,11 +9,14 @@
 import type { CapacityDemand, FreeCapacity } from './free-capacity.js';
 
 /**
- * How long exited attempts alone may block a job before a higher fencing token is requested, under which
- * workers remove these attempts.
+ * How long exited attempts alone may keep a job from being placed before a higher fencing token is requested,
+ * under which workers remove these attempts.
  */
 const RAISE_TOKEN_AFTER_MS = 15_000;
-/** Rounds of choosing machines for a gang before all machines that list its exited attempts are excluded. */
+/**
+ * Rounds of choosing machines for a gang before all machines that list exited attempts of its tasks are
+ * excluded.
+ */
 const MAX_MATCHING_ROUNDS = 8;
 
 /**
@@ -25,7 +28,7 @@
  * none is refused, since one refusal ends the attempt of the whole gang.
  */
 export class AttemptConflicts {
-  /** For each job that exited attempts alone keep from being placed: since when they do, in monotonic ms. */
+  /** For each job that is kept from being placed by exited attempts alone: since when, in monotonic ms. */
   private readonly blockedSince = new Map<string, number>();
   /** Names of the machines found in this pass whose exited attempts alone prevent placement. */
   private blockingMachines = new Set<string>();
@@ -47,7 +50,10 @@
     this.state.blockingMachines = this.blockingMachines;
   }
 
-  /** Machines that would refuse, or are assumed to refuse, every remaining task of a request; null: none. */
+  /**
+   * Machines that would refuse, or are assumed to refuse, every remaining task of a request; null: no machine
+   * would.
+   */
   refusingMachines(request: ResourceRequest): ReadonlySet<string> | null {
     const names = new Set<string>();
     for (const machine of this.state.exitedAttempts.machinesOf(request.jobId))
@@ -89,7 +95,7 @@
     return choose();
   }
 
-  /** For each capacity, the tasks of the job that its machine would refuse. */
+  /** Returns, for each capacity, the tasks of the job that the capacity's machine would refuse. */
   private refusedTasksByCapacity(
     capacities: FreeCapacity[],
     jobId: string,
