--- a/src/scheduler/allocation.ts
+++ b/src/scheduler/allocation.ts
@@ -14,33 +14,45 @@
   /** `granted`: a grant for which its owner has not yet reported a stored placement. */
   desiredState: PlacementSpec['desiredState'] | 'granted';
   /**
-   * Sequence of the heartbeat whose response carried its start, until a later heartbeat arrives; -1: none.
+   * Sequence of the heartbeat whose response carried the start command of this attempt, until a later
+   * heartbeat arrives; -1: none.
    */
   startHeartbeatSequence: number;
-  /** Whether a direct command that starts it is in flight. */
+  /** Whether a direct command that starts this attempt is in flight. */
   isDirectStartInFlight: boolean;
-  /** The status that its worker last reported for it; null: the worker's list does not contain it. */
+  /**
+   * The status of this attempt in its worker's last report; null: the worker's list does not contain the
+   * attempt.
+   */
   reportedStatus: TaskStatus | null;
-  /** Whether its worker last listed it as exited: it is not started again, even if it is no longer listed. */
+  /**
+   * Whether the worker last listed this attempt as exited: the attempt is not started again, even if it is no
+   * longer listed.
+   */
   hasExited: boolean;
   /**
-   * Whether the attempt has ended on its machine and can't run there again. Reset if the worker lists it
-   * after all.
+   * Whether the attempt has ended on its machine and can't run there again. The flag is reset if the worker
+   * lists the attempt after all.
    */
   isFinalized: boolean;
-  /** The status last sent to its owner, to send each change once; empty: none. */
+  /**
+   * The status of this allocation that was last sent to its shard owner, to send each change once; empty:
+   * none.
+   */
   lastSentStatusKey: string;
   /**
-   * When it was reported as running; before that, when it was created. Once its desired state is `forget`:
-   * since when it is. Other changes of phase, for example to `exited`, do not update it.
+   * When the attempt was reported as running; before that, when the allocation was created. Once the desired
+   * state is `forget`: when it became that. Other changes of phase, for example to `exited`, do not update
+   * it.
    */
   phaseSince: number;
   /**
-   * Whether `phaseSince` will be the start of its run once it runs: this leader sent its start, or saw it
-   * before it ran. False if it already ran when this leader first saw it, so that `phaseSince` is too late.
+   * Whether `phaseSince` will be the start of the attempt's run once it runs: this leader sent its start
+   * command, or saw the attempt before it ran. False if the attempt already ran when this leader first saw
+   * it, so that `phaseSince` is too late.
    */
   isStartTimeKnown: boolean;
-  /** When its owner was asked to stop it; 0: it was not, or the request has expired. */
+  /** When the shard owner was asked to stop this attempt; 0: it was not asked, or the request has expired. */
   evictionRequestedAt: number;
 }
 
--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -39,7 +39,10 @@
 const MAX_RENTAL_BACKOFF_MS = 15_000;
 /** Boot time assumed while no machine type is known. */
 const DEFAULT_BOOT_SECONDS = 30;
-/** Lower bound of the fetch speed, which limits fetch times if a machine type is listed without one. */
+/**
+ * Lower bound of the speed at which machines fetch images, so that the estimated fetch time stays finite if a
+ * machine type is listed without a speed.
+ */
 const MIN_IMAGE_FETCH_GB_PER_SECOND = 0.01;
 
 /** Machines, allocations, shard owners, requests and grants. Times in ms on this controller's clock. */
@@ -330,7 +333,7 @@
     return this.capacities.capacityOf(machine, now);
   }
 
-  /** See {@link FreeCapacity.isSurplus}. */
+  /** Whether a machine is surplus; see {@link FreeCapacity.isSurplus}. */
   isSurplus(machine: Machine, now: number): boolean {
     return this.capacities.isSurplus(machine, now);
   }
--- a/src/scheduler/exited-attempts.ts
+++ b/src/scheduler/exited-attempts.ts
@@ -9,7 +9,9 @@
   readonly hasRefusedAttempt: boolean;
 }
 
-/** Shared by all machines that list no exited attempts, or only those of tasks that are done. */
+/**
+ * The empty map shared by all machines that list no exited attempts, or only those of tasks that are done.
+ */
 export const NO_EXITED_TASKS: ReadonlyMap<string, ExitedTasks> = new Map();
 
 /** The part of a machine that `ExitedAttempts` reads and updates. */
@@ -31,7 +33,7 @@
   private readonly machinesByJob = new Map<string, Map<string, MachineWithExitedTasks>>();
 
   /**
-   * Replaces what a machine listed before by its present list of attempts, in time linear in the lengths of
+   * Replaces the attempts that a machine listed before by its present list, in time linear in the lengths of
    * both.
    */
   update(machine: MachineWithExitedTasks, listed: readonly TaskStatus[]): void {
--- a/src/scheduler/image-locations.ts
+++ b/src/scheduler/image-locations.ts
@@ -9,7 +9,7 @@
 
 /** Images by machine, and the changes recorded here that were not yet taken to be sent to peers. */
 export class ImageLocations {
-  /** By machine name: sizes in GB by image. */
+  /** Sizes in GB of the images on each machine, by machine name and image. */
   private readonly sizesByMachine = new Map<string, Map<string, number>>();
   private added: ImageLocation[] = [];
   private removedMachines: string[] = [];
@@ -35,7 +35,10 @@
     return this.sizesByMachine.get(machine);
   }
 
-  /** Returns the changes recorded since the last call, without those received from the leader. */
+  /**
+   * Returns the changes of image locations recorded since the last call, without those received from the
+   * leader.
+   */
   takeChanges(): { added: ImageLocation[]; removedMachines: string[] } {
     const changes = { added: this.added, removedMachines: this.removedMachines };
     this.added = [];
@@ -43,7 +46,7 @@
     return changes;
   }
 
-  /** Returns all known locations, for a peer that may have missed changes. */
+  /** Returns all known image locations, for a peer that may have missed changes. */
   all(): ImageLocation[] {
     const locations: ImageLocation[] = [];
     for (const [machine, images] of this.sizesByMachine)
@@ -51,7 +54,7 @@
     return locations;
   }
 
-  /** Applies the changes received from the leader. */
+  /** Applies the changes of image locations received from the leader. */
   apply(added: readonly ImageLocation[], removedMachines: readonly string[]): void {
     for (const location of added) this.set(location);
     // Names of machines are never reused, so a removal takes precedence over an addition.
--- a/src/scheduler/machine-totals.ts
+++ b/src/scheduler/machine-totals.ts
@@ -9,9 +9,11 @@
   isTypeKnown: boolean;
   /** Capacity that no allocation uses. */
   free: Resources;
-  /** Used by array and gang tasks below the highest priority, which may be preempted for services. */
+  /**
+   * Resources used by array and gang tasks below the highest priority, which may be preempted for services.
+   */
   preemptible: Resources;
-  /** Used by tasks that are being stopped, or whose owners were asked to stop them. */
+  /** Resources used by tasks that are being stopped, or whose owners were asked to stop them. */
   stopping: Resources;
   /** Resources in use, by team. */
   teams: { team: string; cpus: number; gpus: number }[];
@@ -20,7 +22,7 @@
   batchTasks: number;
   /** Allocations without a stored outcome. A machine with none is empty, even if it lists exited attempts. */
   unfinishedTasks: number;
-  /** Whether a start or stop command may have to be sent. */
+  /** Whether a start or stop command may have to be sent to the machine's worker. */
   hasPendingCommands: boolean;
   /** Number of allocations that use capacity and are to run, by priority. */
   runningByPriority: [number, number, number, number];
--- a/src/scheduler/machine.ts
+++ b/src/scheduler/machine.ts
@@ -9,7 +9,10 @@
 export interface DirectCommandState {
   inFlight: boolean;
   lastSentAt: number;
-  /** Consecutive calls without a response. A heartbeat resets the count, unless responses are missed. */
+  /**
+   * Consecutive direct commands without a response. A heartbeat resets the count, unless responses are
+   * missed.
+   */
   failures: number;
   /** Starts that got no response and may still arrive: the token they were sent under, by attempt key. */
   indeterminateStarts: Map<string, number>;
@@ -40,11 +43,11 @@
   zone: string;
   isSpot: boolean;
   workerEpoch: number;
-  /** Sequence of the newest message: a heartbeat, or the response to a direct command. */
+  /** Sequence of the newest message of the worker: a heartbeat, or the response to a direct command. */
   sequence: number;
   /** Sequence of the newest heartbeat, without responses to direct commands. */
   heartbeatSequence: number;
-  /** The highest fencing token that its worker has reported. */
+  /** The highest fencing token that the machine's worker has reported. */
   fencingToken: number;
   /**
    * When the last heartbeat or response to a direct command arrived; before the first, when the machine
@@ -54,34 +57,34 @@
   lastHeartbeatAt: number;
   /** When this leader first saw the machine up. */
   upSince: number;
-  /** Whether the response to its last heartbeat renewed its lease. */
+  /** Whether the response to the machine's last heartbeat renewed the machine's lease. */
   wasLeaseRenewed: boolean;
   /** When a peer last reported that it had redirected this machine. */
   redirectedAt: number;
-  /** Whether its worker has reported its status to this leader; never reset. */
+  /** Whether the machine's worker has reported its status to this leader; never reset. */
   isUp: boolean;
   /**
-   * Whether its worker has reported this leader's token. Before that, its status may come from a late
-   * duplicate of an earlier message.
+   * Whether the machine's worker has reported this leader's fencing token. Before that, the worker's status
+   * may come from a late duplicate of an earlier message.
    */
   hasCurrentToken: boolean;
   missedResponses: MissedResponses;
   rentedAt: number;
-  /** Whether the cloud lists it as running, even if its worker has not reported yet. */
+  /** Whether the cloud lists the machine as running, even if its worker has not reported yet. */
   isListedAsRunning: boolean;
   /** When the cloud reclaims the machine; null: no eviction notice. */
   evictionDeadline: number | null;
-  /** Allocations by key, grants included. */
+  /** Allocations of the machine by key, grants included. */
   allocations: Map<string, Allocation>;
-  /** The attempts that its worker lists, by attempt key. */
+  /** The attempts that the machine's worker lists, by attempt key. */
   tasks: Map<string, TaskStatus>;
   directCommands: DirectCommandState;
-  /** Sizes in GB by image, least recently used first. */
+  /** Sizes in GB of the images on the machine by image, least recently used first. */
   images: Map<string, number>;
   isBeingDeleted: boolean;
-  /** Whether it gets no new work because jobs fail on it or it is far slower than others. */
+  /** Whether the machine gets no new work because jobs fail on it or it is far slower than others. */
   isQuarantined: boolean;
-  /** Whether it gets no new work because it is being emptied to be returned. */
+  /** Whether the machine gets no new work because it is being emptied to be returned. */
   isDraining: boolean;
   /** When the machine last became empty; before that, when it came up or became known. */
   idleSince: number;
@@ -94,7 +97,7 @@
   /** The job for which tasks are preempted here: the freed capacity is reserved for it. */
   reservation: { jobId: string; priority: number; until: number } | null;
   speed: SpeedMeasurement;
-  /** Totals of its allocations, as of the last `ClusterState.refreshTotals`. */
+  /** Totals of the machine's allocations, as of the last `ClusterState.refreshTotals`. */
   totals: MachineTotals;
 }
 
--- a/src/shard/allocation-event-handler.ts
+++ b/src/shard/allocation-event-handler.ts
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Handles an event. One that matches no stored placement only has an effect if it repeats an exit whose
-   * outcome is stored.
+   * Handles an event of a placement. An event that matches no stored placement only has an effect if it
+   * repeats an exit whose outcome is stored.
    */
   handle(event: AllocationEvent): void {
     const job = this.options.jobs.get(event.jobId);
--- a/src/shard/cancellation-coverage-tracker.ts
+++ b/src/shard/cancellation-coverage-tracker.ts
@@ -1,5 +1,6 @@
 /**
- * Determines up to which of the leader's timestamps a shard owner has turned all cancellations into stops.
+ * Determines up to which of the leader's timestamps a shard owner has turned all cancellations into stops:
+ * its cancellation coverage.
  */
 
 import { PeerTimestamps } from '../model/cancellation-coverage.js';
@@ -25,8 +26,8 @@
   }
 
   /**
-   * Returns the newest timestamp that had been received when a read was sent, or null if there is none or it
-   * is not newer than the one returned last.
+   * Returns the newest leader timestamp that had been received when a read of the open jobs was sent, or null
+   * if there is none or it is not newer than the one returned last.
    */
   takeLatest(readSentAt: number): number | null {
     const latest = this.timestamps.latestReceivedBy(readSentAt);
--- a/src/shard/grant-assignment.ts
+++ b/src/shard/grant-assignment.ts
@@ -72,8 +72,9 @@
 }
 
 /**
- * Takes the next task to be placed; -1: none. Tasks of which the machine lists an exited attempt are skipped
- * and put back. If only such tasks are available, the job avoids the machine for a while.
+ * Takes the next task of a job to place on a grant, or returns -1 if there is none. Tasks of which the
+ * machine lists an exited attempt are skipped and put back. If only such tasks are available, the job avoids
+ * the machine for a while.
  */
 function takeNextTask(job: OwnedJob, { machine, exitedTasks }: Grant, nowMs: number): number {
   const isFinished = (task: number) => job.counter.has(task);
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -125,8 +125,8 @@
         if (modRevision > job.counterRevision && !job.isWriteInFlight && !job.isReloading) this.reload(job);
         return;
       case 'job':
-        // Applies to a job that is being reloaded as well: that read may last as long as an outage, but
-        // running tasks must be stopped now.
+        // A cancellation also stops a job that is being reloaded: that read may last as long as an outage,
+        // but running tasks must be stopped now.
         if (modRevision > job.jobRevision && decodeStoredJob(item, key.jobId)?.cancelled) {
           job.jobRevision = modRevision;
           this.options.stops.cancel(job);
--- a/src/shard/job-stops.ts
+++ b/src/shard/job-stops.ts
@@ -13,7 +13,7 @@
   transactions: JobTransactions;
   updates: LeaderUpdates;
   log: Logger;
-  /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+  /** Seconds added to the checkpoint save time of an evicted task to obtain its grace period. */
   evictionGraceMarginSeconds: number;
   /** Schedules a flush of the shard owner. */
   wake(): void;
@@ -49,8 +49,8 @@
 
   /**
    * Stops a task for the leader, which needs its capacity or drains its machine, with time to save a
-   * checkpoint if it saves any. A gang is stopped as a whole. Ignored unless this attempt is placed and not
-   * being stopped yet.
+   * checkpoint if it saves any. A gang is stopped as a whole. The eviction is ignored unless this attempt is
+   * placed and not being stopped yet.
    */
   evict({ jobId, taskIndex, attempt }: TaskAttempt, reason: string): void {
     const job = this.options.jobs.get(jobId);
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -80,9 +80,12 @@
 
 /** A transaction that failed, or may have, and whose changes cannot simply be written again. */
 export interface FailedWrite {
-  /** Whether it may have been executed or may still be executed later. Otherwise it certainly was not. */
+  /**
+   * Whether the transaction may have been executed or may still be executed later. Otherwise it certainly was
+   * not executed.
+   */
   isIndeterminate: boolean;
-  /** Revision of the write fence in its preconditions. */
+  /** Revision of the write fence in the preconditions of the transaction. */
   fenceRevision: number;
 }
 
--- a/src/shard/job-writes.ts
+++ b/src/shard/job-writes.ts
@@ -214,8 +214,8 @@
         job.chunkRevisions.delete(chunk);
         job.dirtyChunks.delete(chunk);
       }
-      // Also if some placement records remain: no attempt of a finished or cancelled job is started again,
-      // whatever its placement records contain.
+      // All outcomes count as stored, even if some placement records remain: no attempt of a finished or
+      // cancelled job is started again, whatever its placement records contain.
       for (const outcome of outcomes) events.onOutcomeStored(job, outcome);
       job.outcomesToStore = [];
       if (isLastTransaction) events.onJobArchived(job);
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -1,6 +1,7 @@
 /**
- * Sends the owner's state to the leader: a full sync first and whenever messages may have been lost,
- * otherwise only changes. Until the leader has accepted the latest full sync, nothing but full syncs is sent.
+ * Sends the shard owner's placements and requests to the leader: a full sync first and whenever messages may
+ * have been lost, otherwise only changes. Until the leader has accepted the latest full sync, nothing but
+ * full syncs is sent.
  */
 
 import type { Clock } from '../model/clock.js';
--- a/src/shard/release-queue.ts
+++ b/src/shard/release-queue.ts
@@ -1,4 +1,7 @@
-/** Orders jobs for release by priority, objectives, age, size and estimated remaining work. */
+/**
+ * Determines the order in which capacity is requested for jobs (their release) by priority, objectives, age,
+ * size and estimated remaining work.
+ */
 
 import type { JobSpec } from '../model/job.js';
 import type { ServiceLevelObjective } from '../model/team.js';
--- a/src/shard/shard-owner.ts
+++ b/src/shard/shard-owner.ts
@@ -46,7 +46,7 @@
    * released.
    */
   maxTasksPerRequest: number;
-  /** Added to the checkpoint save time of an evicted task to obtain its grace period. */
+  /** Seconds added to the checkpoint save time of an evicted task to obtain its grace period. */
   evictionGraceMarginSeconds: number;
   objectives: ServiceLevelObjective[];
   store: KeyValueStore;
--- a/src/shard/team-budget.ts
+++ b/src/shard/team-budget.ts
@@ -43,7 +43,8 @@
   private constructor(private readonly team: TeamBudgetState) {}
 
   /**
-   * `jobs`: all jobs of the team that are neither done nor cancelled. Returns null if there is no such team.
+   * Returns the budget of a team, or null if there is no such team. `jobs` must contain all jobs of the team
+   * that are neither done nor cancelled.
    */
   static forTeam(team: string, usage: TeamUsage, jobs: readonly QueuedJob[]): TeamBudget | null {
     const remaining = usage.remainingOf(team);
--- a/src/shard/usage-log.ts
+++ b/src/shard/usage-log.ts
@@ -14,7 +14,10 @@
 /** Maximum number of jobs named in one log line. */
 const MAX_JOBS_NAMED = 8;
 
-/** Logs changes by cause (debug), a regular summary (info), and indeterminate writes (info, rate-limited). */
+/**
+ * Logs changes of the teams' usage by cause (debug), a regular summary of it (info), and indeterminate writes
+ * (info, rate-limited).
+ */
 export class UsageLog {
   private readonly rateLimitedLog: RateLimitedLog;
   private lastSummaryAt = Number.NEGATIVE_INFINITY;
@@ -28,7 +31,10 @@
     this.rateLimitedLog = new RateLimitedLog(log, clock);
   }
 
-  /** Logs changes and the summary when they are due; called after each batch of events. */
+  /**
+   * Logs the changes and the summary of the teams' usage when they are due; called after each batch of
+   * events.
+   */
   logIfDue(teams: Iterable<string>, jobs: Iterable<OwnedJob>): void {
     const now = this.clock.now();
     if (now - this.lastChangesAt >= CHANGES_INTERVAL_MS) {
--- a/src/shard/write-fence.ts
+++ b/src/shard/write-fence.ts
@@ -11,7 +11,7 @@
 import type { Result } from '../model/result.js';
 import { ownerRecord } from '../store/record-codec.js';
 
-/** Delay before a failed request is retried. */
+/** Delay before a failed read or write of the fence record is retried. */
 const RETRY_MS = 300;
 
 /** Settings and dependencies of a `WriteFence`. */
@@ -41,12 +41,15 @@
  * write of the fence.
  */
 export class WriteFence {
-  /** Revision of the fence; null if unknown, in which case it is read before anything else is written. */
+  /**
+   * Revision of the fence record; null if unknown, in which case the record is read before anything else is
+   * written.
+   */
   private revision: number | null = null;
   /** Revision of the fence before the move in progress; null if the fence is not being moved. */
   private revisionBeforeMove: number | null = null;
   private moveCallbacks: (() => void)[] = [];
-  /** Whether a request is in flight or waits to be retried. */
+  /** Whether a read or write of the fence record is in flight or waits to be retried. */
   private isRequestPending = false;
 
   constructor(private readonly options: WriteFenceOptions) {}
@@ -57,8 +60,9 @@
   }
 
   /**
-   * Returns the precondition to add to a transaction, or null while nothing may be written: the revision is
-   * unknown or the fence is being moved. `onReady` is called when that has changed.
+   * Returns the precondition on the fence to add to a transaction, or null while nothing may be written: the
+   * revision is unknown or the fence is being moved. `onReady` is called when a precondition may be available
+   * again.
    */
   precondition(): Precondition | null {
     this.ensureRevisionKnown();
@@ -79,8 +83,9 @@
   }
 
   /**
-   * Moves the fence and calls back once no transaction sent before this call can be executed any more. A call
-   * during a move shares that move: no transaction is sent meanwhile, as `precondition` returns null.
+   * Moves the fence by writing its record, and calls back once no transaction sent before this call can be
+   * executed any more. A call during a move shares that move: no transaction is sent meanwhile, as
+   * `precondition` returns null.
    */
   move(callback: () => void): void {
     this.moveCallbacks.push(callback);
