--- a/src/scheduler/cluster-state.ts
+++ b/src/scheduler/cluster-state.ts
@@ -67,7 +67,9 @@
   scarceZoneUpdatedAt = Number.NEGATIVE_INFINITY;
   /** Zones in which most machines are silent while other zones are not: partitioned rather than failed. */
   partitionedZones = new Set<string>();
-  /** Names of the machines that hold the service reserve. */
+  /**
+   * Names of the machines that hold the service reserve: the capacity kept free for new replicas of services.
+   */
   reserveMachines = new Set<string>();
   /** Until this time capacity counts as short, and no machine is surplus. */
   shortageUntil = 0;
@@ -108,7 +110,7 @@
     return this.shardOwners.byTeam;
   }
 
-  /** Whether the team has an owner and that owner is synced; see {@link ShardOwnerRef.isSynced}. */
+  /** Whether the team has an owner whose full sync has been applied; see {@link ShardOwnerRef.isSynced}. */
   isSynced(team: string): boolean {
     return this.shardOwners.isSynced(team);
   }
@@ -181,7 +183,7 @@
     return this.grants.byJob;
   }
 
-  /** The machine of each open grant, by grant id. */
+  /** The machine of each open grant (one without a stored placement), by grant id. */
   get machinesByGrant(): Map<number, Machine> {
     return this.grants.machinesByGrant;
   }
@@ -261,7 +263,7 @@
     return this.fleetTotals.machineTypes;
   }
 
-  /** Totals of the tasks in the whole fleet, as of the last `refreshTotals`. */
+  /** Totals of the tasks that use capacity in the whole fleet, as of the last `refreshTotals`. */
   get totals(): FleetTaskTotals {
     return this.fleetTotals.taskTotals;
   }
--- a/src/scheduler/failure-detector.ts
+++ b/src/scheduler/failure-detector.ts
@@ -19,11 +19,14 @@
  * Consecutive missed responses from which a machine counts as unresponsive although its heartbeats arrive.
  */
 const MISSED_RESPONSES_THRESHOLD = 2;
-/** Time after the expiry of a lease in which the worker may still be ending its tasks. */
+/** Time after the expiry of a machine's lease in which its worker may still be ending its tasks. */
 const LEASE_EXPIRY_GRACE_MS = 5000;
-/** Tolerance for a redirect by a peer just before the machine reached this controller. */
+/** Tolerance for the redirection of a worker by a peer just before the worker reached this controller. */
 const REDIRECT_MARGIN_MS = 2000;
-/** Multiple of `probeAfterMs` for which a redirect by a peer is evidence that the machine is alive. */
+/**
+ * Multiple of `probeAfterMs` for which the redirection of a worker to this controller by a peer is evidence
+ * that the machine is alive.
+ */
 const REDIRECT_VALIDITY_PERIODS = 2;
 /** Time that workers need, after a change of leader, to be redirected to the new one. */
 const REDIRECT_SETTLING_MS = 6000;
--- a/src/scheduler/owners/allocation-events.ts
+++ b/src/scheduler/owners/allocation-events.ts
@@ -8,8 +8,8 @@
 import type { SchedulerOptions } from '../scheduler-options.js';
 
 /**
- * Collects events for each owner until the next `flush`. Owners that are not synced get none: once their full
- * sync has been applied, the status of all their allocations is sent.
+ * Collects events for each owner until the next `flush`. Owners whose full sync has not been applied (not
+ * synced) get none: once it has been, the status of all their allocations is sent.
  */
 export class AllocationEvents {
   private readonly unsent = new Map<string, AllocationEvent[]>();
@@ -21,7 +21,8 @@
 
   /**
    * Adds an event with the allocation's status. Adds none if the status is the one last sent, if the worker
-   * has not reported one yet, without a stored placement, or while the owner is not synced.
+   * has not reported a status yet, if no placement is stored for the allocation, or while the owner is not
+   * synced.
    */
   emitStatus(machine: Machine, allocation: Allocation): void {
     if (isWithoutStoredPlacement(allocation)) return;
--- a/src/scheduler/owners/placement-handler.ts
+++ b/src/scheduler/owners/placement-handler.ts
@@ -88,7 +88,7 @@
 
 /**
  * Whether a worker has forgotten an attempt that it was to forget: it does not list the attempt, and no start
- * is in flight.
+ * command for it is in flight.
  */
 function isForgotten(machine: Machine, allocation: Allocation): boolean {
   return (
--- a/src/scheduler/owners/shard-owner-handler.ts
+++ b/src/scheduler/owners/shard-owner-handler.ts
@@ -73,7 +73,10 @@
     this.sendSyncRequest(instanceId);
   }
 
-  /** Repeats the requests to owners that are not synced: messages may be lost with a connection. */
+  /**
+   * Repeats the requests for full syncs to owners that are not synced: messages may be lost with a
+   * connection.
+   */
   requestMissingSyncs(now: number): void {
     if (now < this.nextSyncRequestAt) return;
     this.nextSyncRequestAt = now + SYNC_REQUEST_INTERVAL_MS;
@@ -83,14 +86,18 @@
   }
 
   /**
-   * The age, in ms, of a team's cancellation watermark, or the time since its owner became known if shorter.
+   * The age, in ms, of a team's cancellation watermark (the time before which all its stored cancellations
+   * have become stops), or the time since its owner became known if shorter.
    */
   coverageAgeMs(team: string, now: number): number {
     const since = this.state.owners.get(team)?.since ?? now;
     return now - Math.max(since, this.state.leaseRenewal.watermarks.watermarkOf(team));
   }
 
-  /** Handles a message. Returns whether it may have changed something that matters to a placement pass. */
+  /**
+   * Handles a message of a shard owner. Returns whether it may have changed something that matters to a
+   * placement pass.
+   */
   handle(message: ShardOwnerMessage): boolean {
     if (message.fencingToken !== this.state.fencingToken) return false;
     switch (message.type) {
--- a/src/scheduler/scheduler-options.ts
+++ b/src/scheduler/scheduler-options.ts
@@ -43,8 +43,8 @@
   /** The number of other controllers from which this one has recently received messages. */
   recentPeerCount(): number;
   /**
-   * The latest cancellation coverage computed by any leader, in times of this controller's clock; null: none
-   * is known.
+   * The latest cancellation coverage (the time up to which all stored cancellations have become stops)
+   * computed by any leader, in times of this controller's clock; null: none is known.
    */
   latestCoverage(): CancellationCoverage | null;
   /**
@@ -54,7 +54,7 @@
   isCancelled(jobId: string): boolean;
   /**
    * A period on this controller's clock: every cancellation that any controller confirmed to a user within
-   * it is known here. It is empty if `until` is before `since`.
+   * this period is known here. It is empty if `until` is before `since`.
    */
   knownCancellationPeriod(now: number): { since: number; until: number };
   /** Gives up leadership, because this controller's own network seems to be at fault. */
--- a/src/scheduler/scheduler.ts
+++ b/src/scheduler/scheduler.ts
@@ -132,7 +132,8 @@
   }
 
   /**
-   * The age, in ms, of a team's cancellation watermark, or the time since its owner became known if shorter.
+   * The age, in ms, of a team's cancellation watermark (the time before which all its stored cancellations
+   * have become stops), or the time since its owner became known if shorter.
    */
   coverageAgeMs(team: string, now: number): number {
     return this.shardOwnerHandler.coverageAgeMs(team, now);
@@ -229,7 +230,7 @@
     this.options.wake();
   }
 
-  /** Counts for status reports and tests. */
+  /** Returns counts of the scheduler's state, for status reports and tests. */
   stats(): Record<string, number> {
     let machinesUp = 0;
     let allocations = 0;
--- a/src/scheduler/state/lease-renewal-guard.ts
+++ b/src/scheduler/state/lease-renewal-guard.ts
@@ -28,7 +28,10 @@
     this.renewalWindowMs = renewalWindowMs(options.workerTiming);
   }
 
-  /** Whether the team's effective watermark is recent enough for lease renewals and starts. */
+  /**
+   * Whether the team's effective watermark, the time before which all its cancellations confirmed to users
+   * have become stops, is recent enough for lease renewals and starts.
+   */
   isUpToDate(team: string, now: number): boolean {
     return now - this.effectiveWatermark(team, now) <= this.renewalWindowMs;
   }
@@ -63,7 +66,10 @@
     this.machinesWithPendingStops.add(machine);
   }
 
-  /** The cancellation coverage to send to peers; null while some team has no watermark yet. */
+  /**
+   * The cancellation coverage to send to peers: the time up to which the cancellations of all teams have
+   * become stops, and the machines where stops are pending. Null while some team has no watermark yet.
+   */
   coverage(): { completeUntil: number; pendingMachines: string[] } | null {
     if (!this.watermarks.hasAllTeams) return null;
     const pendingMachines: string[] = [];
@@ -76,9 +82,9 @@
   }
 
   /**
-   * Whether the latest coverage of any leader allows the renewal. It is used while some team has no
-   * watermark: until all have one, the tasks on a machine are not all known, and this leader computes no
-   * coverage itself.
+   * Whether the latest coverage of any leader allows the renewal of a machine's lease. That coverage is used
+   * while some team has no watermark: until all have one, the tasks on a machine are not all known, and this
+   * leader computes no coverage itself.
    */
   private inheritedCoverageAllowsRenewal(machine: Machine, now: number): boolean {
     const coverage = this.options.latestCoverage();
--- a/src/scheduler/state/machine-capacities.ts
+++ b/src/scheduler/state/machine-capacities.ts
@@ -19,7 +19,9 @@
   readonly machines: ReadonlyMap<string, Machine>;
   readonly machineTypes: ReadonlyMap<string, MachineType>;
   readonly machinesWithCapacity: ReadonlySet<Machine>;
-  /** Names of the machines that hold the service reserve. */
+  /**
+   * Names of the machines that hold the service reserve: the capacity kept free for new replicas of services.
+   */
   readonly reserveMachines: ReadonlySet<string>;
   /** Until this time capacity counts as short, and no machine is surplus. */
   readonly shortageUntil: number;
@@ -79,7 +81,7 @@
     return capacity;
   }
 
-  /** See {@link FreeCapacity.isSurplus}. */
+  /** Whether a machine is surplus; see {@link FreeCapacity.isSurplus}. */
   isSurplus(machine: Machine, now: number): boolean {
     return (
       !machine.isSpot &&
--- a/src/scheduler/state/open-grants.ts
+++ b/src/scheduler/state/open-grants.ts
@@ -5,9 +5,9 @@
 
 /** Index of the open grants by job and by id. */
 export class OpenGrants {
-  /** Grant ids by job. */
+  /** Ids of the open grants, by job. */
   readonly byJob = new Map<string, Set<number>>();
-  /** The machine of each grant, by grant id. */
+  /** The machine of each open grant, by grant id. */
   readonly machinesByGrant = new Map<number, Machine>();
 
   /** The allocation of a grant; undefined if the grant is no longer open. */
--- a/src/scheduler/state/shard-owners.ts
+++ b/src/scheduler/state/shard-owners.ts
@@ -7,8 +7,9 @@
   instanceId: string;
   shardEpoch: number;
   /**
-   * Whether its full sync under this epoch has been applied. Becomes false again when messages of the owner
-   * were lost, until another full sync has been applied, and when the team's owner record is about to change.
+   * Whether the owner's full sync under this epoch has been applied by the leader. The flag becomes false
+   * again when messages of the owner were lost, until another full sync has been applied, and when the team's
+   * owner record is about to change.
    */
   isSynced: boolean;
   /** When this leader learned of the ownership, in ms on its clock. */
@@ -21,7 +22,7 @@
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** Whether the team has an owner and that owner is synced; see {@link ShardOwnerRef.isSynced}. */
+  /** Whether the team has an owner whose full sync has been applied; see {@link ShardOwnerRef.isSynced}. */
   isSynced(team: string): boolean {
     return this.byTeam.get(team)?.isSynced === true;
   }
--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -40,7 +40,10 @@
   stops: JobStops;
   updates: LeaderUpdates;
   usageLog: UsageLog;
-  /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
+  /**
+   * Maximum distance, in task indices, of a task released for placement from the first unfinished task; see
+   * `FanOut`.
+   */
   releaseWindow: number;
   /** Returns the cached records of the open jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
--- a/src/shard/job-sizes.ts
+++ b/src/shard/job-sizes.ts
@@ -9,8 +9,8 @@
 const MEDIAN_QUANTILE = 0.5;
 
 /**
- * Values of a class at the two quantiles. A job is large if its value is at least `quantile` and above
- * `median`.
+ * Task counts or estimated run times in a class at the two quantiles. A job is large if its own value is at
+ * least `quantile` and above `median`.
  */
 interface SizeThreshold {
   quantile: number;
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -31,8 +31,9 @@
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
 /**
- * Pause of all writes after a transaction with the result `refused`, or that failed only because the fence
- * had moved. It was not executed, and its changes are written again by new transactions.
+ * Pause of all writes after a transaction with the result `refused`, or that failed only because the write
+ * fence (see `WriteFence`) had moved. The transaction was not executed, and its changes are written again by
+ * new transactions.
  */
 const NOT_EXECUTED_PAUSE_MS = 100;
 /**
@@ -71,8 +72,8 @@
   /** Returns whether this object is the current one for its job; see `OwnedJobs.includes`. */
   isCurrent(job: OwnedJob): boolean;
   /**
-   * Called after a transaction failed for another reason than the result `refused` or a moved fence, with its
-   * jobs that are still current. Their records must be read again.
+   * Called after a transaction failed for another reason than the result `refused` or a moved write fence,
+   * with its jobs that are still current. Their records must be read again.
    */
   onReloadNeeded(jobs: OwnedJob[], write: FailedWrite): void;
   wake(): void;
--- a/src/shard/leader-updates.ts
+++ b/src/shard/leader-updates.ts
@@ -1,7 +1,7 @@
 /**
- * Sends the shard owner's placements and requests to the leader: a full sync first and whenever messages may
- * have been lost, otherwise only changes. Until the leader has accepted the latest full sync, nothing but
- * full syncs is sent.
+ * Sends the shard owner's state (placements, resource requests) to the leader: a full sync first and whenever
+ * messages may have been lost, otherwise only changes. Until the leader has accepted the latest full sync,
+ * nothing but full syncs is sent.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -25,7 +25,9 @@
   shards: OwnedShards;
   clock: Clock;
   wakeTimer: WakeTimer;
-  /** Send time of the latest read of the open jobs whose changes have been delivered to this owner. */
+  /**
+   * Returns when the latest read of the open jobs was sent whose changes have been delivered to this owner.
+   */
   openJobsFreshAsOf(): number;
   /** Builds the requests of all jobs. All grants up to `lastProcessedGrantId` are taken into account. */
   listRequests(lastProcessedGrantId: number): ResourceRequest[];
@@ -38,7 +40,9 @@
 export class LeaderUpdates {
   /** Fencing token of the current leader; 0: no leader is known. */
   fencingToken = 0;
-  /** Whether the leader has accepted the latest full sync, and `resync` has not been called since. */
+  /**
+   * Whether the leader has accepted this owner's latest full sync, and `resync` has not been called since.
+   */
   isSynced = false;
   private needsFullSync = false;
   /** Whether the resource requests may have changed since they were last built. */
@@ -92,8 +96,8 @@
   }
 
   /**
-   * Records a time on the leader's clock. It is sent back once every cancellation that was stored before it
-   * has been turned into stops.
+   * Records a timestamp of the leader's clock. The timestamp is sent back to the leader once every
+   * cancellation that was stored before it has been turned into stops.
    */
   onTimestamp(leaderTimestamp: number): void {
     this.coverageTracker.add(leaderTimestamp, this.options.clock.now());
@@ -133,7 +137,8 @@
     }
     if (!this.isSynced) return;
     this.sendPlacements();
-    // Sent after the placements, which include the stops that the coverage refers to.
+    // The coverage (the time up to which all cancellations have become stops) is sent after the placements,
+    // which include the stops that the coverage refers to.
     this.sendCancellationCoverage();
     this.sendReleases();
     this.sendRequests();
--- a/src/shard/owned-job.ts
+++ b/src/shard/owned-job.ts
@@ -12,9 +12,11 @@
   machine: string;
   workerEpoch: number;
   zone: string;
-  /** Id of the grant that it was made from; 0 after a change of leader or a read from the store. */
+  /**
+   * Id of the grant that the placement was made from; 0 after a change of leader or a read from the store.
+   */
   grantId: number;
-  /** Whether it is in the key-value store. Until then its task must not be started. */
+  /** Whether the placement is in the key-value store. Until then its task must not be started. */
   isStored: boolean;
   desiredState: 'run' | 'stop';
   isRunning: boolean;
@@ -27,7 +29,10 @@
  */
 export interface FinalizedPlacement {
   placement: Placement;
-  /** Whether its worker still lists it, and so is told to forget it once the outcome is stored. */
+  /**
+   * Whether the worker still lists the attempt, and so is told to forget the attempt once the outcome is
+   * stored.
+   */
   isListed: boolean;
 }
 
@@ -48,17 +53,23 @@
   placements: Map<number, Placement>;
   /** Number of the latest attempt of each task that has had one, by task index. */
   latestAttempts: Map<number, number>;
-  /** Revisions of the stored placement records, by chunk: each has the placements of a range of tasks. */
+  /**
+   * Revisions of the stored placement records, by chunk: each chunk has the placements of a range of tasks.
+   */
   chunkRevisions: Map<number, number>;
-  /** Chunks whose placements have changed since they were written, and whether the counter has. */
+  /**
+   * Chunks (see `chunkRevisions`) whose placements have changed since they were written, and whether the
+   * counter has changed.
+   */
   dirtyChunks: Set<number>;
   isCounterDirty: boolean;
-  /** When to write the changes, in monotonic ms; Infinity if no write is scheduled. */
+  /** When to write the changes of the job, in monotonic ms; Infinity if no write is scheduled. */
   writeDueAt: number;
   /** Whether the job is part of a transaction in flight. */
   isWriteInFlight: boolean;
   /**
-   * Whether the records are being read again. The job gets no writes, new placements or requests meanwhile.
+   * Whether the job's records are being read again from the key-value store. The job gets no writes, new
+   * placements or requests meanwhile.
    */
   isReloading: boolean;
   /** End of the backoff after a failure, in monotonic ms. Until then no capacity is requested. */
@@ -82,9 +93,12 @@
 export interface OwnedJobInput {
   spec: JobSpec;
   stored: StoredJob;
-  /** The state before the records were read again. */
+  /** The state of the job before its records were read again. */
   previous?: OwnedJob | undefined;
-  /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
+  /**
+   * Maximum distance, in task indices, of a task released for placement from the first unfinished task; see
+   * `FanOut`.
+   */
   releaseWindow: number;
 }
 
