--- a/src/shard/job-loader.ts
+++ b/src/shard/job-loader.ts
@@ -40,7 +40,10 @@
   stops: JobStops;
   updates: LeaderUpdates;
   usageLog: UsageLog;
-  /** Maximum distance of a released task from the first unfinished one; see `FanOut`. */
+  /**
+   * Maximum distance, in task indices, of a task released for placement from the first unfinished task; see
+   * `FanOut`.
+   */
   releaseWindow: number;
   /** Returns the cached records of the open jobs. */
   openJobItems(): Iterable<[string, CachedItem]>;
@@ -125,8 +128,8 @@
         if (modRevision > job.counterRevision && !job.isWriteInFlight && !job.isReloading) this.reload(job);
         return;
       case 'job':
-        // Applies to a job that is being reloaded as well: that read may last as long as an outage, but
-        // running tasks must be stopped now.
+        // A cancellation also stops a job that is being reloaded: that read may last as long as an outage,
+        // but running tasks must be stopped now.
         if (modRevision > job.jobRevision && decodeStoredJob(item, key.jobId)?.cancelled) {
           job.jobRevision = modRevision;
           this.options.stops.cancel(job);
--- a/src/shard/job-transactions.ts
+++ b/src/shard/job-transactions.ts
@@ -31,8 +31,9 @@
 const PUT_OVERHEAD = 17;
 const DELETE_OVERHEAD = 8;
 /**
- * Pause of all writes after a transaction with the result `refused`, or that failed only because the fence
- * had moved. It was not executed, and its changes are written again by new transactions.
+ * Pause of all writes after a transaction with the result `refused`, or that failed only because the write
+ * fence (see `WriteFence`) had moved. The transaction was not executed, and its changes are written again by
+ * new transactions.
  */
 const NOT_EXECUTED_PAUSE_MS = 100;
 /**
@@ -71,8 +72,8 @@
   /** Returns whether this object is the current one for its job; see `OwnedJobs.includes`. */
   isCurrent(job: OwnedJob): boolean;
   /**
-   * Called after a transaction failed for another reason than the result `refused` or a moved fence, with its
-   * jobs that are still current. Their records must be read again.
+   * Called after a transaction failed for another reason than the result `refused` or a moved write fence,
+   * with its jobs that are still current. Their records must be read again.
    */
   onReloadNeeded(jobs: OwnedJob[], write: FailedWrite): void;
   wake(): void;
@@ -80,9 +81,12 @@
 
 /** A transaction that failed, or may have, and whose changes cannot simply be written again. */
 export interface FailedWrite {
-  /** Whether it may have been executed or may still be executed later. Otherwise it certainly was not. */
+  /**
+   * Whether the transaction may have been executed or may still be executed later. Otherwise it certainly was
+   * not executed.
+   */
   isIndeterminate: boolean;
-  /** Revision of the write fence in its preconditions. */
+  /** Revision of the write fence in the preconditions of the transaction. */
   fenceRevision: number;
 }
 
