--- a/src/api/job-api.ts
+++ b/src/api/job-api.ts
@@ -19,7 +19,7 @@
 /** Dependencies and callbacks of the job API. */
 export interface JobApiOptions {
   store: KeyValueStore;
-  /** Cache of the records under `open/`. */
+  /** Cache of the records under `open/`: accepted jobs and their counters of finished tasks. */
   openJobs: WatchCache;
   teams: ReadonlyMap<string, Team>;
   /** Returns the machine types that the cloud offers; empty until they are known. */
@@ -33,7 +33,7 @@
 interface OpenJob {
   job: JobRecord;
   jobRevision: number;
-  /** Null until the first task of the job is placed. */
+  /** The job's counter of finished tasks; null until the first task of the job is placed. */
   counter: CounterRecord | null;
   /** Revision of the counter record; 0 while there is none. */
   counterRevision: number;
@@ -210,7 +210,7 @@
       callback({ type: 'final', final });
       return;
     }
-    // One read of the changes serves all requests that arrived before it was sent.
+    // One read of the changed open jobs serves all requests that arrived before it was sent.
     this.options.openJobs.linearizableRead((ok) => {
       if (!ok) {
         callback({ type: 'storeUnreachable' });
--- a/src/controller/cancellation-coordinator.ts
+++ b/src/controller/cancellation-coordinator.ts
@@ -116,7 +116,8 @@
    * On the leader, sends the current time to every shard owner, which responds with a `cancellationCoverage`
    * message once all cancellations stored before that time have become stops. Also retains the current
    * coverage for use after a change of leader, and returns it; null unless this controller leads and has a
-   * watermark for every team.
+   * cancellation watermark (the time up to which a team's stored cancellations have become stops) for every
+   * team.
    */
   updateCoverage(now: number): LeaderCoverage | null {
     const { leadership, records, messenger } = this.options;
@@ -160,8 +161,8 @@
   }
 
   /**
-   * Retains a coverage unless the retained one reaches further; one that reaches equally far replaces it,
-   * because its pending machines are more recent.
+   * Keeps a coverage as the latest one unless the kept one reaches further; one that reaches equally far
+   * replaces it, because its pending machines are more recent.
    */
   private retainIfNewer(coverage: CancellationCoverage): void {
     if (!this.retainedCoverage || coverage.completeUntil >= this.retainedCoverage.completeUntil)
@@ -169,7 +170,10 @@
   }
 }
 
-/** Returns the machines to name in a message; null, which stands for any machine, if there are too many. */
+/**
+ * Returns the pending machines of a coverage (those with tasks being stopped) as a message names them: null,
+ * which stands for any machine, if there are too many.
+ */
 function pendingMachinesForMessage({ pendingMachines }: LeaderCoverage): string[] | null {
   return pendingMachines.length > MAX_MACHINES_PER_MESSAGE ? null : pendingMachines;
 }
--- a/src/controller/cancellation-log.ts
+++ b/src/controller/cancellation-log.ts
@@ -33,7 +33,7 @@
 export class CancellationLog {
   private ownAnnouncements = 0;
   private readonly cancelledJobs = new Set<string>();
-  /** By node name of the peer. */
+  /** How far the announcements of each peer are known, by the peer's node name. */
   private readonly progressByNode = new Map<string, PeerProgress>();
 
   constructor(private readonly peerNames: readonly string[]) {}
@@ -97,7 +97,8 @@
 
   /**
    * Returns a period on this controller's clock: every cancellation that any controller confirmed to a user
-   * within it is known here. While completeness is not established it is empty: `until` lies before `since`.
+   * within it is known here. While completeness is not established the period is empty: `until` lies before
+   * `since`.
    */
   knownCancellationPeriod(now: number): { since: number; until: number } {
     let since = Number.NEGATIVE_INFINITY;
--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -39,7 +39,7 @@
 /** Minimum time between two watch requests for the open jobs, which change several times a second. */
 const OPEN_JOBS_WATCH_INTERVAL_MS = 100;
 /**
- * Added to the checkpoint save time of an evicted task to obtain its grace period. A task that saves no
+ * Time added to the checkpoint save time of an evicted task to obtain its grace period. A task that saves no
  * checkpoints gets no grace period.
  */
 const EVICTION_GRACE_MARGIN_SECONDS = 1;
@@ -165,8 +165,8 @@
       minWatchIntervalMs: OPEN_JOBS_WATCH_INTERVAL_MS,
       isWatchEnabled: false,
       onChange: (key, value, modRevision) => {
-        // Deletions need no handling: the records of an open job are deleted only by its shard owner, when it
-        // archives the job.
+        // Deleted records of open jobs need no handling here: only the job's shard owner deletes them, when
+        // it archives the job.
         if (value !== undefined) this.shardOwner.onOpenJobChanged({ key, value, modRevision });
       },
     });
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -78,14 +78,15 @@
    */
   isReady(): boolean {
     if (!this.components.records.isReady || !this.components.openJobs.isReady) return false;
-    // In an outage that affects all controllers their last contacts differ little, so none becomes unready.
+    // In a store outage that affects all controllers their last store contacts differ little, so none becomes
+    // unready.
     return !this.lagsBehindPeers(this.options.leaseTtlMs * READINESS_LAG_SHARE);
   }
 
   /**
    * Returns whether users that cannot be served here should ask another controller: this one is not ready, or
-   * it lags behind a peer in contact with the store. The lag that this takes is shorter than the one that
-   * makes this controller unready.
+   * it lags behind a peer in contact with the store. The lag that causes such a redirect is shorter than the
+   * one that makes this controller unready.
    */
   shouldRedirectUsers(): boolean {
     return !this.isReady() || this.lagsBehindPeers(USER_REDIRECT_LAG_MS);
--- a/src/controller/image-replication.ts
+++ b/src/controller/image-replication.ts
@@ -18,9 +18,10 @@
     private readonly leadership: Leadership,
   ) {}
 
-  /** Sends the changes since the last call to all peers, if this controller leads. */
+  /** Sends the image locations changed since the last call to all peers, if this controller leads. */
   sendChanges(): void {
-    // Taken even if not sent: changes from before a step-down must not be sent in a later term.
+    // The changes are taken even if they are not sent: changes from before a step-down must not be sent in a
+    // later term.
     const changes = this.locations.takeChanges();
     if (this.leadership.scheduler && changes.added.length + changes.removedMachines.length > 0)
       this.messenger.broadcast({ type: 'images', ...changes });
@@ -40,7 +41,7 @@
       });
   }
 
-  /** Applies the changes sent by a leader; ignored while this controller leads. */
+  /** Applies the image location changes sent by a leader; ignored while this controller leads. */
   apply(added: ImageLocation[], removedMachines: string[]): void {
     if (!this.leadership.scheduler) this.locations.apply(added, removedMachines);
   }
--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -25,7 +25,10 @@
 const FIRST_CAMPAIGN_CHECK_DELAY_MS = 110;
 /** How long a controller that has resigned does not campaign, so that another one is elected. */
 const RESIGNATION_PAUSE_MS = 20000;
-/** Minimum interval between raises of the fencing token: each makes all shard owners resend a full sync. */
+/**
+ * Minimum interval between raises of the fencing token: each makes all shard owners resend their complete
+ * state (a full sync).
+ */
 const MIN_TOKEN_RAISE_INTERVAL_MS = 15000;
 /** Minimum interval between two attempts to delete a stale leader record. */
 const STALE_RECORD_DELETION_INTERVAL_MS = 1000;
@@ -42,7 +45,10 @@
   leadership: Leadership;
 }
 
-/** Campaigns and resigns; performs all writes of this controller to the leader record. */
+/**
+ * Campaigns for the leadership and resigns from it; performs all writes of this controller to the leader
+ * record.
+ */
 export class LeaderElection {
   private campaignInFlight = false;
   private resignedUntil = 0;
@@ -147,7 +153,7 @@
   private onLeaderRecordDeleted(): void {
     const { leadership, clock, queue } = this.options;
     leadership.stepDown('leader record gone');
-    // Randomized so that the controllers do not all campaign at the same time.
+    // The time of the next campaign is random so that the controllers do not all campaign at the same time.
     this.nextCampaignAt = clock.now() + clock.random() * FIRST_CAMPAIGN_JITTER_MS;
     clock.after(FIRST_CAMPAIGN_CHECK_DELAY_MS, () =>
       queue.push({ type: 'callback', run: () => this.campaignIfVacant(clock.now()) }),
--- a/src/controller/node-lease.ts
+++ b/src/controller/node-lease.ts
@@ -27,7 +27,7 @@
 
 /** Acquires this process's lease, renews it, and acquires a new one if it is lost. */
 export class NodeLease {
-  /** 0 while there is no lease. */
+  /** The store's id of the lease; 0 while there is no lease. */
   private leaseId = 0;
   private renewedAt = 0;
   private requestInFlight = false;
--- a/src/controller/peer-registry.ts
+++ b/src/controller/peer-registry.ts
@@ -6,7 +6,7 @@
 /** The latest known process of a peer. */
 export interface Peer {
   readonly instanceId: string;
-  /** When its last message was received, on this controller's clock. */
+  /** When the peer's last message was received, on this controller's clock. */
   readonly lastHeardAt: number;
   readonly lastSequence: number;
   /**
@@ -14,7 +14,7 @@
    * the delay of the peer's message.
    */
   readonly lastStoreContactAt: number;
-  /** Timestamps issued by the process, with the times at which they were received. */
+  /** Timestamps issued by the peer's process, with the times at which they were received. */
   readonly timestamps: PeerTimestamps;
 }
 
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -15,7 +15,7 @@
 
 /** A controller that has not been heard for this long gets no shards and loses those it owns. */
 const MAX_PEER_SILENCE_MS = 3500;
-/** Time from the start of a term to the next rebalancing. */
+/** Time from the start of a term as leader to the next rebalancing of shards. */
 const FIRST_REBALANCE_DELAY_MS = 5000;
 /** Maximum time that a shard owner may report no cancellation coverage while the store responds. */
 const MAX_COVERAGE_SILENCE_MS = 10000;
--- a/src/controller/worker-heartbeat-handler.ts
+++ b/src/controller/worker-heartbeat-handler.ts
@@ -44,7 +44,10 @@
     return { type: 'accepted', fencingToken: scheduler.fencingToken, commands };
   }
 
-  /** Returns the machines redirected since the last call. Those beyond `limit` are dropped. */
+  /**
+   * Returns the machines whose workers were redirected to the leader since the last call. Those beyond
+   * `limit` are dropped.
+   */
   takeRedirectedMachines(limit: number): string[] {
     const machines = [...this.redirectedMachines].slice(0, limit);
     this.redirectedMachines.clear();
--- a/src/model/cancellation-coverage.ts
+++ b/src/model/cancellation-coverage.ts
@@ -16,8 +16,8 @@
  */
 const RENEWAL_WINDOW_SHARE = 0.9;
 /**
- * Number of timestamps kept. The coverage normally lags by a few seconds at most; if it lags further, no
- * lease is renewed.
+ * Number of timestamps kept of another process. The coverage normally lags by a few seconds at most; if it
+ * lags further, no lease is renewed.
  */
 const MAX_TIMESTAMPS = 32;
 
@@ -103,8 +103,8 @@
 export class CancellationWatermarks {
   private readonly byTeam = new Map<string, number>();
   /**
-   * By instance id of the shard owner: its last full sync and the number of `placements` messages received
-   * since.
+   * For each shard owner, by instance id: the number of its last full sync that was applied, and the number
+   * of `placements` messages received since.
    */
   private readonly syncs = new Map<string, { syncNumber: number; placementMessages: number }>();
 
--- a/src/model/cloud-provider.ts
+++ b/src/model/cloud-provider.ts
@@ -30,7 +30,7 @@
   rentMachines(request: RentalRequest, callback: ResultCallback<string[]>): void;
   /** Deletes machines by name. */
   deleteMachines(names: string[], callback: ResultCallback<null>): void;
-  /** Reads one page of the list: the machines whose names sort after `afterName`. */
+  /** Reads one page of the list of rented machines: those whose names sort after `afterName`. */
   listMachines(
     afterName: string,
     callback: ResultCallback<{ machines: ListedMachine[]; hasMore: boolean }>,
