--- a/src/controller/leader-election.ts
+++ b/src/controller/leader-election.ts
@@ -87,8 +87,8 @@
     }
     const { record, modRevision } = current;
     if (record.instanceId === instanceId) {
-      // Without effect if the term has started already. Otherwise this controller was elected, but the
-      // response to its campaign was lost or has not arrived yet.
+      // The record names this instance. If its term has started already, `startTerm` has no effect. Otherwise
+      // this controller was elected, but the response to its campaign was lost or has not arrived yet.
       if (lease.isGranted)
         leadership.startTerm(record, modRevision, 'election confirmed by the leader record');
       return;
--- a/src/model/dependency-counter.ts
+++ b/src/model/dependency-counter.ts
@@ -1,4 +1,4 @@
-/** Tracks which tasks of a job are finished and which may be released next. */
+/** Tracks which tasks of a job are finished and which may be released (given a slot to run in) next. */
 
 /**
  * Counts the completed inputs of a node in a job's release graph. A node is released when all its inputs are
@@ -6,7 +6,7 @@
  * tasks to its completion.
  */
 export class DependencyCounter {
-  /** One bit per input, starting with the lowest bit of the first byte. */
+  /** The bitmap of the counted inputs: one bit per input, starting with the lowest bit of the first byte. */
   readonly bits: Uint8Array;
   /** Number of inputs counted. */
   count = 0;
@@ -33,12 +33,15 @@
     return this.count >= this.inputCount;
   }
 
-  /** Returns bytes [from, to) of the bits in base64. */
+  /** Returns bytes [from, to) of the bitmap of counted inputs, in base64. */
   encodeBits(from: number, to: number): string {
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  /** Counts the inputs whose bits are set in base64-encoded bytes, the first of which is byte `from`. */
+  /**
+   * Counts the inputs whose bits are set in base64-encoded bytes of the bitmap, the first of which is byte
+   * `from`.
+   */
   mergeBits(from: number, encoded: string): void {
     for (const [index, byte] of Buffer.from(encoded, 'base64').entries())
       for (let bit = 0; bit < 8; bit++) if (byte & (1 << bit)) this.add((from + index) * 8 + bit);
--- a/src/model/key-value-store.ts
+++ b/src/model/key-value-store.ts
@@ -5,8 +5,8 @@
 /** A write to one key within a transaction. */
 export type StoreOperation =
   /**
-   * Stores the value. With `leaseId`, the key is deleted when that lease ends; without it, the key is
-   * detached from any lease.
+   * Stores a value under a key. With `leaseId`, the key is deleted when that lease ends; without it, the key
+   * is detached from any lease.
    */
   { type: 'put'; key: string; value: unknown; leaseId?: number } | { type: 'delete'; key: string };
 
--- a/src/model/machine-type.ts
+++ b/src/model/machine-type.ts
@@ -1,8 +1,8 @@
 /** Machine types offered by the cloud, and rented machines as the cloud lists them. */
 
 /**
- * Lower bound of the fetch rate: a type listed with a rate of 0 counts as very slow instead of infinitely
- * slow.
+ * Lower bound of the image fetch rate from which fetch times are computed: a machine type listed with a rate
+ * of 0 counts as very slow instead of infinitely slow.
  */
 const MIN_IMAGE_FETCH_GB_PER_SECOND = 0.01;
 
--- a/src/model/placement.ts
+++ b/src/model/placement.ts
@@ -86,7 +86,7 @@
    * indeterminate; the placement keeps its slot, but no task is started for it.
    */
   desiredState: 'run' | 'stop' | 'keep' | 'forget' | 'pending';
-  /** With `stop`: seconds that the task gets to save its progress. */
+  /** With the desired state `stop`: seconds that the task gets to save its progress. */
   gracePeriodSeconds: number;
   team: string;
   priority: Priority;
@@ -123,7 +123,7 @@
 
 /** A change to a placement that the leader has observed. */
 export type AllocationEvent =
-  /** The attempt's worker lists it in this phase. */
+  /** The worker of an attempt lists the attempt in this phase. */
   | {
       type: 'phase';
       jobId: string;
--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -11,7 +11,7 @@
 export interface PolicyInput {
   /** Number of service replicas that hold capacity on a machine. */
   serviceReplicas: number;
-  /** CPUs that these replicas hold. */
+  /** CPUs that service replicas hold on machines. */
   serviceCpus: number;
   /**
    * Number of tasks in the current resource requests of all shard owners. Except for gangs, a request covers
@@ -19,7 +19,7 @@
    * long queue counts only in part.
    */
   queuedTasks: number;
-  /** CPUs that these tasks need. */
+  /** CPUs that the tasks in the current resource requests need. */
   queuedCpus: number;
   /** Number of tasks of array and gang jobs that hold capacity on a machine. */
   runningBatchTasks: number;
@@ -44,14 +44,17 @@
    */
   reserveBatchJobs: number;
   /**
-   * Seconds that a machine may be idle before it is deleted, unless queued work or the reserve needs it. Half
-   * of that applies to a surplus machine: one that is not a spot machine and not set aside for the reserve,
-   * while capacity has not been short recently.
+   * Seconds that a machine may be idle before it is deleted, unless queued work or the reserve (free capacity
+   * kept for later work) needs it. Half of that applies to a surplus machine: one that is not a spot machine
+   * and not set aside for the reserve, while capacity has not been short recently.
    */
   maxIdleSeconds: number;
   /** Seconds over which the boot and image fetch times of a rented machine are amortized. */
   amortizationSeconds: number;
-  /** The same for machines rented for services, whose replicas stay longer. */
+  /**
+   * Seconds over which the boot and image fetch times of a machine rented for services are amortized; service
+   * replicas stay longer than other tasks.
+   */
   serviceAmortizationSeconds: number;
   /**
    * Multiple of the machine type's boot time after which a machine that is still not up is deleted, unless
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,6 +1,9 @@
 /** Amounts of machine resources, and the number of tasks that fit into them. */
 
-/** Tolerance for comparisons: amounts are sums and differences of fractional CPUs and gigabytes. */
+/**
+ * Tolerance for comparing amounts of resources, which are sums and differences of fractional CPUs and
+ * gigabytes.
+ */
 export const EPSILON = 1e-9;
 
 /** An amount of each resource, provided by a machine or required by a task. */
--- a/src/model/shard-messages.ts
+++ b/src/model/shard-messages.ts
@@ -20,14 +20,14 @@
  */
 export type ShardOwnerMessage =
   /**
-   * All placements and requests of the sender, in chunks. The leader applies a sync when it has received all
-   * its chunks.
+   * A full sync: all placements and requests of the sender, in chunks. The leader applies a sync when it has
+   * received all its chunks.
    */
   | {
       type: 'fullSync';
       fencingToken: number;
       instanceId: string;
-      /** Number of this sync, the number of its chunks and the index of this chunk. */
+      /** Number of this full sync, the number of its chunks and the index of this chunk. */
       syncNumber: number;
       chunkCount: number;
       chunkIndex: number;
@@ -35,7 +35,7 @@
       placements: PlacementSpec[];
       requests: ResourceRequest[];
     }
-  /** Replaces the sender's earlier resource requests. */
+  /** The current resource requests of the sender, which replace its earlier ones. */
   | { type: 'resourceRequests'; fencingToken: number; instanceId: string; requests: ResourceRequest[] }
   /** Placements that are new or whose desired state has changed. */
   | { type: 'placements'; fencingToken: number; instanceId: string; placements: PlacementSpec[] }
@@ -65,11 +65,14 @@
 /** Messages from the leader to a shard owner. */
 export type LeaderMessage =
   /**
-   * The full sync with this number has been applied; without a number (from a leader of an earlier version),
-   * the latest one.
+   * The leader has applied the recipient's full sync with this number; without a number (from a leader of an
+   * earlier version), the latest one.
    */
   | { type: 'syncAccepted'; fencingToken: number; syncNumber?: number }
-  /** Asks for a full sync, because the leader may have missed a message. */
+  /**
+   * Asks the shard owner for a full sync of its placements and requests, because the leader may have missed a
+   * message.
+   */
   | { type: 'syncRequested'; fencingToken: number }
   /** Grants of slots for tasks. */
   | { type: 'grants'; fencingToken: number; grants: Grant[] }
--- a/src/model/worker-command-port.ts
+++ b/src/model/worker-command-port.ts
@@ -5,9 +5,13 @@
 
 /** The commands of one message, which the worker executes in order. */
 export interface CommandBatch {
-  /** The worker executes nothing if it has seen a higher token. */
+  /**
+   * Fencing token under which the commands are sent; the worker executes nothing if it has seen a higher one.
+   */
   fencingToken: number;
-  /** The worker executes nothing if it is in a different epoch. */
+  /**
+   * Worker epoch that the commands are meant for; the worker executes nothing if it is in a different one.
+   */
   workerEpoch: number;
   /** The commands; if empty, the worker is only asked for its heartbeat. */
   commands: WorkerCommand[];
--- a/src/model/worker-messages.ts
+++ b/src/model/worker-messages.ts
@@ -5,7 +5,7 @@
 /** The status of an attempt as listed by its worker. */
 export interface TaskStatus extends TaskAttempt {
   phase: TaskPhase;
-  /** Null until the attempt has exited. */
+  /** Why the attempt exited; null until then. */
   exitReason: ExitReason | null;
   /** Whether the task saved its progress when it was stopped. */
   checkpointSaved: boolean;
--- a/src/store/completion-bitmap.ts
+++ b/src/store/completion-bitmap.ts
@@ -14,7 +14,7 @@
 const BITS_PER_CHARACTER = 6;
 const PLAIN_OVERHEAD = 4;
 
-/** Encodes the counted tasks as text; the inverse of `decodeCompletionBitmap`. */
+/** Encodes the finished tasks of a job as text; the inverse of `decodeCompletionBitmap`. */
 export function encodeCompletionBitmap(counter: DependencyCounter): string {
   const { inputCount } = counter;
   const plainLength = Math.ceil(inputCount / BITS_PER_CHARACTER) + PLAIN_OVERHEAD;
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -57,7 +57,10 @@
   return `end/${jobId}`;
 }
 
-/** Returns the key of a controller's write fence. The record outlives the process. */
+/**
+ * Returns the key of a controller's write fence, which keeps transactions sent before it was moved from being
+ * executed later. The record outlives the process.
+ */
 export function fenceKey(nodeName: string): string {
   return `fence/${nodeName}`;
 }
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -8,7 +8,7 @@
 /** Minimum time between two reads for callers; all calls made in between share the next read. */
 const MIN_READ_INTERVAL_MS = 150;
 
-/** Dependencies of the reads, shared with their cache. */
+/** Dependencies of linearizable reads, shared with the cache whose copy they bring up to date. */
 export interface LinearizableReadsOptions {
   prefix: string;
   store: KeyValueStore;
@@ -17,7 +17,9 @@
   listing: PrefixListing;
 }
 
-/** Receives whether the copy holds everything that was stored before the call. */
+/**
+ * Receives the outcome of a read: whether the local copy holds everything that was stored before the call.
+ */
 export type ReadCallback = (isFresh: boolean) => void;
 
 /**
@@ -54,8 +56,8 @@
   }
 
   /**
-   * Schedules a read without a caller, unless one is in flight or scheduled. Dropped while the copy is being
-   * listed.
+   * Schedules a read without a caller, unless one is in flight or scheduled. The request is dropped while the
+   * copy is being listed.
    */
   request(): void {
     if (this.waiting.length > 0 || this.isReading) return;
--- a/src/store/prefix-copy.ts
+++ b/src/store/prefix-copy.ts
@@ -13,7 +13,10 @@
 /** Called when a key has changed; a value of undefined means that the key was deleted. */
 export type ItemChangeCallback = (key: string, value: unknown, modRevision: number) => void;
 
-/** The copy. It applies listings and watches in any order and never reverts a key to an older revision. */
+/**
+ * A local copy of the keys under a prefix. It applies listings and watches in any order and never reverts a
+ * key to an older revision.
+ */
 export class PrefixCopy {
   readonly items = new Map<string, CachedItem>();
   /** The copy holds all changes up to this store revision. */
--- a/src/store/prefix-listing.ts
+++ b/src/store/prefix-listing.ts
@@ -7,7 +7,7 @@
 /** Pause before a failed listing is restarted. */
 const RETRY_MS = 300;
 
-/** Dependencies of a listing, shared with its cache. */
+/** Dependencies of a listing, shared with the cache whose copy it fills. */
 export interface PrefixListingOptions {
   prefix: string;
   store: KeyValueStore;
@@ -17,7 +17,7 @@
   onListed(): void;
 }
 
-/** Lists the keys; at most one listing runs at a time. */
+/** Lists all keys under a prefix into the local copy; at most one listing runs at a time. */
 export class PrefixListing {
   isRunning = false;
   /** Number of listings started. A response to a watch sent before a listing is not applied after it. */
--- a/src/store/record-codec.ts
+++ b/src/store/record-codec.ts
@@ -48,7 +48,10 @@
   acceptedAtMs: 'at',
 });
 
-/** Encoded as `[attempt]` once finalized, otherwise as `[attempt, machine, worker epoch, zone]`. */
+/**
+ * Codec of a placement: encoded as `[attempt]` once finalized, otherwise as `[attempt, machine, worker epoch,
+ * zone]`.
+ */
 const placementEntry: Codec<PlacementEntry> = {
   encode: ({ attempt, location }) =>
     location ? [attempt, location.machine, location.workerEpoch, location.zone] : [attempt],
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -19,7 +19,7 @@
   counterRevision: number;
   cancelled: boolean;
   runningTasks: number;
-  /** The counted tasks; null until both the job record and the counter record have been read. */
+  /** The job's finished tasks; null until both the job record and the counter record have been read. */
   counter: DependencyCounter | null;
   counterRecord: CounterRecord | null;
   placementChunks: Map<number, StoredChunk>;
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -17,14 +17,19 @@
 const MAX_CONNECTIONS = 6;
 const CALL_TIMEOUT_MS = 5000;
 const PAGE_SIZE = 500;
-/** Share of the cloud's rate limit that is used. The rest covers recent calls of a former leader. */
+/**
+ * Share of the cloud's rate limit that this controller uses. The rest covers recent calls of a former leader.
+ */
 const RATE_LIMIT_SHARE = 0.85;
 /** Burst size in seconds of the rate limit. The cloud allows bursts of twice this size. */
 const BURST_SECONDS = 1;
 /** Interval at which the queue is drained while calls are waiting. */
 const QUEUE_POLL_INTERVAL_MS = 50;
 
-/** Queue order, lowest value first. Deletions come first: unneeded machines are billed by the second. */
+/**
+ * Order of queued calls to the cloud, lowest value first. Deletions come first: unneeded machines are billed
+ * by the second.
+ */
 const CALL_PRIORITY = { deletion: 0, rental: 1, machineList: 2, machineTypes: 3 } as const;
 
 type CallPriority = (typeof CALL_PRIORITY)[keyof typeof CALL_PRIORITY];
@@ -57,8 +62,8 @@
   }
 
   /**
-   * Lists the machine types with their current prices. Fails as `refused`. A malformed response with status
-   * 200 gives an empty list.
+   * Lists the machine types with their current prices. Fails as `refused` unless the response has status 200.
+   * A malformed response with status 200 gives an empty list.
    */
   listMachineTypes(callback: ResultCallback<MachineType[]>): void {
     const onReply = (reply: HttpReply) =>
@@ -87,7 +92,10 @@
     });
   }
 
-  /** Deletes machines; names that the cloud does not know are allowed. Fails as `indeterminate`. */
+  /**
+   * Deletes machines; names that the cloud does not know are allowed. Fails as `indeterminate` unless the
+   * response has status 200.
+   */
   deleteMachines(machineNames: string[], callback: ResultCallback<null>): void {
     this.enqueue({
       priority: CALL_PRIORITY.deletion,
@@ -99,7 +107,10 @@
     });
   }
 
-  /** Lists one page of machines in name order, starting after `afterName`. Fails as `refused`. */
+  /**
+   * Lists one page of machines in name order, starting after `afterName`. Fails as `refused` unless the
+   * response has status 200 and can be decoded.
+   */
   listMachines(afterName: string, callback: ResultCallback<MachinePage>): void {
     const start = afterName === '' ? '' : `since=${encodeURIComponent(afterName)}&`;
     this.enqueue({
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -12,7 +12,7 @@
   method: string;
   /** Path with query string. */
   path: string;
-  /** Sent as JSON. Undefined: no body. */
+  /** Request body, sent as JSON; undefined: no body. */
   body?: unknown;
   /** Timeout of the whole call in ms, including the wait for a connection. */
   timeoutMs: number;
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -15,7 +15,7 @@
   status: number;
   /** Alternating header names and values, as received. */
   rawHeaders: string[];
-  /** Null if the body exceeded {@link HttpMessageReaderOptions.maxBodyBytes}. */
+  /** Message body; null if it exceeded {@link HttpMessageReaderOptions.maxBodyBytes}. */
   body: string | null;
   /** Whether the sender keeps the connection open for further messages. */
   keepAlive: boolean;
@@ -24,7 +24,7 @@
 /** Options of an {@link HttpMessageReader}. */
 export interface HttpMessageReaderOptions {
   messageType: 'REQUEST' | 'RESPONSE';
-  /** Larger bodies are discarded, and their messages have a null body. */
+  /** Maximum size of a message body; a larger body is discarded, and its message has a null body. */
   maxBodyBytes: number;
   /**
    * Called for each complete message, in order, from {@link HttpMessageReader.push} or
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -11,7 +11,7 @@
 /** Response to a request. */
 export interface HttpResponse {
   status: number;
-  /** Serialized JSON. */
+  /** Response body: serialized JSON. */
   body: string;
   /** Headers besides those of the body. `Connection: close` closes the connection after the response. */
   headers?: Record<string, string>;
--- a/src/transport/inbound-connections.ts
+++ b/src/transport/inbound-connections.ts
@@ -6,7 +6,7 @@
 type ClientKind = 'worker' | 'user' | 'probe';
 
 interface InboundConnection {
-  /** Determined by its latest request; null before the first request. */
+  /** Kind of the client, determined by the connection's latest request; null before the first request. */
   kind: ClientKind | null;
   /** Whether a request is being served on this connection. */
   isServing: boolean;
@@ -33,7 +33,7 @@
  * been idle for `MIN_IDLE_MS`. Neither users nor workers can lock the others out.
  */
 export class InboundConnections {
-  /** In order of last use, the least recently used first. */
+  /** The open connections in order of last use, the least recently used first. */
   private readonly openConnections = new Map<Socket, InboundConnection>();
   private readonly countByKind: Record<ClientKind, number> = { worker: 0, user: 0, probe: 0 };
 
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -7,7 +7,10 @@
 import { decodePeerMessage, encodePeerMessage } from '../wire/peer-codec.js';
 import { parseAddress } from './address.js';
 
-/** A connection with more unsent data is considered dead: reconnecting is better than buffering more. */
+/**
+ * A connection to a peer with more unsent data is considered dead: reconnecting is better than buffering
+ * more.
+ */
 const MAX_UNSENT_BYTES = 4 << 20;
 const CONNECT_TIMEOUT_MS = 2000;
 /** Delay before reconnecting. It grows with each failed attempt; establishing a connection resets it. */
@@ -20,7 +23,7 @@
 /** Node name and address of another controller. */
 export interface PeerAddress {
   nodeName: string;
-  /** `HOST:PORT`. */
+  /** Address of the controller, `HOST:PORT`. */
   address: string;
 }
 
@@ -45,7 +48,10 @@
  */
 export class PeerConnections implements PeerTransport {
   private readonly outbound = new Map<string, OutboundConnection>();
-  /** Uses msgpackr's records: a message contains each field name once, however many placements it lists. */
+  /**
+   * Serializes messages with msgpackr's records: a message contains each field name once, however many
+   * placements it lists.
+   */
   private readonly packr = new Packr();
 
   constructor(private readonly options: PeerConnectionsOptions) {
--- a/src/transport/socket-budget.ts
+++ b/src/transport/socket-budget.ts
@@ -8,9 +8,15 @@
   workers: number;
 }
 
-/** Reserved for standard streams, timers, listening sockets, and connections being opened or closed. */
+/**
+ * File descriptors reserved for standard streams, timers, listening sockets, and connections being opened or
+ * closed.
+ */
 const RESERVED_DESCRIPTORS = 40;
-/** Reserved for connections to the key-value store (16 for requests, 8 for watches) and to the cloud (6). */
+/**
+ * File descriptors reserved for connections to the key-value store (16 for requests, 8 for watches) and to
+ * the cloud (6).
+ */
 const STORE_AND_CLOUD_CONNECTIONS = 30;
 /** Connections per peer: one outbound, one inbound, and a spare one while either is being replaced. */
 const CONNECTIONS_PER_PEER = 3;
--- a/src/transport/store-client.ts
+++ b/src/transport/store-client.ts
@@ -26,10 +26,13 @@
 import { RateLimiter, type RateLimits } from './rate-limiter.js';
 
 const MAX_REQUEST_CONNECTIONS = 16;
-/** Separate limit: a watch is a long-poll request, which occupies its connection until its response. */
+/**
+ * Maximum number of connections for watches, which is separate: a watch is a long-poll request, which
+ * occupies its connection until its response.
+ */
 const MAX_WATCH_CONNECTIONS = 8;
 const CALL_TIMEOUT_MS = 1500;
-/** Added to the wait time of a watch to allow for the transfer of its response. */
+/** Time added to the wait time of a watch to allow for the transfer of its response. */
 const WATCH_RESPONSE_MARGIN_MS = 3000;
 const PAGE_SIZE = 500;
 /**
--- a/src/transport/user-api.ts
+++ b/src/transport/user-api.ts
@@ -14,7 +14,7 @@
 const INITIAL_CONCURRENT_REQUESTS = 64;
 const MIN_CONCURRENT_REQUESTS = 8;
 const MAX_CONCURRENT_REQUESTS = 400;
-/** A response within this time is never counted as slow. */
+/** A response to a user request within this time never counts as slow in the limit of concurrent requests. */
 const FAST_RESPONSE_MS = 400;
 
 /** `Retry-After` is a random whole number of seconds from 1 to this. */
@@ -120,7 +120,8 @@
       case 'rejected':
         return context.json({ error: response.reason }, 422);
       case 'unavailable':
-        // Makes the user reconnect, so that the next connection can reach a controller that can serve it.
+        // Closing the connection makes the user reconnect, so that the next connection can reach a controller
+        // that can serve the user.
         if (this.controller.shouldRedirectUsers()) context.header('Connection', 'close');
         return respondUnavailable(context, response.reason);
     }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -10,8 +10,8 @@
 /** Timeout of a call, including the wait for a connection. */
 const CALL_TIMEOUT_MS = 2000;
 /**
- * Time since the start of its last call after which an idle connection is closed, because sockets are needed
- * for heartbeats and users.
+ * Time since the start of the last call on a connection to a worker after which the idle connection is
+ * closed, because sockets are needed for heartbeats and users.
  */
 const IDLE_TIMEOUT_MS = 30_000;
 /** Interval at which waiting calls and idle connections are checked. */
@@ -20,7 +20,7 @@
 const COMMANDS_PATH = '/commands';
 
 interface WorkerConnection {
-  /** Uses a single socket. */
+  /** HTTP client of one worker; uses a single socket. */
   client: HttpClient;
   callsInProgress: number;
   /** When a call last started on the connection; wall-clock ms. */
@@ -43,7 +43,7 @@
  * query a heartbeat.
  */
 export class WorkerClient implements WorkerCommandPort {
-  /** By worker address, in order of last use. */
+  /** Connections by worker address, in order of last use. */
   private readonly connections = new Map<string, WorkerConnection>();
   private readonly waitingCommands: WaitingCall[] = [];
   private readonly waitingQueries: WaitingCall[] = [];
--- a/src/wire/cloud-messages.ts
+++ b/src/wire/cloud-messages.ts
@@ -51,8 +51,8 @@
 }
 
 /**
- * Decodes a page in a response, or returns null if it is malformed: unlike an empty list of types, an empty
- * page would be taken for the end of the list. Machines without a name or a known phase are skipped.
+ * Decodes a page of the machine list, or returns null if it is malformed: unlike an empty list of types, an
+ * empty page would be taken for the end of the list. Machines without a name or a known phase are skipped.
  */
 export function decodeMachinePage(encoded: unknown): MachinePage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.trunks)) return null;
--- a/src/wire/peer-codec.ts
+++ b/src/wire/peer-codec.ts
@@ -221,7 +221,7 @@
   pendingMachines: 'pending',
 });
 
-/** Encoded as an array of machine, image and size in GB. */
+/** Codec of an image location, encoded as an array of machine, image and size in GB. */
 const imageLocation: Codec<ImageLocation> = {
   encode: ({ machine, image, sizeGb }) => [machine, image, sizeGb],
   decode: (encoded) => {
--- a/src/wire/store-messages.ts
+++ b/src/wire/store-messages.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Decodes a page in a response. Returns null if any item is malformed, because a missing item would be taken
- * for a deleted one.
+ * Decodes a page of a list of keys. Returns null if any item is malformed, because a missing item would be
+ * taken for a deleted one.
  */
 export function decodeListPage(encoded: unknown): ListPage | null {
   if (!isJsonObject(encoded) || !Array.isArray(encoded.items)) return null;
@@ -53,7 +53,10 @@
   return isJsonObject(encoded) ? asCount(encoded.tenure) : null;
 }
 
-/** Decodes the changes in a response. Returns null if any change is malformed, because none may be missed. */
+/**
+ * Decodes the changes in the response to a watch. Returns null if any change is malformed, because none may
+ * be missed.
+ */
 export function decodeWatchResponse(encoded: unknown): WatchResponse | null {
   if (!isJsonObject(encoded)) return null;
   const storeRevision = asCount(encoded.ring);
