--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,7 +12,7 @@
 /** Snapshot of a controller's state, for tests. */
 export interface ControllerStatus {
   leader: LeaderRecord;
-  /** State of the scheduler as numbers by name; null unless this controller leads. */
+  /** Statistics of the scheduler by name; null unless this controller leads. */
   scheduler: Record<string, number> | null;
   /** Teams whose shard this controller owns. */
   teams: string[];
--- a/src/controller/shard-assignment.ts
+++ b/src/controller/shard-assignment.ts
@@ -17,7 +17,10 @@
 const MAX_PEER_SILENCE_MS = 3500;
 /** Time from the start of a term as leader to the next rebalancing of shards. */
 const FIRST_REBALANCE_DELAY_MS = 5000;
-/** Maximum time that a shard owner may report no cancellation coverage while the store responds. */
+/**
+ * Maximum time that a shard owner may report no cancellation coverage (the time up to which all stored
+ * cancellations have become stops) while the store responds.
+ */
 const MAX_COVERAGE_SILENCE_MS = 10000;
 /** How long a shard owner that was found unreachable gets no shards. */
 const UNREACHABLE_EXCLUSION_MS = 60000;
--- a/src/controller/worker-heartbeat-handler.ts
+++ b/src/controller/worker-heartbeat-handler.ts
@@ -71,9 +71,10 @@
   /**
    * Returns whether this controller, isolated together with its workers, may renew a worker's lease on behalf
    * of the last known leader, with that leader's fencing token and without commands. Otherwise a partitioned
-   * zone would lose all of its tasks. Renewal requires recent cancellation coverage from the leader, and is
-   * refused for machines on which the leader still had tasks to stop: such a worker may have lost the leader,
-   * but not this controller, long before this controller lost the leader.
+   * zone would lose all of its tasks. Renewal requires recent cancellation coverage (the time up to which all
+   * stored cancellations have become stops) from the leader, and is refused for machines on which the leader
+   * still had tasks to stop: such a worker may have lost the leader, but not this controller, long before
+   * this controller lost the leader.
    */
   private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, cancellationCoordinator, workerTiming } = this.options;
--- a/src/transport/peer-connections.ts
+++ b/src/transport/peer-connections.ts
@@ -100,7 +100,10 @@
     this.socket = this.connect();
   }
 
-  /** Whether data can be written now. Closes a connection with more than {@link MAX_UNSENT_BYTES} unsent. */
+  /**
+   * Returns whether a message can be written to this connection now. Closes the connection if it has more
+   * than {@link MAX_UNSENT_BYTES} of unsent data.
+   */
   isWritable(): boolean {
     if (!this.isUp) return false;
     if (this.socket.writableLength <= MAX_UNSENT_BYTES) return true;
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -61,7 +61,7 @@
   private readonly minShare: number;
   /** Share of the store's limits that this controller uses, from 0 to 1. */
   private share: number;
-  /** Remaining tokens; negative after a large transaction or lease requests. */
+  /** Remaining tokens for requests and for writes; negative after a large transaction or lease requests. */
   private requestTokens: number;
   private writeTokens: number;
   /** When the buckets were last refilled; wall-clock ms. */
--- a/src/transport/request-handler.ts
+++ b/src/transport/request-handler.ts
@@ -10,7 +10,8 @@
 import type { HttpResponse, RequestHandler } from './http-server.js';
 
 /**
- * Request headers that are passed on to the user API; all others are dropped. Its routes read none of them.
+ * Request headers that are passed on to the user API; all others are dropped. The routes of the user API read
+ * no headers at all.
  */
 const FORWARDED_HEADERS = ['content-type', 'accept'];
 
@@ -32,7 +33,8 @@
   return (request, respond) => {
     if (request.method === 'POST' && request.path === HEARTBEAT_PATH)
       return respond(respondToHeartbeat(controller, log, request.body ?? ''));
-    // Also called if the user API fails to respond or its response cannot be read.
+    // Responds that the request is malformed; also called if the user API fails to respond or its response
+    // cannot be read.
     const rejectMalformed = (error: unknown) => {
       log.info({ err: String(error), method: request.method }, 'request rejected as malformed');
       respond({ status: 400, body: '{"error":"malformed request"}' });
