--- a/src/model/policy.ts
+++ b/src/model/policy.ts
@@ -45,8 +45,8 @@
   reserveBatchJobs: number;
   /**
    * Seconds that a machine may be idle before it is deleted, unless queued work or the service reserve
-   * (capacity kept free for new replicas) needs it. Half of that applies to a surplus machine: one that is not
-   * a spot machine and not set aside for the reserve, while capacity has not been short recently.
+   * (capacity kept free for new replicas) needs it. Half of that applies to a surplus machine: one that is
+   * not a spot machine and not set aside for the reserve, while capacity has not been short recently.
    */
   maxIdleSeconds: number;
   /** Seconds over which the boot and image fetch times of a rented machine are amortized. */
