--- a/src/controller/worker-heartbeat-handler.ts
+++ b/src/controller/worker-heartbeat-handler.ts
@@ -44,7 +44,10 @@
     return { type: 'accepted', fencingToken: scheduler.fencingToken, commands };
   }
 
-  /** Returns the machines redirected since the last call. Those beyond `limit` are dropped. */
+  /**
+   * Returns the machines whose workers were redirected to the leader since the last call. Those beyond
+   * `limit` are dropped.
+   */
   takeRedirectedMachines(limit: number): string[] {
     const machines = [...this.redirectedMachines].slice(0, limit);
     this.redirectedMachines.clear();
@@ -68,9 +71,10 @@
   /**
    * Returns whether this controller, isolated together with its workers, may renew a worker's lease on behalf
    * of the last known leader, with that leader's fencing token and without commands. Otherwise a partitioned
-   * zone would lose all of its tasks. Renewal requires recent cancellation coverage from the leader, and is
-   * refused for machines on which the leader still had tasks to stop: such a worker may have lost the leader,
-   * but not this controller, long before this controller lost the leader.
+   * zone would lose all of its tasks. Renewal requires recent cancellation coverage (the time up to which all
+   * stored cancellations have become stops) from the leader, and is refused for machines on which the leader
+   * still had tasks to stop: such a worker may have lost the leader, but not this controller, long before
+   * this controller lost the leader.
    */
   private mayRenewWhileIsolated(heartbeat: Heartbeat, now: number): boolean {
     const { leadership, cancellationCoordinator, workerTiming } = this.options;
